--- a/crates/sedgepath-core/src/configuration.rs
+++ b/crates/sedgepath-core/src/configuration.rs
@@ -21,7 +21,7 @@
 use crate::membership::Membership;
 use crate::message::ConfigurationNews;
 use crate::outbox::Outbox;
-use crate::ownership;
+use crate::rendezvous;
 use crate::table::TableResult;
 use crate::timeline::Topic;
 
@@ -249,7 +249,7 @@
 fn rank(members: &Membership, out: &Outbox) -> u64 {
     let identity = out.identity();
     let domain = identity.card.domain;
-    let order = |vm: VmKey| (ownership::rank(u64::from(domain.0), vm.0), vm);
+    let order = |vm: VmKey| (rendezvous::rank(u64::from(domain.0), vm.0), vm);
     let own = order(identity.vm);
     members.serving_in(domain).into_iter().filter(|vm| order(*vm) > own).count() as u64
 }
--- a/crates/sedgepath-core/src/once/claims/ending.rs
+++ b/crates/sedgepath-core/src/deduplication/claims/ending.rs
@@ -1,10 +1,10 @@
 //! How a claim ends: its row comes to say so, whatever the writes on the way became.
 
+use crate::deduplication::batch::{Batcher, Job};
+use crate::deduplication::claim::{End, KEPT_MS, Step};
+use crate::deduplication::row::{self, ClaimRow, ClaimState};
 use crate::event::Action;
 use crate::key::RequestKey;
-use crate::once::batch::{Batcher, Job};
-use crate::once::claim::{End, KEPT_MS, Step};
-use crate::once::row::{self, ClaimRow, ClaimState};
 use crate::outbox::Outbox;
 use crate::table::{Condition, Row};
 
--- a/crates/sedgepath-core/src/once/visitors.rs
+++ b/crates/sedgepath-core/src/deduplication/visitors.rs
@@ -9,7 +9,7 @@
 use crate::key::{BootId, RequestKey, VmKey};
 use crate::membership::Membership;
 use crate::outbox::Outbox;
-use crate::ownership;
+use crate::rendezvous;
 use crate::request::{HopEnd, Outcome, Reason, RequestHead, Ticket};
 use crate::table::Row;
 
@@ -247,7 +247,7 @@
     let serving = membership.members().into_iter().filter(|(_, member)| member.serves());
     let mut ranked: Vec<_> = serving.map(|(vm, _)| vm).chain(own).collect();
     ranked.retain(|vm| *vm != home);
-    ranked.sort_unstable_by_key(|vm| std::cmp::Reverse((ownership::rank(boot.0, vm.0), vm.0)));
+    ranked.sort_unstable_by_key(|vm| std::cmp::Reverse((rendezvous::rank(boot.0, vm.0), vm.0)));
     ranked.truncate(SUCCESSORS);
     ranked
 }
--- a/crates/sedgepath-core/src/direct.rs
+++ b/crates/sedgepath-core/src/direct.rs
@@ -3,7 +3,7 @@
 //! # Problem
 //!
 //! Upstreams that queue, refuse with proof and report their load defend themselves, so nothing of the
-//! owner's right ([`crate::right`]), its grants and its split of slots is needed in front of them:
+//! owner's right ([`crate::lease`]), its grants and its split of slots is needed in front of them:
 //! a queue at an upstream is a smaller fault than a VM that must wait for its right after each
 //! restart. What is left to decide is which upstream runs a request, when a request is sent again
 //! and when it is refused. [`Steering`] decides that, without input or output.
@@ -30,13 +30,13 @@
 pub mod ablation;
 pub mod attempts;
 pub mod budget;
-pub mod copies;
-pub mod placing;
+pub mod placement;
+pub mod queueing;
+pub mod replicas;
 pub mod routing;
 pub mod status;
 pub mod steering;
 pub mod upstreams;
 pub mod vms;
-pub mod waiting;
 
 pub use steering::{Limits, Place, Steering};
--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -6,8 +6,8 @@
 use std::fmt;
 use std::str::FromStr;
 
+use super::queueing::{CALM_TARGET_FACTOR, Patience};
 use super::steering::Policy;
-use super::waiting::{CALM_TARGET_FACTOR, Patience};
 
 /// A mechanism that can be left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/sedgepath-core/src/direct/waiting.rs
+++ b/crates/sedgepath-core/src/direct/queueing.rs
@@ -3,7 +3,7 @@
 use crate::hash::Map;
 
 use super::attempts::Attempts;
-use super::placing::Candidate;
+use super::placement::Candidate;
 
 /// The part of a request's time that its expected answer may take up; the rest is for the estimate's
 /// error.
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -11,11 +11,11 @@
 use self::store::StoreContact;
 use super::attempts::{Attempts, Cause, Grounds, Outcome, Reason, Sending, Step, UnderWay};
 use super::budget::{BudgetLimits, RetryBudget};
-use super::placing::{Candidate, ServiceTimes, Weights};
+use super::placement::{Candidate, ServiceTimes, Weights};
+use super::queueing::{self, Patience, Pressure};
 use super::routing::{Configuration, ServiceSettings, Splits};
 use super::upstreams::Upstreams;
 use super::vms::Vms;
-use super::waiting::{self, Patience, Pressure};
 
 /// Where a VM stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -290,7 +290,7 @@
         };
         let pressure = self.pressure.note(&attempts.service, candidate.wait_ms > 0.0);
         let patience = self.policy.patience;
-        let most_ms = waiting::most_wait_ms(attempts, &candidate, patience, pressure, now_ms);
+        let most_ms = queueing::most_wait_ms(attempts, &candidate, patience, pressure, now_ms);
         if candidate.wait_ms > most_ms {
             // By then what waits now has been served.
             let retry_ms = candidate.wait_ms as u64;
--- a/crates/sedgepath-core/src/direct/steering/choosing.rs
+++ b/crates/sedgepath-core/src/direct/steering/choosing.rs
@@ -1,11 +1,11 @@
 //! Which upstream gets a request now, and which one where none is sound.
 
 use crate::key::VmKey;
-use crate::ownership;
+use crate::rendezvous;
 
 use super::Steering;
 use crate::direct::attempts::Attempts;
-use crate::direct::placing::{Candidate, Question};
+use crate::direct::placement::{Candidate, Question};
 use crate::direct::upstreams::{Upstream, UpstreamKey};
 use crate::direct::vms::VmCard;
 
@@ -89,7 +89,7 @@
         if candidates.is_empty() {
             candidates = near(&|_| true);
         }
-        ownership::owner(upstream.hash, &candidates) == Some(self.vms.key())
+        rendezvous::owner(upstream.hash, &candidates) == Some(self.vms.key())
     }
 
     /// Returns this VM's part of the connections that an upstream takes from all VMs.
--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -6,17 +6,17 @@
 //! that they live: hearsay can't keep a dead VM named.
 
 mod elsewhere;
+pub mod gossip;
 mod heartbeat;
 mod known;
 mod readers;
-pub mod rounds;
 mod summary;
 
 use std::net::SocketAddr;
 
 use self::elsewhere::{Elsewhere, Newer};
+use self::gossip::Telling;
 use self::known::{KnownVms, Standing};
-use self::rounds::Telling;
 use super::status::OtherVm;
 use crate::hash::{Map, Set};
 use crate::key::VmKey;
--- a/crates/sedgepath-core/src/direct/vms/rounds.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -30,7 +30,7 @@
 use crate::clock::Stamp;
 use crate::hash::{Digest, Map};
 use crate::key::VmKey;
-use crate::ownership;
+use crate::rendezvous;
 
 /// How many VMs of a failure domain speak for it to each other one.
 const SPEAKERS: usize = 2;
@@ -266,7 +266,7 @@
             return false;
         }
         let item = Digest::of(&[domain.as_bytes()]).to_u64();
-        let rank = |key: VmKey| (ownership::rank(item, key.0), key.0);
+        let rank = |key: VmKey| (rendezvous::rank(item, key.0), key.0);
         let own = rank(self.own.card.key());
         let speaks = |peer: &&Peer| {
             let silent_after_ms = self.timing.speaker_silent_after_ms(peer.state.period_ms);
--- a/crates/sedgepath-core/src/drain.rs
+++ b/crates/sedgepath-core/src/drain.rs
@@ -18,7 +18,7 @@
 use crate::catalogue::{Catalogue, ServiceEntry};
 use crate::key::{DomainKey, OriginKey, ServiceKey, UpstreamKey};
 use crate::record::Cap;
-use crate::shift::standing::Standing;
+use crate::shift::traffic_split::Standing;
 
 /// A share below which nothing is left to move; shares are sums of floating-point numbers.
 const NO_SHARE: f64 = 1e-9;
--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -7,12 +7,12 @@
 
 use crate::configuration::change::{ChangeOutcome, ChangeRequest};
 use crate::configuration::store::{Page, Position};
+use crate::deduplication::row::HandedOver;
+use crate::deduplication::tickets::MintError;
 use crate::key::{
     BootId, DomainKey, ExchangeKey, OperationKey, ReplyKey, RequestKey, UpstreamKey, VmKey,
 };
 use crate::message::Envelope;
-use crate::once::row::HandedOver;
-use crate::once::tickets::MintError;
 use crate::request::{
     AnswerHead, CallEnd, Dispatch, EntryVm, HopEnd, Outcome, RequestHead, StoredAnswer, Ticket,
 };
--- a/crates/sedgepath-core/src/explain.rs
+++ b/crates/sedgepath-core/src/explain.rs
@@ -4,13 +4,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::candidates::View;
 use crate::catalogue::ANY_ORIGIN;
 use crate::hash::Digest;
 use crate::key::{DomainKey, OriginKey, ServiceKey};
 use crate::record::Cap;
 use crate::request::Class;
 use crate::steering::{Candidate, SteeringPolicy};
+use crate::view::View;
 
 /// What is to be explained.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -9,7 +9,6 @@
 //! [`Conclusion`] that it came to, so that the system that keeps once-only requests from running
 //! twice sees every outcome before the caller does.
 
-use crate::candidates::{Owner, View};
 use crate::catalogue::{Catalogue, ServiceEntry};
 use crate::event::Action;
 use crate::hash::Map;
@@ -20,6 +19,7 @@
 use crate::retry::RetryBudgets;
 use crate::shift::ShiftKey;
 use crate::steering::SteeringPolicy;
+use crate::view::{Owner, View};
 
 mod pending;
 mod places;
--- a/crates/sedgepath-core/src/ingress/places.rs
+++ b/crates/sedgepath-core/src/ingress/places.rs
@@ -4,7 +4,6 @@
 
 use super::pending::Pending;
 use super::{Means, RETRY_AFTER_MS};
-use crate::candidates::Owner;
 use crate::hash::Map;
 use crate::key::{DomainKey, ServiceKey, VmKey};
 use crate::message::Baseline;
@@ -14,6 +13,7 @@
 use crate::shift::baseline::BaselineSearch;
 use crate::shift::{self, ShiftKey, ShiftLedger};
 use crate::steering::{Candidate, Choice};
+use crate::view::Owner;
 
 /// The least time after which a caller whose traffic may not move yet is told to come back, in
 /// milliseconds.
@@ -106,7 +106,7 @@
             let Some(owner) = self.owner_in(candidates[index].domain, pending, means) else {
                 continue;
             };
-            let Some(standing) = self.ledger.standing(key, view.now_ms) else { continue };
+            let Some(standing) = self.ledger.traffic_split(key, view.now_ms) else { continue };
             if standing.try_move(home, index) {
                 pending.set_home(index);
                 return Ok(owner);
@@ -148,7 +148,7 @@
         let view = &means.view;
         self.ledger.take_revision(view.revision, view.catalogue, view.now_ms);
         let entry = view.catalogue.services.get(&key.service)?.steering.as_ref()?;
-        let standing = self.ledger.standing(key, view.now_ms)?;
+        let standing = self.ledger.traffic_split(key, view.now_ms)?;
         let candidates = self
             .candidates
             .entry(key)
--- a/crates/sedgepath-core/src/right.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -13,7 +13,7 @@
 //! With T = `suspect_after_ms` and D the longest deadline of the services with upstreams in the
 //! domain; the model `slot_split` of the package `sedgepath-model` explores the same rules.
 //!
-//! - Each upstream has an owner by the roster ([`crate::ownership`]), and each member a fixed part of
+//! - Each upstream has an owner by the roster ([`crate::rendezvous`]), and each member a fixed part of
 //!   its slots; the parts add up to the slots, and no part grows when the roster does.
 //! - The owner may use all slots while every other member of its roster has granted it. A grant is the
 //!   acknowledgement of a heartbeat that claims the right. It ends T after the heartbeat was *sent*,
@@ -69,7 +69,7 @@
 use crate::membership::Membership;
 use crate::message::{Acknowledgement, Claim, Envelope, Heartbeat, UpstreamInFlight};
 use crate::outbox::Outbox;
-use crate::ownership;
+use crate::rendezvous;
 use crate::timeline::Topic;
 
 mod promise;
@@ -431,11 +431,11 @@
         let candidates = if staying.is_empty() { &all } else { &staying };
         for share in &mut self.shares {
             let item = u64::from(share.upstream.0);
-            share.owner = ownership::owner(item, candidates).unwrap_or(self.own);
+            share.owner = rendezvous::owner(item, candidates).unwrap_or(self.own);
             share.ranked.clone_from(&all);
             share
                 .ranked
-                .sort_unstable_by_key(|vm| std::cmp::Reverse((ownership::rank(item, vm.0), *vm)));
+                .sort_unstable_by_key(|vm| std::cmp::Reverse((rendezvous::rank(item, vm.0), *vm)));
         }
     }
 
--- a/crates/sedgepath-core/src/look_up.rs
+++ b/crates/sedgepath-core/src/look_up.rs
@@ -8,12 +8,12 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-use crate::candidates::View;
 use crate::event::{LookUp, LookUpAnswer, LookUpError};
 use crate::hash::Map;
 use crate::key::{DomainKey, OriginKey, ServiceKey, VmKey};
-use crate::ownership::rank;
+use crate::rendezvous::rank;
 use crate::request::EntryVm;
+use crate::view::View;
 
 /// The most entry VMs that an answer names.
 const MAX_NAMED: usize = 8;
--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -3,7 +3,7 @@
 //! # Problem
 //!
 //! Every node needs to know who serves where, soon after a change, while datagrams are lost, links
-//! are cut and processes pause; and the owner's right ([`crate::right`]) needs each member of the
+//! are cut and processes pause; and the owner's right ([`crate::lease`]) needs each member of the
 //! own failure domain to acknowledge this node's heartbeats. What a node sends may not grow with the
 //! number of all nodes.
 //!
@@ -56,13 +56,13 @@
 use crate::hash::Map;
 use crate::identity::NodeSettings;
 use crate::key::{BootId, DomainKey, VmKey};
+use crate::lease::Right;
 use crate::message::{
     ConfigurationNews, Envelope, Heartbeat, MemberCard, Message, Probe, ProbeAnswer, ServiceLoad,
     Summary,
 };
 use crate::outbox::Outbox;
-use crate::ownership;
-use crate::right::Right;
+use crate::rendezvous;
 use crate::timeline::Topic;
 
 mod heartbeat;
@@ -432,7 +432,7 @@
         let mut candidates = self.serving_in(identity.card.domain);
         candidates.retain(|vm| *vm != newcomer);
         candidates.push(identity.vm);
-        ownership::owner(newcomer.0, &candidates) == Some(identity.vm)
+        rendezvous::owner(newcomer.0, &candidates) == Some(identity.vm)
     }
 }
 
--- a/crates/sedgepath-core/src/membership/heartbeat.rs
+++ b/crates/sedgepath-core/src/membership/heartbeat.rs
@@ -8,9 +8,9 @@
 use super::{Membership, OwnState, probe};
 use crate::hash::Map;
 use crate::key::{BootId, DomainKey, VmKey};
+use crate::lease::{HeardBeat, Right};
 use crate::message::{Acknowledgement, Claim, Envelope, Heartbeat, Message, ServiceLoad};
 use crate::outbox::Outbox;
-use crate::right::{HeardBeat, Right};
 
 /// The most services whose load a heartbeat tells, so that it fits a datagram; those with the
 /// fewest slots are left out.
--- a/crates/sedgepath-core/src/membership/relay.rs
+++ b/crates/sedgepath-core/src/membership/relay.rs
@@ -29,7 +29,7 @@
 use crate::key::{DomainKey, VmKey};
 use crate::message::{Message, Summary, SummaryLine};
 use crate::outbox::Outbox;
-use crate::ownership;
+use crate::rendezvous;
 
 /// The relays of a failure domain towards another.
 const RELAYS: usize = 2;
@@ -164,7 +164,7 @@
         let live = self.members_in(domain).into_iter().filter(|(_, member)| !member.suspect);
         let mut lines: Vec<_> = live.map(|(vm, _)| self.line(vm, with_cards, out)).collect();
         lines.push(own_line(own, with_cards, out));
-        lines.sort_unstable_by_key(|line| ownership::rank(u64::from(domain.0), line.vm.0));
+        lines.sort_unstable_by_key(|line| rendezvous::rank(u64::from(domain.0), line.vm.0));
         let mut idle = 0;
         lines.retain(|line| {
             idle += usize::from(line.loads.is_empty());
@@ -207,7 +207,7 @@
 
 /// Returns the candidates that rank first for a failure domain.
 fn first_ranked(domain: DomainKey, mut candidates: Vec<VmKey>) -> Vec<VmKey> {
-    candidates.sort_unstable_by_key(|vm| ownership::rank(u64::from(domain.0), vm.0));
+    candidates.sort_unstable_by_key(|vm| rendezvous::rank(u64::from(domain.0), vm.0));
     candidates.truncate(RELAYS);
     candidates
 }
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -7,25 +7,25 @@
 use std::sync::Arc;
 
 use crate::allowance::Allowance;
-use crate::candidates::View;
 use crate::configuration::Configuration;
 use crate::configuration::store::{Page, Position};
+use crate::deduplication::tickets::MintError;
+use crate::deduplication::{self, OnceSystem};
 use crate::egress::{Egress, Scope};
 use crate::event::{Action, Event, ListedVm, LookUp, LookUpAnswer, LookUpError};
 use crate::explain::{Explanation, Question};
 use crate::identity::{Identity, NodeSettings};
 use crate::ingress::{self, Conclusion, Ingress, Means};
 use crate::key::{RequestKey, ServiceKey, UpstreamKey, VmKey};
+use crate::lease::Right;
 use crate::membership::{Membership, OwnState};
 use crate::message::{Baseline, Envelope, Heartbeat, Message, ServiceLoad};
-use crate::once::tickets::MintError;
-use crate::once::{self, OnceSystem};
 use crate::outbox::Outbox;
 use crate::request::{HopEnd, Once, RequestHead, Ticket};
-use crate::right::Right;
 use crate::steering::{ByHeadroom, SteeringPolicy};
 use crate::stop::{self, PlannedStop};
 use crate::timeline::Topic;
+use crate::view::View;
 
 /// What the ingress decides by: a macro, so that the ingress and the outbox can be borrowed beside.
 macro_rules! means {
@@ -214,7 +214,7 @@
         }
         let mut conclusion = self.ingress.begin(request, head, means, &mut self.out);
         if let Some(conclusion) = conclusion.as_mut().filter(|_| is_once && !is_known) {
-            once::withhold_not_run(head, &mut conclusion.outcome);
+            deduplication::withhold_not_run(head, &mut conclusion.outcome);
         }
         self.conclude(conclusion);
     }
--- a/crates/sedgepath-core/src/shift.rs
+++ b/crates/sedgepath-core/src/shift.rs
@@ -58,9 +58,9 @@
 
 pub mod baseline;
 mod history;
-pub mod standing;
+pub mod traffic_split;
 
-use standing::Standing;
+use traffic_split::Standing;
 
 /// The part of the cap that standing shares may use.
 pub const STANDING_PART: f64 = 0.8;
@@ -134,7 +134,7 @@
     }
 
     /// Returns the standing of a service and origin group; it starts from the record's shares.
-    pub fn standing(&mut self, key: ShiftKey, now_ms: u64) -> Option<&mut Standing> {
+    pub fn traffic_split(&mut self, key: ShiftKey, now_ms: u64) -> Option<&mut Standing> {
         let declared = self.declared.get(&key)?;
         let standing = self.standings.entry(key);
         Some(standing.or_insert_with(|| Standing::new(declared, now_ms, &mut self.random)))
@@ -142,7 +142,7 @@
 
     /// Gives a request its home; see [`Standing::home`].
     pub fn home(&mut self, key: ShiftKey, cap: Cap, now_ms: u64) -> Option<usize> {
-        self.standing(key, now_ms)?.home(cap)
+        self.traffic_split(key, now_ms)?.home(cap)
     }
 
     /// Returns the keys of the standings whose next part of a window has begun, in order.
--- a/crates/sedgepath-core/src/shift/baseline.rs
+++ b/crates/sedgepath-core/src/shift/baseline.rs
@@ -5,10 +5,10 @@
 //! restarts, take the cap with it. So it asks its peers and serves when one has answered. With no
 //! peer to ask it waits for a second and starts from the record's shares.
 
-use crate::candidates::View;
 use crate::key::VmKey;
 use crate::message::{Baseline, Message};
 use crate::outbox::Outbox;
+use crate::view::View;
 
 use super::ShiftLedger;
 
--- a/crates/sedgepath-core/src/candidates.rs
+++ b/crates/sedgepath-core/src/view.rs
@@ -7,7 +7,7 @@
 use crate::key::{DomainKey, OriginKey, ServiceKey, UpstreamKey, VmKey};
 use crate::membership::{self, Membership};
 use crate::message::ServiceLoad;
-use crate::ownership;
+use crate::rendezvous;
 use crate::steering::Candidate;
 
 /// The owner of an upstream and where it takes frames.
@@ -132,7 +132,7 @@
     ) -> Vec<Owner> {
         let mut owners: Vec<Owner> = Vec::new();
         for upstream in self.upstreams_in(domain, service) {
-            let Some(vm) = ownership::owner(u64::from(upstream.0), serving) else { continue };
+            let Some(vm) = rendezvous::owner(u64::from(upstream.0), serving) else { continue };
             let slots = self.catalogue.upstreams[&upstream].slots;
             if let Some(owner) = owners.iter_mut().find(|owner| owner.vm == vm) {
                 owner.slots += slots;
--- a/crates/sedgepath-core/tests/direct_copies.rs
+++ b/crates/sedgepath-core/tests/direct_copies.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use proptest::prelude::*;
-use sedgepath_core::direct::copies::{CopiedRow, Page, TableCopy};
+use sedgepath_core::direct::replicas::{CopiedRow, Page, TableCopy};
 
 fn row(key: &str, version: u64, value: Option<&str>) -> CopiedRow {
     let value = value.map(|value| Arc::from(value.as_bytes()));
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -9,7 +9,7 @@
 use fuzz_support::config;
 use proptest::prelude::*;
 use sedgepath_core::clock::Stamp;
-use sedgepath_core::direct::vms::rounds::{Heartbeat, PeerMessage};
+use sedgepath_core::direct::vms::gossip::{Heartbeat, PeerMessage};
 use sedgepath_core::direct::vms::{DomainSummary, Member, News, PassedOn, StoreView, Vms};
 use sedgepath_test_support::direct::{heartbeat, vms};
 
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -1,7 +1,7 @@
 //! An upstream that is leaving gets no new work, and what runs there is left alone.
 
 use sedgepath_core::key::{UpstreamKey, VmKey};
-use sedgepath_core::ownership;
+use sedgepath_core::rendezvous;
 use sedgepath_core::request::{CallEnd, Class, Reason};
 use sedgepath_test_support::bed::faults::Place;
 use sedgepath_test_support::bed::{Bed, NodeIndex, Seen};
@@ -30,7 +30,7 @@
 
 fn owner_of(name: &str) -> NodeIndex {
     let vms = ["n0", "n1", "n2"].map(VmKey::of);
-    let owner = ownership::owner(u64::from(UpstreamKey::of(name).0), &vms);
+    let owner = rendezvous::owner(u64::from(UpstreamKey::of(name).0), &vms);
     vms.iter().position(|vm| Some(*vm) == owner).expect("one of them is the owner")
 }
 
--- a/crates/sedgepath-core/tests/tickets.rs
+++ b/crates/sedgepath-core/tests/tickets.rs
@@ -6,8 +6,8 @@
 
 use once_callers::{kill_in_turn, pause_two, run_actions};
 use once_support::{Verdict, assert_holds, bed, head, is_not_run, judge, settle};
+use sedgepath_core::deduplication::tickets::{MAX_LIVE, VALID_MS};
 use sedgepath_core::hash::Digest;
-use sedgepath_core::once::tickets::{MAX_LIVE, VALID_MS};
 use sedgepath_core::request::{Once, Outcome, Reason};
 use sedgepath_test_support::bed::{Bed, NodeIndex, Seen};
 
--- a/crates/sedgepath-emulator/src/policy.rs
+++ b/crates/sedgepath-emulator/src/policy.rs
@@ -1,9 +1,9 @@
 //! The policies compared: those in force, and baselines.
 
 use sedgepath_core::direct::ablation::Mechanism;
-use sedgepath_core::direct::placing::Weights;
+use sedgepath_core::direct::placement::Weights;
+use sedgepath_core::direct::queueing::Patience;
 use sedgepath_core::direct::steering::Policy;
-use sedgepath_core::direct::waiting::Patience;
 
 /// A policy with its name in reports.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/sedgepath-test-support/src/bed/platform.rs
+++ b/crates/sedgepath-test-support/src/bed/platform.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 
 use sedgepath_core::configuration::store::Position;
+use sedgepath_core::deduplication::row::HandedOver;
 use sedgepath_core::event::Event;
 use sedgepath_core::key::{OperationKey, VmKey};
-use sedgepath_core::once::row::HandedOver;
 use sedgepath_core::table::TableService;
 use sedgepath_core::table::{TableRequest, TableResult};
 
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -9,7 +9,7 @@
 
 use fastrand::Rng;
 use sedgepath_core::clock::Stamp;
-use sedgepath_core::direct::vms::rounds::{Heartbeat, Outgoing, PeerMessage};
+use sedgepath_core::direct::vms::gossip::{Heartbeat, Outgoing, PeerMessage};
 use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, Vms};
 use sedgepath_core::hash::{Map, Set};
 
--- a/crates/sedgepath-wire/src/lib.rs
+++ b/crates/sedgepath-wire/src/lib.rs
@@ -4,10 +4,10 @@
 //! settings. Nothing is encrypted: the links between the VMs are the users' own.
 
 pub mod datagram;
-pub mod dial;
 pub mod frame;
 pub mod key;
-pub mod proof;
 pub mod rpc;
+pub mod signed_call;
+pub mod tcp;
 pub mod ticket;
 pub mod time;
--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -11,7 +11,7 @@
 use sedgepath_core::timeline::Entry;
 use serde::{Deserialize, Serialize};
 
-use crate::proof::Proved;
+use crate::signed_call::Proved;
 
 mod caller;
 
--- a/crates/sedgepath-wire/src/rpc/caller.rs
+++ b/crates/sedgepath-wire/src/rpc/caller.rs
@@ -11,7 +11,7 @@
 
 use super::{OperatorsClient, Status, TimelinePart, UNTIMELY_CODE, method};
 use crate::key::SharedKey;
-use crate::proof::Proved;
+use crate::signed_call::Proved;
 use crate::time::unix_ms;
 
 /// Makes a call, and once more by the node's time if that is far from the caller's.
--- a/crates/sedgepath-wire/tests/proof.rs
+++ b/crates/sedgepath-wire/tests/proof.rs
@@ -1,6 +1,6 @@
 //! Which remote calls a node takes.
 
-use sedgepath_wire::proof::{Guard, MAX_AGE_MS, ProofError, Proved, key};
+use sedgepath_wire::signed_call::{Guard, MAX_AGE_MS, ProofError, Proved, key};
 
 const KEY: &str = "a key of operators";
 const NOW_MS: u64 = 1_000_000;
--- a/crates/sedgepath/src/cli.rs
+++ b/crates/sedgepath/src/cli.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use getopts::{Matches, Options};
-use sedgepath_wire::proof;
+use sedgepath_wire::signed_call;
 
 use crate::client::Client;
 use crate::commands::{COMMANDS, Command};
@@ -174,7 +174,7 @@
             None => self.environment.key.clone(),
         };
         let key = key.ok_or(CliError::NoKey)?;
-        Client::new(nodes, proof::key(key.trim()))
+        Client::new(nodes, signed_call::key(key.trim()))
     }
 }
 
--- a/crates/sedgepathd/src/callers/once.rs
+++ b/crates/sedgepathd/src/callers/once.rs
@@ -1,8 +1,8 @@
 //! What keeps a request from running twice, as callers say it.
 
 use hyper::HeaderMap;
+use sedgepath_core::deduplication::key_digest;
 use sedgepath_core::hash::Digest;
-use sedgepath_core::once::key_digest;
 use sedgepath_core::request::Once;
 use sedgepath_wire::key::SharedKey;
 use sedgepath_wire::ticket;
--- a/crates/sedgepathd/src/callers/tickets.rs
+++ b/crates/sedgepathd/src/callers/tickets.rs
@@ -3,7 +3,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CACHE_CONTROL, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
-use sedgepath_core::once::tickets::{MintError, VALID_MS};
+use sedgepath_core::deduplication::tickets::{MintError, VALID_MS};
 use sedgepath_core::request::Ticket;
 use sedgepath_wire::ticket;
 use serde_json::json;
--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -16,8 +16,8 @@
 use sedgepath_core::node::Node;
 use sedgepath_core::table::TableService;
 use sedgepath_wire::key::SharedKey;
-use sedgepath_wire::proof::{self, Guard};
 use sedgepath_wire::rpc::OperatorsServer;
+use sedgepath_wire::signed_call::{self, Guard};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use tokio::net::TcpListener;
@@ -108,7 +108,7 @@
     );
     let peers = Peers::new(frame_key, exchanges, Arc::clone(&callers), metrics);
 
-    let call_key = proof::key(&settings.secret);
+    let call_key = signed_call::key(&settings.secret);
     let operator_keys = settings.operator_keys.iter().map(|key| &**key);
     let guard = Guard::new(std::iter::once(&*settings.secret).chain(operator_keys));
 
--- a/crates/sedgepathd/src/direct/answers.rs
+++ b/crates/sedgepathd/src/direct/answers.rs
@@ -1,7 +1,7 @@
 //! The VM's own answers to callers, and the lines that tell how requests ended.
 
 use hyper::{Response, StatusCode};
-use sedgepath_adapter::exchange;
+use sedgepath_adapter::headers;
 use sedgepath_core::direct::attempts::{Attempts, Outcome, Reason, Sending};
 use sedgepath_core::direct::steering::Refusal;
 
@@ -13,7 +13,7 @@
 /// Answers with a status alone.
 pub fn plain(status: StatusCode, attempt: &str) -> Response<Body> {
     let mut response = empty(status);
-    exchange::set_attempt(response.headers_mut(), attempt);
+    headers::set_attempt(response.headers_mut(), attempt);
     response
 }
 
@@ -47,7 +47,7 @@
     };
     let mut response = plain(status, attempt);
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        exchange::set_retry_after(response.headers_mut(), refusal.retry_after_ms);
+        headers::set_retry_after(response.headers_mut(), refusal.retry_after_ms);
     }
     let service = attempts.map_or("none", |attempts| &*attempts.service);
     let sendings = attempts.map_or(0, |attempts| attempts.arrivals);
--- a/crates/sedgepathd/src/direct/entry.rs
+++ b/crates/sedgepathd/src/direct/entry.rs
@@ -3,7 +3,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use sedgepath_adapter::look_up::{self, EntryQuestion};
+use sedgepath_adapter::entry_vm_query::{self, EntryQuestion};
 
 use super::clock;
 use super::pool::Body;
@@ -18,14 +18,14 @@
 /// Answers a look-up or the platform's question for readiness.
 pub fn answer(shell: &Shell, request: &Request<Incoming>) -> Response<Body> {
     let steering = shell.steering.borrow();
-    match look_up::read(request.method(), request.uri()) {
+    match entry_vm_query::read(request.method(), request.uri()) {
         Some(EntryQuestion::Ready) => {
             let ready = steering.can_serve() && !steering.vms().leaving();
             empty(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
         }
         Some(EntryQuestion::LookUp { domain, region }) => {
             let named = steering.vms().look_up(&domain, &region, clock::now_ms());
-            let body = look_up::answer(&named, VALID_FOR_MS);
+            let body = entry_vm_query::answer(&named, VALID_FOR_MS);
             let mut response = Response::new(held(body.into_bytes().into()));
             let json = HeaderValue::from_static("application/json");
             response.headers_mut().insert(CONTENT_TYPE, json);
--- a/crates/sedgepathd/src/direct/fetch.rs
+++ b/crates/sedgepathd/src/direct/fetch.rs
@@ -9,8 +9,8 @@
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::{Request, StatusCode, client};
 use hyper_util::rt::TokioIo;
-use sedgepath_core::direct::copies::{Page, Table};
-use sedgepath_wire::dial;
+use sedgepath_core::direct::replicas::{Page, Table};
+use sedgepath_wire::tcp;
 use tokio::time::timeout;
 
 use super::giving::RowsError;
@@ -161,7 +161,7 @@
     address: SocketAddr,
 ) -> Result<Page, FetchError> {
     let begun_at_ms = clock::now_ms();
-    let stream = dial::connect(address, FETCH_TIMEOUT).await?;
+    let stream = tcp::connect(address, FETCH_TIMEOUT).await?;
     let (mut connection, task) = client::conn::http1::handshake(TokioIo::new(stream)).await?;
     // The call that uses the connection hears of its end.
     tokio::task::spawn_local(async move { drop(task.await) });
--- a/crates/sedgepathd/src/direct/find.rs
+++ b/crates/sedgepathd/src/direct/find.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sedgepath_adapter::store::StoreError;
-use sedgepath_core::direct::copies::Page;
+use sedgepath_core::direct::replicas::Page;
 use serde::{Deserialize, Serialize};
 
 use super::shell::Shell;
--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sedgepath_adapter::entries::{self, OperatorKey, table_name};
+use sedgepath_adapter::rows::{self, OperatorKey, table_name};
 use sedgepath_adapter::store::StoreError;
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::copies::{CopiedRow, Page, Table};
+use sedgepath_core::direct::replicas::{CopiedRow, Page, Table};
 use sedgepath_core::direct::upstreams::EntryChange;
 use sedgepath_core::direct::vms::StoreView;
 
@@ -176,7 +176,7 @@
         match OperatorKey::read(&row.key) {
             OperatorKey::Configuration => {
                 let Some(value) = &row.value else { continue };
-                match entries::configuration(value) {
+                match rows::configuration(value) {
                     Ok(configuration) => {
                         let version = configuration.version;
                         let taken = steering.configure(Arc::new(configuration));
@@ -208,7 +208,7 @@
         steering.upstreams_mut().remove(&row.key, now_ms);
         return;
     };
-    match entries::upstream(&row.key, value) {
+    match rows::upstream(&row.key, value) {
         Ok(entry) => {
             let region = steering.region_of(&entry.domain);
             let change = steering.upstreams_mut().put(entry.clone(), &region, now_ms);
--- a/crates/sedgepathd/src/direct/giving.rs
+++ b/crates/sedgepathd/src/direct/giving.rs
@@ -17,7 +17,7 @@
 use hyper::body::{Body as _, Incoming};
 use hyper::header::{CONTENT_ENCODING, HeaderMap, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use sedgepath_core::direct::copies::{Copies, Page, Table, TableCopy};
+use sedgepath_core::direct::replicas::{Copies, Page, Table, TableCopy};
 use sedgepath_core::hash::Map;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
--- a/crates/sedgepathd/src/direct/ingress.rs
+++ b/crates/sedgepathd/src/direct/ingress.rs
@@ -14,10 +14,10 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use sedgepath_adapter::exchange::RequestFields;
+use sedgepath_adapter::headers::RequestFields;
 use sedgepath_core::direct::attempts::{Outcome, Reason, Step};
 use sedgepath_core::direct::steering::{Asked, Refusal};
-use sedgepath_wire::dial;
+use sedgepath_wire::tcp;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout_at;
 
@@ -75,7 +75,7 @@
 }
 
 async fn connection(shell: &Rc<Shell>, stream: TcpStream) {
-    if dial::watch(&stream).is_err() {
+    if tcp::watch(&stream).is_err() {
         return;
     }
     let limits = shell.steering.borrow().configuration().map(|in_force| in_force.limits);
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use sedgepath_core::clock::Stamp;
-use sedgepath_core::direct::vms::rounds::{Heartbeat, Outgoing, PeerMessage};
+use sedgepath_core::direct::vms::gossip::{Heartbeat, Outgoing, PeerMessage};
 use sedgepath_core::direct::vms::{PassedOn, VmHeartbeat};
 
 use super::shell::Shell;
--- a/crates/sedgepathd/src/direct/pool.rs
+++ b/crates/sedgepathd/src/direct/pool.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::TokioIo;
 use sedgepath_core::direct::upstreams::UpstreamKey;
 use sedgepath_core::hash::Map;
-use sedgepath_wire::dial;
+use sedgepath_wire::tcp;
 
 use super::clock;
 
@@ -69,7 +69,7 @@
         address: std::net::SocketAddr,
         limit: Duration,
     ) -> std::io::Result<Connection> {
-        let stream = dial::connect(address, limit).await?;
+        let stream = tcp::connect(address, limit).await?;
         let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
         let (connection, task) = handshake.map_err(std::io::Error::other)?;
         tokio::task::spawn_local(async move {
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -6,7 +6,7 @@
 
 use sedgepath_adapter::settings::{Settings, SettingsError};
 use sedgepath_core::direct::budget::BudgetLimits;
-use sedgepath_core::direct::copies::Table;
+use sedgepath_core::direct::replicas::Table;
 use sedgepath_core::direct::steering::Policy;
 use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, VmTiming, Vms};
 use sedgepath_core::direct::{Limits, Place, Steering};
--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body as _, Frame, Incoming, SizeHint};
 use hyper::{Request, Response, StatusCode, http};
-use sedgepath_adapter::exchange::{self, AnswerFields, AnswerKind};
+use sedgepath_adapter::headers::{self, AnswerFields, AnswerKind};
 use sedgepath_core::direct::attempts::{Attempts, Outcome, Sending, Step};
 use sedgepath_core::direct::upstreams::UpstreamKey;
 use tokio::time::timeout_at;
@@ -152,7 +152,7 @@
             },
         };
         let left_ms = deadline_at_ms.saturating_sub(clock::now_ms());
-        exchange::to_upstream(request.headers_mut(), &sending.name, left_ms);
+        headers::to_upstream(request.headers_mut(), &sending.name, left_ms);
         match timeout_at(deadline, connection.try_send_request(request)).await {
             Ok(Ok(response)) => {
                 return receive(shell, deadline_at_ms, sending, head, response, connection).await;
@@ -231,7 +231,7 @@
 }
 
 fn answer(mut parts: http::response::Parts, body: Body) -> Response<Body> {
-    exchange::remove_connection_fields(&mut parts.headers);
+    headers::remove_connection_fields(&mut parts.headers);
     Response::from_parts(parts, body)
 }
 
--- a/crates/sedgepathd/src/direct/shell.rs
+++ b/crates/sedgepathd/src/direct/shell.rs
@@ -7,7 +7,7 @@
 use sedgepath_adapter::settings::Settings;
 use sedgepath_adapter::store::Store;
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::copies::{Copies, Table};
+use sedgepath_core::direct::replicas::{Copies, Table};
 use sedgepath_core::direct::vms::StoreView;
 use sedgepath_core::hash::Map;
 use tokio::net::UdpSocket;
--- a/crates/sedgepathd/src/driver.rs
+++ b/crates/sedgepathd/src/driver.rs
@@ -11,11 +11,11 @@
 
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, unbounded};
 use sedgepath_core::configuration::change::{ChangeOutcome, ChangeRequest};
+use sedgepath_core::deduplication::tickets::MintError;
 use sedgepath_core::event::{Action, Event, LookUp, LookUpAnswer, LookUpError};
 use sedgepath_core::hash::Map;
 use sedgepath_core::key::{ExchangeKey, ReplyKey, RequestKey, VmKey};
 use sedgepath_core::node::Node;
-use sedgepath_core::once::tickets::MintError;
 use sedgepath_core::request::{Dispatch, RequestHead, Ticket};
 use sedgepath_wire::datagram;
 use sedgepath_wire::key::SharedKey;
--- a/crates/sedgepathd/src/homes.rs
+++ b/crates/sedgepathd/src/homes.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
+use sedgepath_core::deduplication::row::HandedOver;
 use sedgepath_core::event::Event;
 use sedgepath_core::key::{BootId, OperationKey, RequestKey, VmKey};
-use sedgepath_core::once::row::HandedOver;
 use sedgepath_wire::frame::{ExchangeId, FrameError, HttpRequestHead, Purpose};
 use tokio::sync::mpsc;
 
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -17,11 +17,11 @@
 use sedgepath_core::node::Node;
 use sedgepath_core::table::{TableRequest, TableResult, TableService};
 use sedgepath_wire::key::SharedKey;
-use sedgepath_wire::proof::{Guard, ProofError, Proved};
 use sedgepath_wire::rpc::{
     Caller, MemberStatus, OperatorsServer, STOPPING_CODE, Status, TimelinePart, UNAVAILABLE_CODE,
     UNPROVED_CODE, UNTIMELY_CODE, UnreadStatus, method,
 };
+use sedgepath_wire::signed_call::{Guard, ProofError, Proved};
 use serde::Serialize;
 use tokio::sync::mpsc;
 
--- a/crates/sedgepathd/src/store.rs
+++ b/crates/sedgepathd/src/store.rs
@@ -7,7 +7,7 @@
 
 use crossbeam::channel::bounded;
 use sedgepath_adapter::store::Store;
-use sedgepath_core::direct::copies::CopiedRow;
+use sedgepath_core::direct::replicas::CopiedRow;
 use sedgepath_core::event::{Event, ListedVm};
 use sedgepath_core::table::{RECORD_TABLE, TableRequest, TableResult, TableService};
 use serde::{Deserialize, Serialize};
--- a/crates/sedgepathd/tests/giving.rs
+++ b/crates/sedgepathd/tests/giving.rs
@@ -2,7 +2,7 @@
 
 use http_body_util::BodyExt;
 use hyper::{Response, StatusCode};
-use sedgepath_core::direct::copies::{CopiedRow, Copies, Page, Table};
+use sedgepath_core::direct::replicas::{CopiedRow, Copies, Page, Table};
 use sedgepathd::direct::giving::{self, Giving};
 use sedgepathd::direct::pool::Body;
 
--- a/crates/sedgepathd/tests/platform/slow_peer.rs
+++ b/crates/sedgepathd/tests/platform/slow_peer.rs
@@ -7,8 +7,8 @@
 use std::thread;
 use std::time::Duration;
 
-use sedgepath_core::direct::copies::{CopiedRow, Page, Table};
-use sedgepath_core::direct::vms::rounds::{Heartbeat, PeerMessage};
+use sedgepath_core::direct::replicas::{CopiedRow, Page, Table};
+use sedgepath_core::direct::vms::gossip::{Heartbeat, PeerMessage};
 use sedgepath_test_support::direct::heartbeat;
 use sedgepath_test_support::store::StoreStandIn;
 
