--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -23,7 +23,7 @@
     /// Taking the second upstream costs something by itself.
     SpillCost,
     /// It costs more where upstreams forget objects.
-    ForgottenSpill,
+    EvictionSpillCost,
     /// Requests wait for a shorter time while queues stand.
     ShortQueues,
     /// A request is sent a second time beside an upstream that says nothing.
@@ -50,7 +50,7 @@
         Self::OwnRegion,
         Self::LargeAnswersNear,
         Self::SpillCost,
-        Self::ForgottenSpill,
+        Self::EvictionSpillCost,
         Self::ShortQueues,
         Self::SecondSending,
     ];
@@ -63,7 +63,7 @@
             Self::OwnRegion => "own-region",
             Self::LargeAnswersNear => "large-answers-near",
             Self::SpillCost => "spill-cost",
-            Self::ForgottenSpill => "forgotten-spill",
+            Self::EvictionSpillCost => "forgotten-spill",
             Self::ShortQueues => "short-queues",
             Self::SecondSending => "second-sending",
         }
@@ -95,7 +95,7 @@
             Mechanism::OwnRegion => weights.own_region = 1.0,
             Mechanism::LargeAnswersNear => weights.large_answer_domain = weights.own_region,
             Mechanism::SpillCost => weights.spill_cost_ms = 0.0,
-            Mechanism::ForgottenSpill => weights.forgotten_spill = 0.0,
+            Mechanism::EvictionSpillCost => weights.forgotten_spill = 0.0,
             Mechanism::ShortQueues => {
                 self.patience = Patience { pressed: CALM_TARGET_FACTOR, ..self.patience };
             }
