--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -27,7 +27,7 @@
     /// Requests wait for a shorter time while queues stand.
     ShortQueues,
     /// A request is sent a second time beside an upstream that says nothing.
-    SecondSending,
+    Hedging,
 }
 
 /// An error for a mechanism's name that isn't known.
@@ -52,7 +52,7 @@
         Self::SpillCost,
         Self::EvictionSpillCost,
         Self::ShortQueues,
-        Self::SecondSending,
+        Self::Hedging,
     ];
 
     /// Returns the name on command lines and in reports.
@@ -65,7 +65,7 @@
             Self::SpillCost => "spill-cost",
             Self::EvictionSpillCost => "forgotten-spill",
             Self::ShortQueues => "short-queues",
-            Self::SecondSending => "second-sending",
+            Self::Hedging => "second-sending",
         }
     }
 }
@@ -99,7 +99,7 @@
             Mechanism::ShortQueues => {
                 self.patience = Patience { pressed: CALM_TARGET_FACTOR, ..self.patience };
             }
-            Mechanism::SecondSending => self.second_sending = false,
+            Mechanism::Hedging => self.second_sending = false,
         }
         self
     }
--- a/crates/sedgepath-emulator/src/policy.rs
+++ b/crates/sedgepath-emulator/src/policy.rs
@@ -48,6 +48,6 @@
         },
         Named { name: "waits twice the target", policy: of(weights, long) },
         without("spills as cheap where upstreams forget", Mechanism::EvictionSpillCost),
-        without("no second sending", Mechanism::SecondSending),
+        without("no second sending", Mechanism::Hedging),
     ]
 }
