--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
     /// All requests for an object go by one order of upstreams.
-    ObjectOrder,
+    ObjectAffinity,
     /// An object has a second upstream for when the first is busy.
     SecondPlace,
     /// Upstreams of the own region come first for most objects.
@@ -45,7 +45,7 @@
 impl Mechanism {
     /// All mechanisms.
     pub const ALL: [Self; 8] = [
-        Self::ObjectOrder,
+        Self::ObjectAffinity,
         Self::SecondPlace,
         Self::OwnRegion,
         Self::LargeAnswersNear,
@@ -58,7 +58,7 @@
     /// Returns the name on command lines and in reports.
     pub fn name(self) -> &'static str {
         match self {
-            Self::ObjectOrder => "object-order",
+            Self::ObjectAffinity => "object-order",
             Self::SecondPlace => "second-place",
             Self::OwnRegion => "own-region",
             Self::LargeAnswersNear => "large-answers-near",
@@ -90,7 +90,7 @@
     pub fn without(mut self, mechanism: Mechanism) -> Self {
         let weights = &mut self.weights;
         match mechanism {
-            Mechanism::ObjectOrder => weights.by_object = false,
+            Mechanism::ObjectAffinity => weights.by_object = false,
             Mechanism::SecondPlace => weights.ranked = 1,
             Mechanism::OwnRegion => weights.own_region = 1.0,
             Mechanism::LargeAnswersNear => weights.large_answer_domain = weights.own_region,
