--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -15,7 +15,7 @@
     /// All requests for an object go by one order of upstreams.
     ObjectAffinity,
     /// An object has a second upstream for when the first is busy.
-    SecondPlace,
+    SpillUpstream,
     /// Upstreams of the own region come first for most objects.
     OwnRegion,
     /// Large answers come from the own failure domain.
@@ -46,7 +46,7 @@
     /// All mechanisms.
     pub const ALL: [Self; 8] = [
         Self::ObjectAffinity,
-        Self::SecondPlace,
+        Self::SpillUpstream,
         Self::OwnRegion,
         Self::LargeAnswersNear,
         Self::SpillCost,
@@ -59,7 +59,7 @@
     pub fn name(self) -> &'static str {
         match self {
             Self::ObjectAffinity => "object-order",
-            Self::SecondPlace => "second-place",
+            Self::SpillUpstream => "second-place",
             Self::OwnRegion => "own-region",
             Self::LargeAnswersNear => "large-answers-near",
             Self::SpillCost => "spill-cost",
@@ -91,7 +91,7 @@
         let weights = &mut self.weights;
         match mechanism {
             Mechanism::ObjectAffinity => weights.by_object = false,
-            Mechanism::SecondPlace => weights.ranked = 1,
+            Mechanism::SpillUpstream => weights.ranked = 1,
             Mechanism::OwnRegion => weights.own_region = 1.0,
             Mechanism::LargeAnswersNear => weights.large_answer_domain = weights.own_region,
             Mechanism::SpillCost => weights.spill_cost_ms = 0.0,
