--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -17,7 +17,7 @@
     /// An object has a second upstream for when the first is busy.
     SpillUpstream,
     /// Upstreams of the own region come first for most objects.
-    OwnRegion,
+    LocalRegionPreference,
     /// Large answers come from the own failure domain.
     LargeAnswersNear,
     /// Taking the second upstream costs something by itself.
@@ -47,7 +47,7 @@
     pub const ALL: [Self; 8] = [
         Self::ObjectAffinity,
         Self::SpillUpstream,
-        Self::OwnRegion,
+        Self::LocalRegionPreference,
         Self::LargeAnswersNear,
         Self::SpillCost,
         Self::EvictionSpillCost,
@@ -60,7 +60,7 @@
         match self {
             Self::ObjectAffinity => "object-order",
             Self::SpillUpstream => "second-place",
-            Self::OwnRegion => "own-region",
+            Self::LocalRegionPreference => "own-region",
             Self::LargeAnswersNear => "large-answers-near",
             Self::SpillCost => "spill-cost",
             Self::EvictionSpillCost => "forgotten-spill",
@@ -92,7 +92,7 @@
         match mechanism {
             Mechanism::ObjectAffinity => weights.by_object = false,
             Mechanism::SpillUpstream => weights.ranked = 1,
-            Mechanism::OwnRegion => weights.own_region = 1.0,
+            Mechanism::LocalRegionPreference => weights.own_region = 1.0,
             Mechanism::LargeAnswersNear => weights.large_answer_domain = weights.own_region,
             Mechanism::SpillCost => weights.spill_cost_ms = 0.0,
             Mechanism::EvictionSpillCost => weights.forgotten_spill = 0.0,
