--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -19,7 +19,7 @@
     /// Upstreams of the own region come first for most objects.
     LocalRegionPreference,
     /// Large answers come from the own failure domain.
-    LargeAnswersNear,
+    LocalLargeResponses,
     /// Taking the second upstream costs something by itself.
     SpillCost,
     /// It costs more where upstreams forget objects.
@@ -48,7 +48,7 @@
         Self::ObjectAffinity,
         Self::SpillUpstream,
         Self::LocalRegionPreference,
-        Self::LargeAnswersNear,
+        Self::LocalLargeResponses,
         Self::SpillCost,
         Self::EvictionSpillCost,
         Self::ShortQueues,
@@ -61,7 +61,7 @@
             Self::ObjectAffinity => "object-order",
             Self::SpillUpstream => "second-place",
             Self::LocalRegionPreference => "own-region",
-            Self::LargeAnswersNear => "large-answers-near",
+            Self::LocalLargeResponses => "large-answers-near",
             Self::SpillCost => "spill-cost",
             Self::EvictionSpillCost => "forgotten-spill",
             Self::ShortQueues => "short-queues",
@@ -93,7 +93,7 @@
             Mechanism::ObjectAffinity => weights.by_object = false,
             Mechanism::SpillUpstream => weights.ranked = 1,
             Mechanism::LocalRegionPreference => weights.own_region = 1.0,
-            Mechanism::LargeAnswersNear => weights.large_answer_domain = weights.own_region,
+            Mechanism::LocalLargeResponses => weights.large_answer_domain = weights.own_region,
             Mechanism::SpillCost => weights.spill_cost_ms = 0.0,
             Mechanism::EvictionSpillCost => weights.forgotten_spill = 0.0,
             Mechanism::ShortQueues => {
