--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -25,7 +25,7 @@
     /// It costs more where upstreams forget objects.
     EvictionSpillCost,
     /// Requests wait for a shorter time while queues stand.
-    ShortQueues,
+    ShortQueuesUnderLoad,
     /// A request is sent a second time beside an upstream that says nothing.
     Hedging,
 }
@@ -51,7 +51,7 @@
         Self::LocalLargeResponses,
         Self::SpillCost,
         Self::EvictionSpillCost,
-        Self::ShortQueues,
+        Self::ShortQueuesUnderLoad,
         Self::Hedging,
     ];
 
@@ -64,7 +64,7 @@
             Self::LocalLargeResponses => "large-answers-near",
             Self::SpillCost => "spill-cost",
             Self::EvictionSpillCost => "forgotten-spill",
-            Self::ShortQueues => "short-queues",
+            Self::ShortQueuesUnderLoad => "short-queues",
             Self::Hedging => "second-sending",
         }
     }
@@ -96,7 +96,7 @@
             Mechanism::LocalLargeResponses => weights.large_answer_domain = weights.own_region,
             Mechanism::SpillCost => weights.spill_cost_ms = 0.0,
             Mechanism::EvictionSpillCost => weights.forgotten_spill = 0.0,
-            Mechanism::ShortQueues => {
+            Mechanism::ShortQueuesUnderLoad => {
                 self.patience = Patience { pressed: CALM_TARGET_FACTOR, ..self.patience };
             }
             Mechanism::Hedging => self.second_sending = false,
