--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -39,7 +39,7 @@
     /// The time was up: it may have run.
     TimedOut,
     /// The caller has left.
-    Abandoned,
+    Canceled,
 }
 
 /// Why a request is sent.
@@ -98,7 +98,7 @@
             Self::Unreachable => "unreachable",
             Self::Failed => "failed",
             Self::TimedOut => "timed_out",
-            Self::Abandoned => "abandoned",
+            Self::Canceled => "abandoned",
         }
     }
 }
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -384,7 +384,7 @@
     /// Takes in that the caller has left or has its answer, whatever is still under way.
     pub fn abandon(&mut self, attempts: &mut Attempts, now_ms: u64) {
         while let Some(current) = attempts.under_way.last() {
-            self.ended(attempts, current.upstream, Outcome::Abandoned, now_ms);
+            self.ended(attempts, current.upstream, Outcome::Canceled, now_ms);
         }
     }
 
--- a/crates/sedgepath-core/src/direct/steering/learning.rs
+++ b/crates/sedgepath-core/src/direct/steering/learning.rs
@@ -27,10 +27,10 @@
                 attempts.arrivals += 1;
                 attempts.cause = Cause::Refused;
             }
-            Outcome::Unreachable | Outcome::Abandoned => {}
+            Outcome::Unreachable | Outcome::Canceled => {}
         }
         if let Some(service) = self.service(&attempts.service).cloned()
-            && !matches!(outcome, Outcome::Unreachable | Outcome::Abandoned | Outcome::TimedOut)
+            && !matches!(outcome, Outcome::Unreachable | Outcome::Canceled | Outcome::TimedOut)
         {
             self.upstreams.note_return(key, &service, now_ms);
         }
@@ -54,7 +54,7 @@
             Outcome::Misdirected => self.upstreams.misdirected(key),
             Outcome::Unreachable => upstream.unreachable(now_ms),
             Outcome::TimedOut => upstream.timed_out(now_ms),
-            Outcome::Abandoned => {}
+            Outcome::Canceled => {}
         }
     }
 
