--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -53,7 +53,7 @@
     /// The last upstream failed at it, or its answer broke off.
     Failed,
     /// The upstream that has it answers nobody.
-    Silent,
+    Unresponsive,
 }
 
 impl Cause {
@@ -63,7 +63,7 @@
             Self::First => "first",
             Self::Refused => "refused",
             Self::Failed => "failed",
-            Self::Silent => "silent",
+            Self::Unresponsive => "silent",
         }
     }
 }
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -374,7 +374,7 @@
         if !self.budget.spend(&attempts.service, vms, now_ms) {
             return None;
         }
-        attempts.cause = Cause::Silent;
+        attempts.cause = Cause::Unresponsive;
         match self.send(attempts, candidate, now_ms) {
             Step::Send(sending) => Some(sending),
             Step::Refuse { .. } | Step::GiveUp { .. } => None,
--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -317,7 +317,7 @@
 fn a_vm_that_starts_without_the_store_learns_from_another() {
     let served = Served::new(1);
     let second = served.site.start_ready(2, "north-a");
-    served.store.set_mode(Mode::Silent);
+    served.store.set_mode(Mode::Unresponsive);
     second.kill();
 
     let second = served.site.start(2, "north-a");
@@ -369,7 +369,7 @@
     UpstreamStandIn::new("u0").register(&store, "north-a", "ready", 1);
     let site = Site::new(store.address);
     let peer = SlowPeer::new(site.peer_address(1), &store);
-    store.set_mode(Mode::Silent);
+    store.set_mode(Mode::Unresponsive);
 
     let vm = site.start(2, "north-a");
 
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -132,7 +132,7 @@
                 self.store_links[vm].set_cut(cut);
             }
             8 => {
-                let modes = [Mode::Silent, Mode::Refusing, Mode::Up];
+                let modes = [Mode::Unresponsive, Mode::Refusing, Mode::Up];
                 self.store.set_mode(modes[self.random.usize(..3)]);
             }
             9 => self.store.forget_history(),
