--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -78,7 +78,7 @@
     /// No upstream of the service can be used.
     NoUpstream,
     /// All upstreams are so busy that the time would be up before the answer.
-    Busy,
+    UpstreamsBusy,
     /// The time that the caller gave was up on arrival.
     Late,
     /// The retry budget is spent, or the route's attempts are used up.
@@ -110,7 +110,7 @@
             Self::NoConfiguration => "no_configuration",
             Self::NoRoute => "no_route",
             Self::NoUpstream => "no_upstream",
-            Self::Busy => "busy",
+            Self::UpstreamsBusy => "busy",
             Self::Late => "late",
             Self::NoRetry => "no_retry",
             Self::Overloaded => "overloaded",
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -295,7 +295,7 @@
             // By then what waits now has been served.
             let retry_ms = candidate.wait_ms as u64;
             let retry_ms = retry_ms.clamp(MIN_BUSY_RETRY_MS, MAX_BUSY_RETRY_MS);
-            return stop(Reason::Busy, retry_ms, attempts);
+            return stop(Reason::UpstreamsBusy, retry_ms, attempts);
         }
         if attempts.arrivals > 0 {
             let vms = self.vms.most_known();
