--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -80,7 +80,7 @@
     /// All upstreams are so busy that the time would be up before the answer.
     UpstreamsBusy,
     /// The time that the caller gave was up on arrival.
-    Late,
+    DeadlineExceeded,
     /// The retry budget is spent, or the route's attempts are used up.
     NoRetry,
     /// The VM holds as many requests as it can.
@@ -111,7 +111,7 @@
             Self::NoRoute => "no_route",
             Self::NoUpstream => "no_upstream",
             Self::UpstreamsBusy => "busy",
-            Self::Late => "late",
+            Self::DeadlineExceeded => "late",
             Self::NoRetry => "no_retry",
             Self::Overloaded => "overloaded",
         }
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -252,7 +252,7 @@
         };
         let time_ms = asked.time_left_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
         if time_ms == 0 {
-            return refuse(Reason::Late, 0);
+            return refuse(Reason::DeadlineExceeded, 0);
         }
         let object = asked.object.map(|name| Digest::of(&[name.as_bytes()]).to_u64());
         let service = self.splits.next(&route, object).service.clone();
