--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -82,7 +82,7 @@
     /// The time that the caller gave was up on arrival.
     DeadlineExceeded,
     /// The retry budget is spent, or the route's attempts are used up.
-    NoRetry,
+    RetriesExhausted,
     /// The VM holds as many requests as it can.
     Overloaded,
 }
@@ -112,7 +112,7 @@
             Self::NoUpstream => "no_upstream",
             Self::UpstreamsBusy => "busy",
             Self::DeadlineExceeded => "late",
-            Self::NoRetry => "no_retry",
+            Self::RetriesExhausted => "no_retry",
             Self::Overloaded => "overloaded",
         }
     }
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -283,7 +283,7 @@
             Step::Refuse { reason, retry_after_ms }
         };
         if !attempts.may_send() {
-            return stop(Reason::NoRetry, MIN_BUSY_RETRY_MS, attempts);
+            return stop(Reason::RetriesExhausted, MIN_BUSY_RETRY_MS, attempts);
         }
         let Some(candidate) = self.choose(attempts, random, now_ms) else {
             return stop(Reason::NoUpstream, NO_UPSTREAM_RETRY_MS, attempts);
@@ -308,7 +308,7 @@
                 } else {
                     LATER_RETRY_MS
                 };
-                return stop(Reason::NoRetry, retry_ms, attempts);
+                return stop(Reason::RetriesExhausted, retry_ms, attempts);
             }
         }
         self.send(attempts, candidate, now_ms)
--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -28,7 +28,7 @@
 
         let step = vm.next(&mut attempts, 1, 10);
 
-        assert_eq!(step, Step::GiveUp { reason: Reason::NoRetry }, "after {outcome:?}");
+        assert_eq!(step, Step::GiveUp { reason: Reason::RetriesExhausted }, "after {outcome:?}");
     }
 }
 
@@ -58,7 +58,7 @@
         let to = send(&mut vm, &mut attempts, 0);
         vm.ended(&mut attempts, to.upstream, ERROR, 10);
     }
-    assert_eq!(vm.next(&mut attempts, 1, 20), Step::GiveUp { reason: Reason::NoRetry });
+    assert_eq!(vm.next(&mut attempts, 1, 20), Step::GiveUp { reason: Reason::RetriesExhausted });
 }
 
 /// A charge that ran and then finds no other upstream must not be answered with *not run*.
