--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -124,7 +124,7 @@
     /// Send it to an upstream.
     Send(Sending),
     /// Tell the caller that it was not run, and when to come back.
-    Refuse {
+    Reject {
         /// Why.
         reason: Reason,
         /// The time to come back after, in milliseconds.
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -280,7 +280,7 @@
             if attempts.runs > 0 {
                 return Step::GiveUp { reason };
             }
-            Step::Refuse { reason, retry_after_ms }
+            Step::Reject { reason, retry_after_ms }
         };
         if !attempts.may_send() {
             return stop(Reason::RetriesExhausted, MIN_BUSY_RETRY_MS, attempts);
@@ -377,7 +377,7 @@
         attempts.cause = Cause::Unresponsive;
         match self.send(attempts, candidate, now_ms) {
             Step::Send(sending) => Some(sending),
-            Step::Refuse { .. } | Step::GiveUp { .. } => None,
+            Step::Reject { .. } | Step::GiveUp { .. } => None,
         }
     }
 
--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -247,7 +247,7 @@
                     Step::Send(to) => {
                         vm.ended(&mut attempts, to.upstream, Outcome::Refused { report }, now_ms);
                     }
-                    Step::Refuse { retry_after_ms, .. } => break retry_after_ms,
+                    Step::Reject { retry_after_ms, .. } => break retry_after_ms,
                     Step::GiveUp { reason } => panic!("given up: {reason:?}"),
                 }
             };
--- a/crates/sedgepath-core/tests/direct_overload.rs
+++ b/crates/sedgepath-core/tests/direct_overload.rs
@@ -97,7 +97,7 @@
                     let refusal = Outcome::Refused { report };
                     vm.ended(&mut attempts, to.upstream, refusal, now_ms);
                 }
-                Step::Refuse { retry_after_ms, .. } => {
+                Step::Reject { retry_after_ms, .. } => {
                     assert!(retry_after_ms > 0);
                     results.refused += 1;
                     let held_ms = now_ms - attempts.arrived_at_ms;
--- a/crates/sedgepath-core/tests/direct_placing.rs
+++ b/crates/sedgepath-core/tests/direct_placing.rs
@@ -151,7 +151,7 @@
     let emptied: Set<Box<str>> = [Box::from("south-a"), Box::from("south-b")].into_iter().collect();
     vm.evacuate(emptied, 0);
     let mut attempts = begin(&mut vm, "/reads/1", "x", 10);
-    assert!(matches!(vm.next(&mut attempts, 1, 10), Step::Refuse { .. }));
+    assert!(matches!(vm.next(&mut attempts, 1, 10), Step::Reject { .. }));
 }
 
 /// An upstream takes 100 connections of all VMs and resets those beyond. Ten VMs that each fill it
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -24,7 +24,7 @@
     vm.abandon(&mut attempts, now_ms);
     match step {
         Step::Send(to) => Some(to.name),
-        Step::Refuse { .. } | Step::GiveUp { .. } => None,
+        Step::Reject { .. } | Step::GiveUp { .. } => None,
     }
 }
 
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -313,7 +313,7 @@
         let Some(attempts) = request.attempts.as_mut() else { return };
         match self.nodes[request.vm].steering.next(attempts, random, self.now_ms) {
             Step::Send(sending) => self.send(index, &sending),
-            Step::Refuse { retry_after_ms, .. } => self.refused(index, retry_after_ms),
+            Step::Reject { retry_after_ms, .. } => self.refused(index, retry_after_ms),
             Step::GiveUp { .. } => {
                 self.figures.failed += 1;
                 self.end(index);
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -398,7 +398,7 @@
                 let connect_ms = if self.rng.f64() < NEW_CONNECTIONS { 2 * WAY_MS } else { 0 };
                 self.at(now_ms + connect_ms, Event::Write { flight, sending });
             }
-            Step::Refuse { retry_after_ms, .. } => {
+            Step::Reject { retry_after_ms, .. } => {
                 let comes_back = current.comes_back;
                 self.flights[flight] = None;
                 if comes_back && now_ms + retry_after_ms < self.day.length_ms {
--- a/crates/sedgepathd/src/direct/ingress.rs
+++ b/crates/sedgepathd/src/direct/ingress.rs
@@ -175,7 +175,7 @@
             Some(to) => to,
             None => match flight.next_step() {
                 Step::Send(to) => to,
-                Step::Refuse { reason, retry_after_ms } => {
+                Step::Reject { reason, retry_after_ms } => {
                     let refusal = Refusal { reason, retry_after_ms };
                     return refuse(&shell, &head.attempt, Some(&flight.attempts), refusal);
                 }
