--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -147,7 +147,7 @@
     /// The name of its incarnation, which it checks.
     pub name: Box<str>,
     /// What decided that it goes there.
-    pub grounds: Grounds,
+    pub decision: Grounds,
 }
 
 /// What decided where a request goes, for logs.
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -343,7 +343,7 @@
             upstream: key,
             address: upstream.entry.address,
             name: upstream.entry.name.clone(),
-            grounds,
+            decision: grounds,
         })
     }
 
--- a/crates/sedgepath-core/tests/direct_placing.rs
+++ b/crates/sedgepath-core/tests/direct_placing.rs
@@ -195,7 +195,7 @@
         let now_ms = round * 1_000;
         let mut attempts = begin(&mut vm, "/reads/1", "object", now_ms);
         let Step::Send(to) = vm.next(&mut attempts, 1, now_ms) else { panic!("not sent") };
-        expected_ms = to.grounds.expected_ms;
+        expected_ms = to.decision.expected_ms;
         let report = Some(LoadReport { running: 0, waiting: 0, slots: 3 });
         let answer = Outcome::Answered { failed: false, report, body_bytes: 100 };
         vm.ended(&mut attempts, key, answer, now_ms + 250);
--- a/crates/sedgepathd/src/direct/answers.rs
+++ b/crates/sedgepathd/src/direct/answers.rs
@@ -30,7 +30,7 @@
         to.name,
         attempts.arrivals,
         attempts.version,
-        to.grounds,
+        to.decision,
     );
 }
 
@@ -106,6 +106,6 @@
         to.name,
         attempts.service,
         outcome.name(),
-        to.grounds,
+        to.decision,
     );
 }
--- a/crates/sedgepathd/src/direct/ingress.rs
+++ b/crates/sedgepathd/src/direct/ingress.rs
@@ -198,13 +198,13 @@
                 to = flight.hedge(), if !body.is_spent() => {
                     log::info!(
                         "event=second_sending request={} upstream={} service={} {}",
-                        head.attempt, to.name, flight.attempts.service, to.grounds,
+                        head.attempt, to.name, flight.attempts.service, to.decision,
                     );
                     second = Some(to);
                     break;
                 }
             };
-            shell.metrics.sent(to.grounds.cause, ended.outcome);
+            shell.metrics.sent(to.decision.cause, ended.outcome);
             flight.ended(to.upstream, ended.outcome);
             match (ended.outcome, ended.answer) {
                 (Outcome::Answered { failed: false, .. }, Some(answer)) => {
