--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -195,7 +195,7 @@
     /// The upstreams to which it was sent.
     pub tried: Vec<UpstreamKey>,
     /// The sendings that reached an upstream, whether refused or not.
-    pub arrivals: u32,
+    pub delivered: u32,
     /// The sendings that may have run.
     pub runs: u32,
     /// Why it would be sent next.
@@ -235,7 +235,7 @@
     /// Whether it may be sent once more, as far as its own attempts go.
     pub fn may_send(&self) -> bool {
         let under_way = self.under_way.len() as u32;
-        if self.arrivals + under_way >= MAX_ARRIVALS {
+        if self.delivered + under_way >= MAX_ARRIVALS {
             return false;
         }
         let runs = self.runs + under_way;
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -266,7 +266,7 @@
             arrived_at_ms: now_ms,
             deadline_at_ms: now_ms + time_ms,
             tried: Vec::new(),
-            arrivals: 0,
+            delivered: 0,
             runs: 0,
             cause: Cause::First,
             under_way: Vec::new(),
@@ -297,7 +297,7 @@
             let retry_ms = retry_ms.clamp(MIN_BUSY_RETRY_MS, MAX_BUSY_RETRY_MS);
             return stop(Reason::UpstreamsBusy, retry_ms, attempts);
         }
-        if attempts.arrivals > 0 {
+        if attempts.delivered > 0 {
             let vms = self.vms.most_known();
             if !self.budget.spend(&attempts.service, vms, now_ms) {
                 let retry_ms = if candidate.wait_ms > 0.0 {
--- a/crates/sedgepath-core/src/direct/steering/learning.rs
+++ b/crates/sedgepath-core/src/direct/steering/learning.rs
@@ -19,12 +19,12 @@
         let current = attempts.under_way.swap_remove(index);
         match outcome {
             Outcome::Answered { .. } | Outcome::Failed | Outcome::TimedOut => {
-                attempts.arrivals += 1;
+                attempts.delivered += 1;
                 attempts.runs += 1;
                 attempts.cause = Cause::Failed;
             }
             Outcome::Refused { .. } | Outcome::Misdirected => {
-                attempts.arrivals += 1;
+                attempts.delivered += 1;
                 attempts.cause = Cause::Refused;
             }
             Outcome::Unreachable | Outcome::Canceled => {}
--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -111,7 +111,7 @@
             asked_at_ms.push(now_ms);
             let mut attempts = begin(vm, "/reads/1", &now_ms.to_string(), now_ms);
             while let Step::Send(to) = vm.next(&mut attempts, 1, now_ms) {
-                if attempts.arrivals > 0 {
+                if attempts.delivered > 0 {
                     sent_at_ms.push(now_ms);
                 }
                 let report = Some(LoadReport { running: 0, waiting: 0, slots: 3 });
@@ -133,7 +133,7 @@
     for now_ms in (0..40_000).step_by(10) {
         let mut attempts = begin(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
         while let Step::Send(to) = vm.next(&mut attempts, 1, now_ms) {
-            if attempts.arrivals > 0 {
+            if attempts.delivered > 0 {
                 repeated_at_ms.push(now_ms);
             }
             let refuses = (12_000..21_000).contains(&now_ms);
@@ -167,7 +167,7 @@
             requests += 1;
             let mut attempts = begin(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
             while let Step::Send(to) = vm.next(&mut attempts, 1, now_ms) {
-                repeats += u32::from(attempts.arrivals > 0);
+                repeats += u32::from(attempts.delivered > 0);
                 vm.ended(&mut attempts, to.upstream, REFUSAL, now_ms);
             }
         }
@@ -216,7 +216,7 @@
             asked_at_ms.push(now_ms);
             let mut attempts = begin(vm, "/reads/1", &now_ms.to_string(), now_ms);
             while let Step::Send(to) = vm.next(&mut attempts, 1, now_ms) {
-                if attempts.arrivals > 0 {
+                if attempts.delivered > 0 {
                     repeated_at_ms.push(now_ms);
                 }
                 vm.ended(&mut attempts, to.upstream, REFUSAL, now_ms);
@@ -271,7 +271,7 @@
     while let Step::Send(to) = vm.next(&mut attempts, 1, 20_000) {
         vm.ended(&mut attempts, to.upstream, REFUSAL, 20_000);
     }
-    assert_eq!(attempts.arrivals, 3);
+    assert_eq!(attempts.delivered, 3);
 }
 
 /// The upstream of an idempotent request loses its power: it neither answers nor resets. Without a
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -392,7 +392,7 @@
         };
         match steering.next(&mut current.attempts, random, now_ms) {
             Step::Send(to) => {
-                let repeat = current.attempts.arrivals > 0;
+                let repeat = current.attempts.delivered > 0;
                 self.sendings.push((to, repeat));
                 let sending = self.sendings.len() - 1;
                 let connect_ms = if self.rng.f64() < NEW_CONNECTIONS { 2 * WAY_MS } else { 0 };
--- a/crates/sedgepathd/src/direct/answers.rs
+++ b/crates/sedgepathd/src/direct/answers.rs
@@ -28,7 +28,7 @@
         attempts.route.name,
         attempts.service,
         to.name,
-        attempts.arrivals,
+        attempts.delivered,
         attempts.version,
         to.decision,
     );
@@ -50,7 +50,7 @@
         headers::set_retry_after(response.headers_mut(), refusal.retry_after_ms);
     }
     let service = attempts.map_or("none", |attempts| &*attempts.service);
-    let sendings = attempts.map_or(0, |attempts| attempts.arrivals);
+    let sendings = attempts.map_or(0, |attempts| attempts.delivered);
     let arrived_at_ms = attempts.map_or_else(clock::now_ms, |attempts| attempts.arrived_at_ms);
     let took_ms = clock::now_ms().saturating_sub(arrived_at_ms);
     let version =
@@ -92,7 +92,7 @@
         attempts.route.name,
         attempts.service,
         last_upstream.as_deref().unwrap_or("gone"),
-        attempts.arrivals,
+        attempts.delivered,
         attempts.runs,
         attempts.version,
     );
