--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -197,7 +197,7 @@
     /// The sendings that reached an upstream, whether refused or not.
     pub delivered: u32,
     /// The sendings that may have run.
-    pub runs: u32,
+    pub possible_runs: u32,
     /// Why it would be sent next.
     pub cause: Cause,
     /// The sendings that have not ended.
@@ -238,7 +238,7 @@
         if self.delivered + under_way >= MAX_ARRIVALS {
             return false;
         }
-        let runs = self.runs + under_way;
+        let runs = self.possible_runs + under_way;
         if runs == 0 {
             return true;
         }
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -267,7 +267,7 @@
             deadline_at_ms: now_ms + time_ms,
             tried: Vec::new(),
             delivered: 0,
-            runs: 0,
+            possible_runs: 0,
             cause: Cause::First,
             under_way: Vec::new(),
             route,
@@ -277,7 +277,7 @@
     /// Decides what happens next with a request none of whose sendings is under way.
     pub fn next(&mut self, attempts: &mut Attempts, random: u64, now_ms: u64) -> Step {
         let stop = |reason, retry_after_ms, attempts: &Attempts| {
-            if attempts.runs > 0 {
+            if attempts.possible_runs > 0 {
                 return Step::GiveUp { reason };
             }
             Step::Reject { reason, retry_after_ms }
--- a/crates/sedgepath-core/src/direct/steering/learning.rs
+++ b/crates/sedgepath-core/src/direct/steering/learning.rs
@@ -20,7 +20,7 @@
         match outcome {
             Outcome::Answered { .. } | Outcome::Failed | Outcome::TimedOut => {
                 attempts.delivered += 1;
-                attempts.runs += 1;
+                attempts.possible_runs += 1;
                 attempts.cause = Cause::Failed;
             }
             Outcome::Refused { .. } | Outcome::Misdirected => {
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -171,7 +171,7 @@
 
     vm.ended(&mut attempts, to.upstream, Outcome::Misdirected, 10);
 
-    assert_eq!(attempts.runs, 0, "a misdirected request counts as run");
+    assert_eq!(attempts.possible_runs, 0, "a misdirected request counts as run");
     assert_eq!(goes_to(&mut vm, "x", 20), None);
 }
 
--- a/crates/sedgepathd/src/direct/answers.rs
+++ b/crates/sedgepathd/src/direct/answers.rs
@@ -93,7 +93,7 @@
         attempts.service,
         last_upstream.as_deref().unwrap_or("gone"),
         attempts.delivered,
-        attempts.runs,
+        attempts.possible_runs,
         attempts.version,
     );
     response
