--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -193,7 +193,7 @@
     /// When it is given up, in milliseconds.
     pub deadline_at_ms: u64,
     /// The upstreams to which it was sent.
-    pub tried: Vec<UpstreamKey>,
+    pub tried_upstreams: Vec<UpstreamKey>,
     /// The sendings that reached an upstream, whether refused or not.
     pub delivered: u32,
     /// The sendings that may have run.
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -265,7 +265,7 @@
             object,
             arrived_at_ms: now_ms,
             deadline_at_ms: now_ms + time_ms,
-            tried: Vec::new(),
+            tried_upstreams: Vec::new(),
             delivered: 0,
             possible_runs: 0,
             cause: Cause::First,
@@ -330,7 +330,7 @@
         upstream.sent(attempts.object, now_ms);
         let times = self.times.get(&attempts.service).copied().unwrap_or_default();
         let overdue_ms = candidate.wait_ms + times.work_ms(false) * OVERDUE_FACTOR;
-        attempts.tried.push(key);
+        attempts.tried_upstreams.push(key);
         attempts.under_way.push(UnderWay {
             upstream: key,
             sent_at_ms: now_ms,
--- a/crates/sedgepath-core/src/direct/steering/choosing.rs
+++ b/crates/sedgepath-core/src/direct/steering/choosing.rs
@@ -29,7 +29,7 @@
             evacuated: &self.evacuated,
             home_regions: &attempts.route.home_regions,
             max_in_flight: self.max_in_flight(&attempts.service, now_ms),
-            tried: &attempts.tried,
+            tried: &attempts.tried_upstreams,
             now_ms,
         };
         let keys = self.upstreams.of_service(&attempts.service);
--- a/crates/sedgepath-core/tests/direct_placing.rs
+++ b/crates/sedgepath-core/tests/direct_placing.rs
@@ -85,7 +85,7 @@
 fn an_unreachable_upstream_is_left_out_for_a_time() {
     let mut vm = serving_vm("a1", "north-a", 1, 3);
     let (mut attempts, home) = send(&mut vm, "/reads/1", 7, 0);
-    let key = attempts.tried[0];
+    let key = attempts.tried_upstreams[0];
     vm.ended(&mut attempts, key, Outcome::Unreachable, 10);
 
     let (_, soon) = send(&mut vm, "/reads/1", 7, 100);
@@ -112,7 +112,7 @@
 fn a_load_report_tells_what_other_vms_send() {
     let mut vm = serving_vm("a1", "north-a", 1, 3);
     let (mut attempts, home) = send(&mut vm, "/reads/1", 7, 0);
-    let key = attempts.tried[0];
+    let key = attempts.tried_upstreams[0];
     let report = Some(LoadReport { running: 3, waiting: 9, slots: 3 });
     let answer = Outcome::Answered { failed: false, report, body_bytes: 10 };
     vm.ended(&mut attempts, key, answer, 200);
@@ -127,7 +127,7 @@
 fn large_answers_come_from_the_own_domain() {
     let mut vm = serving_vm("a1", "north-a", 1, 3);
     let (mut attempts, _) = send(&mut vm, "/packs/1", 0, 0);
-    let key = attempts.tried[0];
+    let key = attempts.tried_upstreams[0];
     let answer = Outcome::Answered { failed: false, report: None, body_bytes: 90_000 };
     vm.ended(&mut attempts, key, answer, 200);
 
@@ -219,7 +219,7 @@
         let now_ms = number * pause_ms;
         let due = under_way.extract_if(.., |(at_ms, _)| *at_ms <= now_ms).collect::<Vec<_>>();
         for (_, mut attempts) in due {
-            let key = *attempts.tried.last().expect("sent");
+            let key = *attempts.tried_upstreams.last().expect("sent");
             let running = vm.upstreams().get(key).map_or(0, |upstream| upstream.in_flight - 1);
             let report = Some(LoadReport { running, waiting: 0, slots: 3 });
             let answer = Outcome::Answered { failed: false, report, body_bytes: 100 };
@@ -262,7 +262,7 @@
     for round in 0..20 {
         let now_ms = 1_000 + round * 300;
         let (mut attempts, name) = send(&mut vm, "/charges/1", 7, now_ms);
-        let key = attempts.tried[0];
+        let key = attempts.tried_upstreams[0];
         if name == slow {
             lost += 1;
             vm.ended(&mut attempts, key, Outcome::TimedOut, now_ms + 250);
--- a/crates/sedgepathd/src/direct/answers.rs
+++ b/crates/sedgepathd/src/direct/answers.rs
@@ -81,7 +81,7 @@
     });
     let took_ms = clock::now_ms().saturating_sub(attempts.arrived_at_ms);
     shell.metrics.answered("gave_up", took_ms);
-    let last_upstream = attempts.tried.last().and_then(|key| {
+    let last_upstream = attempts.tried_upstreams.last().and_then(|key| {
         let steering = shell.steering.borrow();
         steering.upstreams().get(*key).map(|upstream| upstream.entry.name.clone())
     });
