--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -201,7 +201,7 @@
     /// Why it would be sent next.
     pub cause: Cause,
     /// The sendings that have not ended.
-    pub under_way: Vec<UnderWay>,
+    pub in_flight: Vec<UnderWay>,
 }
 
 /// A sending that has not ended.
@@ -234,7 +234,7 @@
 impl Attempts {
     /// Whether it may be sent once more, as far as its own attempts go.
     pub fn may_send(&self) -> bool {
-        let under_way = self.under_way.len() as u32;
+        let under_way = self.in_flight.len() as u32;
         if self.delivered + under_way >= MAX_ARRIVALS {
             return false;
         }
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -269,7 +269,7 @@
             delivered: 0,
             possible_runs: 0,
             cause: Cause::First,
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             route,
         })
     }
@@ -331,7 +331,7 @@
         let times = self.times.get(&attempts.service).copied().unwrap_or_default();
         let overdue_ms = candidate.wait_ms + times.work_ms(false) * OVERDUE_FACTOR;
         attempts.tried_upstreams.push(key);
-        attempts.under_way.push(UnderWay {
+        attempts.in_flight.push(UnderWay {
             upstream: key,
             sent_at_ms: now_ms,
             warm: candidate.warm,
@@ -350,7 +350,7 @@
     /// Returns when to look whether a request should be sent to a second upstream although the first
     /// may still answer, if it may be at all.
     pub fn hedge_at_ms(&self, attempts: &Attempts) -> Option<u64> {
-        let [first] = &*attempts.under_way else {
+        let [first] = &*attempts.in_flight else {
             return None;
         };
         if !self.policy.second_sending {
@@ -364,7 +364,7 @@
     /// An upstream that is only busy or slow at this request answers others meanwhile; one that has
     /// lost its power does not, and the request would wait there until its time is up.
     pub fn hedge(&mut self, attempts: &mut Attempts, random: u64, now_ms: u64) -> Option<Sending> {
-        let first = attempts.under_way.first()?;
+        let first = attempts.in_flight.first()?;
         let silence_ms = self.upstreams.get(first.upstream).map(|up| up.silence_ms(now_ms));
         if silence_ms.is_some_and(|silence_ms| now_ms - silence_ms > first.sent_at_ms) {
             return None;
@@ -383,7 +383,7 @@
 
     /// Takes in that the caller has left or has its answer, whatever is still under way.
     pub fn abandon(&mut self, attempts: &mut Attempts, now_ms: u64) {
-        while let Some(current) = attempts.under_way.last() {
+        while let Some(current) = attempts.in_flight.last() {
             self.ended(attempts, current.upstream, Outcome::Canceled, now_ms);
         }
     }
--- a/crates/sedgepath-core/src/direct/steering/learning.rs
+++ b/crates/sedgepath-core/src/direct/steering/learning.rs
@@ -13,10 +13,10 @@
         outcome: Outcome,
         now_ms: u64,
     ) {
-        let Some(index) = attempts.under_way.iter().position(|sent| sent.upstream == key) else {
+        let Some(index) = attempts.in_flight.iter().position(|sent| sent.upstream == key) else {
             return;
         };
-        let current = attempts.under_way.swap_remove(index);
+        let current = attempts.in_flight.swap_remove(index);
         match outcome {
             Outcome::Answered { .. } | Outcome::Failed | Outcome::TimedOut => {
                 attempts.delivered += 1;
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -418,7 +418,7 @@
         let request = &mut self.requests[sent.request];
         let Some(attempts) = request.attempts.as_mut() else { return };
         self.nodes[sent.vm].steering.ended(attempts, sent.key, outcome, self.now_ms);
-        let others = !attempts.under_way.is_empty();
+        let others = !attempts.in_flight.is_empty();
         if answer == Answer::Whole {
             self.answered(sent.request);
         } else if !others {
@@ -497,7 +497,7 @@
             return;
         }
         let Some(attempts) = request.attempts.as_mut() else { return };
-        while let Some(under_way) = attempts.under_way.last() {
+        while let Some(under_way) = attempts.in_flight.last() {
             let key = under_way.upstream;
             let steering = &mut self.nodes[request.vm].steering;
             steering.ended(attempts, key, Outcome::TimedOut, self.now_ms);
