--- a/crates/sedgepath-core/src/direct/budget.rs
+++ b/crates/sedgepath-core/src/direct/budget.rs
@@ -95,7 +95,7 @@
     /// Counts a request of a caller.
     ///
     /// `vms` is the number of VMs that share the budget, this one among them.
-    pub fn earn(&mut self, service: &str, vms: usize, now_ms: u64) {
+    pub fn deposit(&mut self, service: &str, vms: usize, now_ms: u64) {
         let earned = self.limits.ratio * EARNED_SHARE;
         let account = self.account(service, vms, now_ms);
         account.saved += earned;
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -257,8 +257,8 @@
         let object = asked.object.map(|name| Digest::of(&[name.as_bytes()]).to_u64());
         let service = self.splits.next(&route, object).service.clone();
         let vms = self.vms.most_known();
-        self.budget.earn(&service, vms, now_ms);
-        self.returns.earn(&service, vms, now_ms);
+        self.budget.deposit(&service, vms, now_ms);
+        self.returns.deposit(&service, vms, now_ms);
         Ok(Attempts {
             version: configuration.version,
             service,
