--- a/crates/sedgepath-core/src/direct/budget.rs
+++ b/crates/sedgepath-core/src/direct/budget.rs
@@ -107,7 +107,7 @@
     /// Takes a repeat out of the budget, if this VM's part of it allows one.
     ///
     /// `vms` is the number of VMs that share the budget, this one among them.
-    pub fn spend(&mut self, service: &str, vms: usize, now_ms: u64) -> bool {
+    pub fn try_withdraw(&mut self, service: &str, vms: usize, now_ms: u64) -> bool {
         let account = self.account(service, vms, now_ms);
         let allowed = account.saved >= 1.0 - ROUNDING;
         if allowed {
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -299,10 +299,10 @@
         }
         if attempts.delivered > 0 {
             let vms = self.vms.most_known();
-            if !self.budget.spend(&attempts.service, vms, now_ms) {
+            if !self.budget.try_withdraw(&attempts.service, vms, now_ms) {
                 let retry_ms = if candidate.wait_ms > 0.0 {
                     MIN_BUSY_RETRY_MS
-                } else if self.returns.spend(&attempts.service, vms, now_ms) {
+                } else if self.returns.try_withdraw(&attempts.service, vms, now_ms) {
                     // Another upstream has room now; only this VM may not send there on its own account.
                     ROOM_RETRY_MS
                 } else {
@@ -371,7 +371,7 @@
         }
         let candidate = self.choose(attempts, random, now_ms)?;
         let vms = self.vms.most_known();
-        if !self.budget.spend(&attempts.service, vms, now_ms) {
+        if !self.budget.try_withdraw(&attempts.service, vms, now_ms) {
             return None;
         }
         attempts.cause = Cause::Unresponsive;
--- a/crates/sedgepath-core/tests/direct_budget.rs
+++ b/crates/sedgepath-core/tests/direct_budget.rs
@@ -121,7 +121,7 @@
             }
             seen.asked_at_ms.push(now_ms);
             vm.deposit("browse", MANY, now_ms);
-            if now_ms >= 15_000 && vm.spend("browse", MANY, now_ms) {
+            if now_ms >= 15_000 && vm.try_withdraw("browse", MANY, now_ms) {
                 seen.repeated_at_ms.push(now_ms);
                 sending[number] = true;
             }
