--- a/crates/sedgepath-core/src/direct/replicas.rs
+++ b/crates/sedgepath-core/src/direct/replicas.rs
@@ -72,7 +72,7 @@
     /// The store's version up to which they tell all changes.
     pub position: u64,
     /// Whether they are all rows of the table; else those that have changed.
-    pub whole: bool,
+    pub is_snapshot: bool,
 }
 
 #[derive(Debug, Clone)]
@@ -113,13 +113,13 @@
     /// Takes in rows and returns those that were new here.
     pub fn merge(&mut self, page: Page) -> Vec<CopiedRow> {
         let mut changes = Vec::new();
-        if page.whole {
+        if page.is_snapshot {
             changes.extend(self.missing_from(&page));
         }
         changes.extend(page.rows);
         changes.retain(|row| self.take(row));
         self.position = self.position.max(page.position);
-        if page.whole {
+        if page.is_snapshot {
             // What was removed before the table was read is not in it. Given the changes alone, a VM
             // that still has such a row would believe that they are all and keep it: requests went to
             // an upstream for seconds after it had left.
@@ -149,7 +149,7 @@
                 value: kept.value.clone(),
             })
             .collect();
-        Page { rows, position: self.position, whole }
+        Page { rows, position: self.position, is_snapshot: whole }
     }
 
     /// Returns the removal of each row that a whole table doesn't have.
--- a/crates/sedgepath-core/tests/direct_copies.rs
+++ b/crates/sedgepath-core/tests/direct_copies.rs
@@ -11,11 +11,11 @@
 }
 
 fn changes(position: u64, rows: Vec<CopiedRow>) -> Page {
-    Page { rows, position, whole: false }
+    Page { rows, position, is_snapshot: false }
 }
 
 fn whole(position: u64, rows: Vec<CopiedRow>) -> Page {
-    Page { rows, position, whole: true }
+    Page { rows, position, is_snapshot: true }
 }
 
 /// An upstream leaves; its entry is removed. A VM that was cut off still has the entry and is asked
@@ -99,10 +99,10 @@
     copy.merge(whole(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
     copy.merge(changes(8, vec![row("b3", 8, Some("ready"))]));
 
-    assert!(copy.since(4).whole, "what was removed at 5 is not known here");
+    assert!(copy.since(4).is_snapshot, "what was removed at 5 is not known here");
     let page = copy.since(5);
 
-    assert!(!page.whole);
+    assert!(!page.is_snapshot);
     assert_eq!(page.rows, vec![row("b3", 8, Some("ready"))]);
     assert_eq!((copy.changed_at(), copy.position()), (8, 8));
 }
--- a/crates/sedgepathd/tests/giving.rs
+++ b/crates/sedgepathd/tests/giving.rs
@@ -21,7 +21,8 @@
             format!("{{\"service\":\"shop\",\"slots\":3,\"number\":{number}}}").into_bytes().into(),
         ),
     };
-    let page = Page { rows: (0..rows).map(row).collect(), position: u64::from(rows), whole: true };
+    let page =
+        Page { rows: (0..rows).map(row).collect(), position: u64::from(rows), is_snapshot: true };
     copies.get_mut(Table::Upstreams).merge(page);
     copies
 }
@@ -86,7 +87,7 @@
         version: 1,
         value: Some(vec![0; 2 * CONTROL_MEMORY_BYTES].into()),
     };
-    let page = Page { rows: vec![huge], position: 1, whole: true };
+    let page = Page { rows: vec![huge], position: 1, is_snapshot: true };
     copies.get_mut(Table::Upstreams).merge(page);
     let answer = giving.answer(&copies, Table::Upstreams, 0);
     let fields = answer.headers().clone();
--- a/crates/sedgepathd/tests/platform/slow_peer.rs
+++ b/crates/sedgepathd/tests/platform/slow_peer.rs
@@ -67,7 +67,7 @@
         version: row.version,
         value: Some(row.value.into()),
     });
-    let page = Page { rows: rows.collect(), position: 1_000, whole: true };
+    let page = Page { rows: rows.collect(), position: 1_000, is_snapshot: true };
     postcard::to_stdvec(&page).expect("a page")
 }
 
