--- a/crates/sedgepath-core/src/direct/replicas.rs
+++ b/crates/sedgepath-core/src/direct/replicas.rs
@@ -91,13 +91,13 @@
     /// The version up to which removals are not known: they were dropped, or made before the whole table
     /// was read.
     forgotten_at: u64,
-    known: bool,
+    is_complete: bool,
 }
 
 impl TableCopy {
     /// Whether the copy has ever held the whole table.
-    pub fn known(&self) -> bool {
-        self.known
+    pub fn is_complete(&self) -> bool {
+        self.is_complete
     }
 
     /// Returns the store's version up to which the copy has all changes.
@@ -124,7 +124,7 @@
             // that still has such a row would believe that they are all and keep it: requests went to
             // an upstream for seconds after it had left.
             self.forgotten_at = self.forgotten_at.max(page.position);
-            self.known = true;
+            self.is_complete = true;
         }
         self.forget_removals();
         changes
@@ -222,8 +222,8 @@
     }
 
     /// Whether each has ever held its whole table.
-    pub fn known(&self) -> bool {
-        Table::ALL.into_iter().all(|table| self.get(table).known())
+    pub fn is_complete(&self) -> bool {
+        Table::ALL.into_iter().all(|table| self.get(table).is_complete())
     }
 
     /// Returns how new the copies are, in the order of [`Table::ALL`].
--- a/crates/sedgepath-core/tests/direct_copies.rs
+++ b/crates/sedgepath-core/tests/direct_copies.rs
@@ -201,14 +201,14 @@
                     copies[vm] = TableCopy::default();
                 }
                 Happening::AskStore(vm, all) => {
-                    let page = if all || !copies[vm].known() {
+                    let page = if all || !copies[vm].is_complete() {
                         whole(newest, history.at(newest))
                     } else {
                         history.after(copies[vm].position())
                     };
                     on_their_way.push((vm, page));
                 }
-                Happening::AskVm(vm, from) if copies[from].known() => {
+                Happening::AskVm(vm, from) if copies[from].is_complete() => {
                     let page = copies[from].since(copies[vm].position());
                     on_their_way.push((vm, page));
                 }
@@ -227,18 +227,18 @@
                     let page = copies[from].since(0);
                     copies[vm].merge(page);
                 }
-                Happening::Follow(vm) if copies[vm].known() => {
+                Happening::Follow(vm) if copies[vm].is_complete() => {
                     let position = copies[vm].position();
                     copies[vm].merge(history.after(position));
                 }
-                Happening::Fetch(vm, from) if copies[from].known() => {
+                Happening::Fetch(vm, from) if copies[from].is_complete() => {
                     let position = copies[vm].position();
                     let page = copies[from].since(position);
                     copies[vm].merge(page);
                 }
                 _ => {}
             }
-            for copy in copies.iter().filter(|copy| copy.known()) {
+            for copy in copies.iter().filter(|copy| copy.is_complete()) {
                 prop_assert_eq!(sorted_rows(copy), history.at(copy.position()));
             }
         }
--- a/crates/sedgepathd/src/direct/fetch.rs
+++ b/crates/sedgepathd/src/direct/fetch.rs
@@ -68,7 +68,7 @@
 pub async fn fill(shell: &Rc<Shell>) {
     let mut pause_ms = FILL_PAUSE_MS;
     let mut ask_first = false;
-    while !shell.copies.borrow().known() && pause_ms <= MAX_FILL_PAUSE_MS {
+    while !shell.copies.borrow().is_complete() && pause_ms <= MAX_FILL_PAUSE_MS {
         let near = shell.steering.borrow().vms().near();
         let first = near.iter().min().copied();
         let asked = if ask_first { first } else { fastrand::choice(near) };
@@ -83,7 +83,7 @@
 
 async fn fill_from(shell: &Rc<Shell>, address: SocketAddr) {
     for table in Table::ALL {
-        if !shell.copies.borrow().get(table).known() && may_fetch(shell, table) {
+        if !shell.copies.borrow().get(table).is_complete() && may_fetch(shell, table) {
             fetch(shell, table, u64::MAX, address).await;
             shell.fetching.borrow_mut().remove(&table);
         }
@@ -119,7 +119,7 @@
     match timeout(WHOLE_FETCH_TIMEOUT, ask(shell, table, position, address)).await {
         Ok(Ok(page)) => {
             log::debug!("event=rows_fetched table={} from={address}", table.name());
-            let first = !shell.copies.borrow().get(table).known();
+            let first = !shell.copies.borrow().get(table).is_complete();
             let near = shell.steering.borrow().vms().near().contains(&address);
             if follow::take_in(shell, table, page) && (first || !near) {
                 send_heartbeat(shell).await;
--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -49,7 +49,7 @@
             if table == Table::Upstreams {
                 shell.store_calls.set(StoreCalls::Unasked);
             }
-            let known = shell.copies.borrow().get(table).known();
+            let known = shell.copies.borrow().get(table).is_complete();
             let pause_ms = if known { ROLE_CHECK_MS } else { START_CHECK_MS };
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             continue;
@@ -93,7 +93,7 @@
 fn reads(shell: &Shell, table: Table, started: Started) -> bool {
     let now_ms = clock::now_ms();
     let mut steering = shell.steering.borrow_mut();
-    if shell.copies.borrow().get(table).known() {
+    if shell.copies.borrow().get(table).is_complete() {
         return steering.vms_mut().reads_store(now_ms);
     }
     let waited_ms = now_ms.saturating_sub(started.at_ms);
@@ -105,7 +105,7 @@
 /// A VM without the table asks ever more rarely: one that starts while the store is away gets the table
 /// from others, and many that start together would be most of the store's load when it comes back.
 fn pause_after_failure_ms(shell: &Shell, table: Table, failures: u32, took_ms: u64) -> u64 {
-    let known = shell.copies.borrow().get(table).known();
+    let known = shell.copies.borrow().get(table).is_complete();
     let doublings = if known { 0 } else { (failures - 1).min(MAX_START_DOUBLINGS) };
     let period_ms = RETRY_MS << doublings;
     let jitter_ms = MIN_PAUSE_MS << doublings;
@@ -117,7 +117,7 @@
     let (known, position) = {
         let copies = shell.copies.borrow();
         let copy = copies.get(table);
-        (copy.known(), copy.position())
+        (copy.is_complete(), copy.position())
     };
     if lost || !known {
         return shell.store.rows(name).await;
--- a/crates/sedgepathd/src/direct/giving.rs
+++ b/crates/sedgepathd/src/direct/giving.rs
@@ -129,7 +129,7 @@
     /// table, or if the whole table is needed and given to as many VMs as it may be.
     pub fn answer(&self, copies: &Copies, table: Table, after: u64) -> Response<Body> {
         let copy = copies.get(table);
-        if !copy.known() {
+        if !copy.is_complete() {
             return empty(StatusCode::NOT_FOUND);
         }
         let mut permit = None;
