--- a/crates/sedgepath-core/src/direct/replicas.rs
+++ b/crates/sedgepath-core/src/direct/replicas.rs
@@ -86,7 +86,7 @@
 pub struct TableCopy {
     rows: Map<Box<str>, Kept>,
     position: u64,
-    changed_at: u64,
+    newest_version: u64,
     removals: usize,
     /// The version up to which removals are not known: they were dropped, or made before the whole table
     /// was read.
@@ -106,8 +106,8 @@
     }
 
     /// Returns the store's version of the newest change that the copy has.
-    pub fn changed_at(&self) -> u64 {
-        self.changed_at
+    pub fn newest_version(&self) -> u64 {
+        self.newest_version
     }
 
     /// Takes in rows and returns those that were new here.
@@ -181,7 +181,7 @@
             (true, false) => self.removals -= 1,
             _ => {}
         }
-        self.changed_at = self.changed_at.max(row.version);
+        self.newest_version = self.newest_version.max(row.version);
         let kept = Kept { version: row.version, value: row.value.clone() };
         self.rows.insert(row.key.clone(), kept);
         changes
@@ -193,7 +193,7 @@
         }
         self.rows.retain(|_, kept| kept.value.is_some());
         self.removals = 0;
-        self.forgotten_at = self.forgotten_at.max(self.changed_at);
+        self.forgotten_at = self.forgotten_at.max(self.newest_version);
     }
 }
 
@@ -227,7 +227,7 @@
     }
 
     /// Returns how new the copies are, in the order of [`Table::ALL`].
-    pub fn changed_at(&self) -> [u64; 2] {
-        Table::ALL.map(|table| self.get(table).changed_at())
+    pub fn newest_version(&self) -> [u64; 2] {
+        Table::ALL.map(|table| self.get(table).newest_version())
     }
 }
--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -247,7 +247,7 @@
             callers_port: card.callers.port(),
             peers_port: card.peers.port(),
             members,
-            changed_at: state.changed_at,
+            changed_at: state.newest_version,
             store,
             yours: Vec::new(),
         }
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -102,7 +102,7 @@
     /// Whether it is about to stop.
     pub leaving: bool,
     /// How new its copies of the store's tables are, by the store's versions.
-    pub changed_at: [u64; 2],
+    pub newest_version: [u64; 2],
     /// What it can tell of the store.
     pub store: StoreView,
 }
@@ -127,7 +127,7 @@
             boot,
             ready: false,
             leaving: false,
-            changed_at: [0; 2],
+            newest_version: [0; 2],
             store: StoreView::Unasked,
         };
         Self { card, state, known: Vec::new() }
--- a/crates/sedgepath-core/tests/direct_copies.rs
+++ b/crates/sedgepath-core/tests/direct_copies.rs
@@ -30,7 +30,7 @@
     ahead.merge(changes(9, vec![row("b1", 9, None)]));
 
     assert_eq!(ahead.merge(behind.since(0)), vec![], "the older copy changed the newer one");
-    let news = behind.merge(ahead.since(behind.changed_at()));
+    let news = behind.merge(ahead.since(behind.newest_version()));
 
     assert_eq!(news, vec![row("b1", 9, None)]);
 }
@@ -104,7 +104,7 @@
 
     assert!(!page.is_snapshot);
     assert_eq!(page.rows, vec![row("b3", 8, Some("ready"))]);
-    assert_eq!((copy.changed_at(), copy.position()), (8, 8));
+    assert_eq!((copy.newest_version(), copy.position()), (8, 8));
 }
 
 /// What happens in the life of some copies of one table.
--- a/crates/sedgepathd/src/direct/fetch.rs
+++ b/crates/sedgepathd/src/direct/fetch.rs
@@ -49,7 +49,7 @@
 
 /// Fetches what another VM's copies have and this one's lack.
 pub fn catch_up(shell: &Rc<Shell>, changed_at: [u64; 2], address: SocketAddr) {
-    let own = shell.copies.borrow().changed_at();
+    let own = shell.copies.borrow().newest_version();
     for ((table, theirs), own) in Table::ALL.into_iter().zip(changed_at).zip(own) {
         if theirs > own && may_fetch(shell, table) {
             let shell = Rc::clone(shell);
@@ -111,7 +111,7 @@
     let position = {
         let copies = shell.copies.borrow();
         let copy = copies.get(table);
-        if copy.changed_at() >= theirs {
+        if copy.newest_version() >= theirs {
             return;
         }
         copy.position()
--- a/crates/sedgepathd/src/direct/giving.rs
+++ b/crates/sedgepathd/src/direct/giving.rs
@@ -87,7 +87,7 @@
 
 impl Written {
     fn new(copy: &TableCopy, after: u64) -> Result<Self, RowsError> {
-        let (changed_at, plain) = (copy.changed_at(), postcard::to_stdvec(&copy.since(after))?);
+        let (changed_at, plain) = (copy.newest_version(), postcard::to_stdvec(&copy.since(after))?);
         if plain.len() < COMPRESSED_FROM_BYTES {
             return Ok(Self { changed_at, bytes: plain.into(), compressed: false });
         }
@@ -152,7 +152,7 @@
     fn written(&self, copy: &TableCopy, table: Table, after: u64) -> Result<Written, RowsError> {
         let mut written = self.written.borrow_mut();
         let before = written.get(&(table, after));
-        if let Some(same) = before.filter(|before| before.changed_at == copy.changed_at()) {
+        if let Some(same) = before.filter(|before| before.changed_at == copy.newest_version()) {
             return Ok(same.clone());
         }
         let new = Written::new(copy, after)?;
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -56,7 +56,7 @@
     let ready = steering.can_serve() && !steering.vms().leaving();
     let vms = steering.vms_mut();
     vms.set_ready(ready);
-    vms.set_copies(shell.copies.borrow().changed_at(), shell.store_calls.get().view(now_ms));
+    vms.set_copies(shell.copies.borrow().newest_version(), shell.store_calls.get().view(now_ms));
     (shell.line_clock.tick(), now_ms)
 }
 
@@ -120,7 +120,7 @@
                 shell.line_clock.merge(state.stamp);
                 let now_ms = clock::now_ms();
                 if shell.steering.borrow_mut().vms_mut().heard_state(from, state, now_ms) {
-                    fetch::catch_up(&shell, state.changed_at, from);
+                    fetch::catch_up(&shell, state.newest_version, from);
                 }
             }
             Some((_, PeerMessage::Summary(summary))) => {
@@ -150,7 +150,7 @@
 
 async fn take_heartbeat(shell: &Rc<Shell>, heartbeat: VmHeartbeat) {
     shell.line_clock.merge(heartbeat.state.stamp);
-    fetch::catch_up(shell, heartbeat.state.changed_at, heartbeat.card.peers);
+    fetch::catch_up(shell, heartbeat.state.newest_version, heartbeat.card.peers);
     let welcome = {
         let now_ms = clock::now_ms();
         let mut steering = shell.steering.borrow_mut();
--- a/crates/sedgepathd/tests/platform/slow_peer.rs
+++ b/crates/sedgepathd/tests/platform/slow_peer.rs
@@ -48,7 +48,7 @@
     pub fn tell(&self, vm: SocketAddr) {
         let mut heartbeat = heartbeat("slow", "north-a", 1);
         heartbeat.card.peers = self.address;
-        heartbeat.state.changed_at = [1_000; 2];
+        heartbeat.state.newest_version = [1_000; 2];
         let message = PeerMessage::Heartbeat(Heartbeat::Whole(heartbeat));
         let bytes = postcard::to_stdvec(&message).expect("a heartbeat");
         // The VM may not listen yet.
