--- a/crates/sedgepath-core/src/direct/replicas.rs
+++ b/crates/sedgepath-core/src/direct/replicas.rs
@@ -131,14 +131,14 @@
     }
 
     /// Whether the whole table is given to one that has all changes up to a version.
-    pub fn gives_whole(&self, after: u64) -> bool {
+    pub fn requires_snapshot(&self, after: u64) -> bool {
         after < self.forgotten_at || after == 0
     }
 
     /// Returns what has changed after a version, up to which the asker has all changes, or the whole
     /// table if that can't be told.
     pub fn since(&self, after: u64) -> Page {
-        let whole = self.gives_whole(after);
+        let whole = self.requires_snapshot(after);
         let rows = self
             .rows
             .iter()
--- a/crates/sedgepathd/src/direct/giving.rs
+++ b/crates/sedgepathd/src/direct/giving.rs
@@ -133,7 +133,7 @@
             return empty(StatusCode::NOT_FOUND);
         }
         let mut permit = None;
-        if copy.gives_whole(after) {
+        if copy.requires_snapshot(after) {
             permit = Arc::clone(&self.free).try_acquire_owned().ok();
             if permit.is_none() {
                 return empty(StatusCode::SERVICE_UNAVAILABLE);
