--- a/crates/sedgepath-core/src/direct/replicas.rs
+++ b/crates/sedgepath-core/src/direct/replicas.rs
@@ -137,7 +137,7 @@
 
     /// Returns what has changed after a version, up to which the asker has all changes, or the whole
     /// table if that can't be told.
-    pub fn since(&self, after: u64) -> Page {
+    pub fn changes_since(&self, after: u64) -> Page {
         let whole = self.requires_snapshot(after);
         let rows = self
             .rows
--- a/crates/sedgepath-core/tests/direct_copies.rs
+++ b/crates/sedgepath-core/tests/direct_copies.rs
@@ -26,11 +26,15 @@
     let mut ahead = TableCopy::default();
     ahead.merge(whole(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
     let mut behind = TableCopy::default();
-    behind.merge(ahead.since(0));
+    behind.merge(ahead.changes_since(0));
     ahead.merge(changes(9, vec![row("b1", 9, None)]));
 
-    assert_eq!(ahead.merge(behind.since(0)), vec![], "the older copy changed the newer one");
-    let news = behind.merge(ahead.since(behind.newest_version()));
+    assert_eq!(
+        ahead.merge(behind.changes_since(0)),
+        vec![],
+        "the older copy changed the newer one"
+    );
+    let news = behind.merge(ahead.changes_since(behind.newest_version()));
 
     assert_eq!(news, vec![row("b1", 9, None)]);
 }
@@ -57,7 +61,7 @@
     copy.merge(changes(9, vec![row("b1", 9, Some("ready"))]));
 
     assert_eq!(copy.merge(whole(7, vec![])), vec![]);
-    assert_eq!(copy.since(8).rows, vec![row("b1", 9, Some("ready"))]);
+    assert_eq!(copy.changes_since(8).rows, vec![row("b1", 9, Some("ready"))]);
 }
 
 /// A VM restarts and asks the store and a neighbour for the whole table at once. An upstream leaves
@@ -72,7 +76,7 @@
 
     assert_eq!(copy.merge(whole(8, older)), vec![]);
     assert_eq!(copy.merge(changes(9, vec![row("b3", 7, Some("ready"))])), vec![]);
-    assert_eq!(copy.since(0).rows, vec![row("b2", 4, Some("ready"))]);
+    assert_eq!(copy.changes_since(0).rows, vec![row("b2", 4, Some("ready"))]);
 }
 
 /// A VM restarts and reads the whole table just after an upstream has left. A neighbour that still has
@@ -86,7 +90,7 @@
     let mut restarted = TableCopy::default();
     restarted.merge(whole(10, vec![row("b2", 9, Some("draining"))]));
 
-    let news = neighbour.merge(restarted.since(neighbour.position()));
+    let news = neighbour.merge(restarted.changes_since(neighbour.position()));
 
     assert!(news.contains(&row("b1", 10, None)), "the removal is hidden: {news:?}");
     assert!(news.contains(&row("b2", 9, Some("draining"))), "{news:?}");
@@ -99,8 +103,8 @@
     copy.merge(whole(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
     copy.merge(changes(8, vec![row("b3", 8, Some("ready"))]));
 
-    assert!(copy.since(4).is_snapshot, "what was removed at 5 is not known here");
-    let page = copy.since(5);
+    assert!(copy.changes_since(4).is_snapshot, "what was removed at 5 is not known here");
+    let page = copy.changes_since(5);
 
     assert!(!page.is_snapshot);
     assert_eq!(page.rows, vec![row("b3", 8, Some("ready"))]);
@@ -175,7 +179,7 @@
 }
 
 fn sorted_rows(copy: &TableCopy) -> Vec<CopiedRow> {
-    let mut rows = copy.since(0).rows;
+    let mut rows = copy.changes_since(0).rows;
     rows.sort_unstable_by(|one, other| one.key.cmp(&other.key));
     rows
 }
@@ -209,7 +213,7 @@
                     on_their_way.push((vm, page));
                 }
                 Happening::AskVm(vm, from) if copies[from].is_complete() => {
-                    let page = copies[from].since(copies[vm].position());
+                    let page = copies[from].changes_since(copies[vm].position());
                     on_their_way.push((vm, page));
                 }
                 Happening::Arrive(index) if !on_their_way.is_empty() => {
@@ -224,7 +228,7 @@
                 Happening::RestartFrom(vm, from) if vm != from => {
                     on_their_way.retain(|(asker, _)| *asker != vm);
                     copies[vm] = TableCopy::default();
-                    let page = copies[from].since(0);
+                    let page = copies[from].changes_since(0);
                     copies[vm].merge(page);
                 }
                 Happening::Follow(vm) if copies[vm].is_complete() => {
@@ -233,7 +237,7 @@
                 }
                 Happening::Fetch(vm, from) if copies[from].is_complete() => {
                     let position = copies[vm].position();
-                    let page = copies[from].since(position);
+                    let page = copies[from].changes_since(position);
                     copies[vm].merge(page);
                 }
                 _ => {}
@@ -273,11 +277,11 @@
             let picked = index.get(&rows).clone();
             mixed.merge(changes(0, vec![picked]));
         }
-        mixed.merge(straight.since(0));
+        mixed.merge(straight.changes_since(0));
         mixed.merge(changes(0, rows));
 
         let sorted = |copy: &TableCopy| {
-            let mut rows = copy.since(0).rows;
+            let mut rows = copy.changes_since(0).rows;
             rows.sort_unstable_by(|one, other| one.key.cmp(&other.key));
             rows
         };
--- a/crates/sedgepathd/src/direct/giving.rs
+++ b/crates/sedgepathd/src/direct/giving.rs
@@ -87,7 +87,8 @@
 
 impl Written {
     fn new(copy: &TableCopy, after: u64) -> Result<Self, RowsError> {
-        let (changed_at, plain) = (copy.newest_version(), postcard::to_stdvec(&copy.since(after))?);
+        let (changed_at, plain) =
+            (copy.newest_version(), postcard::to_stdvec(&copy.changes_since(after))?);
         if plain.len() < COMPRESSED_FROM_BYTES {
             return Ok(Self { changed_at, bytes: plain.into(), compressed: false });
         }
