--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -90,7 +90,7 @@
     pub fn without(mut self, mechanism: Mechanism) -> Self {
         let weights = &mut self.weights;
         match mechanism {
-            Mechanism::ObjectAffinity => weights.by_object = false,
+            Mechanism::ObjectAffinity => weights.object_affinity = false,
             Mechanism::SpillUpstream => weights.ranked = 1,
             Mechanism::LocalRegionPreference => weights.own_region = 1.0,
             Mechanism::LocalLargeResponses => weights.large_answer_domain = weights.own_region,
--- a/crates/sedgepath-core/src/direct/placement.rs
+++ b/crates/sedgepath-core/src/direct/placement.rs
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Weights {
     /// Whether an object's requests share one order of upstreams; else each request has its own.
-    pub by_object: bool,
+    pub object_affinity: bool,
     /// See [`RANKED`].
     pub ranked: usize,
     /// See [`OWN_REGION_WEIGHT`].
@@ -78,7 +78,7 @@
 impl Default for Weights {
     fn default() -> Self {
         Self {
-            by_object: true,
+            object_affinity: true,
             ranked: RANKED,
             own_region: OWN_REGION_WEIGHT,
             large_answer_domain: LARGE_ANSWER_DOMAIN_WEIGHT,
--- a/crates/sedgepath-core/src/direct/steering/choosing.rs
+++ b/crates/sedgepath-core/src/direct/steering/choosing.rs
@@ -19,8 +19,8 @@
         let weights = self.policy.weights;
         let question = Question {
             weights,
-            object: attempts.object.filter(|_| weights.by_object).unwrap_or(random),
-            sticky: attempts.route.sticky && attempts.object.is_some() && weights.by_object,
+            object: attempts.object.filter(|_| weights.object_affinity).unwrap_or(random),
+            sticky: attempts.route.sticky && attempts.object.is_some() && weights.object_affinity,
             answer_bytes: self.answer_bytes.get(&attempts.route.name).copied().unwrap_or(0.0),
             domain: &self.place.domain,
             region: &self.place.region,
--- a/crates/sedgepath-emulator/src/policy.rs
+++ b/crates/sedgepath-emulator/src/policy.rs
@@ -40,7 +40,7 @@
         },
         Named {
             name: "two at random",
-            policy: of(Weights { by_object: false, spill_cost_ms: 0.0, ..weights }, patience),
+            policy: of(Weights { object_affinity: false, spill_cost_ms: 0.0, ..weights }, patience),
         },
         Named {
             name: "regions alike",
