--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -91,7 +91,7 @@
         let weights = &mut self.weights;
         match mechanism {
             Mechanism::ObjectAffinity => weights.object_affinity = false,
-            Mechanism::SpillUpstream => weights.ranked = 1,
+            Mechanism::SpillUpstream => weights.candidate_count = 1,
             Mechanism::LocalRegionPreference => weights.own_region = 1.0,
             Mechanism::LocalLargeResponses => weights.large_answer_domain = weights.own_region,
             Mechanism::SpillCost => weights.spill_cost_ms = 0.0,
--- a/crates/sedgepath-core/src/direct/placement.rs
+++ b/crates/sedgepath-core/src/direct/placement.rs
@@ -9,7 +9,7 @@
 //! So the upstreams of a service are ranked for each object by weighted rendezvous hashing, near ones
 //! with a larger weight. Every VM of a region computes the same order
 //! without a message, and an upstream that joins or leaves moves only its own objects. Of the first
-//! [`Weights::ranked`] the one with the least expected time is taken: its wait for a slot, its work (warm or
+//! [`Weights::candidate_count`] the one with the least expected time is taken: its wait for a slot, its work (warm or
 //! not), the way there, its slowness and its failures. A busy object thus spills to its second
 //! upstream only, which then is warm too.
 
@@ -64,7 +64,7 @@
     /// Whether an object's requests share one order of upstreams; else each request has its own.
     pub object_affinity: bool,
     /// See [`RANKED`].
-    pub ranked: usize,
+    pub candidate_count: usize,
     /// See [`OWN_REGION_WEIGHT`].
     pub own_region: f64,
     /// See [`LARGE_ANSWER_DOMAIN_WEIGHT`].
@@ -79,7 +79,7 @@
     fn default() -> Self {
         Self {
             object_affinity: true,
-            ranked: RANKED,
+            candidate_count: RANKED,
             own_region: OWN_REGION_WEIGHT,
             large_answer_domain: LARGE_ANSWER_DOMAIN_WEIGHT,
             spill_cost_ms: SPILL_COST_MS,
@@ -255,7 +255,7 @@
         ranked.sort_unstable_by(|one, other| one.0.total_cmp(&other.0));
         let candidates = ranked
             .iter()
-            .take(self.weights.ranked)
+            .take(self.weights.candidate_count)
             .enumerate()
             .map(|(rank, (_, key, upstream))| self.weigh(rank, *key, upstream));
         candidates.min_by(|one, other| one.expected_ms.total_cmp(&other.expected_ms))
--- a/crates/sedgepath-emulator/src/policy.rs
+++ b/crates/sedgepath-emulator/src/policy.rs
@@ -28,15 +28,18 @@
         Named { name: "in force", policy: Policy::default() },
         Named {
             name: "first of the order only",
-            policy: of(Weights { ranked: 1, ..weights }, patience),
+            policy: of(Weights { candidate_count: 1, ..weights }, patience),
         },
         Named {
             name: "three of the order",
-            policy: of(Weights { ranked: 3, ..weights }, patience),
+            policy: of(Weights { candidate_count: 3, ..weights }, patience),
         },
         Named {
             name: "least expected time of all",
-            policy: of(Weights { ranked: usize::MAX, spill_cost_ms: 0.0, ..weights }, patience),
+            policy: of(
+                Weights { candidate_count: usize::MAX, spill_cost_ms: 0.0, ..weights },
+                patience,
+            ),
         },
         Named {
             name: "two at random",
