--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -92,8 +92,10 @@
         match mechanism {
             Mechanism::ObjectAffinity => weights.object_affinity = false,
             Mechanism::SpillUpstream => weights.candidate_count = 1,
-            Mechanism::LocalRegionPreference => weights.own_region = 1.0,
-            Mechanism::LocalLargeResponses => weights.large_answer_domain = weights.own_region,
+            Mechanism::LocalRegionPreference => weights.own_region_weight = 1.0,
+            Mechanism::LocalLargeResponses => {
+                weights.large_answer_domain = weights.own_region_weight
+            }
             Mechanism::SpillCost => weights.spill_cost_ms = 0.0,
             Mechanism::EvictionSpillCost => weights.forgotten_spill = 0.0,
             Mechanism::ShortQueuesUnderLoad => {
--- a/crates/sedgepath-core/src/direct/placement.rs
+++ b/crates/sedgepath-core/src/direct/placement.rs
@@ -66,7 +66,7 @@
     /// See [`RANKED`].
     pub candidate_count: usize,
     /// See [`OWN_REGION_WEIGHT`].
-    pub own_region: f64,
+    pub own_region_weight: f64,
     /// See [`LARGE_ANSWER_DOMAIN_WEIGHT`].
     pub large_answer_domain: f64,
     /// See [`SPILL_COST_MS`].
@@ -80,7 +80,7 @@
         Self {
             object_affinity: true,
             candidate_count: RANKED,
-            own_region: OWN_REGION_WEIGHT,
+            own_region_weight: OWN_REGION_WEIGHT,
             large_answer_domain: LARGE_ANSWER_DOMAIN_WEIGHT,
             spill_cost_ms: SPILL_COST_MS,
             forgotten_spill: FORGOTTEN_SPILL_FACTOR,
@@ -285,7 +285,7 @@
             Proximity::Domain if self.answer_bytes > LARGE_ANSWER_BYTES => {
                 self.weights.large_answer_domain
             }
-            Proximity::Domain | Proximity::Region => self.weights.own_region,
+            Proximity::Domain | Proximity::Region => self.weights.own_region_weight,
             Proximity::Far => 1.0,
         };
         near * f64::from(upstream.entry.slots.max(1))
--- a/crates/sedgepath-emulator/src/policy.rs
+++ b/crates/sedgepath-emulator/src/policy.rs
@@ -47,7 +47,7 @@
         },
         Named {
             name: "regions alike",
-            policy: of(Weights { own_region: 1.0, ..weights }, patience),
+            policy: of(Weights { own_region_weight: 1.0, ..weights }, patience),
         },
         Named { name: "waits twice the target", policy: of(weights, long) },
         without("spills as cheap where upstreams forget", Mechanism::EvictionSpillCost),
