--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -94,7 +94,7 @@
             Mechanism::SpillUpstream => weights.candidate_count = 1,
             Mechanism::LocalRegionPreference => weights.own_region_weight = 1.0,
             Mechanism::LocalLargeResponses => {
-                weights.large_answer_domain = weights.own_region_weight
+                weights.large_response_domain_weight = weights.own_region_weight
             }
             Mechanism::SpillCost => weights.spill_cost_ms = 0.0,
             Mechanism::EvictionSpillCost => weights.forgotten_spill = 0.0,
--- a/crates/sedgepath-core/src/direct/placement.rs
+++ b/crates/sedgepath-core/src/direct/placement.rs
@@ -68,7 +68,7 @@
     /// See [`OWN_REGION_WEIGHT`].
     pub own_region_weight: f64,
     /// See [`LARGE_ANSWER_DOMAIN_WEIGHT`].
-    pub large_answer_domain: f64,
+    pub large_response_domain_weight: f64,
     /// See [`SPILL_COST_MS`].
     pub spill_cost_ms: f64,
     /// See [`FORGOTTEN_SPILL_FACTOR`].
@@ -81,7 +81,7 @@
             object_affinity: true,
             candidate_count: RANKED,
             own_region_weight: OWN_REGION_WEIGHT,
-            large_answer_domain: LARGE_ANSWER_DOMAIN_WEIGHT,
+            large_response_domain_weight: LARGE_ANSWER_DOMAIN_WEIGHT,
             spill_cost_ms: SPILL_COST_MS,
             forgotten_spill: FORGOTTEN_SPILL_FACTOR,
         }
@@ -283,7 +283,7 @@
     fn weight(&self, upstream: &Upstream) -> f64 {
         let near = match self.proximity(upstream) {
             Proximity::Domain if self.answer_bytes > LARGE_ANSWER_BYTES => {
-                self.weights.large_answer_domain
+                self.weights.large_response_domain_weight
             }
             Proximity::Domain | Proximity::Region => self.weights.own_region_weight,
             Proximity::Far => 1.0,
