--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -97,7 +97,7 @@
                 weights.large_response_domain_weight = weights.own_region_weight
             }
             Mechanism::SpillCost => weights.spill_cost_ms = 0.0,
-            Mechanism::EvictionSpillCost => weights.forgotten_spill = 0.0,
+            Mechanism::EvictionSpillCost => weights.eviction_spill_factor = 0.0,
             Mechanism::ShortQueuesUnderLoad => {
                 self.patience = Patience { pressed: CALM_TARGET_FACTOR, ..self.patience };
             }
--- a/crates/sedgepath-core/src/direct/placement.rs
+++ b/crates/sedgepath-core/src/direct/placement.rs
@@ -72,7 +72,7 @@
     /// See [`SPILL_COST_MS`].
     pub spill_cost_ms: f64,
     /// See [`FORGOTTEN_SPILL_FACTOR`].
-    pub forgotten_spill: f64,
+    pub eviction_spill_factor: f64,
 }
 
 impl Default for Weights {
@@ -83,7 +83,7 @@
             own_region_weight: OWN_REGION_WEIGHT,
             large_response_domain_weight: LARGE_ANSWER_DOMAIN_WEIGHT,
             spill_cost_ms: SPILL_COST_MS,
-            forgotten_spill: FORGOTTEN_SPILL_FACTOR,
+            eviction_spill_factor: FORGOTTEN_SPILL_FACTOR,
         }
     }
 }
@@ -308,7 +308,7 @@
         let failure_ms = upstream.failing(self.now_ms) * FAILURE_COST_MS;
         let forgotten = if self.sticky { self.times.forgotten() } else { 0.0 };
         let spill_cost_ms =
-            self.weights.spill_cost_ms * (1.0 + self.weights.forgotten_spill * forgotten);
+            self.weights.spill_cost_ms * (1.0 + self.weights.eviction_spill_factor * forgotten);
         let spill_ms = rank as f64 * spill_cost_ms;
         let expected_ms = wait_ms + work_ms + way_ms + failure_ms + spill_ms;
         Candidate { upstream: key, expected_ms, wait_ms, way_ms, warm: known_warm, rank }
