--- a/crates/sedgepath-core/src/direct/queueing.rs
+++ b/crates/sedgepath-core/src/direct/queueing.rs
@@ -28,20 +28,20 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Patience {
     /// See [`CALM_TARGET_FACTOR`].
-    pub calm: f64,
+    pub idle_target_factor: f64,
     /// See [`PRESSED_TARGET_FACTOR`].
     pub pressed: f64,
 }
 
 impl Default for Patience {
     fn default() -> Self {
-        Self { calm: CALM_TARGET_FACTOR, pressed: PRESSED_TARGET_FACTOR }
+        Self { idle_target_factor: CALM_TARGET_FACTOR, pressed: PRESSED_TARGET_FACTOR }
     }
 }
 
 impl Patience {
     fn factor(self, pressure: f64) -> f64 {
-        self.calm + pressure * (self.pressed - self.calm)
+        self.idle_target_factor + pressure * (self.pressed - self.idle_target_factor)
     }
 }
 
