--- a/crates/sedgepath-core/src/direct/queueing.rs
+++ b/crates/sedgepath-core/src/direct/queueing.rs
@@ -30,18 +30,18 @@
     /// See [`CALM_TARGET_FACTOR`].
     pub idle_target_factor: f64,
     /// See [`PRESSED_TARGET_FACTOR`].
-    pub pressed: f64,
+    pub loaded_target_factor: f64,
 }
 
 impl Default for Patience {
     fn default() -> Self {
-        Self { idle_target_factor: CALM_TARGET_FACTOR, pressed: PRESSED_TARGET_FACTOR }
+        Self { idle_target_factor: CALM_TARGET_FACTOR, loaded_target_factor: PRESSED_TARGET_FACTOR }
     }
 }
 
 impl Patience {
     fn factor(self, pressure: f64) -> f64 {
-        self.idle_target_factor + pressure * (self.pressed - self.idle_target_factor)
+        self.idle_target_factor + pressure * (self.loaded_target_factor - self.idle_target_factor)
     }
 }
 
--- a/crates/sedgepath-emulator/src/policy.rs
+++ b/crates/sedgepath-emulator/src/policy.rs
@@ -23,7 +23,7 @@
     let of = |weights, patience| Policy { weights, patience, ..Policy::default() };
     let weights = Weights::default();
     let patience = Patience::default();
-    let long = Patience { idle_target_factor: 2.0, pressed: 2.0 };
+    let long = Patience { idle_target_factor: 2.0, loaded_target_factor: 2.0 };
     vec![
         Named { name: "in force", policy: Policy::default() },
         Named {
