--- a/crates/sedgepath-core/src/direct/routing.rs
+++ b/crates/sedgepath-core/src/direct/routing.rs
@@ -10,7 +10,7 @@
     /// Idempotent: may run more than once.
     Idempotent,
     /// Not idempotent: runs at most once for each attempt of the caller.
-    Once,
+    NonIdempotent,
     /// A large idempotent answer.
     Download,
 }
@@ -18,7 +18,7 @@
 impl RouteKind {
     /// Whether a request may be sent again after it may have run.
     pub fn may_repeat(self) -> bool {
-        !matches!(self, Self::Once)
+        !matches!(self, Self::NonIdempotent)
     }
 }
 
--- a/crates/sedgepath-core/tests/direct_routing.rs
+++ b/crates/sedgepath-core/tests/direct_routing.rs
@@ -13,7 +13,7 @@
 /// without its port and case.
 #[test]
 fn the_longest_prefix_wins() {
-    let mut long = route(RouteKind::Once);
+    let mut long = route(RouteKind::NonIdempotent);
     long.prefix = "/reads/charges/".into();
     let configuration = configuration(1, vec![route(RouteKind::Idempotent), long]);
     let name = |host, path| configuration.route(host, path).map(|route| route.name.clone());
@@ -29,7 +29,7 @@
 fn an_older_configuration_is_not_taken() {
     let mut vm = serving_vm("a1", "north-a", 1, 1);
     assert!(vm.configure(configuration(7, vec![route(RouteKind::Idempotent)])));
-    assert!(!vm.configure(configuration(6, vec![route(RouteKind::Once)])));
+    assert!(!vm.configure(configuration(6, vec![route(RouteKind::NonIdempotent)])));
     vm.begin(asked("/reads/1"), 0).expect("the new route is not in force");
     let refusal = vm.begin(asked("/charges/1"), 0).expect_err("an old route is in force");
     assert_eq!(refusal.reason, Reason::NoRoute);
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -80,7 +80,7 @@
 pub fn route(kind: RouteKind) -> Route {
     let (name, prefix) = match kind {
         RouteKind::Idempotent => ("reads", "/reads/"),
-        RouteKind::Once => ("charges", "/charges/"),
+        RouteKind::NonIdempotent => ("charges", "/charges/"),
         RouteKind::Download => ("packs", "/packs/"),
     };
     Route {
@@ -118,7 +118,7 @@
 
 /// Returns a configuration with one route of each kind.
 pub fn all_kinds(version: u64) -> Arc<Configuration> {
-    let kinds = [RouteKind::Idempotent, RouteKind::Once, RouteKind::Download];
+    let kinds = [RouteKind::Idempotent, RouteKind::NonIdempotent, RouteKind::Download];
     configuration(version, kinds.map(route).to_vec())
 }
 
