--- a/crates/sedgepath-core/src/direct/routing.rs
+++ b/crates/sedgepath-core/src/direct/routing.rs
@@ -47,7 +47,7 @@
     /// The rank; 0 is the most urgent.
     pub priority: u32,
     /// The services that run its requests; at least one.
-    pub parts: Vec<RoutePart>,
+    pub weighted_services: Vec<RoutePart>,
     /// The most upstreams to which one request may be sent.
     pub max_attempts: u32,
     /// Whether an upstream that has lately run a request for an object runs the next one faster.
@@ -133,13 +133,13 @@
 impl Splits {
     /// Returns the part that takes the next request of a route, for an object if it has one.
     pub fn next<'a>(&mut self, route: &'a Route, object: Option<u64>) -> &'a RoutePart {
-        if route.parts.len() < 2 {
-            return &route.parts[0];
+        if route.weighted_services.len() < 2 {
+            return &route.weighted_services[0];
         }
         let credits = self.credits.entry(route.name.clone()).or_default();
-        credits.resize(route.parts.len(), 0.0);
-        let total: f64 = route.parts.iter().map(|part| part.weight).sum();
-        for (credit, part) in credits.iter_mut().zip(&route.parts) {
+        credits.resize(route.weighted_services.len(), 0.0);
+        let total: f64 = route.weighted_services.iter().map(|part| part.weight).sum();
+        for (credit, part) in credits.iter_mut().zip(&route.weighted_services) {
             *credit += part.weight;
         }
         let most =
@@ -148,7 +148,7 @@
         let within = |index: &usize| credits[*index] - total >= -MAX_LEAD * total;
         let taken = preferred.filter(within).or(most).unwrap_or(0);
         credits[taken] -= total;
-        &route.parts[taken]
+        &route.weighted_services[taken]
     }
 
     /// Forgets the counts, since a new configuration may have changed the parts.
@@ -161,11 +161,11 @@
 fn preferred(route: &Route, object: u64, total: f64) -> usize {
     // The digest's upper half, as a number from 0 to 1; its whole ranks upstreams.
     let mut place = (object >> 32) as f64 / (1_u64 << 32) as f64 * total;
-    for (index, part) in route.parts.iter().enumerate() {
+    for (index, part) in route.weighted_services.iter().enumerate() {
         if place < part.weight {
             return index;
         }
         place -= part.weight;
     }
-    route.parts.len() - 1
+    route.weighted_services.len() - 1
 }
--- a/crates/sedgepath-core/tests/direct_routing.rs
+++ b/crates/sedgepath-core/tests/direct_routing.rs
@@ -59,7 +59,7 @@
 #[test]
 fn splits_keep_shares_and_objects_together() {
     let mut split = route(RouteKind::Idempotent);
-    split.parts = vec![
+    split.weighted_services = vec![
         RoutePart { service: "left".into(), weight: 70.0 },
         RoutePart { service: "right".into(), weight: 30.0 },
     ];
--- a/crates/sedgepath-emulator/src/setup.rs
+++ b/crates/sedgepath-emulator/src/setup.rs
@@ -56,7 +56,7 @@
         timeout_ms: callers.timeout_ms,
         target_ms: callers.target_ms,
         priority: 1,
-        parts: vec![RoutePart { service: SERVICE.into(), weight: 1.0 }],
+        weighted_services: vec![RoutePart { service: SERVICE.into(), weight: 1.0 }],
         max_attempts: callers.max_attempts,
         sticky: true,
         home_regions: Vec::new(),
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -90,7 +90,7 @@
         timeout_ms: 3_000,
         target_ms: 400,
         priority: 1,
-        parts: vec![RoutePart { service: SERVICE.into(), weight: 1.0 }],
+        weighted_services: vec![RoutePart { service: SERVICE.into(), weight: 1.0 }],
         max_attempts: 2,
         sticky: true,
         home_regions: Vec::new(),
@@ -106,7 +106,7 @@
     };
     let services = routes
         .iter()
-        .flat_map(|route| &route.parts)
+        .flat_map(|route| &route.weighted_services)
         .map(|part| (part.service.clone(), settings.clone()))
         .collect();
     let mut hosts: Map<Box<str>, Vec<Arc<Route>>> = Map::default();
