--- a/crates/sedgepath-core/src/direct/routing.rs
+++ b/crates/sedgepath-core/src/direct/routing.rs
@@ -64,7 +64,7 @@
     /// How long an upstream stays cold after its start, in milliseconds.
     pub cold_start_ms: u64,
     /// The requests a second that a cold upstream bears.
-    pub cold_per_s: f64,
+    pub cold_requests_per_s: f64,
 }
 
 /// What callers may send, and how long they may take.
--- a/crates/sedgepath-emulator/src/setup.rs
+++ b/crates/sedgepath-emulator/src/setup.rs
@@ -64,7 +64,7 @@
     let settings = ServiceSettings {
         max_connections: scenario.upstreams.max_connections,
         cold_start_ms: scenario.upstreams.cold_start_ms,
-        cold_per_s: scenario.upstreams.cold_per_s,
+        cold_requests_per_s: scenario.upstreams.cold_per_s,
     };
     let mut services: Map<Box<str>, ServiceSettings> = Map::default();
     services.insert(SERVICE.into(), settings);
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -102,7 +102,7 @@
     let settings = ServiceSettings {
         max_connections: 100,
         cold_start_ms: COLD_START_MS,
-        cold_per_s: COLD_PER_S,
+        cold_requests_per_s: COLD_PER_S,
     };
     let services = routes
         .iter()
