--- a/crates/sedgepath-core/src/direct/status.rs
+++ b/crates/sedgepath-core/src/direct/status.rs
@@ -24,7 +24,7 @@
     /// The failure domains that are being emptied, in order.
     pub evacuated: Vec<Box<str>>,
     /// The VMs among which it splits what holds for all of them, itself among them.
-    pub sharing: usize,
+    pub sharing_vm_count: usize,
     /// The services by their names.
     pub services: BTreeMap<Box<str>, ServiceStatus>,
     /// The other VMs, in the order of their names.
@@ -99,7 +99,7 @@
             leaving: self.vms().leaving(),
             configuration_version: self.configuration().map_or(0, |in_force| in_force.version),
             evacuated,
-            sharing: self.vms().sharing(now_ms),
+            sharing_vm_count: self.vms().sharing_vm_count(now_ms),
             services,
             others: self.vms().others(now_ms),
         }
--- a/crates/sedgepath-core/src/direct/steering/choosing.rs
+++ b/crates/sedgepath-core/src/direct/steering/choosing.rs
@@ -97,6 +97,6 @@
     /// An upstream resets connections beyond its limit, and what was sent on them may have run.
     pub(super) fn max_in_flight(&self, service: &str, now_ms: u64) -> u32 {
         let all = self.service(service).map_or(u32::MAX, |settings| settings.max_connections);
-        (all / self.vms.sharing(now_ms) as u32).max(1)
+        (all / self.vms.sharing_vm_count(now_ms) as u32).max(1)
     }
 }
--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -232,7 +232,7 @@
     /// Those known by address only count too: a VM that has just started has heard of none, and would
     /// take the limits of all for its own. One that is no longer heard may serve on behind a cut, so its
     /// part is not taken over: VMs that don't hear each other would each have all of it.
-    pub fn sharing(&self, now_ms: u64) -> usize {
+    pub fn sharing_vm_count(&self, now_ms: u64) -> usize {
         1 + self.known.most_heard().max(self.known.count(now_ms))
     }
 
--- a/crates/sedgepath/src/commands/status.rs
+++ b/crates/sedgepath/src/commands/status.rs
@@ -55,7 +55,7 @@
 }
 
 fn write_direct(out: &mut dyn Write, status: &VmStatus) -> std::io::Result<()> {
-    let VmStatus { name, domain, configuration_version, sharing, .. } = status;
+    let VmStatus { name, domain, configuration_version, sharing_vm_count: sharing, .. } = status;
     let state = match (status.leaving, status.can_serve) {
         (true, _) => "leaves",
         (false, true) => "serves",
