--- a/crates/sedgepath-core/src/direct/status.rs
+++ b/crates/sedgepath-core/src/direct/status.rs
@@ -28,7 +28,7 @@
     /// The services by their names.
     pub services: BTreeMap<Box<str>, ServiceStatus>,
     /// The other VMs, in the order of their names.
-    pub others: Vec<OtherVm>,
+    pub other_vms: Vec<OtherVm>,
 }
 
 /// What a VM knows of a service.
@@ -101,7 +101,7 @@
             evacuated,
             sharing_vm_count: self.vms().sharing_vm_count(now_ms),
             services,
-            others: self.vms().others(now_ms),
+            other_vms: self.vms().other_vms(now_ms),
         }
     }
 }
--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -245,7 +245,7 @@
     }
 
     /// Returns what is known of the other VMs, in the order of names.
-    pub fn others(&self, now_ms: u64) -> Vec<OtherVm> {
+    pub fn other_vms(&self, now_ms: u64) -> Vec<OtherVm> {
         let heard = self.peers.values().map(|Peer { card, state, heard_at_ms }| OtherVm {
             name: card.name.clone(),
             domain: card.domain.clone(),
--- a/crates/sedgepath/src/commands/status.rs
+++ b/crates/sedgepath/src/commands/status.rs
@@ -81,8 +81,8 @@
             of.requests
         )?;
     }
-    writeln!(out, "{} other VMs heard; limits are split among {sharing}:", status.others.len())?;
-    for other in &status.others {
+    writeln!(out, "{} other VMs heard; limits are split among {sharing}:", status.other_vms.len())?;
+    for other in &status.other_vms {
         let state = match (other.leaving, other.ready) {
             (true, _) => "leaving",
             (false, true) => "ready",
