--- a/crates/sedgepath-core/src/direct/status.rs
+++ b/crates/sedgepath-core/src/direct/status.rs
@@ -41,7 +41,7 @@
     /// Those that are cold.
     pub cold: usize,
     /// Those that are left out because they failed or can't be reached.
-    pub left_out: usize,
+    pub ejected: usize,
     /// The requests that all of them run at a time.
     pub slots: u32,
     /// The requests of this VM that they have not answered.
@@ -83,7 +83,7 @@
             service.upstreams += 1;
             service.leaving += usize::from(upstream.entry.leaving);
             service.cold += usize::from(upstream.cold(now_ms));
-            service.left_out += usize::from(now_ms < upstream.ejected_until_ms);
+            service.ejected += usize::from(now_ms < upstream.ejected_until_ms);
             service.slots += upstream.entry.slots;
             service.in_flight += upstream.in_flight;
             service.load += upstream.load(now_ms);
--- a/crates/sedgepath/src/commands/status.rs
+++ b/crates/sedgepath/src/commands/status.rs
@@ -73,7 +73,7 @@
             of.upstreams,
             of.leaving,
             of.cold,
-            of.left_out,
+            of.ejected,
             of.load,
             of.slots,
             of.in_flight,
