--- a/crates/sedgepath-core/src/direct/status.rs
+++ b/crates/sedgepath-core/src/direct/status.rs
@@ -68,7 +68,7 @@
     /// Whether it is about to stop.
     pub leaving: bool,
     /// Whether the store answers it.
-    pub has_store: bool,
+    pub store_reachable: bool,
 }
 
 impl Steering {
--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -252,7 +252,7 @@
             silent_ms: now_ms.saturating_sub(*heard_at_ms),
             ready: state.ready,
             leaving: state.leaving,
-            has_store: state.store.answers(),
+            store_reachable: state.store.answers(),
         });
         let listed = self.elsewhere.listed(self.timing, now_ms).map(|listed| OtherVm {
             name: listed.card.name.clone(),
@@ -260,7 +260,7 @@
             silent_ms: 0,
             ready: listed.member.ready,
             leaving: false,
-            has_store: listed.member.has_store,
+            store_reachable: listed.member.has_store,
         });
         let mut others: Vec<_> = heard.chain(listed).collect();
         others.sort_unstable_by(|one, other| one.name.cmp(&other.name));
--- a/crates/sedgepath/src/commands/status.rs
+++ b/crates/sedgepath/src/commands/status.rs
@@ -88,7 +88,8 @@
             (false, true) => "ready",
             (false, false) => "not ready",
         };
-        let store = if other.has_store { "has the store" } else { "does not follow the store" };
+        let store =
+            if other.store_reachable { "has the store" } else { "does not follow the store" };
         let (name, domain, silent_ms) = (&other.name, &other.domain, other.silent_ms);
         writeln!(out, "{name:<24} {state:<9} in {domain}, heard {silent_ms} ms ago, {store}")?;
     }
