--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -99,8 +99,8 @@
             Mechanism::SpillCost => weights.spill_cost_ms = 0.0,
             Mechanism::EvictionSpillCost => weights.eviction_spill_factor = 0.0,
             Mechanism::ShortQueuesUnderLoad => {
-                self.patience =
-                    Patience { loaded_target_factor: CALM_TARGET_FACTOR, ..self.patience };
+                self.queue_tolerance =
+                    Patience { loaded_target_factor: CALM_TARGET_FACTOR, ..self.queue_tolerance };
             }
             Mechanism::Hedging => self.second_sending = false,
         }
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -102,14 +102,18 @@
     /// How upstreams are weighed.
     pub weights: Weights,
     /// How long a request may wait.
-    pub patience: Patience,
+    pub queue_tolerance: Patience,
     /// Whether a request may be sent a second time beside an upstream that says nothing.
     pub second_sending: bool,
 }
 
 impl Default for Policy {
     fn default() -> Self {
-        Self { weights: Weights::default(), patience: Patience::default(), second_sending: true }
+        Self {
+            weights: Weights::default(),
+            queue_tolerance: Patience::default(),
+            second_sending: true,
+        }
     }
 }
 
@@ -289,7 +293,7 @@
             return stop(Reason::NoUpstream, NO_UPSTREAM_RETRY_MS, attempts);
         };
         let pressure = self.pressure.note(&attempts.service, candidate.wait_ms > 0.0);
-        let patience = self.policy.patience;
+        let patience = self.policy.queue_tolerance;
         let most_ms = queueing::most_wait_ms(attempts, &candidate, patience, pressure, now_ms);
         if candidate.wait_ms > most_ms {
             // By then what waits now has been served.
--- a/crates/sedgepath-emulator/src/policy.rs
+++ b/crates/sedgepath-emulator/src/policy.rs
@@ -20,7 +20,7 @@
 
 /// Returns all policies, the one in force first.
 pub fn all() -> Vec<Named> {
-    let of = |weights, patience| Policy { weights, patience, ..Policy::default() };
+    let of = |weights, patience| Policy { weights, queue_tolerance: patience, ..Policy::default() };
     let weights = Weights::default();
     let patience = Patience::default();
     let long = Patience { idle_target_factor: 2.0, loaded_target_factor: 2.0 };
