--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -102,7 +102,7 @@
                 self.queue_tolerance =
                     Patience { loaded_target_factor: CALM_TARGET_FACTOR, ..self.queue_tolerance };
             }
-            Mechanism::Hedging => self.second_sending = false,
+            Mechanism::Hedging => self.hedging = false,
         }
         self
     }
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -104,16 +104,12 @@
     /// How long a request may wait.
     pub queue_tolerance: Patience,
     /// Whether a request may be sent a second time beside an upstream that says nothing.
-    pub second_sending: bool,
+    pub hedging: bool,
 }
 
 impl Default for Policy {
     fn default() -> Self {
-        Self {
-            weights: Weights::default(),
-            queue_tolerance: Patience::default(),
-            second_sending: true,
-        }
+        Self { weights: Weights::default(), queue_tolerance: Patience::default(), hedging: true }
     }
 }
 
@@ -357,7 +353,7 @@
         let [first] = &*attempts.in_flight else {
             return None;
         };
-        if !self.policy.second_sending {
+        if !self.policy.hedging {
             return None;
         }
         (attempts.route.kind.may_repeat() && attempts.may_send()).then_some(first.overdue_at_ms)
