--- a/crates/sedgepath-core/src/direct/status.rs
+++ b/crates/sedgepath-core/src/direct/status.rs
@@ -74,7 +74,7 @@
 impl Steering {
     /// Returns the VM's state.
     pub fn status(&self, now_ms: u64) -> VmStatus {
-        let place = self.place();
+        let place = self.location();
         let mut evacuated: Vec<_> = self.evacuated().iter().cloned().collect();
         evacuated.sort_unstable();
         let mut services: BTreeMap<Box<str>, ServiceStatus> = BTreeMap::new();
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -117,7 +117,7 @@
 #[derive(Debug)]
 pub struct Steering {
     policy: Policy,
-    place: Place,
+    location: Place,
     configuration: Option<Arc<Configuration>>,
     splits: Splits,
     upstreams: Upstreams,
@@ -146,7 +146,7 @@
             evacuated: Set::default(),
             budget: RetryBudget::new(limits.budget, &place.name),
             returns: RetryBudget::new(returns, &place.name),
-            place,
+            location: place,
             times: Map::default(),
             answer_bytes: Map::default(),
             pressure: Pressure::default(),
@@ -163,8 +163,8 @@
     }
 
     /// Returns where the VM stands.
-    pub fn place(&self) -> &Place {
-        &self.place
+    pub fn location(&self) -> &Place {
+        &self.location
     }
 
     /// Returns the configuration in force.
@@ -199,7 +199,7 @@
 
     /// Returns the region of a failure domain, or its own name where none is known.
     pub fn region_of(&self, domain: &str) -> Box<str> {
-        self.place.regions.get(domain).cloned().unwrap_or_else(|| domain.into())
+        self.location.regions.get(domain).cloned().unwrap_or_else(|| domain.into())
     }
 
     /// Whether requests can be served: a configuration and an upstream are known.
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -155,7 +155,7 @@
         let now_ms = clock::now_ms();
         let mut steering = shell.steering.borrow_mut();
         let (address, domain) = (heartbeat.card.peers, heartbeat.card.domain.clone());
-        let elsewhere = domain != steering.place().domain;
+        let elsewhere = domain != steering.location().domain;
         steering.vms_mut().heard(heartbeat, now_ms);
         elsewhere.then(|| {
             let mut rng = fastrand::Rng::new();
