--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -242,7 +242,7 @@
     /// # Errors
     ///
     /// Fails with the VM's own answer if no route takes it or its time is up.
-    pub fn begin(&mut self, asked: Asked<'_>, now_ms: u64) -> Result<Attempts, Refusal> {
+    pub fn begin_request(&mut self, asked: Asked<'_>, now_ms: u64) -> Result<Attempts, Refusal> {
         let refuse = |reason, retry_after_ms| Err(Refusal { reason, retry_after_ms });
         let Some(configuration) = self.configuration.as_ref() else {
             return refuse(Reason::NoConfiguration, NO_UPSTREAM_RETRY_MS);
--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -5,7 +5,7 @@
 //! broke or timed out proves nothing, since the request may run although nobody hears of it: such a
 //! request is sent again only if a second run does no harm, and otherwise ends *unknown*.
 //!
-//! [`Ingress::begin`] is the entry for every request that may run; each method returns the
+//! [`Ingress::begin_request`] is the entry for every request that may run; each method returns the
 //! [`Conclusion`] that it came to, so that the system that keeps once-only requests from running
 //! twice sees every outcome before the caller does.
 
--- a/crates/sedgepath-core/tests/direct_routing.rs
+++ b/crates/sedgepath-core/tests/direct_routing.rs
@@ -30,8 +30,8 @@
     let mut vm = serving_vm("a1", "north-a", 1, 1);
     assert!(vm.configure(configuration(7, vec![route(RouteKind::Idempotent)])));
     assert!(!vm.configure(configuration(6, vec![route(RouteKind::NonIdempotent)])));
-    vm.begin(asked("/reads/1"), 0).expect("the new route is not in force");
-    let refusal = vm.begin(asked("/charges/1"), 0).expect_err("an old route is in force");
+    vm.begin_request(asked("/reads/1"), 0).expect("the new route is not in force");
+    let refusal = vm.begin_request(asked("/charges/1"), 0).expect_err("an old route is in force");
     assert_eq!(refusal.reason, Reason::NoRoute);
 }
 
@@ -39,7 +39,8 @@
 #[test]
 fn without_a_configuration_requests_are_refused_as_not_run() {
     let mut vm = vm("a1", "north-a", 1);
-    let refusal = vm.begin(asked("/reads/1"), 0).expect_err("served without a configuration");
+    let refusal =
+        vm.begin_request(asked("/reads/1"), 0).expect_err("served without a configuration");
     assert_eq!(refusal.reason, Reason::NoConfiguration);
     assert!(refusal.retry_after_ms > 0);
 }
@@ -49,7 +50,7 @@
 fn the_routes_timeout_bounds_the_callers() {
     let mut vm = serving_vm("a1", "north-a", 1, 1);
     let asked = Asked { time_left_ms: Some(60_000), ..asked("/reads/1") };
-    let attempts = vm.begin(asked, 100).expect("refused");
+    let attempts = vm.begin_request(asked, 100).expect("refused");
     assert_eq!(attempts.deadline_at_ms, 3_100);
     assert_eq!(begin(&mut vm, "/reads/1", "x", 5).deadline_at_ms, 3_005);
 }
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -295,7 +295,7 @@
         let visit = request.visits;
         let object = request.object.to_string();
         let asked = Asked { host: HOST, path: "/", time_left_ms: None, object: Some(&object) };
-        match self.nodes[request.vm].steering.begin(asked, self.now_ms) {
+        match self.nodes[request.vm].steering.begin_request(asked, self.now_ms) {
             Ok(attempts) => {
                 let deadline_at_ms = attempts.deadline_at_ms;
                 request.attempts = Some(attempts);
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -171,5 +171,5 @@
 /// Panics if the VM refuses it.
 pub fn begin(vm: &mut Steering, path: &str, object: &str, now_ms: u64) -> Attempts {
     let asked = Asked { host: HOST, path, time_left_ms: Some(3_000), object: Some(object) };
-    vm.begin(asked, now_ms).expect("the request is refused")
+    vm.begin_request(asked, now_ms).expect("the request is refused")
 }
--- a/crates/sedgepathd/src/direct/ingress.rs
+++ b/crates/sedgepathd/src/direct/ingress.rs
@@ -145,7 +145,7 @@
         object: fields.object,
     };
     shell.wait_for_start().await;
-    let begun = shell.steering.borrow_mut().begin(asked, now_ms);
+    let begun = shell.steering.borrow_mut().begin_request(asked, now_ms);
     let attempts = match begun {
         Ok(attempts) => attempts,
         Err(refusal) => return refuse(shell, &attempt, None, refusal),
