--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -275,7 +275,7 @@
     }
 
     /// Decides what happens next with a request none of whose sendings is under way.
-    pub fn next(&mut self, attempts: &mut Attempts, random: u64, now_ms: u64) -> Step {
+    pub fn next_step(&mut self, attempts: &mut Attempts, random: u64, now_ms: u64) -> Step {
         let stop = |reason, retry_after_ms, attempts: &Attempts| {
             if attempts.possible_runs > 0 {
                 return Step::GiveUp { reason };
--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -10,7 +10,7 @@
 const REFUSAL: Outcome = Outcome::Refused { report: None };
 
 fn send(vm: &mut Steering, attempts: &mut Attempts, now_ms: u64) -> Sending {
-    match vm.next(attempts, 1, now_ms) {
+    match vm.next_step(attempts, 1, now_ms) {
         Step::Send(to) => to,
         other => panic!("not sent: {other:?}"),
     }
@@ -26,7 +26,7 @@
         let to = send(&mut vm, &mut attempts, 0);
         vm.ended(&mut attempts, to.upstream, outcome, 10);
 
-        let step = vm.next(&mut attempts, 1, 10);
+        let step = vm.next_step(&mut attempts, 1, 10);
 
         assert_eq!(step, Step::GiveUp { reason: Reason::RetriesExhausted }, "after {outcome:?}");
     }
@@ -58,7 +58,10 @@
         let to = send(&mut vm, &mut attempts, 0);
         vm.ended(&mut attempts, to.upstream, ERROR, 10);
     }
-    assert_eq!(vm.next(&mut attempts, 1, 20), Step::GiveUp { reason: Reason::RetriesExhausted });
+    assert_eq!(
+        vm.next_step(&mut attempts, 1, 20),
+        Step::GiveUp { reason: Reason::RetriesExhausted }
+    );
 }
 
 /// A charge that ran and then finds no other upstream must not be answered with *not run*.
@@ -72,7 +75,7 @@
     let to = send(&mut vm, &mut attempts, 0);
     vm.ended(&mut attempts, to.upstream, Outcome::Failed, 10);
 
-    assert!(matches!(vm.next(&mut attempts, 1, 10), Step::GiveUp { .. }));
+    assert!(matches!(vm.next_step(&mut attempts, 1, 10), Step::GiveUp { .. }));
 }
 
 /// Checks that repeats stay within a fifth of the requests and 60 in any ten seconds of the first thirty.
@@ -110,7 +113,7 @@
             }
             asked_at_ms.push(now_ms);
             let mut attempts = begin(vm, "/reads/1", &now_ms.to_string(), now_ms);
-            while let Step::Send(to) = vm.next(&mut attempts, 1, now_ms) {
+            while let Step::Send(to) = vm.next_step(&mut attempts, 1, now_ms) {
                 if attempts.delivered > 0 {
                     sent_at_ms.push(now_ms);
                 }
@@ -132,7 +135,7 @@
     let mut repeated_at_ms = Vec::new();
     for now_ms in (0..40_000).step_by(10) {
         let mut attempts = begin(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
-        while let Step::Send(to) = vm.next(&mut attempts, 1, now_ms) {
+        while let Step::Send(to) = vm.next_step(&mut attempts, 1, now_ms) {
             if attempts.delivered > 0 {
                 repeated_at_ms.push(now_ms);
             }
@@ -166,7 +169,7 @@
         for now_ms in (0..2_000).step_by(50) {
             requests += 1;
             let mut attempts = begin(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
-            while let Step::Send(to) = vm.next(&mut attempts, 1, now_ms) {
+            while let Step::Send(to) = vm.next_step(&mut attempts, 1, now_ms) {
                 repeats += u32::from(attempts.delivered > 0);
                 vm.ended(&mut attempts, to.upstream, REFUSAL, now_ms);
             }
@@ -215,7 +218,7 @@
             }
             asked_at_ms.push(now_ms);
             let mut attempts = begin(vm, "/reads/1", &now_ms.to_string(), now_ms);
-            while let Step::Send(to) = vm.next(&mut attempts, 1, now_ms) {
+            while let Step::Send(to) = vm.next_step(&mut attempts, 1, now_ms) {
                 if attempts.delivered > 0 {
                     repeated_at_ms.push(now_ms);
                 }
@@ -243,7 +246,7 @@
             asked += 1;
             let mut attempts = begin(&mut vm, "/reads/1", &asked.to_string(), now_ms);
             let retry_after_ms = loop {
-                match vm.next(&mut attempts, asked, now_ms) {
+                match vm.next_step(&mut attempts, asked, now_ms) {
                     Step::Send(to) => {
                         vm.ended(&mut attempts, to.upstream, Outcome::Refused { report }, now_ms);
                     }
@@ -268,7 +271,7 @@
         begin(&mut vm, "/reads/1", &number.to_string(), 20_000);
     }
     let mut attempts = begin(&mut vm, "/reads/1", "x", 20_000);
-    while let Step::Send(to) = vm.next(&mut attempts, 1, 20_000) {
+    while let Step::Send(to) = vm.next_step(&mut attempts, 1, 20_000) {
         vm.ended(&mut attempts, to.upstream, REFUSAL, 20_000);
     }
     assert_eq!(attempts.delivered, 3);
@@ -329,7 +332,7 @@
         }
         for now_ms in (started_at_ms..started_at_ms + 400).step_by(5) {
             let mut attempts = begin(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
-            if let Step::Send(to) = vm.next(&mut attempts, now_ms, now_ms) {
+            if let Step::Send(to) = vm.next_step(&mut attempts, now_ms, now_ms) {
                 sent_to.push(to.name.clone());
                 vm.ended(&mut attempts, to.upstream, ANSWER, now_ms);
             }
@@ -361,7 +364,7 @@
     for now_ms in (0..1_900).step_by(5) {
         for vm in &mut vms {
             let mut attempts = begin(vm, "/reads/1", &now_ms.to_string(), now_ms);
-            if let Step::Send(to) = vm.next(&mut attempts, now_ms, now_ms) {
+            if let Step::Send(to) = vm.next_step(&mut attempts, now_ms, now_ms) {
                 sent.push((to.name.clone(), now_ms));
                 vm.ended(&mut attempts, to.upstream, ANSWER, now_ms);
             }
--- a/crates/sedgepath-core/tests/direct_overload.rs
+++ b/crates/sedgepath-core/tests/direct_overload.rs
@@ -87,7 +87,7 @@
         let object = (now_ms % 7).to_string();
         let mut attempts = begin(vm, "/reads/1", &object, now_ms);
         loop {
-            match vm.next(&mut attempts, 1, now_ms) {
+            match vm.next_step(&mut attempts, 1, now_ms) {
                 Step::Send(to) => {
                     if emulated[place(to.upstream)].take(requests.len(), now_ms) {
                         requests.push(attempts);
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -20,7 +20,7 @@
 /// Returns the upstream that a request of an object would be sent to.
 fn goes_to(vm: &mut Steering, object: &str, now_ms: u64) -> Option<Box<str>> {
     let mut attempts = begin(vm, "/reads/1", object, now_ms);
-    let step = vm.next(&mut attempts, 1, now_ms);
+    let step = vm.next_step(&mut attempts, 1, now_ms);
     vm.abandon(&mut attempts, now_ms);
     match step {
         Step::Send(to) => Some(to.name),
@@ -167,7 +167,7 @@
 fn an_address_that_another_upstream_has_taken_is_left() {
     let mut vm = with_one();
     let mut attempts = begin(&mut vm, "/charges/1", "x", 0);
-    let Step::Send(to) = vm.next(&mut attempts, 1, 0) else { panic!("not sent") };
+    let Step::Send(to) = vm.next_step(&mut attempts, 1, 0) else { panic!("not sent") };
 
     vm.ended(&mut attempts, to.upstream, Outcome::Misdirected, 10);
 
@@ -203,10 +203,10 @@
 fn an_upstream_that_comes_back_is_taken_as_cold() {
     let mut vm = with_one();
     let mut attempts = begin(&mut vm, "/reads/1", "x", 0);
-    let Step::Send(to) = vm.next(&mut attempts, 1, 0) else { panic!("not sent") };
+    let Step::Send(to) = vm.next_step(&mut attempts, 1, 0) else { panic!("not sent") };
     vm.ended(&mut attempts, to.upstream, Outcome::Unreachable, 10);
     let mut attempts = begin(&mut vm, "/reads/1", "x", 2_000);
-    let Step::Send(to) = vm.next(&mut attempts, 1, 2_000) else { panic!("not sent") };
+    let Step::Send(to) = vm.next_step(&mut attempts, 1, 2_000) else { panic!("not sent") };
     let answer = Outcome::Answered { failed: false, report: None, body_bytes: 1 };
     vm.ended(&mut attempts, to.upstream, answer, 2_100);
 
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -311,7 +311,7 @@
         let random = self.random.u64(..);
         let request = &mut self.requests[index];
         let Some(attempts) = request.attempts.as_mut() else { return };
-        match self.nodes[request.vm].steering.next(attempts, random, self.now_ms) {
+        match self.nodes[request.vm].steering.next_step(attempts, random, self.now_ms) {
             Step::Send(sending) => self.send(index, &sending),
             Step::Reject { retry_after_ms, .. } => self.refused(index, retry_after_ms),
             Step::GiveUp { .. } => {
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -390,7 +390,7 @@
         let Some(steering) = &mut self.vms[usize::from(current.vm)].steering else {
             return;
         };
-        match steering.next(&mut current.attempts, random, now_ms) {
+        match steering.next_step(&mut current.attempts, random, now_ms) {
             Step::Send(to) => {
                 let repeat = current.attempts.delivered > 0;
                 self.sendings.push((to, repeat));
--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -112,7 +112,7 @@
     /// Decides what happens next.
     pub fn next_step(&mut self) -> Step {
         let mut steering = self.shell.steering.borrow_mut();
-        steering.next(&mut self.attempts, fastrand::u64(..), clock::now_ms())
+        steering.next_step(&mut self.attempts, fastrand::u64(..), clock::now_ms())
     }
 
     /// Waits until a second upstream should be tried beside the first, and says which.
