--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -292,7 +292,7 @@
     assert_ne!(first.upstream, second.upstream);
     assert_eq!(vm.hedge_at_ms(&attempts), None, "a third sending is planned");
     vm.ended(&mut attempts, second.upstream, ANSWER, at_ms + 200);
-    vm.abandon(&mut attempts, at_ms + 200);
+    vm.cancel_request(&mut attempts, at_ms + 200);
     let idle = vm.upstreams().all().all(|(_, upstream)| upstream.in_flight == 0);
     assert!(idle, "a sending was not counted down");
 }
--- a/crates/sedgepath-core/tests/direct_placing.rs
+++ b/crates/sedgepath-core/tests/direct_placing.rs
@@ -21,7 +21,7 @@
     let each = 0..OBJECTS;
     each.map(|object| {
         let (mut attempts, name) = send(vm, path, object, 0);
-        vm.abandon(&mut attempts, 0);
+        vm.cancel_request(&mut attempts, 0);
         name
     })
     .collect()
@@ -258,7 +258,7 @@
     let mut vm = serving_vm("a1", "north-a", 1, 3);
     let (mut lost, mut others) = (0, 0);
     let (mut attempts, slow) = send(&mut vm, "/charges/1", 7, 0);
-    vm.abandon(&mut attempts, 0);
+    vm.cancel_request(&mut attempts, 0);
     for round in 0..20 {
         let now_ms = 1_000 + round * 300;
         let (mut attempts, name) = send(&mut vm, "/charges/1", 7, now_ms);
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -21,7 +21,7 @@
 fn goes_to(vm: &mut Steering, object: &str, now_ms: u64) -> Option<Box<str>> {
     let mut attempts = begin(vm, "/reads/1", object, now_ms);
     let step = vm.next_step(&mut attempts, 1, now_ms);
-    vm.abandon(&mut attempts, now_ms);
+    vm.cancel_request(&mut attempts, now_ms);
     match step {
         Step::Send(to) => Some(to.name),
         Step::Reject { .. } | Step::GiveUp { .. } => None,
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -454,7 +454,7 @@
     fn leave(&mut self, index: usize) {
         let request = &mut self.requests[index];
         if let Some(mut attempts) = request.attempts.take() {
-            self.nodes[request.vm].steering.abandon(&mut attempts, self.now_ms);
+            self.nodes[request.vm].steering.cancel_request(&mut attempts, self.now_ms);
         }
         for sending in request.sendings.drain(..) {
             self.sendings[sending].open = false;
--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -98,7 +98,7 @@
 impl Drop for Flight {
     fn drop(&mut self) {
         let mut steering = self.shell.steering.borrow_mut();
-        steering.abandon(&mut self.attempts, clock::now_ms());
+        steering.cancel_request(&mut self.attempts, clock::now_ms());
     }
 }
 
