--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -211,7 +211,7 @@
     ///
     /// A read that was delayed may bring an older one; taken in, routes that callers have used
     /// already would be gone again. Returns whether it is in force now and was not before.
-    pub fn configure(&mut self, configuration: Arc<Configuration>) -> bool {
+    pub fn apply_configuration(&mut self, configuration: Arc<Configuration>) -> bool {
         let newer =
             self.configuration.as_ref().is_none_or(|known| known.version < configuration.version);
         if newer {
--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -68,7 +68,7 @@
 #[test]
 fn a_request_that_may_have_run_is_never_refused() {
     let mut vm = vm("a1", "north-a", 1);
-    vm.configure(sedgepath_test_support::direct::all_kinds(1));
+    vm.apply_configuration(sedgepath_test_support::direct::all_kinds(1));
     let only = sedgepath_test_support::direct::entry("b0", "north-a", 0);
     vm.upstreams_mut().put(only, "north", 0);
     let mut attempts = begin(&mut vm, "/reads/1", "x", 0);
--- a/crates/sedgepath-core/tests/direct_overload.rs
+++ b/crates/sedgepath-core/tests/direct_overload.rs
@@ -113,7 +113,7 @@
 
 fn two_upstreams() -> Steering {
     let mut vm = vm("a1", "north-a", 1);
-    vm.configure(sedgepath_test_support::direct::all_kinds(1));
+    vm.apply_configuration(sedgepath_test_support::direct::all_kinds(1));
     for (number, name) in (0..).zip(["b0", "b1"]) {
         vm.upstreams_mut().put(entry(name, "north-a", number), "north", 0);
     }
--- a/crates/sedgepath-core/tests/direct_placing.rs
+++ b/crates/sedgepath-core/tests/direct_placing.rs
@@ -144,7 +144,7 @@
     let mut vm = serving_vm("a1", "north-a", 1, 2);
     let mut route = sedgepath_test_support::direct::route(RouteKind::Idempotent);
     route.home_regions = vec!["south".into()];
-    vm.configure(sedgepath_test_support::direct::configuration(2, vec![route]));
+    vm.apply_configuration(sedgepath_test_support::direct::configuration(2, vec![route]));
     let homes = homes(&mut vm, "/reads/1");
     assert!(homes.iter().all(|name| ["b4", "b5", "b6", "b7"].contains(&&**name)), "{homes:?}");
 
@@ -184,7 +184,7 @@
 #[test]
 fn the_way_to_another_region_is_not_taken_for_work() {
     let mut vm = vm("a1", "north-a", 1);
-    vm.configure(all_kinds(1));
+    vm.apply_configuration(all_kinds(1));
     vm.upstreams_mut().put(entry("b0", "south-a", 0), "south", 0);
     let key = vm.upstreams().of_service("browse")[0];
     for _ in 0..100 {
--- a/crates/sedgepath-core/tests/direct_routing.rs
+++ b/crates/sedgepath-core/tests/direct_routing.rs
@@ -28,8 +28,8 @@
 #[test]
 fn an_older_configuration_is_not_taken() {
     let mut vm = serving_vm("a1", "north-a", 1, 1);
-    assert!(vm.configure(configuration(7, vec![route(RouteKind::Idempotent)])));
-    assert!(!vm.configure(configuration(6, vec![route(RouteKind::NonIdempotent)])));
+    assert!(vm.apply_configuration(configuration(7, vec![route(RouteKind::Idempotent)])));
+    assert!(!vm.apply_configuration(configuration(6, vec![route(RouteKind::NonIdempotent)])));
     vm.begin_request(asked("/reads/1"), 0).expect("the new route is not in force");
     let refusal = vm.begin_request(asked("/charges/1"), 0).expect_err("an old route is in force");
     assert_eq!(refusal.reason, Reason::NoRoute);
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -12,7 +12,7 @@
 /// A VM with one upstream, `b0`.
 fn with_one() -> Steering {
     let mut vm = vm("a1", "north-a", 1);
-    vm.configure(all_kinds(1));
+    vm.apply_configuration(all_kinds(1));
     vm.upstreams_mut().put(entry("b0", "north-a", 0), "north", 0);
     vm
 }
@@ -64,7 +64,7 @@
 #[test]
 fn a_restart_under_the_same_name_is_a_new_upstream() {
     let mut vm = vm("a1", "north-a", 1);
-    vm.configure(all_kinds(1));
+    vm.apply_configuration(all_kinds(1));
     let mut first = entry("b0", "north-a", 0);
     first.sequence = 40;
     first.born_at_ms = Some(1_000);
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -201,7 +201,7 @@
             for _ in 0..scenario.vms_per_domain {
                 let mut steering =
                     steering(nodes.len(), domain, region, &domains).with_policy(policy);
-                steering.configure(Arc::clone(&configuration));
+                steering.apply_configuration(Arc::clone(&configuration));
                 for upstream in &upstreams {
                     let region = &scenario.regions[upstream.region].name;
                     steering.upstreams_mut().put(upstream.entry.clone(), region, 0);
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -144,7 +144,7 @@
 
 /// Gives a VM a configuration and some upstreams in each failure domain, `b0` and up.
 pub fn serving(mut vm: Steering, per_domain: u8) -> Steering {
-    vm.configure(all_kinds(1));
+    vm.apply_configuration(all_kinds(1));
     let mut next = 0;
     for (domain, region) in DOMAINS {
         for _ in 0..per_domain {
--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -179,7 +179,7 @@
                 match rows::configuration(value) {
                     Ok(configuration) => {
                         let version = configuration.version;
-                        let taken = steering.configure(Arc::new(configuration));
+                        let taken = steering.apply_configuration(Arc::new(configuration));
                         log::info!("event=configuration version={version} in_force={taken}");
                     }
                     Err(error) => {
