--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -222,7 +222,7 @@
     }
 
     /// Sets the failure domains that are being emptied; those that no longer are may be cold.
-    pub fn evacuate(&mut self, domains: Set<Box<str>>, now_ms: u64) {
+    pub fn set_evacuated_domains(&mut self, domains: Set<Box<str>>, now_ms: u64) {
         let cold_ms = self.configuration.as_ref().map_or(0, |configuration| {
             configuration.services.values().map(|service| service.cold_start_ms).max().unwrap_or(0)
         });
--- a/crates/sedgepath-core/tests/direct_placing.rs
+++ b/crates/sedgepath-core/tests/direct_placing.rs
@@ -149,7 +149,7 @@
     assert!(homes.iter().all(|name| ["b4", "b5", "b6", "b7"].contains(&&**name)), "{homes:?}");
 
     let emptied: Set<Box<str>> = [Box::from("south-a"), Box::from("south-b")].into_iter().collect();
-    vm.evacuate(emptied, 0);
+    vm.set_evacuated_domains(emptied, 0);
     let mut attempts = begin(&mut vm, "/reads/1", "x", 10);
     assert!(matches!(vm.next_step(&mut attempts, 1, 10), Step::Reject { .. }));
 }
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -181,13 +181,13 @@
 fn an_evacuated_domain_gets_nothing_and_is_cold_afterwards() {
     let mut vm = serving_vm("a1", "north-a", 1, 2);
     let emptied: Set<Box<str>> = [Box::from("north-a")].into_iter().collect();
-    vm.evacuate(emptied, 0);
+    vm.set_evacuated_domains(emptied, 0);
     let in_domain = |name: Option<Box<str>>| matches!(name.as_deref(), Some("b0" | "b1"));
     for object in 0..50 {
         assert!(!in_domain(goes_to(&mut vm, &object.to_string(), 100)), "object {object}");
     }
 
-    vm.evacuate(Set::default(), 1_000);
+    vm.set_evacuated_domains(Set::default(), 1_000);
 
     for object in 0..50 {
         assert!(!in_domain(goes_to(&mut vm, &object.to_string(), 1_100)), "object {object}");
--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -199,7 +199,7 @@
             OperatorKey::Other => {}
         }
     }
-    steering.evacuate(evacuated, now_ms);
+    steering.set_evacuated_domains(evacuated, now_ms);
 }
 
 fn take_in_upstream(steering: &mut Steering, row: &CopiedRow, now_ms: u64) {
