--- a/crates/sedgepath-core/src/direct/status.rs
+++ b/crates/sedgepath-core/src/direct/status.rs
@@ -75,7 +75,7 @@
     /// Returns the VM's state.
     pub fn status(&self, now_ms: u64) -> VmStatus {
         let place = self.location();
-        let mut evacuated: Vec<_> = self.evacuated().iter().cloned().collect();
+        let mut evacuated: Vec<_> = self.evacuated_domains().iter().cloned().collect();
         evacuated.sort_unstable();
         let mut services: BTreeMap<Box<str>, ServiceStatus> = BTreeMap::new();
         for (_, upstream) in self.upstreams().all() {
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -121,7 +121,7 @@
     configuration: Option<Arc<Configuration>>,
     splits: Splits,
     upstreams: Upstreams,
-    evacuated: Set<Box<str>>,
+    evacuated_domains: Set<Box<str>>,
     budget: RetryBudget,
     /// The callers that are told to come back at once, kept as repeats are.
     returns: RetryBudget,
@@ -143,7 +143,7 @@
             configuration: None,
             splits: Splits::default(),
             upstreams: Upstreams::default(),
-            evacuated: Set::default(),
+            evacuated_domains: Set::default(),
             budget: RetryBudget::new(limits.budget, &place.name),
             returns: RetryBudget::new(returns, &place.name),
             location: place,
@@ -226,15 +226,15 @@
         let cold_ms = self.configuration.as_ref().map_or(0, |configuration| {
             configuration.services.values().map(|service| service.cold_start_ms).max().unwrap_or(0)
         });
-        for domain in self.evacuated.difference(&domains) {
+        for domain in self.evacuated_domains.difference(&domains) {
             self.upstreams.chill_domain(domain, now_ms + cold_ms);
         }
-        self.evacuated = domains;
+        self.evacuated_domains = domains;
     }
 
     /// Returns the failure domains that are being emptied.
-    pub fn evacuated(&self) -> &Set<Box<str>> {
-        &self.evacuated
+    pub fn evacuated_domains(&self) -> &Set<Box<str>> {
+        &self.evacuated_domains
     }
 
     /// Takes in a request.
--- a/crates/sedgepath-core/src/direct/steering/choosing.rs
+++ b/crates/sedgepath-core/src/direct/steering/choosing.rs
@@ -26,7 +26,7 @@
             region: &self.location.region,
             far_ms: self.far_ms,
             times: self.times.get(&attempts.service).copied().unwrap_or_default(),
-            evacuated: &self.evacuated,
+            evacuated: &self.evacuated_domains,
             home_regions: &attempts.route.home_regions,
             max_in_flight: self.max_in_flight(&attempts.service, now_ms),
             tried: &attempts.tried_upstreams,
--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -171,7 +171,7 @@
 fn take_in_operators(shell: &Shell, rows: &[CopiedRow]) {
     let now_ms = clock::now_ms();
     let mut steering = shell.steering.borrow_mut();
-    let mut evacuated = steering.evacuated().clone();
+    let mut evacuated = steering.evacuated_domains().clone();
     for row in rows {
         match OperatorKey::read(&row.key) {
             OperatorKey::Configuration => {
