--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -384,7 +384,7 @@
     /// Takes in that the caller has left or has its answer, whatever is still under way.
     pub fn cancel_request(&mut self, attempts: &mut Attempts, now_ms: u64) {
         while let Some(current) = attempts.in_flight.last() {
-            self.ended(attempts, current.upstream, Outcome::Canceled, now_ms);
+            self.record_outcome(attempts, current.upstream, Outcome::Canceled, now_ms);
         }
     }
 
--- a/crates/sedgepath-core/src/direct/steering/learning.rs
+++ b/crates/sedgepath-core/src/direct/steering/learning.rs
@@ -6,7 +6,7 @@
 
 impl Steering {
     /// Takes in how a sending ended.
-    pub fn ended(
+    pub fn record_outcome(
         &mut self,
         attempts: &mut Attempts,
         key: UpstreamKey,
--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -24,7 +24,7 @@
         let mut vm = earning_vm("a1", "north-a", 1, 2);
         let mut attempts = begin(&mut vm, "/charges/1", "x", 0);
         let to = send(&mut vm, &mut attempts, 0);
-        vm.ended(&mut attempts, to.upstream, outcome, 10);
+        vm.record_outcome(&mut attempts, to.upstream, outcome, 10);
 
         let step = vm.next_step(&mut attempts, 1, 10);
 
@@ -40,7 +40,7 @@
         let mut vm = earning_vm("a1", "north-a", 1, 2);
         let mut attempts = begin(&mut vm, "/charges/1", "x", 0);
         let first = send(&mut vm, &mut attempts, 0);
-        vm.ended(&mut attempts, first.upstream, outcome, 10);
+        vm.record_outcome(&mut attempts, first.upstream, outcome, 10);
 
         let second = send(&mut vm, &mut attempts, 10);
 
@@ -56,7 +56,7 @@
     let mut attempts = begin(&mut vm, "/reads/1", "x", 0);
     for _ in 0..2 {
         let to = send(&mut vm, &mut attempts, 0);
-        vm.ended(&mut attempts, to.upstream, ERROR, 10);
+        vm.record_outcome(&mut attempts, to.upstream, ERROR, 10);
     }
     assert_eq!(
         vm.next_step(&mut attempts, 1, 20),
@@ -73,7 +73,7 @@
     vm.upstreams_mut().put(only, "north", 0);
     let mut attempts = begin(&mut vm, "/reads/1", "x", 0);
     let to = send(&mut vm, &mut attempts, 0);
-    vm.ended(&mut attempts, to.upstream, Outcome::Failed, 10);
+    vm.record_outcome(&mut attempts, to.upstream, Outcome::Failed, 10);
 
     assert!(matches!(vm.next_step(&mut attempts, 1, 10), Step::GiveUp { .. }));
 }
@@ -118,7 +118,7 @@
                     sent_at_ms.push(now_ms);
                 }
                 let report = Some(LoadReport { running: 0, waiting: 0, slots: 3 });
-                vm.ended(&mut attempts, to.upstream, Outcome::Refused { report }, now_ms);
+                vm.record_outcome(&mut attempts, to.upstream, Outcome::Refused { report }, now_ms);
             }
         }
     }
@@ -140,7 +140,12 @@
                 repeated_at_ms.push(now_ms);
             }
             let refuses = (12_000..21_000).contains(&now_ms);
-            vm.ended(&mut attempts, to.upstream, if refuses { REFUSAL } else { ANSWER }, now_ms);
+            vm.record_outcome(
+                &mut attempts,
+                to.upstream,
+                if refuses { REFUSAL } else { ANSWER },
+                now_ms,
+            );
             if !refuses {
                 break;
             }
@@ -171,7 +176,7 @@
             let mut attempts = begin(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
             while let Step::Send(to) = vm.next_step(&mut attempts, 1, now_ms) {
                 repeats += u32::from(attempts.delivered > 0);
-                vm.ended(&mut attempts, to.upstream, REFUSAL, now_ms);
+                vm.record_outcome(&mut attempts, to.upstream, REFUSAL, now_ms);
             }
         }
     }
@@ -222,7 +227,7 @@
                 if attempts.delivered > 0 {
                     repeated_at_ms.push(now_ms);
                 }
-                vm.ended(&mut attempts, to.upstream, REFUSAL, now_ms);
+                vm.record_outcome(&mut attempts, to.upstream, REFUSAL, now_ms);
             }
         }
     }
@@ -248,7 +253,12 @@
             let retry_after_ms = loop {
                 match vm.next_step(&mut attempts, asked, now_ms) {
                     Step::Send(to) => {
-                        vm.ended(&mut attempts, to.upstream, Outcome::Refused { report }, now_ms);
+                        vm.record_outcome(
+                            &mut attempts,
+                            to.upstream,
+                            Outcome::Refused { report },
+                            now_ms,
+                        );
                     }
                     Step::Reject { retry_after_ms, .. } => break retry_after_ms,
                     Step::GiveUp { reason } => panic!("given up: {reason:?}"),
@@ -272,7 +282,7 @@
     }
     let mut attempts = begin(&mut vm, "/reads/1", "x", 20_000);
     while let Step::Send(to) = vm.next_step(&mut attempts, 1, 20_000) {
-        vm.ended(&mut attempts, to.upstream, REFUSAL, 20_000);
+        vm.record_outcome(&mut attempts, to.upstream, REFUSAL, 20_000);
     }
     assert_eq!(attempts.delivered, 3);
 }
@@ -291,7 +301,7 @@
 
     assert_ne!(first.upstream, second.upstream);
     assert_eq!(vm.hedge_at_ms(&attempts), None, "a third sending is planned");
-    vm.ended(&mut attempts, second.upstream, ANSWER, at_ms + 200);
+    vm.record_outcome(&mut attempts, second.upstream, ANSWER, at_ms + 200);
     vm.cancel_request(&mut attempts, at_ms + 200);
     let idle = vm.upstreams().all().all(|(_, upstream)| upstream.in_flight == 0);
     assert!(idle, "a sending was not counted down");
@@ -306,7 +316,7 @@
     send(&mut vm, &mut attempts, 0);
     let mut other = begin(&mut vm, "/reads/1", "x", 0);
     let to = send(&mut vm, &mut other, 0);
-    vm.ended(&mut other, to.upstream, ANSWER, 500);
+    vm.record_outcome(&mut other, to.upstream, ANSWER, 500);
     let at_ms = vm.hedge_at_ms(&attempts).expect("no second sending is planned");
 
     assert_eq!(vm.hedge(&mut attempts, 1, at_ms), None);
@@ -334,7 +344,7 @@
             let mut attempts = begin(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
             if let Step::Send(to) = vm.next_step(&mut attempts, now_ms, now_ms) {
                 sent_to.push(to.name.clone());
-                vm.ended(&mut attempts, to.upstream, ANSWER, now_ms);
+                vm.record_outcome(&mut attempts, to.upstream, ANSWER, now_ms);
             }
         }
     }
@@ -366,7 +376,7 @@
             let mut attempts = begin(vm, "/reads/1", &now_ms.to_string(), now_ms);
             if let Step::Send(to) = vm.next_step(&mut attempts, now_ms, now_ms) {
                 sent.push((to.name.clone(), now_ms));
-                vm.ended(&mut attempts, to.upstream, ANSWER, now_ms);
+                vm.record_outcome(&mut attempts, to.upstream, ANSWER, now_ms);
             }
         }
     }
@@ -387,7 +397,7 @@
     let mut attempts = begin(&mut vm, "/reads/1", "x", 0);
     for _ in 0..2 {
         let to = send(&mut vm, &mut attempts, 0);
-        vm.ended(&mut attempts, to.upstream, REFUSAL, 10);
+        vm.record_outcome(&mut attempts, to.upstream, REFUSAL, 10);
     }
     send(&mut vm, &mut attempts, 10);
 
--- a/crates/sedgepath-core/tests/direct_overload.rs
+++ b/crates/sedgepath-core/tests/direct_overload.rs
@@ -73,7 +73,7 @@
             for request in emulated[index].end(now_ms) {
                 let report = Some(emulated[index].report());
                 let answer = Outcome::Answered { failed: false, report, body_bytes: 100 };
-                vm.ended(&mut requests[request], keys[index], answer, now_ms);
+                vm.record_outcome(&mut requests[request], keys[index], answer, now_ms);
                 if now_ms - requests[request].arrived_at_ms <= TARGET_MS {
                     results.in_time += 1;
                 } else {
@@ -95,7 +95,7 @@
                     }
                     let report = Some(emulated[place(to.upstream)].report());
                     let refusal = Outcome::Refused { report };
-                    vm.ended(&mut attempts, to.upstream, refusal, now_ms);
+                    vm.record_outcome(&mut attempts, to.upstream, refusal, now_ms);
                 }
                 Step::Reject { retry_after_ms, .. } => {
                     assert!(retry_after_ms > 0);
--- a/crates/sedgepath-core/tests/direct_placing.rs
+++ b/crates/sedgepath-core/tests/direct_placing.rs
@@ -86,7 +86,7 @@
     let mut vm = serving_vm("a1", "north-a", 1, 3);
     let (mut attempts, home) = send(&mut vm, "/reads/1", 7, 0);
     let key = attempts.tried_upstreams[0];
-    vm.ended(&mut attempts, key, Outcome::Unreachable, 10);
+    vm.record_outcome(&mut attempts, key, Outcome::Unreachable, 10);
 
     let (_, soon) = send(&mut vm, "/reads/1", 7, 100);
 
@@ -115,7 +115,7 @@
     let key = attempts.tried_upstreams[0];
     let report = Some(LoadReport { running: 3, waiting: 9, slots: 3 });
     let answer = Outcome::Answered { failed: false, report, body_bytes: 10 };
-    vm.ended(&mut attempts, key, answer, 200);
+    vm.record_outcome(&mut attempts, key, answer, 200);
 
     let (_, next) = send(&mut vm, "/reads/1", 7, 210);
 
@@ -129,7 +129,7 @@
     let (mut attempts, _) = send(&mut vm, "/packs/1", 0, 0);
     let key = attempts.tried_upstreams[0];
     let answer = Outcome::Answered { failed: false, report: None, body_bytes: 90_000 };
-    vm.ended(&mut attempts, key, answer, 200);
+    vm.record_outcome(&mut attempts, key, answer, 200);
 
     let homes = homes(&mut vm, "/packs/1");
 
@@ -198,7 +198,7 @@
         expected_ms = to.decision.expected_ms;
         let report = Some(LoadReport { running: 0, waiting: 0, slots: 3 });
         let answer = Outcome::Answered { failed: false, report, body_bytes: 100 };
-        vm.ended(&mut attempts, key, answer, now_ms + 250);
+        vm.record_outcome(&mut attempts, key, answer, now_ms + 250);
     }
     assert!((240..=260).contains(&expected_ms), "{expected_ms} ms are expected");
 }
@@ -223,7 +223,7 @@
             let running = vm.upstreams().get(key).map_or(0, |upstream| upstream.in_flight - 1);
             let report = Some(LoadReport { running, waiting: 0, slots: 3 });
             let answer = Outcome::Answered { failed: false, report, body_bytes: 100 };
-            vm.ended(&mut attempts, key, answer, now_ms);
+            vm.record_outcome(&mut attempts, key, answer, now_ms);
         }
         let object = draws.u64(..30);
         let mut attempts = begin(&mut vm, "/reads/1", &object.to_string(), now_ms);
@@ -265,11 +265,11 @@
         let key = attempts.tried_upstreams[0];
         if name == slow {
             lost += 1;
-            vm.ended(&mut attempts, key, Outcome::TimedOut, now_ms + 250);
+            vm.record_outcome(&mut attempts, key, Outcome::TimedOut, now_ms + 250);
         } else {
             others += 1;
             let answer = Outcome::Answered { failed: false, report: None, body_bytes: 100 };
-            vm.ended(&mut attempts, key, answer, now_ms + 250);
+            vm.record_outcome(&mut attempts, key, answer, now_ms + 250);
         }
     }
     assert!(lost <= 4, "{lost} requests are lost, {others} served");
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -417,7 +417,7 @@
         }
         let request = &mut self.requests[sent.request];
         let Some(attempts) = request.attempts.as_mut() else { return };
-        self.nodes[sent.vm].steering.ended(attempts, sent.key, outcome, self.now_ms);
+        self.nodes[sent.vm].steering.record_outcome(attempts, sent.key, outcome, self.now_ms);
         let others = !attempts.in_flight.is_empty();
         if answer == Answer::Whole {
             self.answered(sent.request);
@@ -500,7 +500,7 @@
         while let Some(under_way) = attempts.in_flight.last() {
             let key = under_way.upstream;
             let steering = &mut self.nodes[request.vm].steering;
-            steering.ended(attempts, key, Outcome::TimedOut, self.now_ms);
+            steering.record_outcome(attempts, key, Outcome::TimedOut, self.now_ms);
         }
         self.figures.failed += 1;
         self.end(index);
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -454,11 +454,11 @@
         let report = Some(LoadReport { running: 1, waiting: 0, slots: 3 });
         if refused {
             let outcome = Outcome::Refused { report };
-            steering.ended(&mut current.attempts, upstream, outcome, now_ms);
+            steering.record_outcome(&mut current.attempts, upstream, outcome, now_ms);
             self.go_on(flight);
         } else {
             let outcome = Outcome::Answered { failed: false, report, body_bytes: 100 };
-            steering.ended(&mut current.attempts, upstream, outcome, now_ms);
+            steering.record_outcome(&mut current.attempts, upstream, outcome, now_ms);
             self.seen.served_at_ms.push(current.asked_at_ms);
             self.flights[flight] = None;
         }
--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -106,7 +106,7 @@
     /// Counts the end of the sending to an upstream.
     pub fn ended(&mut self, upstream: UpstreamKey, outcome: Outcome) {
         let mut steering = self.shell.steering.borrow_mut();
-        steering.ended(&mut self.attempts, upstream, outcome, clock::now_ms());
+        steering.record_outcome(&mut self.attempts, upstream, outcome, clock::now_ms());
     }
 
     /// Decides what happens next.
