--- a/crates/sedgepath-core/src/direct/steering/learning.rs
+++ b/crates/sedgepath-core/src/direct/steering/learning.rs
@@ -72,7 +72,7 @@
     }
 
     /// Takes in the time that a connection to an upstream took.
-    pub fn connected(&mut self, key: UpstreamKey, took_ms: u64) {
+    pub fn record_connect_time(&mut self, key: UpstreamKey, took_ms: u64) {
         let far = self.upstreams.get(key).is_some_and(|up| up.region != self.location.region);
         if far {
             self.far_ms += SAMPLE_WEIGHT * (took_ms as f64 - self.far_ms);
--- a/crates/sedgepath-core/tests/direct_placing.rs
+++ b/crates/sedgepath-core/tests/direct_placing.rs
@@ -188,7 +188,7 @@
     vm.upstreams_mut().put(entry("b0", "south-a", 0), "south", 0);
     let key = vm.upstreams().of_service("browse")[0];
     for _ in 0..100 {
-        vm.connected(key, 100);
+        vm.record_connect_time(key, 100);
     }
     let mut expected_ms = 0;
     for round in 0..300 {
--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -173,7 +173,7 @@
     let left = Duration::from_millis(deadline_at_ms.saturating_sub(begun_at_ms));
     let opened = shell.pool.open(sending.address, CONNECT_TIMEOUT.min(left)).await.ok()?;
     let took_ms = clock::now_ms().saturating_sub(begun_at_ms);
-    shell.steering.borrow_mut().connected(sending.upstream, took_ms);
+    shell.steering.borrow_mut().record_connect_time(sending.upstream, took_ms);
     Some(opened)
 }
 
