--- a/crates/sedgepath-core/src/direct/steering/store.rs
+++ b/crates/sedgepath-core/src/direct/steering/store.rs
@@ -19,7 +19,7 @@
     /// The store is away only if it fails a VM and answers none that this one hears. If it answered
     /// another one all the time, only this VM was cut off, and what the store now lacks has not lapsed
     /// but left.
-    pub fn note_store(&mut self, own: StoreView, now_ms: u64) {
+    pub fn update_store_health(&mut self, own: StoreView, now_ms: u64) {
         let contact_ms = match self.vms.store(own, now_ms) {
             StoreView::Answers { for_ms } => for_ms,
             StoreView::Unasked => return,
--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -136,7 +136,7 @@
         shell.store_calls.set(StoreCalls::Since { at_ms: since_ms });
     }
     let now_ms = clock::now_ms();
-    shell.steering.borrow_mut().note_store(shell.store_calls.get().view(now_ms), now_ms);
+    shell.steering.borrow_mut().update_store_health(shell.store_calls.get().view(now_ms), now_ms);
 }
 
 /// Notes that the store gave no answer, and returns whether it had given one before.
@@ -148,7 +148,7 @@
     if lost {
         log::warn!("event=store_away error={:?}", error.to_string());
     }
-    shell.steering.borrow_mut().note_store(StoreView::Fails, clock::now_ms());
+    shell.steering.borrow_mut().update_store_health(StoreView::Fails, clock::now_ms());
     lost
 }
 
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -184,7 +184,7 @@
         let now_ms = clock::now_ms();
         let gone = {
             let mut steering = shell.steering.borrow_mut();
-            steering.note_store(shell.store_calls.get().view(now_ms), now_ms);
+            steering.update_store_health(shell.store_calls.get().view(now_ms), now_ms);
             steering.upstreams_mut().expire(now_ms)
         };
         for name in gone {
