--- a/crates/sedgepath-core/src/direct/upstreams.rs
+++ b/crates/sedgepath-core/src/direct/upstreams.rs
@@ -70,7 +70,7 @@
     /// Whether it is about to stop.
     pub leaving: bool,
     /// How much longer it stays cold, in milliseconds.
-    pub cold_for_ms: u64,
+    pub cold_remaining_ms: u64,
     /// Grows with each entry of one start.
     pub sequence: u64,
     /// When it started, in milliseconds since the Unix epoch, if it says so.
@@ -85,7 +85,9 @@
     fn older_than(&self, other: &Self) -> bool {
         match (self.born_at_ms, other.born_at_ms) {
             (Some(own), Some(others)) if own != others => own < others,
-            _ => self.sequence < other.sequence && self.cold_for_ms <= other.cold_for_ms,
+            _ => {
+                self.sequence < other.sequence && self.cold_remaining_ms <= other.cold_remaining_ms
+            }
         }
     }
 
@@ -141,7 +143,8 @@
 impl Upstream {
     fn new(entry: UpstreamEntry, region: Box<str>, now_ms: u64) -> Self {
         let hash = Digest::of(&[entry.name.as_bytes()]).to_u64();
-        let cold_until_ms = if entry.cold_for_ms > 0 { now_ms + entry.cold_for_ms } else { 0 };
+        let cold_until_ms =
+            if entry.cold_remaining_ms > 0 { now_ms + entry.cold_remaining_ms } else { 0 };
         Self {
             entry,
             region,
--- a/crates/sedgepath-core/src/direct/upstreams/table.rs
+++ b/crates/sedgepath-core/src/direct/upstreams/table.rs
@@ -92,7 +92,7 @@
             if entry.same_start(&known.entry) {
                 let leaves = entry.leaving && !known.entry.leaving;
                 if entry.sequence > known.entry.sequence || known.lapses_at_ms.is_some() {
-                    known.take_cold(entry.cold_for_ms, now_ms);
+                    known.take_cold(entry.cold_remaining_ms, now_ms);
                 }
                 known.lapses_at_ms = None;
                 known.entry = entry;
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -71,7 +71,7 @@
     vm.upstreams_mut().put(first, "north", 0);
     let mut second = entry("b0", "north-a", 0);
     second.born_at_ms = Some(9_000);
-    second.cold_for_ms = COLD_START_MS;
+    second.cold_remaining_ms = COLD_START_MS;
 
     let change = vm.upstreams_mut().put(second, "north", 8_000);
 
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -550,7 +550,8 @@
         let upstream = &mut self.upstreams[index];
         let gone = upstream.model.is_gone();
         upstream.entry.sequence += 1;
-        upstream.entry.cold_for_ms = self.scenario.upstreams.cold_start_ms.saturating_sub(NEWS_MS);
+        upstream.entry.cold_remaining_ms =
+            self.scenario.upstreams.cold_start_ms.saturating_sub(NEWS_MS);
         upstream.entry.born_at_ms = Some(self.now_ms);
         let region = &self.scenario.regions[upstream.region].name;
         for node in &mut self.nodes {
--- a/crates/sedgepath-emulator/src/setup.rs
+++ b/crates/sedgepath-emulator/src/setup.rs
@@ -35,7 +35,7 @@
         domain: domain.into(),
         slots: scenario.upstreams.slots as u32,
         leaving: false,
-        cold_for_ms: 0,
+        cold_remaining_ms: 0,
         sequence: 1,
         born_at_ms: None,
     }
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -131,7 +131,7 @@
         domain: domain.into(),
         slots: 3,
         leaving: false,
-        cold_for_ms: 0,
+        cold_remaining_ms: 0,
         sequence: 1,
         born_at_ms: None,
     }
--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -219,7 +219,7 @@
                     entry.name,
                     entry.service,
                     entry.domain,
-                    entry.cold_for_ms,
+                    entry.cold_remaining_ms,
                     entry.sequence,
                     entry.born_at_ms,
                 );
