--- a/crates/sedgepath-core/src/direct/upstreams.rs
+++ b/crates/sedgepath-core/src/direct/upstreams.rs
@@ -74,7 +74,7 @@
     /// Grows with each entry of one start.
     pub sequence: u64,
     /// When it started, in milliseconds since the Unix epoch, if it says so.
-    pub born_at_ms: Option<u64>,
+    pub started_at_ms: Option<u64>,
 }
 
 impl UpstreamEntry {
@@ -83,7 +83,7 @@
     /// A write that was delayed on its way may reach the store after a later one; taken in, it would
     /// bring back a leaving upstream.
     fn older_than(&self, other: &Self) -> bool {
-        match (self.born_at_ms, other.born_at_ms) {
+        match (self.started_at_ms, other.started_at_ms) {
             (Some(own), Some(others)) if own != others => own < others,
             _ => {
                 self.sequence < other.sequence && self.cold_remaining_ms <= other.cold_remaining_ms
@@ -95,7 +95,7 @@
     fn same_start(&self, other: &Self) -> bool {
         self.address == other.address
             && self.service == other.service
-            && self.born_at_ms == other.born_at_ms
+            && self.started_at_ms == other.started_at_ms
             && self.sequence >= other.sequence
     }
 }
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -67,10 +67,10 @@
     vm.apply_configuration(all_kinds(1));
     let mut first = entry("b0", "north-a", 0);
     first.sequence = 40;
-    first.born_at_ms = Some(1_000);
+    first.started_at_ms = Some(1_000);
     vm.upstreams_mut().put(first, "north", 0);
     let mut second = entry("b0", "north-a", 0);
-    second.born_at_ms = Some(9_000);
+    second.started_at_ms = Some(9_000);
     second.cold_remaining_ms = COLD_START_MS;
 
     let change = vm.upstreams_mut().put(second, "north", 8_000);
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -552,7 +552,7 @@
         upstream.entry.sequence += 1;
         upstream.entry.cold_remaining_ms =
             self.scenario.upstreams.cold_start_ms.saturating_sub(NEWS_MS);
-        upstream.entry.born_at_ms = Some(self.now_ms);
+        upstream.entry.started_at_ms = Some(self.now_ms);
         let region = &self.scenario.regions[upstream.region].name;
         for node in &mut self.nodes {
             let upstreams = node.steering.upstreams_mut();
--- a/crates/sedgepath-emulator/src/setup.rs
+++ b/crates/sedgepath-emulator/src/setup.rs
@@ -37,7 +37,7 @@
         leaving: false,
         cold_remaining_ms: 0,
         sequence: 1,
-        born_at_ms: None,
+        started_at_ms: None,
     }
 }
 
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -133,7 +133,7 @@
         leaving: false,
         cold_remaining_ms: 0,
         sequence: 1,
-        born_at_ms: None,
+        started_at_ms: None,
     }
 }
 
--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -221,7 +221,7 @@
                     entry.domain,
                     entry.cold_remaining_ms,
                     entry.sequence,
-                    entry.born_at_ms,
+                    entry.started_at_ms,
                 );
             }
         }
