--- a/crates/sedgepath-core/src/direct/placement.rs
+++ b/crates/sedgepath-core/src/direct/placement.rs
@@ -225,7 +225,7 @@
     /// Whether an upstream is worth a request: it can be reached, answers, and is not cold.
     fn sound(&self, upstream: &Upstream) -> bool {
         upstream.ejected_until_ms <= self.now_ms
-            && !upstream.cold(self.now_ms)
+            && !upstream.is_cold(self.now_ms)
             && !self.too_silent(upstream)
     }
 
--- a/crates/sedgepath-core/src/direct/status.rs
+++ b/crates/sedgepath-core/src/direct/status.rs
@@ -82,7 +82,7 @@
             let service = services.entry(upstream.entry.service.clone()).or_default();
             service.upstreams += 1;
             service.leaving += usize::from(upstream.entry.leaving);
-            service.cold += usize::from(upstream.cold(now_ms));
+            service.cold += usize::from(upstream.is_cold(now_ms));
             service.ejected += usize::from(now_ms < upstream.ejected_until_ms);
             service.slots += upstream.entry.slots;
             service.in_flight += upstream.in_flight;
--- a/crates/sedgepath-core/src/direct/steering/choosing.rs
+++ b/crates/sedgepath-core/src/direct/steering/choosing.rs
@@ -50,7 +50,7 @@
         let serving = self.vms.serving(now_ms);
         let allowed = known.filter(|(key, upstream)| question.allows(*key, upstream));
         let usable = allowed.filter(|(_, upstream)| {
-            if upstream.cold(now_ms) {
+            if upstream.is_cold(now_ms) {
                 upstream.cold_room(cold_per_s, now_ms) && self.leads(upstream, &serving)
             } else {
                 upstream.in_flight == 0
--- a/crates/sedgepath-core/src/direct/upstreams.rs
+++ b/crates/sedgepath-core/src/direct/upstreams.rs
@@ -167,7 +167,7 @@
     }
 
     /// Whether it is cold, or may be.
-    pub fn cold(&self, now_ms: u64) -> bool {
+    pub fn is_cold(&self, now_ms: u64) -> bool {
         now_ms < self.cold_until_ms
     }
 
@@ -208,7 +208,7 @@
             self.quiet_since_ms = now_ms;
         }
         self.in_flight += 1;
-        if self.cold(now_ms) {
+        if self.is_cold(now_ms) {
             self.cold_sends.retain(|at_ms| now_ms < at_ms + COLD_WINDOW_MS);
             self.cold_sends.push(now_ms);
         }
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -78,7 +78,7 @@
     let EntryChange::Joined(key) = change else {
         panic!("the new start was taken for {change:?}");
     };
-    assert!(vm.upstreams().get(key).is_some_and(|upstream| upstream.cold(8_100)));
+    assert!(vm.upstreams().get(key).is_some_and(|upstream| upstream.is_cold(8_100)));
 }
 
 /// The store is away for all; entries lapse meanwhile though the upstreams live. All would be gone at
@@ -210,5 +210,5 @@
     let answer = Outcome::Answered { failed: false, report: None, body_bytes: 1 };
     vm.record_outcome(&mut attempts, to.upstream, answer, 2_100);
 
-    assert!(vm.upstreams().get(to.upstream).is_some_and(|upstream| upstream.cold(2_200)));
+    assert!(vm.upstreams().get(to.upstream).is_some_and(|upstream| upstream.is_cold(2_200)));
 }
--- a/crates/sedgepathd/src/direct/metrics.rs
+++ b/crates/sedgepathd/src/direct/metrics.rs
@@ -130,7 +130,7 @@
             };
         count("known", &|_| true);
         count("leaving", &|upstream| upstream.entry.leaving);
-        count("cold", &|upstream| upstream.cold(now_ms));
+        count("cold", &|upstream| upstream.is_cold(now_ms));
         count("left_out", &|upstream| now_ms < upstream.ejected_until_ms);
         self.vms.set(whole(steering.vms().serving(now_ms).len()));
         let version = steering.configuration().map_or(0, |in_force| in_force.version);
