--- a/crates/sedgepath-core/src/direct/status.rs
+++ b/crates/sedgepath-core/src/direct/status.rs
@@ -78,7 +78,7 @@
         let mut evacuated: Vec<_> = self.evacuated_domains().iter().cloned().collect();
         evacuated.sort_unstable();
         let mut services: BTreeMap<Box<str>, ServiceStatus> = BTreeMap::new();
-        for (_, upstream) in self.upstreams().all() {
+        for (_, upstream) in self.upstreams().iter() {
             let service = services.entry(upstream.entry.service.clone()).or_default();
             service.upstreams += 1;
             service.leaving += usize::from(upstream.entry.leaving);
--- a/crates/sedgepath-core/src/direct/upstreams/table.rs
+++ b/crates/sedgepath-core/src/direct/upstreams/table.rs
@@ -59,7 +59,7 @@
     }
 
     /// Returns all upstreams.
-    pub fn all(&self) -> impl Iterator<Item = (UpstreamKey, &Upstream)> {
+    pub fn iter(&self) -> impl Iterator<Item = (UpstreamKey, &Upstream)> {
         self.by_key.iter().map(|(key, upstream)| (*key, upstream))
     }
 
--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -303,7 +303,7 @@
     assert_eq!(vm.hedge_at_ms(&attempts), None, "a third sending is planned");
     vm.record_outcome(&mut attempts, second.upstream, ANSWER, at_ms + 200);
     vm.cancel_request(&mut attempts, at_ms + 200);
-    let idle = vm.upstreams().all().all(|(_, upstream)| upstream.in_flight == 0);
+    let idle = vm.upstreams().iter().all(|(_, upstream)| upstream.in_flight == 0);
     assert!(idle, "a sending was not counted down");
 }
 
--- a/crates/sedgepath-core/tests/direct_placing.rs
+++ b/crates/sedgepath-core/tests/direct_placing.rs
@@ -174,7 +174,7 @@
             under_way.push(attempts);
         }
     }
-    let most = vm.upstreams().all().map(|(_, upstream)| upstream.in_flight).max();
+    let most = vm.upstreams().iter().map(|(_, upstream)| upstream.in_flight).max();
     assert!(most.is_some_and(|most| most <= 10), "{most:?}");
 }
 
--- a/crates/sedgepathd/src/direct/metrics.rs
+++ b/crates/sedgepathd/src/direct/metrics.rs
@@ -125,7 +125,7 @@
         let count =
             |state: &str, fits: &dyn Fn(&sedgepath_core::direct::upstreams::Upstream) -> bool| {
                 let count =
-                    steering.upstreams().all().filter(|(_, upstream)| fits(upstream)).count();
+                    steering.upstreams().iter().filter(|(_, upstream)| fits(upstream)).count();
                 self.upstreams.with_label_values(&[state]).set(whole(count));
             };
         count("known", &|_| true);
