--- a/crates/sedgepath-core/src/direct/upstreams/table.rs
+++ b/crates/sedgepath-core/src/direct/upstreams/table.rs
@@ -82,7 +82,7 @@
     }
 
     /// Takes in an entry as the store has it now.
-    pub fn put(&mut self, entry: UpstreamEntry, region: &str, now_ms: u64) -> EntryChange {
+    pub fn upsert(&mut self, entry: UpstreamEntry, region: &str, now_ms: u64) -> EntryChange {
         if let Some(key) = self.by_name.get(&entry.name).copied()
             && let Some(known) = self.by_key.get_mut(&key)
         {
--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -70,7 +70,7 @@
     let mut vm = vm("a1", "north-a", 1);
     vm.apply_configuration(sedgepath_test_support::direct::all_kinds(1));
     let only = sedgepath_test_support::direct::entry("b0", "north-a", 0);
-    vm.upstreams_mut().put(only, "north", 0);
+    vm.upstreams_mut().upsert(only, "north", 0);
     let mut attempts = begin(&mut vm, "/reads/1", "x", 0);
     let to = send(&mut vm, &mut attempts, 0);
     vm.record_outcome(&mut attempts, to.upstream, Outcome::Failed, 10);
--- a/crates/sedgepath-core/tests/direct_overload.rs
+++ b/crates/sedgepath-core/tests/direct_overload.rs
@@ -115,7 +115,7 @@
     let mut vm = vm("a1", "north-a", 1);
     vm.apply_configuration(sedgepath_test_support::direct::all_kinds(1));
     for (number, name) in (0..).zip(["b0", "b1"]) {
-        vm.upstreams_mut().put(entry(name, "north-a", number), "north", 0);
+        vm.upstreams_mut().upsert(entry(name, "north-a", number), "north", 0);
     }
     vm
 }
--- a/crates/sedgepath-core/tests/direct_placing.rs
+++ b/crates/sedgepath-core/tests/direct_placing.rs
@@ -44,7 +44,7 @@
     let mut leaving = entry("b4", "north-b", 4);
     leaving.leaving = true;
     leaving.sequence = 2;
-    vm.upstreams_mut().put(leaving, "north", 0);
+    vm.upstreams_mut().upsert(leaving, "north", 0);
 
     let after = homes(&mut vm, "/reads/1");
 
@@ -162,7 +162,7 @@
     let mut vm = serving_vm("a1", "north-a", 1, 0);
     for number in 0..4 {
         let large = UpstreamEntry { slots: 50, ..entry(&format!("b{number}"), "north-a", number) };
-        vm.upstreams_mut().put(large, "north", 0);
+        vm.upstreams_mut().upsert(large, "north", 0);
     }
     for number in 2..=10 {
         vm.vms_mut().heard(heartbeat(&format!("a{number}"), "north-a", number), 0);
@@ -185,7 +185,7 @@
 fn the_way_to_another_region_is_not_taken_for_work() {
     let mut vm = vm("a1", "north-a", 1);
     vm.apply_configuration(all_kinds(1));
-    vm.upstreams_mut().put(entry("b0", "south-a", 0), "south", 0);
+    vm.upstreams_mut().upsert(entry("b0", "south-a", 0), "south", 0);
     let key = vm.upstreams().of_service("browse")[0];
     for _ in 0..100 {
         vm.record_connect_time(key, 100);
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -13,7 +13,7 @@
 fn with_one() -> Steering {
     let mut vm = vm("a1", "north-a", 1);
     vm.apply_configuration(all_kinds(1));
-    vm.upstreams_mut().put(entry("b0", "north-a", 0), "north", 0);
+    vm.upstreams_mut().upsert(entry("b0", "north-a", 0), "north", 0);
     vm
 }
 
@@ -36,7 +36,7 @@
     leaving.leaving = true;
     leaving.sequence = 2;
 
-    let change = vm.upstreams_mut().put(leaving, "north", 100);
+    let change = vm.upstreams_mut().upsert(leaving, "north", 100);
 
     assert!(matches!(change, EntryChange::Leaving(_)));
     assert_eq!(goes_to(&mut vm, "x", 100), None);
@@ -50,11 +50,11 @@
     let mut leaving = entry("b0", "north-a", 0);
     leaving.leaving = true;
     leaving.sequence = 9;
-    vm.upstreams_mut().put(leaving, "north", 100);
+    vm.upstreams_mut().upsert(leaving, "north", 100);
     let mut delayed = entry("b0", "north-a", 0);
     delayed.sequence = 8;
 
-    vm.upstreams_mut().put(delayed, "north", 200);
+    vm.upstreams_mut().upsert(delayed, "north", 200);
 
     assert_eq!(goes_to(&mut vm, "x", 200), None);
 }
@@ -68,12 +68,12 @@
     let mut first = entry("b0", "north-a", 0);
     first.sequence = 40;
     first.started_at_ms = Some(1_000);
-    vm.upstreams_mut().put(first, "north", 0);
+    vm.upstreams_mut().upsert(first, "north", 0);
     let mut second = entry("b0", "north-a", 0);
     second.started_at_ms = Some(9_000);
     second.cold_remaining_ms = COLD_START_MS;
 
-    let change = vm.upstreams_mut().put(second, "north", 8_000);
+    let change = vm.upstreams_mut().upsert(second, "north", 8_000);
 
     let EntryChange::Joined(key) = change else {
         panic!("the new start was taken for {change:?}");
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -204,7 +204,7 @@
                 steering.apply_configuration(Arc::clone(&configuration));
                 for upstream in &upstreams {
                     let region = &scenario.regions[upstream.region].name;
-                    steering.upstreams_mut().put(upstream.entry.clone(), region, 0);
+                    steering.upstreams_mut().upsert(upstream.entry.clone(), region, 0);
                 }
                 nodes.push(Node {
                     steering,
@@ -559,7 +559,7 @@
             if gone {
                 upstreams.remove(&upstream.entry.name, self.now_ms);
             } else {
-                upstreams.put(upstream.entry.clone(), region, self.now_ms);
+                upstreams.upsert(upstream.entry.clone(), region, self.now_ms);
             }
             node.idle[index].clear();
         }
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -148,7 +148,7 @@
     let mut next = 0;
     for (domain, region) in DOMAINS {
         for _ in 0..per_domain {
-            vm.upstreams_mut().put(entry(&format!("b{next}"), domain, next), region, 0);
+            vm.upstreams_mut().upsert(entry(&format!("b{next}"), domain, next), region, 0);
             next += 1;
         }
     }
--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -211,7 +211,7 @@
     match rows::upstream(&row.key, value) {
         Ok(entry) => {
             let region = steering.region_of(&entry.domain);
-            let change = steering.upstreams_mut().put(entry.clone(), &region, now_ms);
+            let change = steering.upstreams_mut().upsert(entry.clone(), &region, now_ms);
             if change != EntryChange::None {
                 log::info!(
                     "event=upstream upstream={} service={} domain={} change={change:?} cold_ms={} \
