--- a/crates/sedgepath-core/src/direct/upstreams/table.rs
+++ b/crates/sedgepath-core/src/direct/upstreams/table.rs
@@ -134,7 +134,7 @@
     }
 
     /// Forgets the entries whose grace after an outage is over, and returns their names.
-    pub fn expire(&mut self, now_ms: u64) -> Vec<Box<str>> {
+    pub fn remove_lapsed(&mut self, now_ms: u64) -> Vec<Box<str>> {
         let over = |upstream: &Upstream| upstream.lapses_at_ms.is_some_and(|at| at <= now_ms);
         let gone: Vec<_> = self
             .by_key
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -92,7 +92,7 @@
     vm.upstreams_mut().remove("b0", 14_010);
 
     assert_eq!(goes_to(&mut vm, "x", 14_100).as_deref(), Some("b0"));
-    let gone = vm.upstreams_mut().expire(14_000 + LAPSED_GRACE_MS);
+    let gone = vm.upstreams_mut().remove_lapsed(14_000 + LAPSED_GRACE_MS);
     assert_eq!(gone, vec!["b0".into()]);
     assert_eq!(goes_to(&mut vm, "x", 16_100), None);
 }
@@ -112,7 +112,7 @@
 
     vm.update_store_health(StoreView::Answers { for_ms: 100 }, 14_100);
 
-    assert_eq!(vm.upstreams_mut().expire(14_100), vec!["b0".into()]);
+    assert_eq!(vm.upstreams_mut().remove_lapsed(14_100), vec!["b0".into()]);
 }
 
 /// All VMs that follow the store are suspended at once, and an upstream leaves meanwhile. Others notice
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -185,7 +185,7 @@
         let gone = {
             let mut steering = shell.steering.borrow_mut();
             steering.update_store_health(shell.store_calls.get().view(now_ms), now_ms);
-            steering.upstreams_mut().expire(now_ms)
+            steering.upstreams_mut().remove_lapsed(now_ms)
         };
         for name in gone {
             log::info!("event=upstream_lapsed upstream={name}");
