--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -227,7 +227,7 @@
             configuration.services.values().map(|service| service.cold_start_ms).max().unwrap_or(0)
         });
         for domain in self.evacuated_domains.difference(&domains) {
-            self.upstreams.chill_domain(domain, now_ms + cold_ms);
+            self.upstreams.mark_domain_cold(domain, now_ms + cold_ms);
         }
         self.evacuated_domains = domains;
     }
--- a/crates/sedgepath-core/src/direct/upstreams/table.rs
+++ b/crates/sedgepath-core/src/direct/upstreams/table.rs
@@ -166,7 +166,7 @@
     }
 
     /// Notes that all upstreams of a failure domain may be cold for a time.
-    pub fn chill_domain(&mut self, domain: &str, until_ms: u64) {
+    pub fn mark_domain_cold(&mut self, domain: &str, until_ms: u64) {
         let there = self.by_key.values_mut().filter(|up| &*up.entry.domain == domain);
         for upstream in there {
             upstream.cold_until_ms = upstream.cold_until_ms.max(until_ms);
--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -338,7 +338,7 @@
     for started_at_ms in [0, 400] {
         let mut vm = serving_vm("a1", "north-a", 1, 1);
         for domain in ["north-a", "north-b", "south-a", "south-b"] {
-            vm.upstreams_mut().chill_domain(domain, 2_000);
+            vm.upstreams_mut().mark_domain_cold(domain, 2_000);
         }
         for now_ms in (started_at_ms..started_at_ms + 400).step_by(5) {
             let mut attempts = begin(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
@@ -367,7 +367,7 @@
             vm.vms_mut().heard(heartbeat(names[index], domains[index], index as u8 + 1), 0);
         }
         for domain in ["north-a", "north-b", "south-a", "south-b"] {
-            vm.upstreams_mut().chill_domain(domain, 2_000);
+            vm.upstreams_mut().mark_domain_cold(domain, 2_000);
         }
     }
     let mut sent: Vec<(Box<str>, u64)> = Vec::new();
