--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -138,7 +138,7 @@
     }
 
     /// Takes in a heartbeat of another VM.
-    pub fn heard(&mut self, heartbeat: VmHeartbeat, now_ms: u64) {
+    pub fn record_heartbeat(&mut self, heartbeat: VmHeartbeat, now_ms: u64) {
         let VmHeartbeat { card, state, known } = heartbeat;
         if card.name == self.own.card.name {
             return;
--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -104,7 +104,7 @@
         for (index, vm) in vms.iter_mut().enumerate() {
             for (number, name) in (1..).zip(names) {
                 if now_ms % 500 == 0 && number != index + 1 {
-                    vm.vms_mut().heard(heartbeat(name, "north-a", number as u8), now_ms);
+                    vm.vms_mut().record_heartbeat(heartbeat(name, "north-a", number as u8), now_ms);
                 }
             }
             // Traffic comes in waves, so that a window's budget differs from that of the next.
@@ -215,7 +215,7 @@
             if now_ms % 500 == 250 {
                 for number in (0..VMS).filter(|number| usize::from(*number) != index) {
                     let heard = heartbeat(&names[usize::from(number)], "north-a", number);
-                    vm.vms_mut().heard(heard, now_ms);
+                    vm.vms_mut().record_heartbeat(heard, now_ms);
                 }
             }
             if now_ms % 100 != 10 * index as u64 {
@@ -364,7 +364,8 @@
         (0..3).map(|index| serving_vm(names[index], domains[index], index as u8 + 1, 1)).collect();
     for vm in &mut vms {
         for index in 0..3 {
-            vm.vms_mut().heard(heartbeat(names[index], domains[index], index as u8 + 1), 0);
+            vm.vms_mut()
+                .record_heartbeat(heartbeat(names[index], domains[index], index as u8 + 1), 0);
         }
         for domain in ["north-a", "north-b", "south-a", "south-b"] {
             vm.upstreams_mut().mark_domain_cold(domain, 2_000);
--- a/crates/sedgepath-core/tests/direct_placing.rs
+++ b/crates/sedgepath-core/tests/direct_placing.rs
@@ -165,7 +165,7 @@
         vm.upstreams_mut().upsert(large, "north", 0);
     }
     for number in 2..=10 {
-        vm.vms_mut().heard(heartbeat(&format!("a{number}"), "north-a", number), 0);
+        vm.vms_mut().record_heartbeat(heartbeat(&format!("a{number}"), "north-a", number), 0);
     }
     let mut under_way = Vec::new();
     for object in 0..200 {
--- a/crates/sedgepath-core/tests/direct_vms.rs
+++ b/crates/sedgepath-core/tests/direct_vms.rs
@@ -13,7 +13,7 @@
 fn five() -> Vms {
     let mut own = vms("a1", "north-a", 1);
     for peer in others() {
-        own.heard(peer, 0);
+        own.record_heartbeat(peer, 0);
     }
     own
 }
@@ -48,7 +48,7 @@
     let mut own = five();
     let mut living = heartbeat("c2", "south-a", 5);
     living.known = vec![SocketAddr::from(([10, 0, 0, 4], 7_000))];
-    own.heard(living, 2_000);
+    own.record_heartbeat(living, 2_000);
 
     let named = own.look_up("south-a", "south", 2_300);
 
@@ -63,14 +63,14 @@
     let mut own = five();
     let mut leaving = heartbeat("c1", "south-a", 4);
     leaving.state.leaving = true;
-    own.heard(leaving, 100);
-    own.heard(heartbeat("c1", "south-a", 4), 110);
+    own.record_heartbeat(leaving, 100);
+    own.record_heartbeat(heartbeat("c1", "south-a", 4), 110);
 
     assert!(!own.look_up("south-a", "south", 200).contains(&address(4)));
 
     let mut restarted = heartbeat("c1", "south-a", 4);
     restarted.state.boot = 2;
-    own.heard(restarted, 300);
+    own.record_heartbeat(restarted, 300);
     assert!(own.look_up("south-a", "south", 400).contains(&address(4)));
 }
 
@@ -91,9 +91,9 @@
     let mut readers = others();
     readers[0].state.store = StoreView::Answers { for_ms: 5_000 };
     for peer in readers {
-        third.heard(peer, 0);
+        third.record_heartbeat(peer, 0);
     }
-    third.heard(heartbeat("a1", "north-a", 1), 0);
+    third.record_heartbeat(heartbeat("a1", "north-a", 1), 0);
     assert!(!third.reads_store(100), "a third VM of the region follows the store");
 }
 
@@ -103,9 +103,9 @@
 fn another_vm_steps_in_while_the_readers_have_no_answer() {
     let mut third = vms("b1", "north-b", 3);
     for peer in [heartbeat("a1", "north-a", 1), heartbeat("a2", "north-a", 2)] {
-        third.heard(peer, 0);
+        third.record_heartbeat(peer, 0);
     }
-    third.heard(heartbeat("c1", "south-a", 4), 0);
+    third.record_heartbeat(heartbeat("c1", "south-a", 4), 0);
 
     assert!(third.reads_store(100), "the next VM waits although no reader has an answer");
 }
@@ -118,9 +118,9 @@
     let mut third = vms("b1", "north-b", 3);
     for mut reader in [heartbeat("a1", "north-a", 1), heartbeat("a2", "north-a", 2)] {
         reader.state.store = StoreView::Answers { for_ms: 5_000 };
-        third.heard(reader, 10_000);
+        third.record_heartbeat(reader, 10_000);
     }
-    third.heard(heartbeat("c1", "south-a", 4), 10_000);
+    third.record_heartbeat(heartbeat("c1", "south-a", 4), 10_000);
 
     assert!(!third.reads_store(10_500), "it reads beside those that do");
     assert!(
@@ -134,7 +134,7 @@
 fn a_vm_that_hears_nobody_follows_the_store() {
     let mut last = vms("z9", "north-b", 3);
     for peer in others() {
-        last.heard(peer, 0);
+        last.record_heartbeat(peer, 0);
     }
     assert!(last.reads_store(10_000));
 }
@@ -151,7 +151,7 @@
     assert_eq!(own.period_ms(), 2_000);
     let mut rare = heartbeat("a2", "north-a", 2);
     rare.state.period_ms = 2_000;
-    own.heard(rare, 0);
+    own.record_heartbeat(rare, 0);
     assert_eq!(own.look_up("north-a", "north", 5_000), vec![address(1), address(2)]);
     assert_eq!(own.look_up("north-a", "north", 5_600), vec![address(1)]);
 }
@@ -160,8 +160,8 @@
 #[test]
 fn vms_that_are_taken_for_gone_keep_their_part_of_what_holds_for_all() {
     let mut vm = vms("a1", "north-a", 1);
-    vm.heard(heartbeat("a2", "north-a", 2), 0);
-    vm.heard(heartbeat("b1", "north-b", 3), 0);
+    vm.record_heartbeat(heartbeat("a2", "north-a", 2), 0);
+    vm.record_heartbeat(heartbeat("b1", "north-b", 3), 0);
     assert_eq!((vm.sharing_vm_count(0), vm.most_known()), (3, 3));
     assert_eq!(vm.serving(60_000).len(), 1, "the others are not taken for gone");
     assert_eq!((vm.sharing_vm_count(60_000), vm.most_known()), (3, 3));
@@ -171,7 +171,7 @@
 #[test]
 fn vms_that_never_answer_keep_no_connections_to_upstreams() {
     let mut vm = vms("a1", "north-a", 1);
-    vm.heard(heartbeat("a2", "north-a", 2), 0);
+    vm.record_heartbeat(heartbeat("a2", "north-a", 2), 0);
     for gone in 10..30 {
         vm.add_address(SocketAddr::from(([10, 0, 0, gone], 7_000)), 0);
     }
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -52,7 +52,9 @@
 
 fn take(vm: &mut Vms, message: PeerMessage) {
     match message {
-        PeerMessage::Heartbeat(Heartbeat::Whole(heartbeat)) => vm.heard(heartbeat, NOW_MS),
+        PeerMessage::Heartbeat(Heartbeat::Whole(heartbeat)) => {
+            vm.record_heartbeat(heartbeat, NOW_MS)
+        }
         PeerMessage::Heartbeat(Heartbeat::Short(state)) => {
             vm.heard_state(([10, 0, 0, 2], 7_000).into(), state, NOW_MS);
         }
@@ -103,7 +105,7 @@
     let mut near = heartbeat("a2", "north-a", 2);
     near.state.period_ms = u64::MAX;
     near.state.store = StoreView::Answers { for_ms: u64::MAX };
-    vm.heard(near, NOW_MS);
+    vm.record_heartbeat(near, NOW_MS);
 
     vm.reads_store(NOW_MS + 1);
     assert_eq!(vm.serving(NOW_MS + 12_000).len(), 1, "one that says so is named for ever");
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -516,7 +516,7 @@
         for (index, node) in self.nodes.iter_mut().enumerate() {
             for (other, heartbeat) in told.iter().enumerate() {
                 if other != index {
-                    node.steering.vms_mut().heard(heartbeat.clone(), now_ms);
+                    node.steering.vms_mut().record_heartbeat(heartbeat.clone(), now_ms);
                 }
             }
         }
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -337,7 +337,7 @@
                 heard.state.boot = sender.process;
                 heard.state.leaving = sender.steering.as_ref().is_some_and(|vm| vm.vms().leaving());
                 if let Some(steering) = &mut self.vms[usize::from(*to)].steering {
-                    steering.vms_mut().heard(heard, now_ms);
+                    steering.vms_mut().record_heartbeat(heard, now_ms);
                 }
             }
         }
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -337,7 +337,7 @@
             }
             PeerMessage::Heartbeat(Heartbeat::Whole(heartbeat)) => {
                 let domain = heartbeat.card.domain.clone();
-                table.heard(heartbeat, now_ms);
+                table.record_heartbeat(heartbeat, now_ms);
                 if from / self.per_domain != own_domain {
                     welcome = Some(table.welcome(&domain, stamp, &mut rng, now_ms));
                 }
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -156,7 +156,7 @@
         let mut steering = shell.steering.borrow_mut();
         let (address, domain) = (heartbeat.card.peers, heartbeat.card.domain.clone());
         let elsewhere = domain != steering.location().domain;
-        steering.vms_mut().heard(heartbeat, now_ms);
+        steering.vms_mut().record_heartbeat(heartbeat, now_ms);
         elsewhere.then(|| {
             let mut rng = fastrand::Rng::new();
             let stamp = shell.line_clock.tick();
