--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -153,7 +153,7 @@
     /// Takes in what a VM says of itself without how to reach it, and returns whether it is known who that is.
     ///
     /// Of a process that has not said yet how to reach it nothing is taken; it says so soon.
-    pub fn heard_state(&mut self, from: SocketAddr, state: VmState, now_ms: u64) -> bool {
+    pub fn record_state(&mut self, from: SocketAddr, state: VmState, now_ms: u64) -> bool {
         let of_process = |peer: &&Peer| peer.card.peers == from && peer.state.boot == state.boot;
         let Some(card) = self.peers.values().find(of_process).map(|peer| peer.card.clone()) else {
             return false;
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -56,7 +56,7 @@
             vm.record_heartbeat(heartbeat, NOW_MS)
         }
         PeerMessage::Heartbeat(Heartbeat::Short(state)) => {
-            vm.heard_state(([10, 0, 0, 2], 7_000).into(), state, NOW_MS);
+            vm.record_state(([10, 0, 0, 2], 7_000).into(), state, NOW_MS);
         }
         PeerMessage::Summary(summary) => vm.take_summary(summary, NOW_MS),
         PeerMessage::PassedOn(summaries) => {
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -333,7 +333,7 @@
         };
         match *message {
             PeerMessage::Heartbeat(Heartbeat::Short(state)) => {
-                table.heard_state(address(from), state, now_ms);
+                table.record_state(address(from), state, now_ms);
             }
             PeerMessage::Heartbeat(Heartbeat::Whole(heartbeat)) => {
                 let domain = heartbeat.card.domain.clone();
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -119,7 +119,7 @@
             Some((from, PeerMessage::Heartbeat(Heartbeat::Short(state)))) => {
                 shell.line_clock.merge(state.stamp);
                 let now_ms = clock::now_ms();
-                if shell.steering.borrow_mut().vms_mut().heard_state(from, state, now_ms) {
+                if shell.steering.borrow_mut().vms_mut().record_state(from, state, now_ms) {
                     fetch::catch_up(&shell, state.newest_version, from);
                 }
             }
