--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -188,7 +188,7 @@
     }
 
     /// Takes in what another failure domain says of its VMs, as its sender told this VM.
-    pub fn take_summary(&mut self, summary: DomainSummary, now_ms: u64) {
+    pub fn record_summary(&mut self, summary: DomainSummary, now_ms: u64) {
         let sender = summary.sender();
         if let Some(newer) = self.take(summary, now_ms, now_ms) {
             self.telling.note_summary(sender, newer, now_ms);
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -58,7 +58,7 @@
         PeerMessage::Heartbeat(Heartbeat::Short(state)) => {
             vm.record_state(([10, 0, 0, 2], 7_000).into(), state, NOW_MS);
         }
-        PeerMessage::Summary(summary) => vm.take_summary(summary, NOW_MS),
+        PeerMessage::Summary(summary) => vm.record_summary(summary, NOW_MS),
         PeerMessage::PassedOn(summaries) => {
             for passed_on in summaries {
                 vm.take_passed_on(passed_on, NOW_MS);
@@ -100,7 +100,7 @@
     let mut absurd = summary();
     absurd.period_ms = u64::MAX;
     absurd.store = StoreView::Answers { for_ms: u64::MAX };
-    vm.take_summary(absurd.clone(), NOW_MS);
+    vm.record_summary(absurd.clone(), NOW_MS);
     vm.take_passed_on(PassedOn { age_ms: u64::MAX, news: News::Changed(absurd) }, NOW_MS);
     let mut near = heartbeat("a2", "north-a", 2);
     near.state.period_ms = u64::MAX;
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -342,7 +342,7 @@
                     welcome = Some(table.welcome(&domain, stamp, &mut rng, now_ms));
                 }
             }
-            PeerMessage::Summary(summary) => table.take_summary(summary, now_ms),
+            PeerMessage::Summary(summary) => table.record_summary(summary, now_ms),
             PeerMessage::PassedOn(summaries) => {
                 for passed_on in summaries {
                     table.take_passed_on(passed_on, now_ms);
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -126,7 +126,7 @@
             Some((_, PeerMessage::Summary(summary))) => {
                 shell.line_clock.merge(summary.stamp);
                 fetch::catch_up(&shell, summary.changed_at, summary.sender());
-                shell.steering.borrow_mut().vms_mut().take_summary(summary, clock::now_ms());
+                shell.steering.borrow_mut().vms_mut().record_summary(summary, clock::now_ms());
             }
             Some((_, PeerMessage::PassedOn(summaries))) => {
                 let mut steering = shell.steering.borrow_mut();
