--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -196,7 +196,7 @@
     }
 
     /// Takes in what another failure domain says of its VMs, as a VM of this one passes it on.
-    pub fn take_passed_on(&mut self, passed_on: PassedOn, now_ms: u64) {
+    pub fn record_relayed_summary(&mut self, passed_on: PassedOn, now_ms: u64) {
         let heard_at_ms = now_ms.saturating_sub(passed_on.age_ms);
         match passed_on.news {
             News::Changed(summary) => {
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -61,7 +61,7 @@
         PeerMessage::Summary(summary) => vm.record_summary(summary, NOW_MS),
         PeerMessage::PassedOn(summaries) => {
             for passed_on in summaries {
-                vm.take_passed_on(passed_on, NOW_MS);
+                vm.record_relayed_summary(passed_on, NOW_MS);
             }
         }
     }
@@ -101,7 +101,7 @@
     absurd.period_ms = u64::MAX;
     absurd.store = StoreView::Answers { for_ms: u64::MAX };
     vm.record_summary(absurd.clone(), NOW_MS);
-    vm.take_passed_on(PassedOn { age_ms: u64::MAX, news: News::Changed(absurd) }, NOW_MS);
+    vm.record_relayed_summary(PassedOn { age_ms: u64::MAX, news: News::Changed(absurd) }, NOW_MS);
     let mut near = heartbeat("a2", "north-a", 2);
     near.state.period_ms = u64::MAX;
     near.state.store = StoreView::Answers { for_ms: u64::MAX };
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -345,7 +345,7 @@
             PeerMessage::Summary(summary) => table.record_summary(summary, now_ms),
             PeerMessage::PassedOn(summaries) => {
                 for passed_on in summaries {
-                    table.take_passed_on(passed_on, now_ms);
+                    table.record_relayed_summary(passed_on, now_ms);
                 }
             }
         }
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -131,7 +131,7 @@
             Some((_, PeerMessage::PassedOn(summaries))) => {
                 let mut steering = shell.steering.borrow_mut();
                 for passed_on in summaries {
-                    steering.vms_mut().take_passed_on(passed_on, clock::now_ms());
+                    steering.vms_mut().record_relayed_summary(passed_on, clock::now_ms());
                 }
             }
             None => {}
