--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -125,7 +125,7 @@
 
     /// Returns the addresses to send heartbeats to, without those that have been silent for long: the own
     /// failure domain, and those of which nobody knows yet who is there.
-    pub fn addresses(&mut self, now_ms: u64) -> Vec<SocketAddr> {
+    pub fn heartbeat_targets(&mut self, now_ms: u64) -> Vec<SocketAddr> {
         self.known.forget(now_ms);
         self.elsewhere.forget(self.timing.forgotten_after_ms, now_ms);
         let near = self.known.of_domain(&self.own.card.domain);
--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -182,7 +182,7 @@
 
     /// Returns all that this VM says of itself, to those that get its heartbeats.
     pub fn whole_heartbeat(&mut self, stamp: Stamp, now_ms: u64) -> Outgoing {
-        let to = self.addresses(now_ms);
+        let to = self.heartbeat_targets(now_ms);
         Outgoing { message: PeerMessage::Heartbeat(Heartbeat::Whole(self.heartbeat(stamp))), to }
     }
 
@@ -205,7 +205,7 @@
     }
 
     fn heartbeat_of_round(&mut self, stamp: Stamp, now_ms: u64) -> Outgoing {
-        let to = self.addresses(now_ms);
+        let to = self.heartbeat_targets(now_ms);
         self.telling.rounds += 1;
         let unplaced = self.known.unplaced().next().is_some();
         let heartbeat = if unplaced || self.telling.rounds % ROUNDS_PER_CARD == 1 {
