--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -133,7 +133,7 @@
     }
 
     /// Returns the other VMs of the own failure domain, heard or not.
-    pub fn near(&self) -> Vec<SocketAddr> {
+    pub fn domain_addresses(&self) -> Vec<SocketAddr> {
         self.known.of_domain(&self.own.card.domain).collect()
     }
 
--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -164,7 +164,7 @@
         outgoing.extend(spoken_to.map(|to| self.tell(&summary, &to.domain, rng, now_ms)));
         if !passed_on.is_empty() {
             let message = PeerMessage::PassedOn(passed_on);
-            outgoing.push(Outgoing { message, to: self.near() });
+            outgoing.push(Outgoing { message, to: self.domain_addresses() });
         }
         outgoing
     }
--- a/crates/sedgepath-core/tests/direct_tiers.rs
+++ b/crates/sedgepath-core/tests/direct_tiers.rs
@@ -208,6 +208,10 @@
 
     let now_ms = net.now_ms();
     let table = net.table(0).expect("it runs");
-    assert_eq!(table.near().len(), 2, "a VM of its domain that never ran is still tried");
+    assert_eq!(
+        table.domain_addresses().len(),
+        2,
+        "a VM of its domain that never ran is still tried"
+    );
     assert_eq!(table.sharing_vm_count(now_ms), live.len());
 }
--- a/crates/sedgepathd/src/direct/fetch.rs
+++ b/crates/sedgepathd/src/direct/fetch.rs
@@ -69,7 +69,7 @@
     let mut pause_ms = FILL_PAUSE_MS;
     let mut ask_first = false;
     while !shell.copies.borrow().is_complete() && pause_ms <= MAX_FILL_PAUSE_MS {
-        let near = shell.steering.borrow().vms().near();
+        let near = shell.steering.borrow().vms().domain_addresses();
         let first = near.iter().min().copied();
         let asked = if ask_first { first } else { fastrand::choice(near) };
         if let Some(address) = asked {
@@ -120,7 +120,7 @@
         Ok(Ok(page)) => {
             log::debug!("event=rows_fetched table={} from={address}", table.name());
             let first = !shell.copies.borrow().get(table).is_complete();
-            let near = shell.steering.borrow().vms().near().contains(&address);
+            let near = shell.steering.borrow().vms().domain_addresses().contains(&address);
             if follow::take_in(shell, table, page) && (first || !near) {
                 send_heartbeat(shell).await;
             }
