--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -256,7 +256,7 @@
         }
         let object = asked.object.map(|name| Digest::of(&[name.as_bytes()]).to_u64());
         let service = self.splits.next(&route, object).service.clone();
-        let vms = self.vms.most_known();
+        let vms = self.vms.max_known_vm_count();
         self.budget.deposit(&service, vms, now_ms);
         self.returns.deposit(&service, vms, now_ms);
         Ok(Attempts {
@@ -298,7 +298,7 @@
             return stop(Reason::UpstreamsBusy, retry_ms, attempts);
         }
         if attempts.delivered > 0 {
-            let vms = self.vms.most_known();
+            let vms = self.vms.max_known_vm_count();
             if !self.budget.try_withdraw(&attempts.service, vms, now_ms) {
                 let retry_ms = if candidate.wait_ms > 0.0 {
                     MIN_BUSY_RETRY_MS
@@ -370,7 +370,7 @@
             return None;
         }
         let candidate = self.choose(attempts, random, now_ms)?;
-        let vms = self.vms.most_known();
+        let vms = self.vms.max_known_vm_count();
         if !self.budget.try_withdraw(&attempts.service, vms, now_ms) {
             return None;
         }
--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -240,7 +240,7 @@
     ///
     /// Among them are VMs that are gone for good and whose rows the store still has: for limits of which a
     /// part too small costs little.
-    pub fn most_known(&self) -> usize {
+    pub fn max_known_vm_count(&self) -> usize {
         1 + self.known.most_heard().max(self.known.most_known())
     }
 
--- a/crates/sedgepath-core/tests/direct_vms.rs
+++ b/crates/sedgepath-core/tests/direct_vms.rs
@@ -162,9 +162,9 @@
     let mut vm = vms("a1", "north-a", 1);
     vm.record_heartbeat(heartbeat("a2", "north-a", 2), 0);
     vm.record_heartbeat(heartbeat("b1", "north-b", 3), 0);
-    assert_eq!((vm.sharing_vm_count(0), vm.most_known()), (3, 3));
+    assert_eq!((vm.sharing_vm_count(0), vm.max_known_vm_count()), (3, 3));
     assert_eq!(vm.serving(60_000).len(), 1, "the others are not taken for gone");
-    assert_eq!((vm.sharing_vm_count(60_000), vm.most_known()), (3, 3));
+    assert_eq!((vm.sharing_vm_count(60_000), vm.max_known_vm_count()), (3, 3));
 }
 
 /// Guards against connections to upstreams being kept for ever for VMs that are gone and whose rows the store still has.
@@ -176,7 +176,7 @@
         vm.add_address(SocketAddr::from(([10, 0, 0, gone], 7_000)), 0);
     }
     assert_eq!(vm.sharing_vm_count(1_000), 22);
-    assert_eq!((vm.sharing_vm_count(60_000), vm.most_known()), (2, 22));
+    assert_eq!((vm.sharing_vm_count(60_000), vm.max_known_vm_count()), (2, 22));
 }
 
 /// Guards against a VM that starts and keeps callers waiting for tables from another one, which is gone.
