--- a/crates/sedgepath-core/src/direct/steering/choosing.rs
+++ b/crates/sedgepath-core/src/direct/steering/choosing.rs
@@ -47,7 +47,7 @@
         let now_ms = question.now_ms;
         let settings = self.service(service);
         let cold_per_s = settings.map_or(1.0, |settings| settings.cold_requests_per_s);
-        let serving = self.vms.serving(now_ms);
+        let serving = self.vms.serving_vms(now_ms);
         let allowed = known.filter(|(key, upstream)| question.allows(*key, upstream));
         let usable = allowed.filter(|(_, upstream)| {
             if upstream.is_cold(now_ms) {
--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -269,7 +269,7 @@
     }
 
     /// Returns the VMs that serve, this one among them unless it leaves, in the order of addresses.
-    pub fn serving(&self, now_ms: u64) -> Vec<&VmCard> {
+    pub fn serving_vms(&self, now_ms: u64) -> Vec<&VmCard> {
         self.serving_where(now_ms, &|_| true)
     }
 
--- a/crates/sedgepath-core/tests/direct_vms.rs
+++ b/crates/sedgepath-core/tests/direct_vms.rs
@@ -163,7 +163,7 @@
     vm.record_heartbeat(heartbeat("a2", "north-a", 2), 0);
     vm.record_heartbeat(heartbeat("b1", "north-b", 3), 0);
     assert_eq!((vm.sharing_vm_count(0), vm.max_known_vm_count()), (3, 3));
-    assert_eq!(vm.serving(60_000).len(), 1, "the others are not taken for gone");
+    assert_eq!(vm.serving_vms(60_000).len(), 1, "the others are not taken for gone");
     assert_eq!((vm.sharing_vm_count(60_000), vm.max_known_vm_count()), (3, 3));
 }
 
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -108,7 +108,7 @@
     vm.record_heartbeat(near, NOW_MS);
 
     vm.reads_store(NOW_MS + 1);
-    assert_eq!(vm.serving(NOW_MS + 12_000).len(), 1, "one that says so is named for ever");
+    assert_eq!(vm.serving_vms(NOW_MS + 12_000).len(), 1, "one that says so is named for ever");
     assert!(vm.store(StoreView::Unasked, NOW_MS + 1).answers());
     vm.round(Stamp::default(), &mut fastrand::Rng::with_seed(1), NOW_MS + 1);
 }
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -229,7 +229,7 @@
         let Some(table) = self.table(vm) else {
             return BTreeSet::new();
         };
-        let cards = table.serving(self.now_ms);
+        let cards = table.serving_vms(self.now_ms);
         cards.into_iter().map(|card| number(card.peers)).collect()
     }
 
--- a/crates/sedgepathd/src/direct/metrics.rs
+++ b/crates/sedgepathd/src/direct/metrics.rs
@@ -132,7 +132,7 @@
         count("leaving", &|upstream| upstream.entry.leaving);
         count("cold", &|upstream| upstream.is_cold(now_ms));
         count("left_out", &|upstream| now_ms < upstream.ejected_until_ms);
-        self.vms.set(whole(steering.vms().serving(now_ms).len()));
+        self.vms.set(whole(steering.vms().serving_vms(now_ms).len()));
         let version = steering.configuration().map_or(0, |in_force| in_force.version);
         self.configuration.set(version.cast_signed());
         self.store_contact.set(
