--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -93,7 +93,7 @@
     }
 
     /// Notes that this VM is about to stop.
-    pub fn leave(&mut self) {
+    pub fn begin_leaving(&mut self) {
         self.own.state.leaving = true;
         self.own.state.ready = false;
     }
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -285,7 +285,7 @@
                 }
                 Trouble::Stop => {
                     if let Some(steering) = &mut vm.steering {
-                        steering.vms_mut().leave();
+                        steering.vms_mut().begin_leaving();
                     }
                     self.at(now_ms + STOP_SERVING_MS, Event::Start(number));
                 }
