--- a/crates/sedgepath-core/src/direct/status.rs
+++ b/crates/sedgepath-core/src/direct/status.rs
@@ -96,7 +96,7 @@
             domain: place.domain.clone(),
             region: place.region.clone(),
             can_serve: self.can_serve(),
-            leaving: self.vms().leaving(),
+            leaving: self.vms().is_leaving(),
             configuration_version: self.configuration().map_or(0, |in_force| in_force.version),
             evacuated,
             sharing_vm_count: self.vms().sharing_vm_count(now_ms),
--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -99,7 +99,7 @@
     }
 
     /// Whether this VM is about to stop.
-    pub fn leaving(&self) -> bool {
+    pub fn is_leaving(&self) -> bool {
         self.own.state.leaving
     }
 
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -335,7 +335,8 @@
                 let mut heard = heartbeat(&name(*from), "north-a", *from);
                 let sender = &self.vms[usize::from(*from)];
                 heard.state.boot = sender.process;
-                heard.state.leaving = sender.steering.as_ref().is_some_and(|vm| vm.vms().leaving());
+                heard.state.leaving =
+                    sender.steering.as_ref().is_some_and(|vm| vm.vms().is_leaving());
                 if let Some(steering) = &mut self.vms[usize::from(*to)].steering {
                     steering.vms_mut().record_heartbeat(heard, now_ms);
                 }
--- a/crates/sedgepathd/src/direct/entry.rs
+++ b/crates/sedgepathd/src/direct/entry.rs
@@ -20,7 +20,7 @@
     let steering = shell.steering.borrow();
     match entry_vm_query::read(request.method(), request.uri()) {
         Some(EntryQuestion::Ready) => {
-            let ready = steering.can_serve() && !steering.vms().leaving();
+            let ready = steering.can_serve() && !steering.vms().is_leaving();
             empty(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
         }
         Some(EntryQuestion::LookUp { domain, region }) => {
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -53,7 +53,7 @@
 fn note_own_state(shell: &Shell) -> (Stamp, u64) {
     let now_ms = clock::now_ms();
     let mut steering = shell.steering.borrow_mut();
-    let ready = steering.can_serve() && !steering.vms().leaving();
+    let ready = steering.can_serve() && !steering.vms().is_leaving();
     let vms = steering.vms_mut();
     vms.set_ready(ready);
     vms.set_copies(shell.copies.borrow().newest_version(), shell.store_calls.get().view(now_ms));
