--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -82,7 +82,7 @@
     }
 
     /// Sets how new this VM's copies are, and what it can tell of the store.
-    pub fn set_copies(&mut self, changed_at: [u64; 2], store: StoreView) {
+    pub fn set_replica_state(&mut self, changed_at: [u64; 2], store: StoreView) {
         self.own.state.newest_version = changed_at;
         self.own.state.store = store;
     }
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -56,7 +56,10 @@
     let ready = steering.can_serve() && !steering.vms().is_leaving();
     let vms = steering.vms_mut();
     vms.set_ready(ready);
-    vms.set_copies(shell.copies.borrow().newest_version(), shell.store_calls.get().view(now_ms));
+    vms.set_replica_state(
+        shell.copies.borrow().newest_version(),
+        shell.store_calls.get().view(now_ms),
+    );
     (shell.line_clock.tick(), now_ms)
 }
 
