--- a/crates/sedgepath-core/src/direct/steering/store.rs
+++ b/crates/sedgepath-core/src/direct/steering/store.rs
@@ -20,7 +20,7 @@
     /// another one all the time, only this VM was cut off, and what the store now lacks has not lapsed
     /// but left.
     pub fn update_store_health(&mut self, own: StoreView, now_ms: u64) {
-        let contact_ms = match self.vms.store(own, now_ms) {
+        let contact_ms = match self.vms.store_health(own, now_ms) {
             StoreView::Answers { for_ms } => for_ms,
             StoreView::Unasked => return,
             StoreView::Fails => {
--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -84,7 +84,7 @@
     /// Sets how new this VM's copies are, and what it can tell of the store.
     pub fn set_replica_state(&mut self, changed_at: [u64; 2], store: StoreView) {
         self.own.state.newest_version = changed_at;
-        self.own.state.store = store;
+        self.own.state.store_health = store;
     }
 
     /// Sets whether this VM takes new requests.
@@ -252,7 +252,7 @@
             silent_ms: now_ms.saturating_sub(*heard_at_ms),
             ready: state.ready,
             leaving: state.leaving,
-            store_reachable: state.store.answers(),
+            store_reachable: state.store_health.answers(),
         });
         let listed = self.elsewhere.listed(self.timing, now_ms).map(|listed| OtherVm {
             name: listed.card.name.clone(),
@@ -312,10 +312,10 @@
 
     /// Returns what all VMs that are heard, this one among them, can tell of the store by now: the
     /// longest for which it has answered one of them, else whether it fails one.
-    pub fn store(&self, own: StoreView, now_ms: u64) -> StoreView {
+    pub fn store_health(&self, own: StoreView, now_ms: u64) -> StoreView {
         let heard = self.peers.values().filter(|peer| !self.is_silent(peer, now_ms));
         let others =
-            heard.map(|peer| peer.state.store.aged(now_ms.saturating_sub(peer.heard_at_ms)));
+            heard.map(|peer| peer.state.store_health.aged(now_ms.saturating_sub(peer.heard_at_ms)));
         let near = others.fold(own, StoreView::with);
         near.with(self.elsewhere.store(&self.timing, now_ms))
     }
--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -226,13 +226,13 @@
         let member = |card: &VmCard, state: &VmState| Member {
             ip: card.peers.ip(),
             ready: state.ready,
-            has_store: state.store.answers(),
+            has_store: state.store_health.answers(),
         };
-        let mut store = state.store;
+        let mut store = state.store_health;
         let mut members = Vec::new();
         members.extend((!state.leaving).then(|| member(card, state)));
         for peer in self.domain_peers(now_ms) {
-            store = store.with(peer.state.store.aged(now_ms - peer.heard_at_ms));
+            store = store.with(peer.state.store_health.aged(now_ms - peer.heard_at_ms));
             members.push(member(&peer.card, &peer.state));
         }
         members.sort_unstable_by_key(|member| member.ip);
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -104,7 +104,7 @@
     /// How new its copies of the store's tables are, by the store's versions.
     pub newest_version: [u64; 2],
     /// What it can tell of the store.
-    pub store: StoreView,
+    pub store_health: StoreView,
 }
 
 /// All that a VM says of itself: now and then to its failure domain, and to those that don't know it yet.
@@ -128,7 +128,7 @@
             ready: false,
             leaving: false,
             newest_version: [0; 2],
-            store: StoreView::Unasked,
+            store_health: StoreView::Unasked,
         };
         Self { card, state, known: Vec::new() }
     }
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -107,7 +107,7 @@
     vm.update_store_health(StoreView::Answers { for_ms: 0 }, 14_000);
     vm.upstreams_mut().remove("b0", 14_010);
     let mut peer = heartbeat("a2", "north-a", 2);
-    peer.state.store = StoreView::Answers { for_ms: 14_000 };
+    peer.state.store_health = StoreView::Answers { for_ms: 14_000 };
     vm.vms_mut().record_heartbeat(peer, 14_100);
 
     vm.update_store_health(StoreView::Answers { for_ms: 100 }, 14_100);
@@ -122,7 +122,7 @@
 fn an_entry_removed_while_nobody_read_the_store_is_gone_at_once() {
     let mut vm = with_one();
     let mut reader = heartbeat("a0", "north-a", 2);
-    reader.state.store = StoreView::Answers { for_ms: 5_000 };
+    reader.state.store_health = StoreView::Answers { for_ms: 5_000 };
     vm.vms_mut().record_heartbeat(reader, 5_000);
     vm.update_store_health(StoreView::Unasked, 5_100);
 
@@ -139,14 +139,14 @@
 fn an_outage_that_others_tell_of_is_an_outage() {
     let mut vm = with_one();
     let mut reader = heartbeat("a0", "north-a", 2);
-    reader.state.store = StoreView::Answers { for_ms: 5_000 };
+    reader.state.store_health = StoreView::Answers { for_ms: 5_000 };
     vm.vms_mut().record_heartbeat(reader.clone(), 5_000);
     vm.update_store_health(StoreView::Unasked, 5_100);
-    reader.state.store = StoreView::Fails;
+    reader.state.store_health = StoreView::Fails;
     vm.vms_mut().record_heartbeat(reader.clone(), 6_000);
     vm.update_store_health(StoreView::Unasked, 6_100);
 
-    reader.state.store = StoreView::Answers { for_ms: 0 };
+    reader.state.store_health = StoreView::Answers { for_ms: 0 };
     vm.vms_mut().record_heartbeat(reader, 9_000);
     vm.upstreams_mut().remove("b0", 9_010);
 
