--- a/crates/sedgepath-core/benches/look_up.rs
+++ b/crates/sedgepath-core/benches/look_up.rs
@@ -75,7 +75,7 @@
     MemberCard {
         name: format!("vm-{domain_number}-{member}").into(),
         domain: DomainKey::of(&domain(domain_number)),
-        callers: address(1),
+        caller_address: address(1),
         peers: address(2),
         operators: address(3),
         leaving: false,
--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -328,7 +328,7 @@
     pub fn look_up(&self, domain: &str, region: &str, now_ms: u64) -> Vec<SocketAddr> {
         let near = |fits: &dyn Fn(&VmCard) -> bool| -> Vec<SocketAddr> {
             let serving = self.serving_where(now_ms, fits);
-            serving.into_iter().map(|card| card.callers).take(MAX_NAMED).collect()
+            serving.into_iter().map(|card| card.caller_address).take(MAX_NAMED).collect()
         };
         let in_domain = near(&|card| &*card.domain == domain);
         if in_domain.len() >= ENOUGH_NAMED {
--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -244,7 +244,7 @@
             domain: card.domain.clone(),
             region: card.region.clone(),
             sender: card.peers.ip(),
-            callers_port: card.callers.port(),
+            callers_port: card.caller_address.port(),
             peers_port: card.peers.port(),
             members,
             changed_at: state.newest_version,
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -18,7 +18,7 @@
     /// Its region.
     pub region: Box<str>,
     /// Where it takes callers' requests.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where it takes other VMs' datagrams.
     pub peers: SocketAddr,
 }
--- a/crates/sedgepath-core/src/direct/vms/summary.rs
+++ b/crates/sedgepath-core/src/direct/vms/summary.rs
@@ -64,7 +64,7 @@
             name: member.ip.to_string().into(),
             domain: self.domain.clone(),
             region: self.region.clone(),
-            callers: SocketAddr::new(member.ip, self.callers_port),
+            caller_address: SocketAddr::new(member.ip, self.callers_port),
             peers: SocketAddr::new(member.ip, self.peers_port),
         }
     }
--- a/crates/sedgepath-core/src/look_up.rs
+++ b/crates/sedgepath-core/src/look_up.rs
@@ -120,7 +120,7 @@
         .map(|(vm, card)| Named {
             vm,
             domain: card.domain,
-            entry_vm: EntryVm { name: card.name.clone(), address: card.callers },
+            entry_vm: EntryVm { name: card.name.clone(), address: card.caller_address },
         })
         .collect()
 }
@@ -177,7 +177,10 @@
         .into_iter()
         .filter(|(_, member)| member.serves() && member.revision >= revision_seen)
         .take(MAX_NAMED)
-        .map(|(_, member)| EntryVm { name: member.card.name.clone(), address: member.card.callers })
+        .map(|(_, member)| EntryVm {
+            name: member.card.name.clone(),
+            address: member.card.caller_address,
+        })
         .collect();
     if named.is_empty() { Err(LookUpError::Configuration) } else { Ok(named) }
 }
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -213,7 +213,7 @@
     /// Its failure domain.
     pub domain: DomainKey,
     /// Where it takes callers' requests.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where it takes frames and datagrams of peers.
     pub peers: SocketAddr,
     /// Where it takes remote calls of operators and peers.
--- a/crates/sedgepath-emulator/src/setup.rs
+++ b/crates/sedgepath-emulator/src/setup.rs
@@ -94,7 +94,7 @@
         name,
         domain: domain.into(),
         region: region.into(),
-        callers: address(0, number, 80),
+        caller_address: address(0, number, 80),
         peers: address(0, number, 7_000),
     };
     let mut own = VmHeartbeat::new(card, 1, HEARTBEAT_MS);
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -289,7 +289,7 @@
         let card = MemberCard {
             name: name.into(),
             domain: DomainKey::of(domain),
-            callers: address(1),
+            caller_address: address(1),
             peers: address(2),
             operators: address(3),
             leaving: false,
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -42,7 +42,7 @@
         name: name.into(),
         domain: domain.into(),
         region: region(domain).into(),
-        callers: address(80),
+        caller_address: address(80),
         peers: address(7_000),
     };
     let mut heartbeat = VmHeartbeat::new(card, 1, HEARTBEAT_MS);
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -63,7 +63,7 @@
         let card = MemberCard {
             name: "owner".into(),
             domain: DomainKey::of("a"),
-            callers: address,
+            caller_address: address,
             peers: address,
             operators: address,
             leaving: false,
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -367,7 +367,7 @@
             name: format!("front-domain-{domain}-{vm}").into(),
             domain: format!("region-domain-{domain}").into(),
             region: format!("region-{}", domain / DOMAINS_PER_REGION).into(),
-            callers: SocketAddr::new(peers.ip(), 8_641),
+            caller_address: SocketAddr::new(peers.ip(), 8_641),
             peers,
         }
     }
--- a/crates/sedgepathd/examples/slopes/datagrams.rs
+++ b/crates/sedgepathd/examples/slopes/datagrams.rs
@@ -52,7 +52,7 @@
     MemberCard {
         name: format!("lowcountry-a-{number}").into(),
         domain: DomainKey::of("lowcountry-a"),
-        callers: address(80),
+        caller_address: address(80),
         peers: address(81),
         operators: address(82),
         leaving: false,
--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -169,7 +169,7 @@
     let card = MemberCard {
         name: settings.name.clone(),
         domain: DomainKey::of(&settings.domain),
-        callers: settings.callers,
+        caller_address: settings.callers,
         peers: settings.peers,
         operators: settings.operators,
         leaving: false,
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -155,7 +155,7 @@
         name: settings.vm.clone(),
         domain: settings.domain.clone(),
         region: settings.region.clone(),
-        callers,
+        caller_address: callers,
         peers,
     };
     let own = VmHeartbeat::new(card, clock::unix_ms(), HEARTBEAT_MS);
