--- a/crates/sedgepath-core/benches/look_up.rs
+++ b/crates/sedgepath-core/benches/look_up.rs
@@ -76,7 +76,7 @@
         name: format!("vm-{domain_number}-{member}").into(),
         domain: DomainKey::of(&domain(domain_number)),
         caller_address: address(1),
-        peers: address(2),
+        peer_address: address(2),
         operators: address(3),
         leaving: false,
     }
--- a/crates/sedgepath-core/src/configuration/spread.rs
+++ b/crates/sedgepath-core/src/configuration/spread.rs
@@ -170,7 +170,7 @@
     let domain = out.identity().card.domain;
     let serving = members.members().into_iter().filter(|(_, member)| member.serves());
     let (mut near, mut far): (Vec<_>, Vec<_>) = serving
-        .map(|(_, member)| (member.card.domain == domain, member.card.peers))
+        .map(|(_, member)| (member.card.domain == domain, member.card.peer_address))
         .partition(|(near, _)| *near);
     random.shuffle(&mut near);
     random.shuffle(&mut far);
--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -117,7 +117,7 @@
     }
 
     fn add_known(&mut self, address: SocketAddr, standing: Option<Standing>, now_ms: u64) {
-        if address != self.own.card.peers {
+        if address != self.own.card.peer_address {
             let until_ms = now_ms + self.timing.forgotten_after_ms;
             self.known.add(address, standing, until_ms, now_ms);
         }
@@ -154,7 +154,8 @@
     ///
     /// Of a process that has not said yet how to reach it nothing is taken; it says so soon.
     pub fn record_state(&mut self, from: SocketAddr, state: VmState, now_ms: u64) -> bool {
-        let of_process = |peer: &&Peer| peer.card.peers == from && peer.state.boot == state.boot;
+        let of_process =
+            |peer: &&Peer| peer.card.peer_address == from && peer.state.boot == state.boot;
         let Some(card) = self.peers.values().find(of_process).map(|peer| peer.card.clone()) else {
             return false;
         };
@@ -164,7 +165,7 @@
 
     fn take_state(&mut self, card: VmCard, state: VmState, now_ms: u64) {
         let forgotten_at_ms = now_ms + self.timing.forgotten_after_ms;
-        self.known.heard(card.peers, &Standing::of(&card), forgotten_at_ms);
+        self.known.heard(card.peer_address, &Standing::of(&card), forgotten_at_ms);
         self.known.note(now_ms);
         let last = self.peers.get(&card.name);
         if last.is_some_and(|last| !self.follows(last, &state, now_ms)) {
@@ -218,7 +219,7 @@
         }
         let own = Standing::of(&self.own.card);
         for ip in &summary.yours {
-            let address = SocketAddr::new(*ip, self.own.card.peers.port());
+            let address = SocketAddr::new(*ip, self.own.card.peer_address.port());
             self.add_known(address, Some(own.clone()), now_ms);
         }
         self.known.listed(&summary, heard_at_ms + self.timing.forgotten_after_ms);
@@ -281,16 +282,16 @@
             .peers
             .values()
             .filter(|peer| peer.state.leaving && !self.is_silent(peer, now_ms))
-            .map(|peer| peer.card.peers)
+            .map(|peer| peer.card.peer_address)
             .collect();
         let listed = self.elsewhere.listed(self.timing, now_ms);
         let listed = listed.filter(|listed| listed.member.ready).map(|listed| &listed.card);
-        let listed = listed.filter(|card| !left.contains(&card.peers));
+        let listed = listed.filter(|card| !left.contains(&card.peer_address));
         let own = (!self.own.state.leaving).then_some(&self.own.card);
         let all = heard.chain(listed).chain(own);
         let mut cards: Vec<_> = all.filter(|card| fits(card)).collect();
-        cards.sort_by_key(|card| card.peers);
-        cards.dedup_by(|one, other| one.peers == other.peers);
+        cards.sort_by_key(|card| card.peer_address);
+        cards.dedup_by(|one, other| one.peer_address == other.peer_address);
         cards
     }
 
--- a/crates/sedgepath-core/src/direct/vms/elsewhere.rs
+++ b/crates/sedgepath-core/src/direct/vms/elsewhere.rs
@@ -137,7 +137,7 @@
     /// Returns the VMs of a failure domain that are listed as there.
     pub(super) fn of_domain(&self, domain: &str, timing: VmTiming, now_ms: u64) -> Set<SocketAddr> {
         let there = self.listed(timing, now_ms).filter(|listed| *listed.card.domain == *domain);
-        there.map(|listed| listed.card.peers).collect()
+        there.map(|listed| listed.card.peer_address).collect()
     }
 }
 
--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -224,7 +224,7 @@
     fn summary(&self, stamp: Stamp, now_ms: u64) -> DomainSummary {
         let VmHeartbeat { card, state, .. } = &self.own;
         let member = |card: &VmCard, state: &VmState| Member {
-            ip: card.peers.ip(),
+            ip: card.peer_address.ip(),
             ready: state.ready,
             has_store: state.store_health.answers(),
         };
@@ -243,9 +243,9 @@
             boot: state.boot,
             domain: card.domain.clone(),
             region: card.region.clone(),
-            sender: card.peers.ip(),
+            sender: card.peer_address.ip(),
             callers_port: card.caller_address.port(),
-            peers_port: card.peers.port(),
+            peers_port: card.peer_address.port(),
             members,
             changed_at: state.newest_version,
             store,
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -20,14 +20,14 @@
     /// Where it takes callers' requests.
     pub caller_address: SocketAddr,
     /// Where it takes other VMs' datagrams.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
 }
 
 impl VmCard {
     /// Returns its key for rendezvous hashing, the same on all VMs whether or not they know its name.
     pub fn key(&self) -> VmKey {
-        let port = self.peers.port().to_le_bytes();
-        let digest = match self.peers.ip() {
+        let port = self.peer_address.port().to_le_bytes();
+        let digest = match self.peer_address.ip() {
             IpAddr::V4(ip) => Digest::of(&[b"vm", &ip.octets(), &port]),
             IpAddr::V6(ip) => Digest::of(&[b"vm", &ip.octets(), &port]),
         };
--- a/crates/sedgepath-core/src/direct/vms/readers.rs
+++ b/crates/sedgepath-core/src/direct/vms/readers.rs
@@ -81,7 +81,7 @@
     pub fn reads_store(&mut self, now_ms: u64) -> bool {
         let region = self.region(now_ms);
         let readers = MIN_READERS.div_ceil(1 + region.others.len());
-        let before = region.before((&self.own.card.domain, self.own.card.peers));
+        let before = region.before((&self.own.card.domain, self.own.card.peer_address));
         let (with_store, others) = (region.with_store(), region.readers.len());
         let answered = self.own.state.store_health.answers();
         if with_store > 0 || answered {
@@ -110,7 +110,7 @@
         let own = &self.own.card;
         let region = self.region(now_ms);
         let of_domain = region.readers.iter().filter(|reader| *reader.domain == *own.domain);
-        of_domain.filter(|reader| reader.address < own.peers).count() == 0
+        of_domain.filter(|reader| reader.address < own.peer_address).count() == 0
     }
 
     fn steps_in(&self, number: usize, others: usize, now_ms: u64) -> bool {
@@ -129,12 +129,12 @@
             let Peer { card, state, heard_at_ms } = peer;
             let silent_after_ms = self.timing.reader_silent_after_ms(state.period_ms);
             if now_ms < heard_at_ms + silent_after_ms && !state.leaving {
-                let (address, has_store) = (card.peers, state.store_health.answers());
+                let (address, has_store) = (card.peer_address, state.store_health.answers());
                 region.add(&card.region, Reader { domain: &card.domain, address, has_store });
             }
         }
         for Listed { card, member } in self.elsewhere.relied_on(self.timing, now_ms) {
-            let (address, has_store) = (card.peers, member.has_store);
+            let (address, has_store) = (card.peer_address, member.has_store);
             region.add(&card.region, Reader { domain: &card.domain, address, has_store });
         }
         for (address, standing) in self.known.expected(now_ms) {
--- a/crates/sedgepath-core/src/direct/vms/summary.rs
+++ b/crates/sedgepath-core/src/direct/vms/summary.rs
@@ -65,7 +65,7 @@
             domain: self.domain.clone(),
             region: self.region.clone(),
             caller_address: SocketAddr::new(member.ip, self.callers_port),
-            peers: SocketAddr::new(member.ip, self.peers_port),
+            peer_address: SocketAddr::new(member.ip, self.peers_port),
         }
     }
 
--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -62,7 +62,7 @@
     /// Its failure domain's name.
     pub domain: Box<str>,
     /// Where it takes frames and datagrams of peers.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Whether the platform is about to take it away.
     pub leaving: bool,
 }
--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -200,7 +200,7 @@
         let keys = listed.iter().map(|entry| Listed {
             vm: VmKey::of(&entry.name),
             domain: DomainKey::of(&entry.domain),
-            peers: entry.peers,
+            peers: entry.peer_address,
         });
         self.listed_keys = keys.collect();
         self.listed = listed;
@@ -270,8 +270,8 @@
     /// list lacks it, and leaves its part of the upstreams idle for so long.
     pub fn say_farewell(&self, out: &mut Outbox) {
         for (_, member) in self.members_in(out.identity().card.domain) {
-            out.send(member.card.peers, Message::Farewell);
-            out.send(member.card.peers, Message::Farewell);
+            out.send(member.card.peer_address, Message::Farewell);
+            out.send(member.card.peer_address, Message::Farewell);
         }
     }
 
@@ -279,7 +279,7 @@
     pub fn take_probe(&self, envelope: &Envelope, probe: &Probe, out: &mut Outbox) {
         if let Some(asker) = self.members.get(&envelope.from) {
             let direct = self.heartbeats.heard(probe.about);
-            probe::answer(asker.card.peers, probe.about, direct, out);
+            probe::answer(asker.card.peer_address, probe.about, direct, out);
         }
     }
 
@@ -318,7 +318,7 @@
             let own_domain = out.identity().card.domain;
             for (_, member) in self.members_in(own_domain) {
                 if !member.suspect {
-                    relay::pass_on(member.card.peers, summary, out);
+                    relay::pass_on(member.card.peer_address, summary, out);
                 }
             }
         }
--- a/crates/sedgepath-core/src/membership/heartbeat.rs
+++ b/crates/sedgepath-core/src/membership/heartbeat.rs
@@ -138,7 +138,7 @@
         let peers: Vec<(VmKey, SocketAddr)> = self
             .members_in(domain)
             .into_iter()
-            .map(|(vm, member)| (vm, member.card.peers))
+            .map(|(vm, member)| (vm, member.card.peer_address))
             .collect();
         for (vm, address) in &peers {
             let heartbeat = self.heartbeat(Some(*vm), own, right, out);
@@ -205,7 +205,7 @@
         peers: &[(VmKey, SocketAddr)],
         out: &Outbox,
     ) -> Vec<SocketAddr> {
-        let own = out.identity().card.peers;
+        let own = out.identity().card.peer_address;
         let listed = self.listed_keys.iter().filter(|vm| vm.domain == domain);
         let mut addresses: Vec<_> = listed.map(|vm| vm.peers).collect();
         addresses.retain(|address| *address != own && peers.iter().all(|peer| peer.1 != *address));
@@ -223,7 +223,8 @@
             let silent = member.heard_at_ms + silent_after_ms <= out.now_ms();
             if silent && !member.suspect {
                 let others = members.iter().filter(|(other, entry)| other != vm && entry.serves());
-                let others = others.map(|(other, entry)| (*other, entry.card.peers)).collect();
+                let others =
+                    others.map(|(other, entry)| (*other, entry.card.peer_address)).collect();
                 probe::ask(*vm, others, out);
             }
         }
--- a/crates/sedgepath-core/src/membership/relay.rs
+++ b/crates/sedgepath-core/src/membership/relay.rs
@@ -91,7 +91,8 @@
 
     /// Tells a new member of the own failure domain of all others.
     pub(super) fn introduce(&self, newcomer: VmKey, out: &mut Outbox) {
-        let Some(address) = self.members.get(&newcomer).map(|member| member.card.peers) else {
+        let Some(address) = self.members.get(&newcomer).map(|member| member.card.peer_address)
+        else {
             return;
         };
         for domain in self.other_domains(out) {
@@ -104,7 +105,7 @@
 
     /// Tells a member of the own failure domain of all others there, suspected ones too.
     pub(super) fn share_roster(&self, with: VmKey, out: &mut Outbox) {
-        let Some(address) = self.members.get(&with).map(|member| member.card.peers) else {
+        let Some(address) = self.members.get(&with).map(|member| member.card.peer_address) else {
             return;
         };
         let domain = out.identity().card.domain;
@@ -145,10 +146,11 @@
         let mut addresses: Vec<_> = live
             .iter()
             .filter_map(|vm| self.members.get(vm))
-            .map(|entry| entry.card.peers)
+            .map(|entry| entry.card.peer_address)
             .collect();
         if addresses.is_empty() {
-            let heard = self.members_in(domain).into_iter().map(|(_, member)| member.card.peers);
+            let heard =
+                self.members_in(domain).into_iter().map(|(_, member)| member.card.peer_address);
             let listed = self.listed_keys.iter().filter(|vm| vm.domain == domain);
             addresses = heard.chain(listed.map(|vm| vm.peers)).collect();
             addresses.sort_unstable();
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -215,7 +215,7 @@
     /// Where it takes callers' requests.
     pub caller_address: SocketAddr,
     /// Where it takes frames and datagrams of peers.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Where it takes remote calls of operators and peers.
     pub operators: SocketAddr,
     /// Whether it is about to stop and takes no new work.
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -324,7 +324,8 @@
         };
         let identity = self.out.identity();
         let members = self.membership.members_in(identity.card.domain);
-        let peers: Vec<_> = members.into_iter().map(|(_, member)| member.card.peers).collect();
+        let peers: Vec<_> =
+            members.into_iter().map(|(_, member)| member.card.peer_address).collect();
         let turn = notice.number.wrapping_add(identity.vm.0) % peers.len().max(1) as u64;
         for (place, peer) in peers.into_iter().enumerate() {
             if notice.to_all || place as u64 == turn {
@@ -342,7 +343,7 @@
             return;
         };
         if !leaving.upstreams.is_empty() {
-            self.out.send(member.card.peers, Message::LeavingUpstreams(leaving));
+            self.out.send(member.card.peer_address, Message::LeavingUpstreams(leaving));
         }
     }
 
--- a/crates/sedgepath-core/src/shift/baseline.rs
+++ b/crates/sedgepath-core/src/shift/baseline.rs
@@ -56,7 +56,7 @@
             self.next_ask_at_ms = view.now_ms + ASK_EVERY_MS;
         }
         for (_, member) in peers.into_iter().take(ASKED) {
-            out.send(member.card.peers, Message::BaselineRequest);
+            out.send(member.card.peer_address, Message::BaselineRequest);
         }
     }
 
@@ -64,7 +64,7 @@
     pub fn answer(&self, asker: VmKey, ledger: &ShiftLedger, view: &View<'_>, out: &mut Outbox) {
         if let Some(member) = view.membership.member(asker).filter(|_| self.found) {
             let baseline = Baseline { revision: view.revision, moved: ledger.moved() };
-            out.send(member.card.peers, Message::Baseline(baseline));
+            out.send(member.card.peer_address, Message::Baseline(baseline));
         }
     }
 
--- a/crates/sedgepath-core/src/view.rs
+++ b/crates/sedgepath-core/src/view.rs
@@ -169,8 +169,8 @@
 
     fn peer_address(&self, vm: VmKey) -> Option<SocketAddr> {
         if vm == self.identity.vm {
-            return Some(self.identity.card.peers);
+            return Some(self.identity.card.peer_address);
         }
-        self.membership.member(vm).map(|member| member.card.peers)
+        self.membership.member(vm).map(|member| member.card.peer_address)
     }
 }
--- a/crates/sedgepath-emulator/src/setup.rs
+++ b/crates/sedgepath-emulator/src/setup.rs
@@ -95,7 +95,7 @@
         domain: domain.into(),
         region: region.into(),
         caller_address: address(0, number, 80),
-        peers: address(0, number, 7_000),
+        peer_address: address(0, number, 7_000),
     };
     let mut own = VmHeartbeat::new(card, 1, HEARTBEAT_MS);
     own.state.ready = true;
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -290,7 +290,7 @@
             name: name.into(),
             domain: DomainKey::of(domain),
             caller_address: address(1),
-            peers: address(2),
+            peer_address: address(2),
             operators: address(3),
             leaving: false,
         };
@@ -442,7 +442,7 @@
         self.leaving_upstreams.push(ListedVm {
             name: name.into(),
             domain: domain.into(),
-            peers: SocketAddr::from((Ipv4Addr::LOCALHOST, 9)),
+            peer_address: SocketAddr::from((Ipv4Addr::LOCALHOST, 9)),
             leaving: true,
         });
     }
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -74,7 +74,7 @@
         let bytes = size.map_or(0, |size| size as u64 + DATAGRAM_EXTRA_BYTES);
         self.nodes[from].traffic.sent += 1;
         self.nodes[from].traffic.sent_bytes += bytes;
-        let Some(target) = self.nodes.iter().position(|slot| slot.card.peers == to) else {
+        let Some(target) = self.nodes.iter().position(|slot| slot.card.peer_address == to) else {
             return;
         };
         if !self.faults.reaches(Place::Node(from), Place::Node(target)) {
--- a/crates/sedgepath-test-support/src/bed/delivery.rs
+++ b/crates/sedgepath-test-support/src/bed/delivery.rs
@@ -78,7 +78,7 @@
         let listed = present.map(|(index, slot)| ListedVm {
             name: slot.name.clone(),
             domain: slot.domain.clone(),
-            peers: slot.card.peers,
+            peer_address: slot.card.peer_address,
             leaving: self.leaving_in_list.contains(&index),
         });
         listed.chain(self.leaving_upstreams.iter().cloned()).collect()
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -43,7 +43,7 @@
         domain: domain.into(),
         region: region(domain).into(),
         caller_address: address(80),
-        peers: address(7_000),
+        peer_address: address(7_000),
     };
     let mut heartbeat = VmHeartbeat::new(card, 1, HEARTBEAT_MS);
     heartbeat.state.ready = true;
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -64,7 +64,7 @@
             name: "owner".into(),
             domain: DomainKey::of("a"),
             caller_address: address,
-            peers: address,
+            peer_address: address,
             operators: address,
             leaving: false,
         };
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -138,7 +138,7 @@
         let table = self.table_mut(vm);
         for (card, row) in others {
             if row != vm {
-                table.add_vm(card.peers, &card.domain, &card.region, now_ms);
+                table.add_vm(card.peer_address, &card.domain, &card.region, now_ms);
             }
         }
     }
@@ -230,7 +230,7 @@
             return BTreeSet::new();
         };
         let cards = table.serving_vms(self.now_ms);
-        cards.into_iter().map(|card| number(card.peers)).collect()
+        cards.into_iter().map(|card| number(card.peer_address)).collect()
     }
 
     /// Returns how long it takes until a condition holds, tried each 100 ms, or none if it doesn't hold within
@@ -368,7 +368,7 @@
             domain: format!("region-domain-{domain}").into(),
             region: format!("region-{}", domain / DOMAINS_PER_REGION).into(),
             caller_address: SocketAddr::new(peers.ip(), 8_641),
-            peers,
+            peer_address: peers,
         }
     }
 }
--- a/crates/sedgepathd/examples/slopes/datagrams.rs
+++ b/crates/sedgepathd/examples/slopes/datagrams.rs
@@ -53,7 +53,7 @@
         name: format!("lowcountry-a-{number}").into(),
         domain: DomainKey::of("lowcountry-a"),
         caller_address: address(80),
-        peers: address(81),
+        peer_address: address(81),
         operators: address(82),
         leaving: false,
     }
--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -170,7 +170,7 @@
         name: settings.name.clone(),
         domain: DomainKey::of(&settings.domain),
         caller_address: settings.callers,
-        peers: settings.peers,
+        peer_address: settings.peers,
         operators: settings.operators,
         leaving: false,
     };
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -156,7 +156,7 @@
         domain: settings.domain.clone(),
         region: settings.region.clone(),
         caller_address: callers,
-        peers,
+        peer_address: peers,
     };
     let own = VmHeartbeat::new(card, clock::unix_ms(), HEARTBEAT_MS);
     let timing = VmTiming {
--- a/crates/sedgepathd/src/store.rs
+++ b/crates/sedgepathd/src/store.rs
@@ -92,7 +92,7 @@
 fn read_vm(row: &CopiedRow) -> Option<ListedVm> {
     match serde_json::from_slice::<VmRow>(row.value.as_ref()?) {
         Ok(VmRow { domain, peers, leaving }) => {
-            Some(ListedVm { name: row.key.clone(), domain, peers, leaving })
+            Some(ListedVm { name: row.key.clone(), domain, peer_address: peers, leaving })
         }
         Err(error) => {
             log::warn!("event=vm_row_unread vm={:?} error={:?}", row.key, error.to_string());
