--- a/crates/sedgepath-core/benches/look_up.rs
+++ b/crates/sedgepath-core/benches/look_up.rs
@@ -90,7 +90,7 @@
         revision: 1,
         leaving: false,
         loads: Vec::new(),
-        card: Some(card),
+        descriptor: Some(card),
     }
 }
 
--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -70,7 +70,7 @@
 
     /// Returns the time between two heartbeats in milliseconds.
     pub fn period_ms(&self) -> u64 {
-        let near = self.known.of_domain(&self.own.card.domain).count();
+        let near = self.known.of_domain(&self.own.descriptor.domain).count();
         let targets = near + self.known.unplaced().count();
         let round_ms = targets as u64 * 1_000 / self.timing.heartbeats_per_s.max(1);
         round_ms.max(self.timing.heartbeat_ms)
@@ -78,7 +78,7 @@
 
     /// Returns this VM's key for rendezvous hashing.
     pub fn key(&self) -> VmKey {
-        self.own.card.key()
+        self.own.descriptor.key()
     }
 
     /// Sets how new this VM's copies are, and what it can tell of the store.
@@ -117,7 +117,7 @@
     }
 
     fn add_known(&mut self, address: SocketAddr, standing: Option<Standing>, now_ms: u64) {
-        if address != self.own.card.peer_address {
+        if address != self.own.descriptor.peer_address {
             let until_ms = now_ms + self.timing.forgotten_after_ms;
             self.known.add(address, standing, until_ms, now_ms);
         }
@@ -128,19 +128,19 @@
     pub fn heartbeat_targets(&mut self, now_ms: u64) -> Vec<SocketAddr> {
         self.known.forget(now_ms);
         self.elsewhere.forget(self.timing.forgotten_after_ms, now_ms);
-        let near = self.known.of_domain(&self.own.card.domain);
+        let near = self.known.of_domain(&self.own.descriptor.domain);
         near.chain(self.known.unplaced()).collect()
     }
 
     /// Returns the other VMs of the own failure domain, heard or not.
     pub fn domain_addresses(&self) -> Vec<SocketAddr> {
-        self.known.of_domain(&self.own.card.domain).collect()
+        self.known.of_domain(&self.own.descriptor.domain).collect()
     }
 
     /// Takes in a heartbeat of another VM.
     pub fn record_heartbeat(&mut self, heartbeat: VmHeartbeat, now_ms: u64) {
-        let VmHeartbeat { card, state, known } = heartbeat;
-        if card.name == self.own.card.name {
+        let VmHeartbeat { descriptor: card, state, known } = heartbeat;
+        if card.name == self.own.descriptor.name {
             return;
         }
         let standing = Standing::of(&card);
@@ -214,12 +214,12 @@
     }
 
     fn take(&mut self, summary: DomainSummary, heard_at_ms: u64, now_ms: u64) -> Option<Newer> {
-        if summary.domain == self.own.card.domain {
+        if summary.domain == self.own.descriptor.domain {
             return None;
         }
-        let own = Standing::of(&self.own.card);
+        let own = Standing::of(&self.own.descriptor);
         for ip in &summary.yours {
-            let address = SocketAddr::new(*ip, self.own.card.peer_address.port());
+            let address = SocketAddr::new(*ip, self.own.descriptor.peer_address.port());
             self.add_known(address, Some(own.clone()), now_ms);
         }
         self.known.listed(&summary, heard_at_ms + self.timing.forgotten_after_ms);
@@ -287,7 +287,7 @@
         let listed = self.elsewhere.listed(self.timing, now_ms);
         let listed = listed.filter(|listed| listed.member.ready).map(|listed| &listed.card);
         let listed = listed.filter(|card| !left.contains(&card.peer_address));
-        let own = (!self.own.state.leaving).then_some(&self.own.card);
+        let own = (!self.own.state.leaving).then_some(&self.own.descriptor);
         let all = heard.chain(listed).chain(own);
         let mut cards: Vec<_> = all.filter(|card| fits(card)).collect();
         cards.sort_by_key(|card| card.peer_address);
@@ -303,7 +303,7 @@
 
     /// Returns those of them of the own failure domain.
     fn domain_peers(&self, now_ms: u64) -> impl Iterator<Item = &Peer> {
-        let own = &self.own.card.domain;
+        let own = &self.own.descriptor.domain;
         self.heard_now(now_ms).filter(move |peer| peer.card.domain == *own)
     }
 
--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -175,7 +175,7 @@
         let mut outgoing = vec![self.whole_heartbeat(stamp, now_ms)];
         let summary = self.summary(stamp, now_ms);
         let domains = self.other_domains();
-        let near = domains.iter().filter(|to| to.region == self.own.card.region);
+        let near = domains.iter().filter(|to| to.region == self.own.descriptor.region);
         outgoing.extend(near.map(|to| self.tell(&summary, &to.domain, rng, now_ms)));
         outgoing
     }
@@ -195,13 +195,13 @@
 
     /// Returns all that this VM says of itself, sent now.
     pub fn heartbeat(&mut self, stamp: Stamp) -> VmHeartbeat {
-        let heard: Vec<_> = self.known.heard_in(&self.own.card.domain).collect();
+        let heard: Vec<_> = self.known.heard_in(&self.own.descriptor.domain).collect();
         let next = self.telling.addresses;
         self.telling.addresses = next.wrapping_add(KNOWN_PER_HEARTBEAT);
         let from = next % heard.len().max(1);
         let count = KNOWN_PER_HEARTBEAT.min(heard.len());
         let known = heard.iter().copied().cycle().skip(from).take(count).collect();
-        VmHeartbeat { card: self.own.card.clone(), state: self.state(stamp), known }
+        VmHeartbeat { descriptor: self.own.descriptor.clone(), state: self.state(stamp), known }
     }
 
     fn heartbeat_of_round(&mut self, stamp: Stamp, now_ms: u64) -> Outgoing {
@@ -222,7 +222,7 @@
 
     /// Returns what this VM can say of its failure domain.
     fn summary(&self, stamp: Stamp, now_ms: u64) -> DomainSummary {
-        let VmHeartbeat { card, state, .. } = &self.own;
+        let VmHeartbeat { descriptor: card, state, .. } = &self.own;
         let member = |card: &VmCard, state: &VmState| Member {
             ip: card.peer_address.ip(),
             ready: state.ready,
@@ -267,7 +267,7 @@
         }
         let item = Digest::of(&[domain.as_bytes()]).to_u64();
         let rank = |key: VmKey| (rendezvous::rank(item, key.0), key.0);
-        let own = rank(self.own.card.key());
+        let own = rank(self.own.descriptor.key());
         let speaks = |peer: &&Peer| {
             let silent_after_ms = self.timing.speaker_silent_after_ms(peer.state.period_ms);
             now_ms < peer.heard_at_ms + silent_after_ms
@@ -301,7 +301,7 @@
 
     fn other_domains(&self) -> Vec<Standing> {
         let others = self.known.domains().into_iter();
-        others.filter(|standing| standing.domain != self.own.card.domain).cloned().collect()
+        others.filter(|standing| standing.domain != self.own.descriptor.domain).cloned().collect()
     }
 
     fn passed_on(&mut self, rng: &mut Rng, now_ms: u64) -> Vec<PassedOn> {
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -111,7 +111,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmHeartbeat {
     /// How to reach it.
-    pub card: VmCard,
+    pub descriptor: VmCard,
     /// What changes of it.
     pub state: VmState,
     /// Where others of its failure domain take datagrams: addresses that the receiver may not know yet.
@@ -130,7 +130,7 @@
             newest_version: [0; 2],
             store_health: StoreView::Unasked,
         };
-        Self { card, state, known: Vec::new() }
+        Self { descriptor: card, state, known: Vec::new() }
     }
 }
 
--- a/crates/sedgepath-core/src/direct/vms/readers.rs
+++ b/crates/sedgepath-core/src/direct/vms/readers.rs
@@ -81,7 +81,7 @@
     pub fn reads_store(&mut self, now_ms: u64) -> bool {
         let region = self.region(now_ms);
         let readers = MIN_READERS.div_ceil(1 + region.others.len());
-        let before = region.before((&self.own.card.domain, self.own.card.peer_address));
+        let before = region.before((&self.own.descriptor.domain, self.own.descriptor.peer_address));
         let (with_store, others) = (region.with_store(), region.readers.len());
         let answered = self.own.state.store_health.answers();
         if with_store > 0 || answered {
@@ -100,14 +100,14 @@
     /// wait for a time, and up to twice that by `draw`, a number from 0 to 1 of their own, so that not all read at
     /// once. With few others that is short: the one that would give them the tables may be gone.
     pub fn reads_to_start(&self, waited_ms: u64, draw: f64, now_ms: u64) -> bool {
-        let others = self.known.of_domain(&self.own.card.domain).count() as u64;
+        let others = self.known.of_domain(&self.own.descriptor.domain).count() as u64;
         let patience_ms = (others * PATIENCE_PER_VM_MS).min(MAX_PATIENCE_MS) as f64;
         waited_ms as f64 >= patience_ms * (1.0 + draw) || self.first_of_domain(now_ms)
     }
 
     /// Whether this VM is the first of its failure domain that may be running.
     fn first_of_domain(&self, now_ms: u64) -> bool {
-        let own = &self.own.card;
+        let own = &self.own.descriptor;
         let region = self.region(now_ms);
         let of_domain = region.readers.iter().filter(|reader| *reader.domain == *own.domain);
         of_domain.filter(|reader| reader.address < own.peer_address).count() == 0
@@ -123,7 +123,7 @@
     }
 
     fn region(&self, now_ms: u64) -> Region<'_> {
-        let own = &self.own.card;
+        let own = &self.own.descriptor;
         let mut region = Region { name: &own.region, readers: Vec::new(), others: Set::default() };
         for peer in self.peers.values() {
             let Peer { card, state, heard_at_ms } = peer;
--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -238,9 +238,9 @@
             boot: envelope.boot,
             heard_at_ms: out.now_ms(),
             revision: heartbeat.news.revision,
-            leaving: heartbeat.card.as_ref().map_or(known_leaving, |card| card.leaving),
+            leaving: heartbeat.descriptor.as_ref().map_or(known_leaving, |card| card.leaving),
             loads: heartbeat.loads.clone(),
-            card: heartbeat.card.clone(),
+            card: heartbeat.descriptor.clone(),
         };
         self.learn(sighting, out);
         let joined = known != Some(envelope.boot)
@@ -310,7 +310,7 @@
                 revision: line.revision,
                 leaving: line.leaving,
                 loads: line.loads.clone(),
-                card: line.card.clone(),
+                card: line.descriptor.clone(),
             };
             self.learn(sighting, out);
         }
--- a/crates/sedgepath-core/src/membership/heartbeat.rs
+++ b/crates/sedgepath-core/src/membership/heartbeat.rs
@@ -162,7 +162,7 @@
         let needs_card = to.is_none_or(|vm| self.heartbeats.needs_card(vm, valid_ms, out));
         Heartbeat {
             sent_at_ms: out.now_ms(),
-            card: needs_card.then(|| out.identity().card.clone()),
+            descriptor: needs_card.then(|| out.identity().card.clone()),
             news: own.news,
             loads: largest_loads(own.loads),
             roster: right.roster_digest(),
--- a/crates/sedgepath-core/src/membership/relay.rs
+++ b/crates/sedgepath-core/src/membership/relay.rs
@@ -184,7 +184,7 @@
             revision: member.revision,
             leaving: member.card.leaving,
             loads: member.loads.clone(),
-            card: with_card.then(|| member.card.clone()),
+            descriptor: with_card.then(|| member.card.clone()),
         }
     }
 }
@@ -203,7 +203,7 @@
         revision: own.news.revision,
         leaving: identity.card.leaving,
         loads: largest_loads(own.loads),
-        card: with_card.then(|| identity.card.clone()),
+        descriptor: with_card.then(|| identity.card.clone()),
     }
 }
 
@@ -244,6 +244,6 @@
     const FIXED_BYTES: usize = 40;
     const LOAD_BYTES: usize = 15;
     const CARD_BYTES: usize = 70;
-    let card_bytes = line.card.as_ref().map_or(0, |card| card.name.len() + CARD_BYTES);
+    let card_bytes = line.descriptor.as_ref().map_or(0, |card| card.name.len() + CARD_BYTES);
     FIXED_BYTES + line.loads.len() * LOAD_BYTES + card_bytes
 }
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -103,7 +103,7 @@
     /// When it was sent, in milliseconds by the sender's clock; comes back in the acknowledgement.
     pub sent_at_ms: u64,
     /// The sender's name and addresses, until the receiver has acknowledged them.
-    pub card: Option<MemberCard>,
+    pub descriptor: Option<MemberCard>,
     /// What the sender knows of the configuration.
     pub news: ConfigurationNews,
     /// The sender's load by service.
@@ -202,7 +202,7 @@
     /// Its load by service.
     pub loads: Vec<ServiceLoad>,
     /// Its name and addresses; not in every summary.
-    pub card: Option<MemberCard>,
+    pub descriptor: Option<MemberCard>,
 }
 
 /// What others need to know to reach a node.
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -336,7 +336,7 @@
                 table.record_state(address(from), state, now_ms);
             }
             PeerMessage::Heartbeat(Heartbeat::Whole(heartbeat)) => {
-                let domain = heartbeat.card.domain.clone();
+                let domain = heartbeat.descriptor.domain.clone();
                 table.record_heartbeat(heartbeat, now_ms);
                 if from / self.per_domain != own_domain {
                     welcome = Some(table.welcome(&domain, stamp, &mut rng, now_ms));
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -153,11 +153,12 @@
 
 async fn take_heartbeat(shell: &Rc<Shell>, heartbeat: VmHeartbeat) {
     shell.line_clock.merge(heartbeat.state.stamp);
-    fetch::catch_up(shell, heartbeat.state.newest_version, heartbeat.card.peer_address);
+    fetch::catch_up(shell, heartbeat.state.newest_version, heartbeat.descriptor.peer_address);
     let welcome = {
         let now_ms = clock::now_ms();
         let mut steering = shell.steering.borrow_mut();
-        let (address, domain) = (heartbeat.card.peer_address, heartbeat.card.domain.clone());
+        let (address, domain) =
+            (heartbeat.descriptor.peer_address, heartbeat.descriptor.domain.clone());
         let elsewhere = domain != steering.location().domain;
         steering.vms_mut().record_heartbeat(heartbeat, now_ms);
         elsewhere.then(|| {
--- a/crates/sedgepathd/tests/platform/slow_peer.rs
+++ b/crates/sedgepathd/tests/platform/slow_peer.rs
@@ -47,7 +47,7 @@
     /// Tells a VM that it has rows.
     pub fn tell(&self, vm: SocketAddr) {
         let mut heartbeat = heartbeat("slow", "north-a", 1);
-        heartbeat.card.peer_address = self.address;
+        heartbeat.descriptor.peer_address = self.address;
         heartbeat.state.newest_version = [1_000; 2];
         let message = PeerMessage::Heartbeat(Heartbeat::Whole(heartbeat));
         let bytes = postcard::to_stdvec(&message).expect("a heartbeat");
