--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -154,8 +154,9 @@
     ///
     /// Of a process that has not said yet how to reach it nothing is taken; it says so soon.
     pub fn record_state(&mut self, from: SocketAddr, state: VmState, now_ms: u64) -> bool {
-        let of_process =
-            |peer: &&Peer| peer.card.peer_address == from && peer.state.boot == state.boot;
+        let of_process = |peer: &&Peer| {
+            peer.card.peer_address == from && peer.state.boot_at_ms == state.boot_at_ms
+        };
         let Some(card) = self.peers.values().find(of_process).map(|peer| peer.card.clone()) else {
             return false;
         };
@@ -171,7 +172,9 @@
         if last.is_some_and(|last| !self.follows(last, &state, now_ms)) {
             return;
         }
-        if last.is_none_or(|last| last.state.boot != state.boot || self.is_silent(last, now_ms)) {
+        if last.is_none_or(|last| {
+            last.state.boot_at_ms != state.boot_at_ms || self.is_silent(last, now_ms)
+        }) {
             self.telling.note_newcomer(now_ms);
         }
         self.peers.insert(card.name.clone(), Peer { card, state, heard_at_ms: now_ms });
@@ -179,10 +182,10 @@
 
     /// Whether what a VM says is not of a time before what was last heard of it.
     fn follows(&self, last: &Peer, state: &VmState, now_ms: u64) -> bool {
-        if state.boot != last.state.boot {
+        if state.boot_at_ms != last.state.boot_at_ms {
             // A delayed datagram of an earlier process must not undo what the later one says. A process
             // that starts after its clock was set back tells of an earlier start too, after a silence.
-            return state.boot > last.state.boot || self.is_silent(last, now_ms);
+            return state.boot_at_ms > last.state.boot_at_ms || self.is_silent(last, now_ms);
         }
         // One that was overtaken by the farewell: once a process leaves it doesn't come back.
         state.stamp >= last.state.stamp && (state.leaving || !last.state.leaving)
--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -240,7 +240,7 @@
         DomainSummary {
             stamp,
             period_ms: self.period_ms(),
-            boot: state.boot,
+            boot: state.boot_at_ms,
             domain: card.domain.clone(),
             region: card.region.clone(),
             sender: card.peer_address.ip(),
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -96,7 +96,7 @@
     /// The time until it is sent again, in milliseconds.
     pub period_ms: u64,
     /// When the VM's process started, in milliseconds since the Unix epoch; the later of two counts.
-    pub boot: u64,
+    pub boot_at_ms: u64,
     /// Whether it takes new requests.
     pub ready: bool,
     /// Whether it is about to stop.
@@ -124,7 +124,7 @@
         let state = VmState {
             stamp: Stamp::default(),
             period_ms,
-            boot,
+            boot_at_ms: boot,
             ready: false,
             leaving: false,
             newest_version: [0; 2],
--- a/crates/sedgepath-core/tests/direct_vms.rs
+++ b/crates/sedgepath-core/tests/direct_vms.rs
@@ -69,7 +69,7 @@
     assert!(!own.look_up("south-a", "south", 200).contains(&address(4)));
 
     let mut restarted = heartbeat("c1", "south-a", 4);
-    restarted.state.boot = 2;
+    restarted.state.boot_at_ms = 2;
     own.record_heartbeat(restarted, 300);
     assert!(own.look_up("south-a", "south", 400).contains(&address(4)));
 }
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -334,7 +334,7 @@
             for from in speaking.iter().filter(|from| *from != to) {
                 let mut heard = heartbeat(&name(*from), "north-a", *from);
                 let sender = &self.vms[usize::from(*from)];
-                heard.state.boot = sender.process;
+                heard.state.boot_at_ms = sender.process;
                 heard.state.leaving =
                     sender.steering.as_ref().is_some_and(|vm| vm.vms().is_leaving());
                 if let Some(steering) = &mut self.vms[usize::from(*to)].steering {
