--- a/crates/sedgepath-core/src/direct/steering/store.rs
+++ b/crates/sedgepath-core/src/direct/steering/store.rs
@@ -22,7 +22,7 @@
     pub fn update_store_health(&mut self, own: StoreView, now_ms: u64) {
         let contact_ms = match self.vms.store_health(own, now_ms) {
             StoreView::Answers { for_ms } => for_ms,
-            StoreView::Unasked => return,
+            StoreView::Unknown => return,
             StoreView::Fails => {
                 if !self.store.away {
                     self.store.away = true;
--- a/crates/sedgepath-core/src/direct/vms/elsewhere.rs
+++ b/crates/sedgepath-core/src/direct/vms/elsewhere.rs
@@ -131,7 +131,7 @@
         let fresh = self.by_sender.values().filter(|told| now_ms < told.silent_at_ms(timing));
         let views =
             fresh.map(|told| told.summary.store.aged(now_ms.saturating_sub(told.heard_at_ms)));
-        views.fold(StoreView::Unasked, StoreView::with)
+        views.fold(StoreView::Unknown, StoreView::with)
     }
 
     /// Returns the VMs of a failure domain that are listed as there.
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -43,7 +43,7 @@
 pub enum StoreView {
     /// It makes no calls, or has had the end of none yet.
     #[default]
-    Unasked,
+    Unknown,
     /// It has been answered.
     Answers {
         /// For how long without a break, in milliseconds.
@@ -58,7 +58,7 @@
     pub fn contact_ms(self) -> Option<u64> {
         match self {
             Self::Answers { for_ms } => Some(for_ms),
-            Self::Unasked | Self::Fails => None,
+            Self::Unknown | Self::Fails => None,
         }
     }
 
@@ -83,7 +83,7 @@
             }
             (view @ Self::Answers { .. }, _) | (_, view @ Self::Answers { .. }) => view,
             (Self::Fails, _) | (_, Self::Fails) => Self::Fails,
-            (Self::Unasked, Self::Unasked) => Self::Unasked,
+            (Self::Unknown, Self::Unknown) => Self::Unknown,
         }
     }
 }
@@ -128,7 +128,7 @@
             ready: false,
             leaving: false,
             newest_version: [0; 2],
-            store_health: StoreView::Unasked,
+            store_health: StoreView::Unknown,
         };
         Self { descriptor: card, state, known: Vec::new() }
     }
--- a/crates/sedgepath-core/src/direct/vms/summary.rs
+++ b/crates/sedgepath-core/src/direct/vms/summary.rs
@@ -74,7 +74,7 @@
         let mut said = Vec::new();
         said.extend(self.period_ms.to_le_bytes());
         said.push(match self.store {
-            StoreView::Unasked => 0,
+            StoreView::Unknown => 0,
             StoreView::Answers { .. } => 1,
             StoreView::Fails => 2,
         });
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -124,9 +124,9 @@
     let mut reader = heartbeat("a0", "north-a", 2);
     reader.state.store_health = StoreView::Answers { for_ms: 5_000 };
     vm.vms_mut().record_heartbeat(reader, 5_000);
-    vm.update_store_health(StoreView::Unasked, 5_100);
+    vm.update_store_health(StoreView::Unknown, 5_100);
 
-    vm.update_store_health(StoreView::Unasked, 7_300);
+    vm.update_store_health(StoreView::Unknown, 7_300);
     vm.update_store_health(StoreView::Answers { for_ms: 0 }, 7_400);
     vm.upstreams_mut().remove("b0", 7_400);
 
@@ -141,10 +141,10 @@
     let mut reader = heartbeat("a0", "north-a", 2);
     reader.state.store_health = StoreView::Answers { for_ms: 5_000 };
     vm.vms_mut().record_heartbeat(reader.clone(), 5_000);
-    vm.update_store_health(StoreView::Unasked, 5_100);
+    vm.update_store_health(StoreView::Unknown, 5_100);
     reader.state.store_health = StoreView::Fails;
     vm.vms_mut().record_heartbeat(reader.clone(), 6_000);
-    vm.update_store_health(StoreView::Unasked, 6_100);
+    vm.update_store_health(StoreView::Unknown, 6_100);
 
     reader.state.store_health = StoreView::Answers { for_ms: 0 };
     vm.vms_mut().record_heartbeat(reader, 9_000);
--- a/crates/sedgepathd/src/direct/shell.rs
+++ b/crates/sedgepathd/src/direct/shell.rs
@@ -77,7 +77,7 @@
     /// Returns what it tells of the store by now.
     pub fn view(self, now_ms: u64) -> StoreView {
         match self {
-            Self::Unasked => StoreView::Unasked,
+            Self::Unasked => StoreView::Unknown,
             Self::Since { at_ms } => StoreView::Answers { for_ms: now_ms.saturating_sub(at_ms) },
             Self::Lost => StoreView::Fails,
         }
