--- a/crates/sedgepath-core/src/direct/steering/store.rs
+++ b/crates/sedgepath-core/src/direct/steering/store.rs
@@ -21,7 +21,7 @@
     /// but left.
     pub fn update_store_health(&mut self, own: StoreView, now_ms: u64) {
         let contact_ms = match self.vms.store_health(own, now_ms) {
-            StoreView::Answers { for_ms } => for_ms,
+            StoreView::Reachable { for_ms } => for_ms,
             StoreView::Unknown => return,
             StoreView::Fails => {
                 if !self.store.away {
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -45,7 +45,7 @@
     #[default]
     Unknown,
     /// It has been answered.
-    Answers {
+    Reachable {
         /// For how long without a break, in milliseconds.
         for_ms: u64,
     },
@@ -57,20 +57,20 @@
     /// Returns for how long the store has answered without a break, in milliseconds.
     pub fn contact_ms(self) -> Option<u64> {
         match self {
-            Self::Answers { for_ms } => Some(for_ms),
+            Self::Reachable { for_ms } => Some(for_ms),
             Self::Unknown | Self::Fails => None,
         }
     }
 
     /// Whether the store answers.
     pub fn answers(self) -> bool {
-        matches!(self, Self::Answers { .. })
+        matches!(self, Self::Reachable { .. })
     }
 
     /// Returns what it tells after some more time.
     pub(super) fn aged(self, age_ms: u64) -> Self {
         match self {
-            Self::Answers { for_ms } => Self::Answers { for_ms: for_ms.saturating_add(age_ms) },
+            Self::Reachable { for_ms } => Self::Reachable { for_ms: for_ms.saturating_add(age_ms) },
             view => view,
         }
     }
@@ -78,10 +78,10 @@
     /// Returns what two VMs can tell together: the longer contact, else whether the store fails one.
     pub(super) fn with(self, other: Self) -> Self {
         match (self, other) {
-            (Self::Answers { for_ms: one }, Self::Answers { for_ms: two }) => {
-                Self::Answers { for_ms: one.max(two) }
+            (Self::Reachable { for_ms: one }, Self::Reachable { for_ms: two }) => {
+                Self::Reachable { for_ms: one.max(two) }
             }
-            (view @ Self::Answers { .. }, _) | (_, view @ Self::Answers { .. }) => view,
+            (view @ Self::Reachable { .. }, _) | (_, view @ Self::Reachable { .. }) => view,
             (Self::Fails, _) | (_, Self::Fails) => Self::Fails,
             (Self::Unknown, Self::Unknown) => Self::Unknown,
         }
--- a/crates/sedgepath-core/src/direct/vms/summary.rs
+++ b/crates/sedgepath-core/src/direct/vms/summary.rs
@@ -75,7 +75,7 @@
         said.extend(self.period_ms.to_le_bytes());
         said.push(match self.store {
             StoreView::Unknown => 0,
-            StoreView::Answers { .. } => 1,
+            StoreView::Reachable { .. } => 1,
             StoreView::Fails => 2,
         });
         for member in &self.members {
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -29,7 +29,7 @@
         peers_port: 7_000,
         members: vec![member(4), member(5)],
         changed_at: [1, 2],
-        store: StoreView::Answers { for_ms: 100 },
+        store: StoreView::Reachable { for_ms: 100 },
         yours: vec![ip(1), ip(2)],
     }
 }
@@ -99,12 +99,12 @@
     let mut vm = vms("a1", "north-a", 1);
     let mut absurd = summary();
     absurd.period_ms = u64::MAX;
-    absurd.store = StoreView::Answers { for_ms: u64::MAX };
+    absurd.store = StoreView::Reachable { for_ms: u64::MAX };
     vm.record_summary(absurd.clone(), NOW_MS);
     vm.record_relayed_summary(PassedOn { age_ms: u64::MAX, news: News::Changed(absurd) }, NOW_MS);
     let mut near = heartbeat("a2", "north-a", 2);
     near.state.period_ms = u64::MAX;
-    near.state.store_health = StoreView::Answers { for_ms: u64::MAX };
+    near.state.store_health = StoreView::Reachable { for_ms: u64::MAX };
     vm.record_heartbeat(near, NOW_MS);
 
     vm.reads_store(NOW_MS + 1);
--- a/crates/sedgepath-emulator/src/setup.rs
+++ b/crates/sedgepath-emulator/src/setup.rs
@@ -99,7 +99,7 @@
     };
     let mut own = VmHeartbeat::new(card, 1, HEARTBEAT_MS);
     own.state.ready = true;
-    own.state.store_health = StoreView::Answers { for_ms: 0 };
+    own.state.store_health = StoreView::Reachable { for_ms: 0 };
     let timing = VmTiming {
         heartbeat_ms: HEARTBEAT_MS,
         heartbeats_per_s: 130,
--- a/crates/sedgepathd/src/direct/shell.rs
+++ b/crates/sedgepathd/src/direct/shell.rs
@@ -78,7 +78,7 @@
     pub fn view(self, now_ms: u64) -> StoreView {
         match self {
             Self::Unasked => StoreView::Unknown,
-            Self::Since { at_ms } => StoreView::Answers { for_ms: now_ms.saturating_sub(at_ms) },
+            Self::Since { at_ms } => StoreView::Reachable { for_ms: now_ms.saturating_sub(at_ms) },
             Self::Lost => StoreView::Fails,
         }
     }
