--- a/crates/sedgepath-core/src/direct/steering/store.rs
+++ b/crates/sedgepath-core/src/direct/steering/store.rs
@@ -23,7 +23,7 @@
         let contact_ms = match self.vms.store_health(own, now_ms) {
             StoreView::Reachable { for_ms } => for_ms,
             StoreView::Unknown => return,
-            StoreView::Fails => {
+            StoreView::Failing => {
                 if !self.store.away {
                     self.store.away = true;
                     self.store.away_since_ms = Some(self.store.last_at_ms);
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -50,7 +50,7 @@
         for_ms: u64,
     },
     /// Its last call failed.
-    Fails,
+    Failing,
 }
 
 impl StoreView {
@@ -58,7 +58,7 @@
     pub fn contact_ms(self) -> Option<u64> {
         match self {
             Self::Reachable { for_ms } => Some(for_ms),
-            Self::Unknown | Self::Fails => None,
+            Self::Unknown | Self::Failing => None,
         }
     }
 
@@ -82,7 +82,7 @@
                 Self::Reachable { for_ms: one.max(two) }
             }
             (view @ Self::Reachable { .. }, _) | (_, view @ Self::Reachable { .. }) => view,
-            (Self::Fails, _) | (_, Self::Fails) => Self::Fails,
+            (Self::Failing, _) | (_, Self::Failing) => Self::Failing,
             (Self::Unknown, Self::Unknown) => Self::Unknown,
         }
     }
--- a/crates/sedgepath-core/src/direct/vms/summary.rs
+++ b/crates/sedgepath-core/src/direct/vms/summary.rs
@@ -76,7 +76,7 @@
         said.push(match self.store {
             StoreView::Unknown => 0,
             StoreView::Reachable { .. } => 1,
-            StoreView::Fails => 2,
+            StoreView::Failing => 2,
         });
         for member in &self.members {
             match member.ip {
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -87,7 +87,7 @@
 fn entries_that_lapse_with_the_store_away_are_used_until_they_are_due_back() {
     let mut vm = with_one();
     vm.update_store_health(StoreView::Reachable { for_ms: 5_000 }, 5_000);
-    vm.update_store_health(StoreView::Fails, 9_000);
+    vm.update_store_health(StoreView::Failing, 9_000);
     vm.update_store_health(StoreView::Reachable { for_ms: 0 }, 14_000);
     vm.upstreams_mut().remove("b0", 14_010);
 
@@ -103,7 +103,7 @@
 fn an_entry_removed_while_others_had_the_store_is_gone_at_once() {
     let mut vm = with_one();
     vm.update_store_health(StoreView::Reachable { for_ms: 5_000 }, 5_000);
-    vm.update_store_health(StoreView::Fails, 9_000);
+    vm.update_store_health(StoreView::Failing, 9_000);
     vm.update_store_health(StoreView::Reachable { for_ms: 0 }, 14_000);
     vm.upstreams_mut().remove("b0", 14_010);
     let mut peer = heartbeat("a2", "north-a", 2);
@@ -142,7 +142,7 @@
     reader.state.store_health = StoreView::Reachable { for_ms: 5_000 };
     vm.vms_mut().record_heartbeat(reader.clone(), 5_000);
     vm.update_store_health(StoreView::Unknown, 5_100);
-    reader.state.store_health = StoreView::Fails;
+    reader.state.store_health = StoreView::Failing;
     vm.vms_mut().record_heartbeat(reader.clone(), 6_000);
     vm.update_store_health(StoreView::Unknown, 6_100);
 
--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -148,7 +148,7 @@
     if lost {
         log::warn!("event=store_away error={:?}", error.to_string());
     }
-    shell.steering.borrow_mut().update_store_health(StoreView::Fails, clock::now_ms());
+    shell.steering.borrow_mut().update_store_health(StoreView::Failing, clock::now_ms());
     lost
 }
 
--- a/crates/sedgepathd/src/direct/shell.rs
+++ b/crates/sedgepathd/src/direct/shell.rs
@@ -79,7 +79,7 @@
         match self {
             Self::Unasked => StoreView::Unknown,
             Self::Since { at_ms } => StoreView::Reachable { for_ms: now_ms.saturating_sub(at_ms) },
-            Self::Lost => StoreView::Fails,
+            Self::Lost => StoreView::Failing,
         }
     }
 }
