--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -256,7 +256,7 @@
             silent_ms: now_ms.saturating_sub(*heard_at_ms),
             ready: state.ready,
             leaving: state.leaving,
-            store_reachable: state.store_health.answers(),
+            store_reachable: state.store_health.is_reachable(),
         });
         let listed = self.elsewhere.listed(self.timing, now_ms).map(|listed| OtherVm {
             name: listed.card.name.clone(),
--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -226,7 +226,7 @@
         let member = |card: &VmCard, state: &VmState| Member {
             ip: card.peer_address.ip(),
             ready: state.ready,
-            has_store: state.store_health.answers(),
+            has_store: state.store_health.is_reachable(),
         };
         let mut store = state.store_health;
         let mut members = Vec::new();
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -63,7 +63,7 @@
     }
 
     /// Whether the store answers.
-    pub fn answers(self) -> bool {
+    pub fn is_reachable(self) -> bool {
         matches!(self, Self::Reachable { .. })
     }
 
--- a/crates/sedgepath-core/src/direct/vms/readers.rs
+++ b/crates/sedgepath-core/src/direct/vms/readers.rs
@@ -83,7 +83,7 @@
         let readers = MIN_READERS.div_ceil(1 + region.others.len());
         let before = region.before((&self.own.descriptor.domain, self.own.descriptor.peer_address));
         let (with_store, others) = (region.with_store(), region.readers.len());
-        let answered = self.own.state.store_health.answers();
+        let answered = self.own.state.store_health.is_reachable();
         if with_store > 0 || answered {
             self.without_contact_since_ms = None;
         } else {
@@ -129,7 +129,7 @@
             let Peer { card, state, heard_at_ms } = peer;
             let silent_after_ms = self.timing.reader_silent_after_ms(state.period_ms);
             if now_ms < heard_at_ms + silent_after_ms && !state.leaving {
-                let (address, has_store) = (card.peer_address, state.store_health.answers());
+                let (address, has_store) = (card.peer_address, state.store_health.is_reachable());
                 region.add(&card.region, Reader { domain: &card.domain, address, has_store });
             }
         }
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -109,6 +109,6 @@
 
     vm.reads_store(NOW_MS + 1);
     assert_eq!(vm.serving_vms(NOW_MS + 12_000).len(), 1, "one that says so is named for ever");
-    assert!(vm.store_health(StoreView::Unknown, NOW_MS + 1).answers());
+    assert!(vm.store_health(StoreView::Unknown, NOW_MS + 1).is_reachable());
     vm.round(Stamp::default(), &mut fastrand::Rng::with_seed(1), NOW_MS + 1);
 }
