--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -55,7 +55,7 @@
 
 impl StoreView {
     /// Returns for how long the store has answered without a break, in milliseconds.
-    pub fn contact_ms(self) -> Option<u64> {
+    pub fn reachable_for_ms(self) -> Option<u64> {
         match self {
             Self::Reachable { for_ms } => Some(for_ms),
             Self::Unknown | Self::Failing => None,
--- a/crates/sedgepathd/src/direct/metrics.rs
+++ b/crates/sedgepathd/src/direct/metrics.rs
@@ -136,7 +136,12 @@
         let version = steering.configuration().map_or(0, |in_force| in_force.version);
         self.configuration.set(version.cast_signed());
         self.store_contact.set(
-            shell.store_calls.get().view(clock::now_ms()).contact_ms().map_or(-1, u64::cast_signed),
+            shell
+                .store_calls
+                .get()
+                .view(clock::now_ms())
+                .reachable_for_ms()
+                .map_or(-1, u64::cast_signed),
         );
         self.in_flight.set(whole(shell.requests.get()));
         let mut text = Vec::new();
