--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -73,7 +73,7 @@
         let near = self.known.of_domain(&self.own.descriptor.domain).count();
         let targets = near + self.known.unplaced().count();
         let round_ms = targets as u64 * 1_000 / self.timing.heartbeats_per_s.max(1);
-        round_ms.max(self.timing.heartbeat_ms)
+        round_ms.max(self.timing.heartbeat_interval_ms)
     }
 
     /// Returns this VM's key for rendezvous hashing.
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -138,7 +138,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct VmTiming {
     /// The time between two heartbeats in milliseconds, while there are few VMs.
-    pub heartbeat_ms: u64,
+    pub heartbeat_interval_ms: u64,
     /// The most heartbeats that a VM sends in a second. With more VMs than fit, the time between
     /// two grows.
     pub heartbeats_per_s: u64,
