--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -72,7 +72,7 @@
     pub fn period_ms(&self) -> u64 {
         let near = self.known.of_domain(&self.own.descriptor.domain).count();
         let targets = near + self.known.unplaced().count();
-        let round_ms = targets as u64 * 1_000 / self.timing.heartbeats_per_s.max(1);
+        let round_ms = targets as u64 * 1_000 / self.timing.max_heartbeats_per_s.max(1);
         round_ms.max(self.timing.heartbeat_interval_ms)
     }
 
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -141,7 +141,7 @@
     pub heartbeat_interval_ms: u64,
     /// The most heartbeats that a VM sends in a second. With more VMs than fit, the time between
     /// two grows.
-    pub heartbeats_per_s: u64,
+    pub max_heartbeats_per_s: u64,
     /// The longest silence after which a VM is no longer named, in milliseconds.
     pub max_silence_ms: u64,
     /// The silence after which a VM no longer shares the limits that hold for all, in milliseconds.
--- a/crates/sedgepath-emulator/src/setup.rs
+++ b/crates/sedgepath-emulator/src/setup.rs
@@ -102,7 +102,7 @@
     own.state.store_health = StoreView::Reachable { for_ms: 0 };
     let timing = VmTiming {
         heartbeat_interval_ms: HEARTBEAT_MS,
-        heartbeats_per_s: 130,
+        max_heartbeats_per_s: 130,
         max_silence_ms: 5_500,
         forgotten_after_ms: 20_000,
     };
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -56,7 +56,7 @@
 /// When a VM counts as silent and as forgotten in tests.
 pub const TIMING: VmTiming = VmTiming {
     heartbeat_interval_ms: HEARTBEAT_MS,
-    heartbeats_per_s: 100,
+    max_heartbeats_per_s: 100,
     max_silence_ms: 5_500,
     forgotten_after_ms: 20_000,
 };
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -161,7 +161,7 @@
     let own = VmHeartbeat::new(card, clock::unix_ms(), HEARTBEAT_MS);
     let timing = VmTiming {
         heartbeat_interval_ms: HEARTBEAT_MS,
-        heartbeats_per_s: HEARTBEATS_PER_S,
+        max_heartbeats_per_s: HEARTBEATS_PER_S,
         max_silence_ms: settings.bounds.settled_after_ms + NAMED_SILENT_MS,
         forgotten_after_ms: FORGOTTEN_AFTER_MS,
     };
