--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -118,7 +118,7 @@
 
     fn add_known(&mut self, address: SocketAddr, standing: Option<Standing>, now_ms: u64) {
         if address != self.own.descriptor.peer_address {
-            let until_ms = now_ms + self.timing.forgotten_after_ms;
+            let until_ms = now_ms + self.timing.forget_after_ms;
             self.known.add(address, standing, until_ms, now_ms);
         }
     }
@@ -127,7 +127,7 @@
     /// failure domain, and those of which nobody knows yet who is there.
     pub fn heartbeat_targets(&mut self, now_ms: u64) -> Vec<SocketAddr> {
         self.known.forget(now_ms);
-        self.elsewhere.forget(self.timing.forgotten_after_ms, now_ms);
+        self.elsewhere.forget(self.timing.forget_after_ms, now_ms);
         let near = self.known.of_domain(&self.own.descriptor.domain);
         near.chain(self.known.unplaced()).collect()
     }
@@ -165,7 +165,7 @@
     }
 
     fn take_state(&mut self, card: VmCard, state: VmState, now_ms: u64) {
-        let forgotten_at_ms = now_ms + self.timing.forgotten_after_ms;
+        let forgotten_at_ms = now_ms + self.timing.forget_after_ms;
         self.known.heard(card.peer_address, &Standing::of(&card), forgotten_at_ms);
         self.known.note(now_ms);
         let last = self.peers.get(&card.name);
@@ -209,7 +209,7 @@
             News::Unchanged { sender, boot, stamp, digest } => {
                 let same = self.elsewhere.repeat(sender, (boot, stamp), digest, heard_at_ms);
                 if let Some(summary) = same {
-                    let forgotten_at_ms = heard_at_ms + self.timing.forgotten_after_ms;
+                    let forgotten_at_ms = heard_at_ms + self.timing.forget_after_ms;
                     self.known.listed(summary, forgotten_at_ms);
                 }
             }
@@ -225,7 +225,7 @@
             let address = SocketAddr::new(*ip, self.own.descriptor.peer_address.port());
             self.add_known(address, Some(own.clone()), now_ms);
         }
-        self.known.listed(&summary, heard_at_ms + self.timing.forgotten_after_ms);
+        self.known.listed(&summary, heard_at_ms + self.timing.forget_after_ms);
         let newer = self.elsewhere.take(summary, heard_at_ms, &self.timing, now_ms);
         self.known.note(now_ms);
         newer
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -145,7 +145,7 @@
     /// The longest silence after which a VM is no longer named, in milliseconds.
     pub max_silence_ms: u64,
     /// The silence after which a VM no longer shares the limits that hold for all, in milliseconds.
-    pub forgotten_after_ms: u64,
+    pub forget_after_ms: u64,
 }
 
 /// The periods of silence after which a VM is no longer named: three heartbeats may be lost.
--- a/crates/sedgepath-emulator/src/setup.rs
+++ b/crates/sedgepath-emulator/src/setup.rs
@@ -104,7 +104,7 @@
         heartbeat_interval_ms: HEARTBEAT_MS,
         max_heartbeats_per_s: 130,
         max_silence_ms: 5_500,
-        forgotten_after_ms: 20_000,
+        forget_after_ms: 20_000,
     };
     Steering::new(place, Limits { budget: BUDGET }, Vms::new(own, timing))
 }
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -58,7 +58,7 @@
     heartbeat_interval_ms: HEARTBEAT_MS,
     max_heartbeats_per_s: 100,
     max_silence_ms: 5_500,
-    forgotten_after_ms: 20_000,
+    forget_after_ms: 20_000,
 };
 
 /// Returns a VM's view of the others, in which it stands alone.
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -163,7 +163,7 @@
         heartbeat_interval_ms: HEARTBEAT_MS,
         max_heartbeats_per_s: HEARTBEATS_PER_S,
         max_silence_ms: settings.bounds.settled_after_ms + NAMED_SILENT_MS,
-        forgotten_after_ms: FORGOTTEN_AFTER_MS,
+        forget_after_ms: FORGOTTEN_AFTER_MS,
     };
     let mut vms = Vms::new(own, timing);
     for seed in &settings.seeds {
