--- a/crates/sedgepath-core/src/direct/vms/readers.rs
+++ b/crates/sedgepath-core/src/direct/vms/readers.rs
@@ -78,7 +78,7 @@
     /// The store may turn away just those that follow it. While none of the region has an answer, the
     /// others try in turn, the next one each [`STEP_IN_MS`]; all at once, or each for as long as the
     /// store is away, would be a load that keeps it down.
-    pub fn reads_store(&mut self, now_ms: u64) -> bool {
+    pub fn should_read_store(&mut self, now_ms: u64) -> bool {
         let region = self.region(now_ms);
         let readers = MIN_READERS.div_ceil(1 + region.others.len());
         let before = region.before((&self.own.descriptor.domain, self.own.descriptor.peer_address));
--- a/crates/sedgepath-core/tests/direct_vms.rs
+++ b/crates/sedgepath-core/tests/direct_vms.rs
@@ -85,7 +85,7 @@
 #[test]
 fn the_first_vms_of_a_region_follow_the_store() {
     let mut first = five();
-    assert!(first.reads_store(100));
+    assert!(first.should_read_store(100));
 
     let mut third = vms("b1", "north-b", 3);
     let mut readers = others();
@@ -94,7 +94,7 @@
         third.record_heartbeat(peer, 0);
     }
     third.record_heartbeat(heartbeat("a1", "north-a", 1), 0);
-    assert!(!third.reads_store(100), "a third VM of the region follows the store");
+    assert!(!third.should_read_store(100), "a third VM of the region follows the store");
 }
 
 /// The store turns away just the VMs that follow it, and they say so. Others must step in, or nobody
@@ -107,7 +107,7 @@
     }
     third.record_heartbeat(heartbeat("c1", "south-a", 4), 0);
 
-    assert!(third.reads_store(100), "the next VM waits although no reader has an answer");
+    assert!(third.should_read_store(100), "the next VM waits although no reader has an answer");
 }
 
 /// The VMs that follow the store are suspended, all at the same moment, just as an upstream leaves. It
@@ -122,9 +122,9 @@
     }
     third.record_heartbeat(heartbeat("c1", "south-a", 4), 10_000);
 
-    assert!(!third.reads_store(10_500), "it reads beside those that do");
+    assert!(!third.should_read_store(10_500), "it reads beside those that do");
     assert!(
-        third.reads_store(11_500),
+        third.should_read_store(11_500),
         "nobody reads the store 1.5 s after its readers fell silent"
     );
 }
@@ -136,7 +136,7 @@
     for peer in others() {
         last.record_heartbeat(peer, 0);
     }
-    assert!(last.reads_store(10_000));
+    assert!(last.should_read_store(10_000));
 }
 
 /// Two hundred VMs would each send four hundred heartbeats a second. They send fewer and say so, so
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -87,7 +87,7 @@
         }
         let now_ms = NOW_MS + later_ms;
         prop_assert!(!vm.look_up("north-a", "north", now_ms).is_empty());
-        vm.reads_store(now_ms);
+        vm.should_read_store(now_ms);
         vm.store_health(StoreView::Unknown, now_ms);
         vm.round(Stamp::default(), &mut fastrand::Rng::with_seed(1), now_ms);
     }
@@ -107,7 +107,7 @@
     near.state.store_health = StoreView::Reachable { for_ms: u64::MAX };
     vm.record_heartbeat(near, NOW_MS);
 
-    vm.reads_store(NOW_MS + 1);
+    vm.should_read_store(NOW_MS + 1);
     assert_eq!(vm.serving_vms(NOW_MS + 12_000).len(), 1, "one that says so is named for ever");
     assert!(vm.store_health(StoreView::Unknown, NOW_MS + 1).is_reachable());
     vm.round(Stamp::default(), &mut fastrand::Rng::with_seed(1), NOW_MS + 1);
--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -94,7 +94,7 @@
     let now_ms = clock::now_ms();
     let mut steering = shell.steering.borrow_mut();
     if shell.copies.borrow().get(table).is_complete() {
-        return steering.vms_mut().reads_store(now_ms);
+        return steering.vms_mut().should_read_store(now_ms);
     }
     let waited_ms = now_ms.saturating_sub(started.at_ms);
     shell.looked_for_vms.get() && steering.vms().reads_to_start(waited_ms, started.draw, now_ms)
