--- a/crates/sedgepath-core/src/direct/vms/readers.rs
+++ b/crates/sedgepath-core/src/direct/vms/readers.rs
@@ -99,7 +99,7 @@
     /// All VMs may start at the same moment; then the first of each failure domain reads them for it. The others
     /// wait for a time, and up to twice that by `draw`, a number from 0 to 1 of their own, so that not all read at
     /// once. With few others that is short: the one that would give them the tables may be gone.
-    pub fn reads_to_start(&self, waited_ms: u64, draw: f64, now_ms: u64) -> bool {
+    pub fn should_read_store_at_start(&self, waited_ms: u64, draw: f64, now_ms: u64) -> bool {
         let others = self.known.of_domain(&self.own.descriptor.domain).count() as u64;
         let patience_ms = (others * PATIENCE_PER_VM_MS).min(MAX_PATIENCE_MS) as f64;
         waited_ms as f64 >= patience_ms * (1.0 + draw) || self.first_of_domain(now_ms)
--- a/crates/sedgepath-core/tests/direct_vms.rs
+++ b/crates/sedgepath-core/tests/direct_vms.rs
@@ -185,8 +185,8 @@
     let mut vm = vms("a2", "north-a", 2);
     vm.add_vm(SocketAddr::from(([10, 0, 0, 1], 7_000)), "north-a", "north", 0);
 
-    assert!(!vm.reads_to_start(0, 1.0, 0), "it doesn't let the other one read");
-    assert!(vm.reads_to_start(100, 1.0, 100), "it waits for one that may be gone");
+    assert!(!vm.should_read_store_at_start(0, 1.0, 0), "it doesn't let the other one read");
+    assert!(vm.should_read_store_at_start(100, 1.0, 100), "it waits for one that may be gone");
 }
 
 /// Guards against all VMs of a large domain reading the store when they start together.
@@ -197,10 +197,10 @@
         let address = SocketAddr::from(([10, 0, 0, number], 7_000));
         vm.add_vm(address, "north-a", "north", 0);
     }
-    assert!(!vm.reads_to_start(500, 0.0, 500));
-    assert!(vm.reads_to_start(1_200, 1.0, 1_200), "it waits for ever");
+    assert!(!vm.should_read_store_at_start(500, 0.0, 500));
+    assert!(vm.should_read_store_at_start(1_200, 1.0, 1_200), "it waits for ever");
 
     let mut first = vms("a0", "north-a", 0);
     first.add_vm(SocketAddr::from(([10, 0, 0, 1], 7_000)), "north-a", "north", 0);
-    assert!(first.reads_to_start(0, 1.0, 0), "the first waits too");
+    assert!(first.should_read_store_at_start(0, 1.0, 0), "the first waits too");
 }
--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -97,7 +97,8 @@
         return steering.vms_mut().should_read_store(now_ms);
     }
     let waited_ms = now_ms.saturating_sub(started.at_ms);
-    shell.looked_for_vms.get() && steering.vms().reads_to_start(waited_ms, started.draw, now_ms)
+    shell.looked_for_vms.get()
+        && steering.vms().should_read_store_at_start(waited_ms, started.draw, now_ms)
 }
 
 /// Returns the pause after a failed call, in milliseconds.
