--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Heartbeat {
     /// All of it.
-    Whole(VmHeartbeat),
+    Full(VmHeartbeat),
     /// What changes, to those that know how to reach it.
     Short(VmState),
 }
@@ -183,7 +183,7 @@
     /// Returns all that this VM says of itself, to those that get its heartbeats.
     pub fn whole_heartbeat(&mut self, stamp: Stamp, now_ms: u64) -> Outgoing {
         let to = self.heartbeat_targets(now_ms);
-        Outgoing { message: PeerMessage::Heartbeat(Heartbeat::Whole(self.heartbeat(stamp))), to }
+        Outgoing { message: PeerMessage::Heartbeat(Heartbeat::Full(self.heartbeat(stamp))), to }
     }
 
     /// Returns the answer to a VM of another failure domain that has made itself known.
@@ -209,7 +209,7 @@
         self.telling.rounds += 1;
         let unplaced = self.known.unplaced().next().is_some();
         let heartbeat = if unplaced || self.telling.rounds % ROUNDS_PER_CARD == 1 {
-            Heartbeat::Whole(self.heartbeat(stamp))
+            Heartbeat::Full(self.heartbeat(stamp))
         } else {
             Heartbeat::Short(self.state(stamp))
         };
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -44,7 +44,7 @@
         digest: 7,
     };
     vec![
-        PeerMessage::Heartbeat(Heartbeat::Whole(whole)),
+        PeerMessage::Heartbeat(Heartbeat::Full(whole)),
         PeerMessage::Summary(summary()),
         PeerMessage::PassedOn(vec![changed, PassedOn { age_ms: 10, news: same }]),
     ]
@@ -52,7 +52,7 @@
 
 fn take(vm: &mut Vms, message: PeerMessage) {
     match message {
-        PeerMessage::Heartbeat(Heartbeat::Whole(heartbeat)) => {
+        PeerMessage::Heartbeat(Heartbeat::Full(heartbeat)) => {
             vm.record_heartbeat(heartbeat, NOW_MS)
         }
         PeerMessage::Heartbeat(Heartbeat::Short(state)) => {
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -335,7 +335,7 @@
             PeerMessage::Heartbeat(Heartbeat::Short(state)) => {
                 table.record_state(address(from), state, now_ms);
             }
-            PeerMessage::Heartbeat(Heartbeat::Whole(heartbeat)) => {
+            PeerMessage::Heartbeat(Heartbeat::Full(heartbeat)) => {
                 let domain = heartbeat.descriptor.domain.clone();
                 table.record_heartbeat(heartbeat, now_ms);
                 if from / self.per_domain != own_domain {
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -116,7 +116,7 @@
     loop {
         let received = shell.peers.recv_from(&mut buffer).await;
         match read(received, &buffer) {
-            Some((_, PeerMessage::Heartbeat(Heartbeat::Whole(heartbeat)))) => {
+            Some((_, PeerMessage::Heartbeat(Heartbeat::Full(heartbeat)))) => {
                 take_heartbeat(&shell, heartbeat).await;
             }
             Some((from, PeerMessage::Heartbeat(Heartbeat::Short(state)))) => {
--- a/crates/sedgepathd/tests/platform/slow_peer.rs
+++ b/crates/sedgepathd/tests/platform/slow_peer.rs
@@ -49,7 +49,7 @@
         let mut heartbeat = heartbeat("slow", "north-a", 1);
         heartbeat.descriptor.peer_address = self.address;
         heartbeat.state.newest_version = [1_000; 2];
-        let message = PeerMessage::Heartbeat(Heartbeat::Whole(heartbeat));
+        let message = PeerMessage::Heartbeat(Heartbeat::Full(heartbeat));
         let bytes = postcard::to_stdvec(&message).expect("a heartbeat");
         // The VM may not listen yet.
         drop(self.socket.send_to(&bytes, vm));
