--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -73,7 +73,7 @@
     /// All of it.
     Full(VmHeartbeat),
     /// What changes, to those that know how to reach it.
-    Short(VmState),
+    StateOnly(VmState),
 }
 
 /// A datagram between VMs.
@@ -211,7 +211,7 @@
         let heartbeat = if unplaced || self.telling.rounds % ROUNDS_PER_CARD == 1 {
             Heartbeat::Full(self.heartbeat(stamp))
         } else {
-            Heartbeat::Short(self.state(stamp))
+            Heartbeat::StateOnly(self.state(stamp))
         };
         Outgoing { message: PeerMessage::Heartbeat(heartbeat), to }
     }
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -55,7 +55,7 @@
         PeerMessage::Heartbeat(Heartbeat::Full(heartbeat)) => {
             vm.record_heartbeat(heartbeat, NOW_MS)
         }
-        PeerMessage::Heartbeat(Heartbeat::Short(state)) => {
+        PeerMessage::Heartbeat(Heartbeat::StateOnly(state)) => {
             vm.record_state(([10, 0, 0, 2], 7_000).into(), state, NOW_MS);
         }
         PeerMessage::Summary(summary) => vm.record_summary(summary, NOW_MS),
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -332,7 +332,7 @@
             return;
         };
         match *message {
-            PeerMessage::Heartbeat(Heartbeat::Short(state)) => {
+            PeerMessage::Heartbeat(Heartbeat::StateOnly(state)) => {
                 table.record_state(address(from), state, now_ms);
             }
             PeerMessage::Heartbeat(Heartbeat::Full(heartbeat)) => {
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -119,7 +119,7 @@
             Some((_, PeerMessage::Heartbeat(Heartbeat::Full(heartbeat)))) => {
                 take_heartbeat(&shell, heartbeat).await;
             }
-            Some((from, PeerMessage::Heartbeat(Heartbeat::Short(state)))) => {
+            Some((from, PeerMessage::Heartbeat(Heartbeat::StateOnly(state)))) => {
                 shell.line_clock.merge(state.stamp);
                 let now_ms = clock::now_ms();
                 if shell.steering.borrow_mut().vms_mut().record_state(from, state, now_ms) {
