--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -84,7 +84,7 @@
     /// What it says of its failure domain.
     Summary(DomainSummary),
     /// What others have told it of theirs.
-    PassedOn(Vec<PassedOn>),
+    RelayedSummary(Vec<PassedOn>),
 }
 
 impl PeerMessage {
@@ -93,7 +93,7 @@
         match self {
             Self::Heartbeat(_) => "heartbeat",
             Self::Summary(_) => "summary",
-            Self::PassedOn(_) => "passed_on",
+            Self::RelayedSummary(_) => "passed_on",
         }
     }
 }
@@ -163,7 +163,7 @@
         let spoken_to = domains.iter().filter(|to| self.speaks_to(&to.domain, now_ms));
         outgoing.extend(spoken_to.map(|to| self.tell(&summary, &to.domain, rng, now_ms)));
         if !passed_on.is_empty() {
-            let message = PeerMessage::PassedOn(passed_on);
+            let message = PeerMessage::RelayedSummary(passed_on);
             outgoing.push(Outgoing { message, to: self.domain_addresses() });
         }
         outgoing
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -46,7 +46,7 @@
     vec![
         PeerMessage::Heartbeat(Heartbeat::Full(whole)),
         PeerMessage::Summary(summary()),
-        PeerMessage::PassedOn(vec![changed, PassedOn { age_ms: 10, news: same }]),
+        PeerMessage::RelayedSummary(vec![changed, PassedOn { age_ms: 10, news: same }]),
     ]
 }
 
@@ -59,7 +59,7 @@
             vm.record_state(([10, 0, 0, 2], 7_000).into(), state, NOW_MS);
         }
         PeerMessage::Summary(summary) => vm.record_summary(summary, NOW_MS),
-        PeerMessage::PassedOn(summaries) => {
+        PeerMessage::RelayedSummary(summaries) => {
             for passed_on in summaries {
                 vm.record_relayed_summary(passed_on, NOW_MS);
             }
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -343,7 +343,7 @@
                 }
             }
             PeerMessage::Summary(summary) => table.record_summary(summary, now_ms),
-            PeerMessage::PassedOn(summaries) => {
+            PeerMessage::RelayedSummary(summaries) => {
                 for passed_on in summaries {
                     table.record_relayed_summary(passed_on, now_ms);
                 }
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -66,9 +66,9 @@
 async fn send(shell: &Shell, outgoing: Vec<Outgoing>) {
     for Outgoing { message, to } in outgoing {
         match message {
-            PeerMessage::PassedOn(summaries) => {
+            PeerMessage::RelayedSummary(summaries) => {
                 for part in parts(summaries) {
-                    send_to_all(shell, &PeerMessage::PassedOn(part), &to).await;
+                    send_to_all(shell, &PeerMessage::RelayedSummary(part), &to).await;
                 }
             }
             message => send_to_all(shell, &message, &to).await,
@@ -131,7 +131,7 @@
                 fetch::catch_up(&shell, summary.changed_at, summary.sender());
                 shell.steering.borrow_mut().vms_mut().record_summary(summary, clock::now_ms());
             }
-            Some((_, PeerMessage::PassedOn(summaries))) => {
+            Some((_, PeerMessage::RelayedSummary(summaries))) => {
                 let mut steering = shell.steering.borrow_mut();
                 for passed_on in summaries {
                     steering.vms_mut().record_relayed_summary(passed_on, clock::now_ms());
