--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -150,7 +150,7 @@
 
 impl Vms {
     /// Returns what this VM sends now, as it does each period.
-    pub fn round(&mut self, stamp: Stamp, rng: &mut Rng, now_ms: u64) -> Vec<Outgoing> {
+    pub fn periodic_messages(&mut self, stamp: Stamp, rng: &mut Rng, now_ms: u64) -> Vec<Outgoing> {
         let mut outgoing = vec![self.heartbeat_of_round(stamp, now_ms)];
         let passed_on = self.passed_on(rng, now_ms);
         let summary = self.summary(stamp, now_ms);
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -89,7 +89,7 @@
         prop_assert!(!vm.look_up("north-a", "north", now_ms).is_empty());
         vm.should_read_store(now_ms);
         vm.store_health(StoreView::Unknown, now_ms);
-        vm.round(Stamp::default(), &mut fastrand::Rng::with_seed(1), now_ms);
+        vm.periodic_messages(Stamp::default(), &mut fastrand::Rng::with_seed(1), now_ms);
     }
 }
 
@@ -110,5 +110,5 @@
     vm.should_read_store(NOW_MS + 1);
     assert_eq!(vm.serving_vms(NOW_MS + 12_000).len(), 1, "one that says so is named for ever");
     assert!(vm.store_health(StoreView::Unknown, NOW_MS + 1).is_reachable());
-    vm.round(Stamp::default(), &mut fastrand::Rng::with_seed(1), NOW_MS + 1);
+    vm.periodic_messages(Stamp::default(), &mut fastrand::Rng::with_seed(1), NOW_MS + 1);
 }
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -287,7 +287,7 @@
         let Some(table) = &mut self.vms[vm].table else {
             return;
         };
-        let round = table.round(stamp, &mut rng, now_ms);
+        let round = table.periodic_messages(stamp, &mut rng, now_ms);
         let period_ms = table.period_ms();
         for Outgoing { message, to } in round {
             for to in to {
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -31,7 +31,7 @@
 pub async fn send_round(shell: &Shell) {
     let (stamp, now_ms) = note_own_state(shell);
     let mut rng = fastrand::Rng::new();
-    let round = shell.steering.borrow_mut().vms_mut().round(stamp, &mut rng, now_ms);
+    let round = shell.steering.borrow_mut().vms_mut().periodic_messages(stamp, &mut rng, now_ms);
     send(shell, round).await;
 }
 
