--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -171,7 +171,7 @@
 
     /// Returns what this VM sends at once when its copies of the store's tables have changed: to its own
     /// failure domain, and to the others of its region, whoever speaks for it.
-    pub fn announce(&mut self, stamp: Stamp, rng: &mut Rng, now_ms: u64) -> Vec<Outgoing> {
+    pub fn change_messages(&mut self, stamp: Stamp, rng: &mut Rng, now_ms: u64) -> Vec<Outgoing> {
         let mut outgoing = vec![self.whole_heartbeat(stamp, now_ms)];
         let summary = self.summary(stamp, now_ms);
         let domains = self.other_domains();
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -39,7 +39,7 @@
 pub async fn announce(shell: &Shell) {
     let (stamp, now_ms) = note_own_state(shell);
     let mut rng = fastrand::Rng::new();
-    let round = shell.steering.borrow_mut().vms_mut().announce(stamp, &mut rng, now_ms);
+    let round = shell.steering.borrow_mut().vms_mut().change_messages(stamp, &mut rng, now_ms);
     send(shell, round).await;
 }
 
