--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -172,7 +172,7 @@
     /// Returns what this VM sends at once when its copies of the store's tables have changed: to its own
     /// failure domain, and to the others of its region, whoever speaks for it.
     pub fn change_messages(&mut self, stamp: Stamp, rng: &mut Rng, now_ms: u64) -> Vec<Outgoing> {
-        let mut outgoing = vec![self.whole_heartbeat(stamp, now_ms)];
+        let mut outgoing = vec![self.full_heartbeat(stamp, now_ms)];
         let summary = self.summary(stamp, now_ms);
         let domains = self.other_domains();
         let near = domains.iter().filter(|to| to.region == self.own.descriptor.region);
@@ -181,7 +181,7 @@
     }
 
     /// Returns all that this VM says of itself, to those that get its heartbeats.
-    pub fn whole_heartbeat(&mut self, stamp: Stamp, now_ms: u64) -> Outgoing {
+    pub fn full_heartbeat(&mut self, stamp: Stamp, now_ms: u64) -> Outgoing {
         let to = self.heartbeat_targets(now_ms);
         Outgoing { message: PeerMessage::Heartbeat(Heartbeat::Full(self.heartbeat(stamp))), to }
     }
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -46,7 +46,7 @@
 /// Sends a heartbeat to the VMs of the own failure domain.
 pub async fn send_heartbeat(shell: &Shell) {
     let (stamp, now_ms) = note_own_state(shell);
-    let heartbeat = shell.steering.borrow_mut().vms_mut().whole_heartbeat(stamp, now_ms);
+    let heartbeat = shell.steering.borrow_mut().vms_mut().full_heartbeat(stamp, now_ms);
     send(shell, vec![heartbeat]).await;
 }
 
