--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -187,7 +187,13 @@
     }
 
     /// Returns the answer to a VM of another failure domain that has made itself known.
-    pub fn welcome(&self, domain: &str, stamp: Stamp, rng: &mut Rng, now_ms: u64) -> PeerMessage {
+    pub fn join_reply(
+        &self,
+        domain: &str,
+        stamp: Stamp,
+        rng: &mut Rng,
+        now_ms: u64,
+    ) -> PeerMessage {
         let mut summary = self.summary(stamp, now_ms);
         summary.yours = self.named_to(domain, YOURS_AT_START, rng);
         PeerMessage::Summary(summary)
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -339,7 +339,7 @@
                 let domain = heartbeat.descriptor.domain.clone();
                 table.record_heartbeat(heartbeat, now_ms);
                 if from / self.per_domain != own_domain {
-                    welcome = Some(table.welcome(&domain, stamp, &mut rng, now_ms));
+                    welcome = Some(table.join_reply(&domain, stamp, &mut rng, now_ms));
                 }
             }
             PeerMessage::Summary(summary) => table.record_summary(summary, now_ms),
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -164,7 +164,7 @@
         elsewhere.then(|| {
             let mut rng = fastrand::Rng::new();
             let stamp = shell.line_clock.tick();
-            (address, steering.vms().welcome(&domain, stamp, &mut rng, now_ms))
+            (address, steering.vms().join_reply(&domain, stamp, &mut rng, now_ms))
         })
     };
     if let Some((address, welcome)) = welcome {
