--- a/crates/sedgepath-core/src/ingress/places.rs
+++ b/crates/sedgepath-core/src/ingress/places.rs
@@ -131,7 +131,7 @@
     ) -> Option<Owner> {
         let service = pending.service();
         let owners = self.owners.entry((domain, service));
-        let owners = owners.or_insert_with(|| means.view.owners_in(domain, service).into());
+        let owners = owners.or_insert_with(|| means.view.upstream_owners(domain, service).into());
         let mut untried: Vec<_> =
             owners.iter().filter(|owner| !pending.has_tried(owner.vm)).copied().collect();
         // An owner whose upstreams all leave or fail reports no slots, and nothing in flight. Taken for
--- a/crates/sedgepath-core/src/view.rs
+++ b/crates/sedgepath-core/src/view.rs
@@ -113,7 +113,7 @@
     /// owners, and where a member can't be told dead from cut off, all that use their parts.
     ///
     /// Where none has told of any, those that own upstreams by the members known here are returned.
-    pub fn owners_in(&self, domain: DomainKey, service: ServiceKey) -> Vec<Owner> {
+    pub fn upstream_owners(&self, domain: DomainKey, service: ServiceKey) -> Vec<Owner> {
         let serving = self.serving_in(domain);
         let told: Vec<_> = serving.iter().filter_map(|vm| self.told_owner(*vm, service)).collect();
         if told.is_empty() { self.presumed_owners(domain, service, &serving) } else { told }
