--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -174,7 +174,7 @@
     }
 
     /// Returns the members of a failure domain that serve, in the order of their keys.
-    pub fn serving_in(&self, domain: DomainKey) -> Vec<VmKey> {
+    pub fn serving_vms_in(&self, domain: DomainKey) -> Vec<VmKey> {
         serving_among(&self.alive_in(domain))
     }
 
@@ -429,7 +429,7 @@
     /// Whether this node is the one that tells a new member of all others.
     fn introduces(&self, newcomer: VmKey, out: &Outbox) -> bool {
         let identity = out.identity();
-        let mut candidates = self.serving_in(identity.card.domain);
+        let mut candidates = self.serving_vms_in(identity.card.domain);
         candidates.retain(|vm| *vm != newcomer);
         candidates.push(identity.vm);
         rendezvous::owner(newcomer.0, &candidates) == Some(identity.vm)
--- a/crates/sedgepath-core/src/membership/relay.rs
+++ b/crates/sedgepath-core/src/membership/relay.rs
@@ -128,7 +128,7 @@
     /// Returns the number of this node's turn as a relay to a failure domain, if it has one now.
     fn turn(&self, domain: DomainKey, out: &Outbox) -> Option<u64> {
         let identity = out.identity();
-        let mut candidates = self.serving_in(identity.card.domain);
+        let mut candidates = self.serving_vms_in(identity.card.domain);
         if !identity.card.leaving || candidates.is_empty() {
             candidates.push(identity.vm);
         }
@@ -142,7 +142,7 @@
     ///
     /// With no live member known, everything that was ever heard or is listed is tried in turn.
     fn receiver(&self, domain: DomainKey, turn: u64, out: &Outbox) -> Option<SocketAddr> {
-        let live = first_ranked(out.identity().card.domain, self.serving_in(domain));
+        let live = first_ranked(out.identity().card.domain, self.serving_vms_in(domain));
         let mut addresses: Vec<_> = live
             .iter()
             .filter_map(|vm| self.members.get(vm))
--- a/crates/sedgepath-core/src/view.rs
+++ b/crates/sedgepath-core/src/view.rs
@@ -58,7 +58,7 @@
     }
 
     fn candidate(&self, service: ServiceKey, domain: DomainKey, share: f64) -> Candidate {
-        let serving = self.serving_in(domain);
+        let serving = self.serving_vms_in(domain);
         let mut candidate = Candidate {
             domain,
             share,
@@ -114,7 +114,7 @@
     ///
     /// Where none has told of any, those that own upstreams by the members known here are returned.
     pub fn upstream_owners(&self, domain: DomainKey, service: ServiceKey) -> Vec<Owner> {
-        let serving = self.serving_in(domain);
+        let serving = self.serving_vms_in(domain);
         let told: Vec<_> = serving.iter().filter_map(|vm| self.told_owner(*vm, service)).collect();
         if told.is_empty() { self.presumed_owners(domain, service, &serving) } else { told }
     }
@@ -145,7 +145,7 @@
     }
 
     /// Returns the VMs that serve in a failure domain, this node among them.
-    pub fn serving_in(&self, domain: DomainKey) -> Vec<VmKey> {
+    pub fn serving_vms_in(&self, domain: DomainKey) -> Vec<VmKey> {
         let mut alive = self.membership.alive_in(domain);
         if self.identity.card.domain == domain {
             alive.push((self.identity.vm, self.identity.card.leaving));
