--- a/crates/sedgepath-core/src/explain.rs
+++ b/crates/sedgepath-core/src/explain.rs
@@ -143,7 +143,7 @@
     }
 
     fn entrance(&self, service: ServiceKey, class: Option<Class>) -> Entrance {
-        if !self.ready {
+        if !self.configuration_ready {
             return Entrance::NotReady;
         }
         if self.catalogue.refused.contains(&service) {
--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -266,7 +266,7 @@
     head: &RequestHead,
     view: &View<'a>,
 ) -> Result<(&'a ServiceEntry, Class), Denied> {
-    if !view.ready {
+    if !view.configuration_ready {
         return Err(Denied::NotRun(Reason::NotReady));
     }
     if view.catalogue.refused.contains(&service) || head.revision_seen > view.revision {
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -36,7 +36,8 @@
                 identity: &$identity,
                 catalogue: $node.configuration.catalogue(),
                 revision: $node.configuration.revision(),
-                ready: $node.configuration.ready() && !$node.stop.refuses($node.out.now_ms()),
+                configuration_ready: $node.configuration.ready()
+                    && !$node.stop.refuses($node.out.now_ms()),
                 membership: &$node.membership,
                 own_loads: &$node.own_loads,
             },
--- a/crates/sedgepath-core/src/view.rs
+++ b/crates/sedgepath-core/src/view.rs
@@ -35,7 +35,7 @@
     /// Its revision; 0 before there is one.
     pub revision: u64,
     /// Whether the node may serve by it.
-    pub ready: bool,
+    pub configuration_ready: bool,
     /// The other members.
     pub membership: &'a Membership,
     /// The load of the upstreams that this node owns.
