--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -144,7 +144,7 @@
     /// Gives up attempts whose owner has gone silent and requests whose deadline has passed.
     pub fn tick(&mut self, means: Means<'_>, out: &mut Outbox) -> Vec<Conclusion> {
         let now_ms = means.view.now_ms;
-        self.look_ups.refresh(&means.view);
+        self.look_ups.drop_stale_lists(&means.view);
         self.places.tick(&means, out);
         let mut due: Vec<_> = self
             .pending
--- a/crates/sedgepath-core/src/look_up.rs
+++ b/crates/sedgepath-core/src/look_up.rs
@@ -36,7 +36,7 @@
 
 impl LookUps {
     /// Drops the lists if the members that serve, or the configuration, have changed.
-    pub fn refresh(&mut self, view: &View<'_>) {
+    pub fn drop_stale_lists(&mut self, view: &View<'_>) {
         let fingerprint = fingerprint(view);
         if fingerprint != self.fingerprint {
             self.fingerprint = fingerprint;
