--- a/crates/sedgepath-core/src/lease/roster.rs
+++ b/crates/sedgepath-core/src/lease/roster.rs
@@ -71,7 +71,8 @@
     /// Takes in the members of the own failure domain that are known.
     pub fn take_members(&mut self, members: &[(VmKey, &Member)], established: bool, now_ms: u64) {
         for (vm, member) in members {
-            if self.left.get(vm).is_some_and(|heard_at_ms| member.heard_at_ms <= *heard_at_ms) {
+            if self.left.get(vm).is_some_and(|heard_at_ms| member.last_heard_at_ms <= *heard_at_ms)
+            {
                 continue;
             }
             self.left.remove(vm);
@@ -79,7 +80,7 @@
             entry.newcomer &= entry.boot.is_none_or(|boot| boot == member.boot);
             entry.boot = Some(member.boot);
             entry.leaving = member.card.leaving;
-            entry.heard_at_ms = entry.heard_at_ms.max(member.heard_at_ms);
+            entry.heard_at_ms = entry.heard_at_ms.max(member.last_heard_at_ms);
         }
     }
 
--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -42,7 +42,7 @@
 //! - What is heard directly counts more than what is heard from others, and a live heartbeat more
 //!   than the platform's list: the list adds addresses to ping and allows that a silent member is
 //!   forgotten, nothing else.
-//! - [`Member::heard_at_ms`] is never later than the member's last sign of life by more than the
+//! - [`Member::last_heard_at_ms`] is never later than the member's last sign of life by more than the
 //!   transit of the datagrams that carried it: an age is measured where the sign arrived and carried
 //!   along. Hearsay of hearsay can't keep a dead member alive, since ages only grow.
 //!   The transit includes the time that a datagram waits while its receiver is paused.
@@ -88,7 +88,7 @@
     pub loads: Vec<ServiceLoad>,
     /// When it gave its last sign of life, in milliseconds by this node's clock. For a member that
     /// a relay told of, this is the arrival of the summary less the age that it gave.
-    pub heard_at_ms: u64,
+    pub last_heard_at_ms: u64,
     /// Whether it has been silent for too long.
     pub suspect: bool,
 }
@@ -342,12 +342,12 @@
             Some(member) if member.boot == sighting.boot => {
                 // A boot that has begun to leave never takes it back, so the word may be old.
                 member.card.leaving |= sighting.leaving;
-                if sighting.heard_at_ms >= member.heard_at_ms {
-                    member.heard_at_ms = sighting.heard_at_ms;
+                if sighting.heard_at_ms >= member.last_heard_at_ms {
+                    member.last_heard_at_ms = sighting.heard_at_ms;
                     member.revision = member.revision.max(sighting.revision);
                     member.loads = sighting.loads;
                 }
-                let silent_ms = out.now_ms().saturating_sub(member.heard_at_ms);
+                let silent_ms = out.now_ms().saturating_sub(member.last_heard_at_ms);
                 if member.suspect && silent_ms < self.settings.suspect_after_ms {
                     member.suspect = false;
                     log_alive(member, out);
@@ -366,7 +366,7 @@
                     card,
                     revision: sighting.revision,
                     loads: sighting.loads,
-                    heard_at_ms: sighting.heard_at_ms,
+                    last_heard_at_ms: sighting.heard_at_ms,
                     suspect: false,
                 };
                 log_alive(&member, out);
@@ -392,7 +392,7 @@
         let silent: Vec<VmKey> = self
             .members_with(|member| {
                 let after_ms = self.suspect_after_ms(member, own_domain);
-                !member.suspect && member.heard_at_ms + after_ms <= out.now_ms()
+                !member.suspect && member.last_heard_at_ms + after_ms <= out.now_ms()
             })
             .into_iter()
             .map(|(vm, _)| vm)
@@ -412,7 +412,7 @@
         }
         let silent_since_ms = out.now_ms().saturating_sub(self.settings.forget_after_ms);
         let gone: Vec<VmKey> = self
-            .members_with(|member| member.heard_at_ms <= silent_since_ms)
+            .members_with(|member| member.last_heard_at_ms <= silent_since_ms)
             .into_iter()
             .map(|(vm, _)| vm)
             .filter(|vm| self.listed_keys.iter().all(|listed| listed.vm != *vm))
--- a/crates/sedgepath-core/src/membership/heartbeat.rs
+++ b/crates/sedgepath-core/src/membership/heartbeat.rs
@@ -220,7 +220,7 @@
         let silent_after_ms = self.settings.suspect_after_ms / 2;
         let members = self.members_in(domain);
         for (vm, member) in &members {
-            let silent = member.heard_at_ms + silent_after_ms <= out.now_ms();
+            let silent = member.last_heard_at_ms + silent_after_ms <= out.now_ms();
             if silent && !member.suspect {
                 let others = members.iter().filter(|(other, entry)| other != vm && entry.serves());
                 let others =
--- a/crates/sedgepath-core/src/membership/relay.rs
+++ b/crates/sedgepath-core/src/membership/relay.rs
@@ -180,7 +180,7 @@
         SummaryLine {
             vm,
             boot: member.boot,
-            age_ms: out.now_ms().saturating_sub(member.heard_at_ms),
+            age_ms: out.now_ms().saturating_sub(member.last_heard_at_ms),
             revision: member.revision,
             leaving: member.card.leaving,
             loads: member.loads.clone(),
--- a/crates/sedgepath-core/src/view.rs
+++ b/crates/sedgepath-core/src/view.rs
@@ -104,7 +104,7 @@
             (self.own_loads, 0)
         } else {
             let member = self.membership.member(vm)?;
-            (member.loads.as_slice(), self.now_ms.saturating_sub(member.heard_at_ms))
+            (member.loads.as_slice(), self.now_ms.saturating_sub(member.last_heard_at_ms))
         };
         Some((*loads.iter().find(|load| load.service == service)?, age_ms))
     }
--- a/crates/sedgepath-core/tests/membership.rs
+++ b/crates/sedgepath-core/tests/membership.rs
@@ -81,7 +81,10 @@
         for node in 1..9 {
             let members = bed.node(node).expect("running").membership();
             let dead = members.member(VmKey::of("d0-0")).expect("still known");
-            assert!(dead.heard_at_ms <= died_at_ms + 5, "node {node} heard it after its death");
+            assert!(
+                dead.last_heard_at_ms <= died_at_ms + 5,
+                "node {node} heard it after its death"
+            );
         }
     }
     for node in 1..9 {
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -156,7 +156,7 @@
         name: member.card.name.clone(),
         operators: member.card.operators,
         revision: member.revision,
-        silent_ms: now_ms.saturating_sub(member.heard_at_ms),
+        silent_ms: now_ms.saturating_sub(member.last_heard_at_ms),
         suspect: member.suspect,
         leaving: member.card.leaving,
     });
