--- a/crates/sedgepath-core/examples/control_slopes.rs
+++ b/crates/sedgepath-core/examples/control_slopes.rs
@@ -194,7 +194,7 @@
     let leaving = |member: Option<&Member>| member.is_none_or(|member| member.card.leaving);
     print_spread(&spread(&mut bed, "vm-0-0", &domain, leaving));
     bed.kill(1);
-    let silent = |member: Option<&Member>| member.is_none_or(|member| member.suspect);
+    let silent = |member: Option<&Member>| member.is_none_or(|member| member.suspected);
     print_spread(&spread(&mut bed, "vm-0-1", &domain, silent));
     println!();
 }
--- a/crates/sedgepath-core/src/ingress/pending.rs
+++ b/crates/sedgepath-core/src/ingress/pending.rs
@@ -220,5 +220,5 @@
 }
 
 fn is_silent(vm: VmKey, view: &View<'_>) -> bool {
-    vm != view.identity.vm && view.membership.member(vm).is_none_or(|member| member.suspect)
+    vm != view.identity.vm && view.membership.member(vm).is_none_or(|member| member.suspected)
 }
--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -90,13 +90,13 @@
     /// a relay told of, this is the arrival of the summary less the age that it gave.
     pub last_heard_at_ms: u64,
     /// Whether it has been silent for too long.
-    pub suspect: bool,
+    pub suspected: bool,
 }
 
 impl Member {
     /// Whether new work may be sent to it.
     pub fn serves(&self) -> bool {
-        !self.suspect && !self.card.leaving
+        !self.suspected && !self.card.leaving
     }
 }
 
@@ -169,7 +169,7 @@
     /// Returns the members of a failure domain that are not suspected, in the order of their keys,
     /// each with whether it is leaving.
     pub fn alive_in(&self, domain: DomainKey) -> Vec<(VmKey, bool)> {
-        let members = self.members_in(domain).into_iter().filter(|(_, member)| !member.suspect);
+        let members = self.members_in(domain).into_iter().filter(|(_, member)| !member.suspected);
         members.map(|(vm, member)| (vm, member.card.leaving)).collect()
     }
 
@@ -317,7 +317,7 @@
         if summary.pass_on {
             let own_domain = out.identity().card.domain;
             for (_, member) in self.members_in(own_domain) {
-                if !member.suspect {
+                if !member.suspected {
                     relay::pass_on(member.card.peer_address, summary, out);
                 }
             }
@@ -348,12 +348,12 @@
                     member.loads = sighting.loads;
                 }
                 let silent_ms = out.now_ms().saturating_sub(member.last_heard_at_ms);
-                if member.suspect && silent_ms < self.settings.suspect_after_ms {
-                    member.suspect = false;
+                if member.suspected && silent_ms < self.settings.suspect_after_ms {
+                    member.suspected = false;
                     log_alive(member, out);
                 }
             }
-            Some(member) if sighting.boot < member.boot && !member.suspect => {}
+            Some(member) if sighting.boot < member.boot && !member.suspected => {}
             // A member that has been forgotten is not brought back by those that still remember it.
             None if sighting.heard_at_ms + self.settings.forget_after_ms <= out.now_ms() => {}
             _ => {
@@ -367,7 +367,7 @@
                     revision: sighting.revision,
                     loads: sighting.loads,
                     last_heard_at_ms: sighting.heard_at_ms,
-                    suspect: false,
+                    suspected: false,
                 };
                 log_alive(&member, out);
                 self.members.insert(sighting.vm, member);
@@ -392,14 +392,14 @@
         let silent: Vec<VmKey> = self
             .members_with(|member| {
                 let after_ms = self.suspect_after_ms(member, own_domain);
-                !member.suspect && member.last_heard_at_ms + after_ms <= out.now_ms()
+                !member.suspected && member.last_heard_at_ms + after_ms <= out.now_ms()
             })
             .into_iter()
             .map(|(vm, _)| vm)
             .collect();
         for vm in silent {
             if let Some(member) = self.members.get_mut(&vm) {
-                member.suspect = true;
+                member.suspected = true;
                 out.log(Topic::Membership, "member_suspect", &[("member", &member.card.name)]);
             }
         }
--- a/crates/sedgepath-core/src/membership/heartbeat.rs
+++ b/crates/sedgepath-core/src/membership/heartbeat.rs
@@ -221,7 +221,7 @@
         let members = self.members_in(domain);
         for (vm, member) in &members {
             let silent = member.last_heard_at_ms + silent_after_ms <= out.now_ms();
-            if silent && !member.suspect {
+            if silent && !member.suspected {
                 let others = members.iter().filter(|(other, entry)| other != vm && entry.serves());
                 let others =
                     others.map(|(other, entry)| (*other, entry.card.peer_address)).collect();
--- a/crates/sedgepath-core/src/membership/relay.rs
+++ b/crates/sedgepath-core/src/membership/relay.rs
@@ -96,7 +96,7 @@
             return;
         };
         for domain in self.other_domains(out) {
-            let live = self.members_in(domain).into_iter().filter(|(_, member)| !member.suspect);
+            let live = self.members_in(domain).into_iter().filter(|(_, member)| !member.suspected);
             let lines: Vec<_> = live.map(|(vm, _)| self.line(vm, true, out)).collect();
             send_lines(address, domain, false, lines, out);
         }
@@ -163,7 +163,7 @@
     /// Returns the lines of the own failure domain, this node among them.
     fn own_lines(&self, own: OwnState<'_>, with_cards: bool, out: &Outbox) -> Vec<SummaryLine> {
         let domain = out.identity().card.domain;
-        let live = self.members_in(domain).into_iter().filter(|(_, member)| !member.suspect);
+        let live = self.members_in(domain).into_iter().filter(|(_, member)| !member.suspected);
         let mut lines: Vec<_> = live.map(|(vm, _)| self.line(vm, with_cards, out)).collect();
         lines.push(own_line(own, with_cards, out));
         lines.sort_unstable_by_key(|line| rendezvous::rank(u64::from(domain.0), line.vm.0));
--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -68,7 +68,7 @@
     /// The age of its last sign of life, in milliseconds.
     pub silent_ms: u64,
     /// Whether it is suspected to be gone.
-    pub suspect: bool,
+    pub suspected: bool,
     /// Whether it is about to stop.
     pub leaving: bool,
 }
--- a/crates/sedgepath/src/commands/status.rs
+++ b/crates/sedgepath/src/commands/status.rs
@@ -106,7 +106,7 @@
     let behind = members.iter().filter(|member| member.revision < *revision).count();
     writeln!(out, "{} members, {behind} of them behind:", members.len())?;
     for member in members {
-        let state = match (member.suspect, member.leaving) {
+        let state = match (member.suspected, member.leaving) {
             (true, _) => "suspect",
             (false, true) => "leaving",
             (false, false) => "live",
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -157,7 +157,7 @@
         operators: member.card.operators,
         revision: member.revision,
         silent_ms: now_ms.saturating_sub(member.last_heard_at_ms),
-        suspect: member.suspect,
+        suspected: member.suspected,
         leaving: member.card.leaving,
     });
     let unread = node.configuration().catalogue().unread.iter().map(|unread| UnreadStatus {
