--- a/crates/sedgepath-core/src/configuration/spread.rs
+++ b/crates/sedgepath-core/src/configuration/spread.rs
@@ -168,7 +168,7 @@
     out: &mut Outbox,
 ) {
     let domain = out.identity().card.domain;
-    let serving = members.members().into_iter().filter(|(_, member)| member.serves());
+    let serving = members.members().into_iter().filter(|(_, member)| member.accepts_work());
     let (mut near, mut far): (Vec<_>, Vec<_>) = serving
         .map(|(_, member)| (member.card.domain == domain, member.card.peer_address))
         .partition(|(near, _)| *near);
--- a/crates/sedgepath-core/src/deduplication/visitors.rs
+++ b/crates/sedgepath-core/src/deduplication/visitors.rs
@@ -245,7 +245,7 @@
     membership: &Membership,
     own: Option<VmKey>,
 ) -> Vec<VmKey> {
-    let serving = membership.members().into_iter().filter(|(_, member)| member.serves());
+    let serving = membership.members().into_iter().filter(|(_, member)| member.accepts_work());
     let mut ranked: Vec<_> = serving.map(|(vm, _)| vm).chain(own).collect();
     ranked.retain(|vm| *vm != home);
     ranked.sort_unstable_by_key(|vm| std::cmp::Reverse((rendezvous::rank(boot.0, vm.0), vm.0)));
--- a/crates/sedgepath-core/src/explain.rs
+++ b/crates/sedgepath-core/src/explain.rs
@@ -179,7 +179,7 @@
             in_flight: candidate.in_flight,
             declared_slots: candidate.declared_slots,
             report_age_ms: candidate.report_age_ms,
-            serves: candidate.serves,
+            serves: candidate.accepts_work,
             draining: entry.is_some_and(|entry| entry.draining),
             drained_upstreams: self.drained_upstreams(service, candidate.domain),
         }
--- a/crates/sedgepath-core/src/look_up.rs
+++ b/crates/sedgepath-core/src/look_up.rs
@@ -113,7 +113,7 @@
     let members = view.membership.members();
     let others = members
         .iter()
-        .filter(|(_, member)| member.serves())
+        .filter(|(_, member)| member.accepts_work())
         .map(|(vm, member)| (*vm, &member.card));
     own.into_iter()
         .chain(others)
@@ -175,7 +175,7 @@
         .membership
         .members()
         .into_iter()
-        .filter(|(_, member)| member.serves() && member.revision >= revision_seen)
+        .filter(|(_, member)| member.accepts_work() && member.revision >= revision_seen)
         .take(MAX_NAMED)
         .map(|(_, member)| EntryVm {
             name: member.card.name.clone(),
@@ -191,6 +191,6 @@
     let members = view.membership.members();
     members
         .iter()
-        .filter(|(_, member)| member.serves())
+        .filter(|(_, member)| member.accepts_work())
         .fold(own, |sum, (vm, member)| sum.wrapping_add(rank(vm.0, member.boot.0)))
 }
--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -95,7 +95,7 @@
 
 impl Member {
     /// Whether new work may be sent to it.
-    pub fn serves(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         !self.suspected && !self.card.leaving
     }
 }
--- a/crates/sedgepath-core/src/membership/heartbeat.rs
+++ b/crates/sedgepath-core/src/membership/heartbeat.rs
@@ -222,7 +222,8 @@
         for (vm, member) in &members {
             let silent = member.last_heard_at_ms + silent_after_ms <= out.now_ms();
             if silent && !member.suspected {
-                let others = members.iter().filter(|(other, entry)| other != vm && entry.serves());
+                let others =
+                    members.iter().filter(|(other, entry)| other != vm && entry.accepts_work());
                 let others =
                     others.map(|(other, entry)| (*other, entry.card.peer_address)).collect();
                 probe::ask(*vm, others, out);
--- a/crates/sedgepath-core/src/shift/baseline.rs
+++ b/crates/sedgepath-core/src/shift/baseline.rs
@@ -49,7 +49,7 @@
             return;
         }
         let mut peers = view.membership.members();
-        peers.retain(|(_, member)| member.serves() && member.revision >= view.revision);
+        peers.retain(|(_, member)| member.accepts_work() && member.revision >= view.revision);
         let own_domain = view.identity.card.domain;
         peers.sort_by_key(|(_, member)| member.card.domain != own_domain);
         if !peers.is_empty() {
--- a/crates/sedgepath-core/src/steering.rs
+++ b/crates/sedgepath-core/src/steering.rs
@@ -27,7 +27,7 @@
     /// The slots that its upstreams have by their records, but for those with a drain of their own.
     pub declared_slots: u32,
     /// Whether an entry VM of it takes work.
-    pub serves: bool,
+    pub accepts_work: bool,
     /// Whether traffic is to move away from it while it serves on: a drain takes it out of service,
     /// or all entry VMs of it that still take work are about to stop.
     pub leaves: bool,
@@ -38,7 +38,7 @@
 impl Candidate {
     /// Whether a request could be run there at all.
     pub fn is_usable(&self) -> bool {
-        self.serves && self.declared_slots > 0
+        self.accepts_work && self.declared_slots > 0
     }
 
     /// Whether traffic may move there.
@@ -49,7 +49,7 @@
     /// Whether it has failed although no record takes it out of service: none of its entry VMs can
     /// be reached, or its owners can use none of its upstreams.
     pub fn is_lost(&self) -> bool {
-        self.declared_slots > 0 && (!self.serves || (self.reported && self.slots == 0))
+        self.declared_slots > 0 && (!self.accepts_work || (self.reported && self.slots == 0))
     }
 }
 
--- a/crates/sedgepath-core/src/view.rs
+++ b/crates/sedgepath-core/src/view.rs
@@ -70,7 +70,7 @@
                 .upstreams_in(domain, service)
                 .map(|upstream| self.catalogue.upstreams[&upstream].slots)
                 .sum(),
-            serves: !serving.is_empty(),
+            accepts_work: !serving.is_empty(),
             leaves: self.is_drained(domain) || serving.iter().all(|vm| self.is_leaving(*vm)),
             region: self.catalogue.domains.get(&domain).map(|entry| entry.region),
         };
--- a/crates/sedgepath-core/tests/membership.rs
+++ b/crates/sedgepath-core/tests/membership.rs
@@ -32,7 +32,7 @@
     let own = std::iter::once(&node.outbox().identity().card);
     let members = node.membership().members();
     let others =
-        members.iter().filter(|(_, member)| member.serves()).map(|(_, member)| &member.card);
+        members.iter().filter(|(_, member)| member.accepts_work()).map(|(_, member)| &member.card);
     let mut named: Vec<_> =
         own.chain(others).filter(|card| !card.leaving).map(|card| card.name.to_string()).collect();
     named.sort();
--- a/crates/sedgepathd/src/metrics.rs
+++ b/crates/sedgepathd/src/metrics.rs
@@ -118,7 +118,7 @@
     pub fn observe(&self, node: &Node) {
         self.revision.set(node.configuration().revision().cast_signed());
         let serving =
-            node.membership().members().iter().filter(|(_, member)| member.serves()).count();
+            node.membership().members().iter().filter(|(_, member)| member.accepts_work()).count();
         self.members.set((serving as u64).cast_signed());
     }
 
