--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -136,7 +136,7 @@
     members: Map<VmKey, Member>,
     /// The boots that have said farewell, so that hearsay doesn't bring them back.
     departed: Map<VmKey, BootId>,
-    listed: Vec<ListedVm>,
+    listed_vms: Vec<ListedVm>,
     listed_keys: Vec<Listed>,
     heartbeats: Heartbeats,
     relay: Relay,
@@ -149,7 +149,7 @@
             settings,
             members: Map::default(),
             departed: Map::default(),
-            listed: Vec::new(),
+            listed_vms: Vec::new(),
             listed_keys: Vec::new(),
             heartbeats: Heartbeats::default(),
             relay: Relay::default(),
@@ -191,8 +191,8 @@
     }
 
     /// Returns the platform's list of VMs as last read.
-    pub fn listed(&self) -> &[ListedVm] {
-        &self.listed
+    pub fn listed_vms(&self) -> &[ListedVm] {
+        &self.listed_vms
     }
 
     /// Takes in the platform's list of VMs.
@@ -203,13 +203,13 @@
             peers: entry.peer_address,
         });
         self.listed_keys = keys.collect();
-        self.listed = listed;
+        self.listed_vms = listed;
     }
 
     /// Takes in a peer's copy of the platform's list, if this node has not read the list itself;
     /// returns false if it has.
     pub fn take_list_of_peer(&mut self, listed: &[ListedVm]) -> bool {
-        let unread = self.listed.is_empty();
+        let unread = self.listed_vms.is_empty();
         if unread {
             self.take_list(listed.to_vec());
         }
@@ -407,7 +407,7 @@
 
     /// Forgets members that have been silent for long and that the platform no longer lists.
     fn forget_gone(&mut self, out: &mut Outbox) {
-        if self.listed.is_empty() {
+        if self.listed_vms.is_empty() {
             return;
         }
         let silent_since_ms = out.now_ms().saturating_sub(self.settings.forget_after_ms);
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -98,7 +98,7 @@
     pub fn page(&self, after: &Position) -> Page {
         let mut page = self.configuration.page(after);
         if after.is_first() {
-            page.listed = self.membership.listed().to_vec();
+            page.listed = self.membership.listed_vms().to_vec();
         }
         page
     }
