--- a/crates/sedgepath-core/src/lease.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -195,7 +195,7 @@
     }
 
     /// Takes in the platform's list of VMs.
-    pub fn take_list(&mut self, listed: &[ListedVm], now_ms: u64) {
+    pub fn apply_vm_list(&mut self, listed: &[ListedVm], now_ms: u64) {
         let here = listed.iter().filter(|vm| DomainKey::of(&vm.domain) == self.domain);
         let others: Vec<_> =
             here.map(|vm| VmKey::of(&vm.name)).filter(|vm| *vm != self.own).collect();
--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -196,7 +196,7 @@
     }
 
     /// Takes in the platform's list of VMs.
-    pub fn take_list(&mut self, listed: Vec<ListedVm>) {
+    pub fn apply_vm_list(&mut self, listed: Vec<ListedVm>) {
         let keys = listed.iter().map(|entry| Listed {
             vm: VmKey::of(&entry.name),
             domain: DomainKey::of(&entry.domain),
@@ -211,7 +211,7 @@
     pub fn take_list_of_peer(&mut self, listed: &[ListedVm]) -> bool {
         let unread = self.listed_vms.is_empty();
         if unread {
-            self.take_list(listed.to_vec());
+            self.apply_vm_list(listed.to_vec());
         }
         unread
     }
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -169,7 +169,7 @@
                 if let Some(page) = page.as_ref().filter(|page| !page.listed.is_empty())
                     && self.membership.take_list_of_peer(&page.listed)
                 {
-                    self.right.take_list(&page.listed, now_ms);
+                    self.right.apply_vm_list(&page.listed, now_ms);
                 }
                 self.configuration.fetched(operation, page, &mut self.out);
             }
@@ -310,8 +310,8 @@
         let is_upstream =
             |vm: &ListedVm| catalogue.upstreams.contains_key(&UpstreamKey::of(&vm.name));
         let (upstreams, vms): (Vec<_>, Vec<_>) = listed.into_iter().partition(is_upstream);
-        self.right.take_list(&vms, self.out.now_ms());
-        self.membership.take_list(vms);
+        self.right.apply_vm_list(&vms, self.out.now_ms());
+        self.membership.apply_vm_list(vms);
         for vm in upstreams.into_iter().filter(|vm| vm.leaving) {
             let upstream = UpstreamKey::of(&vm.name);
             self.admit(|egress, scope, out| egress.mark_leaving(upstream, scope, out));
