--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -208,7 +208,7 @@
 
     /// Takes in a peer's copy of the platform's list, if this node has not read the list itself;
     /// returns false if it has.
-    pub fn take_list_of_peer(&mut self, listed: &[ListedVm]) -> bool {
+    pub fn apply_peer_vm_list(&mut self, listed: &[ListedVm]) -> bool {
         let unread = self.listed_vms.is_empty();
         if unread {
             self.apply_vm_list(listed.to_vec());
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -167,7 +167,7 @@
             Event::VmList(listed) => self.vm_list(listed),
             Event::Fetched { operation, page } => {
                 if let Some(page) = page.as_ref().filter(|page| !page.listed.is_empty())
-                    && self.membership.take_list_of_peer(&page.listed)
+                    && self.membership.apply_peer_vm_list(&page.listed)
                 {
                     self.right.apply_vm_list(&page.listed, now_ms);
                 }
