--- a/crates/sedgepath-core/src/lease.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -204,7 +204,7 @@
     }
 
     /// Takes in a heartbeat of a member of the own failure domain.
-    pub fn take_heartbeat(&mut self, envelope: &Envelope, heartbeat: &Heartbeat) {
+    pub fn handle_heartbeat(&mut self, envelope: &Envelope, heartbeat: &Heartbeat) {
         if heartbeat.claim == Claim::Released {
             self.promises.release(Holder { vm: envelope.from, boot: envelope.boot });
         }
--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -218,7 +218,7 @@
 
     /// Takes in a heartbeat of a member of the own failure domain; returns false if it is out of
     /// date because a later one has arrived before.
-    pub fn take_heartbeat(
+    pub fn handle_heartbeat(
         &mut self,
         envelope: &Envelope,
         heartbeat: &Heartbeat,
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -403,8 +403,8 @@
     fn heartbeat(&mut self, envelope: &Envelope, heartbeat: &Heartbeat) {
         let boot = |node: &Self| node.membership.member(envelope.from).map(|known| known.boot);
         let known = boot(self);
-        if self.membership.take_heartbeat(envelope, heartbeat, &mut self.out) {
-            self.right.take_heartbeat(envelope, heartbeat);
+        if self.membership.handle_heartbeat(envelope, heartbeat, &mut self.out) {
+            self.right.handle_heartbeat(envelope, heartbeat);
             let (named, own) = (heartbeat.roster, self.right.roster_digest());
             self.membership.compare_rosters(envelope.from, named, own, &mut self.out);
         }
