--- a/crates/sedgepath-core/src/lease.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -223,7 +223,7 @@
     }
 
     /// Takes in that a boot has ended its work for good.
-    pub fn take_farewell(&mut self, vm: VmKey, boot: BootId) {
+    pub fn handle_boot_ended(&mut self, vm: VmKey, boot: BootId) {
         self.roster.remove(vm);
         self.promises.release(Holder { vm, boot });
         self.grants.remove(&vm);
--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -252,7 +252,7 @@
     }
 
     /// Takes in that a boot has ended its work for good; returns false if it is a former one.
-    pub fn take_farewell(&mut self, envelope: &Envelope, out: &mut Outbox) -> bool {
+    pub fn handle_boot_ended(&mut self, envelope: &Envelope, out: &mut Outbox) -> bool {
         let known = self.members.get(&envelope.from);
         let Some(member) = known.filter(|member| member.boot == envelope.boot) else {
             return false;
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -426,8 +426,8 @@
             }
             Message::Heartbeat(heartbeat) => self.heartbeat(envelope, heartbeat),
             Message::Farewell => {
-                if self.membership.take_farewell(envelope, &mut self.out) {
-                    self.right.take_farewell(envelope.from, envelope.boot);
+                if self.membership.handle_boot_ended(envelope, &mut self.out) {
+                    self.right.handle_boot_ended(envelope.from, envelope.boot);
                 }
             }
             Message::Revision(notice) => {
