--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -268,7 +268,7 @@
     ///
     /// Sent twice: a member that hears neither counts this one among its roster until the platform's
     /// list lacks it, and leaves its part of the upstreams idle for so long.
-    pub fn say_farewell(&self, out: &mut Outbox) {
+    pub fn send_boot_ended(&self, out: &mut Outbox) {
         for (_, member) in self.members_in(out.identity().card.domain) {
             out.send(member.card.peer_address, Message::Farewell);
             out.send(member.card.peer_address, Message::Farewell);
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -270,7 +270,7 @@
             self.out.log(Topic::Node, "stop_ended", &[]);
             self.right.end();
             if self.right.is_idle() {
-                self.membership.say_farewell(&mut self.out);
+                self.membership.send_boot_ended(&mut self.out);
             }
             self.out.push(Action::Stopped);
         }
