--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -276,7 +276,7 @@
     }
 
     /// Answers a probe if the member asked about was heard of.
-    pub fn take_probe(&self, envelope: &Envelope, probe: &Probe, out: &mut Outbox) {
+    pub fn handle_probe(&self, envelope: &Envelope, probe: &Probe, out: &mut Outbox) {
         if let Some(asker) = self.members.get(&envelope.from) {
             let direct = self.heartbeats.heard(probe.about);
             probe::answer(asker.card.peer_address, probe.about, direct, out);
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -437,7 +437,7 @@
             }
             Message::BaselineRequest => self.baseline(envelope.from, None),
             Message::Baseline(baseline) => self.baseline(envelope.from, Some(baseline)),
-            Message::Probe(probe) => self.membership.take_probe(envelope, probe, &mut self.out),
+            Message::Probe(probe) => self.membership.handle_probe(envelope, probe, &mut self.out),
             Message::ProbeAnswer(answer) => {
                 self.membership.take_probe_answer(answer, &mut self.out);
             }
