--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -284,7 +284,7 @@
     }
 
     /// Takes in the answer to a probe.
-    pub fn take_probe_answer(&mut self, answer: &ProbeAnswer, out: &mut Outbox) {
+    pub fn handle_probe_answer(&mut self, answer: &ProbeAnswer, out: &mut Outbox) {
         let Some(member) = self.members.get(&answer.about) else {
             return;
         };
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -439,7 +439,7 @@
             Message::Baseline(baseline) => self.baseline(envelope.from, Some(baseline)),
             Message::Probe(probe) => self.membership.handle_probe(envelope, probe, &mut self.out),
             Message::ProbeAnswer(answer) => {
-                self.membership.take_probe_answer(answer, &mut self.out);
+                self.membership.handle_probe_answer(answer, &mut self.out);
             }
             Message::Summary(summary) => {
                 self.membership.take_summary(summary, &mut self.out);
