--- a/crates/sedgepath-core/src/membership/heartbeat.rs
+++ b/crates/sedgepath-core/src/membership/heartbeat.rs
@@ -187,7 +187,7 @@
     ///
     /// Two members that can't hear each other hear of each other's restarts in this way; else one
     /// would name an old boot for good, and no member that hears both would have a whole upstream.
-    pub fn compare_rosters(&mut self, vm: VmKey, named: u64, own: u64, out: &mut Outbox) {
+    pub fn reconcile_roster(&mut self, vm: VmKey, named: u64, own: u64, out: &mut Outbox) {
         let Some(contact) = self.heartbeats.contacts.get_mut(&vm) else {
             return;
         };
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -406,7 +406,7 @@
         if self.membership.handle_heartbeat(envelope, heartbeat, &mut self.out) {
             self.right.handle_heartbeat(envelope, heartbeat);
             let (named, own) = (heartbeat.roster, self.right.roster_digest());
-            self.membership.compare_rosters(envelope.from, named, own, &mut self.out);
+            self.membership.reconcile_roster(envelope.from, named, own, &mut self.out);
         }
         if boot(self) != known {
             self.tell_newcomer(envelope.from);
