--- a/crates/sedgepath-core/src/lease.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -240,7 +240,7 @@
     }
 
     /// Takes in an upstream's word on its load.
-    pub fn take_report(&mut self, upstream: UpstreamKey, report: &UpstreamReport) {
+    pub fn handle_upstream_report(&mut self, upstream: UpstreamKey, report: &UpstreamReport) {
         let newer = self.booted_at_ms.is_some_and(|booted_at_ms| report.made_at_ms > booted_at_ms);
         if report.in_flight == Some(0) && newer {
             self.reported_idle.insert(upstream);
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -152,7 +152,7 @@
             }
             Event::DispatchGone { exchange } => self.egress.dispatch_gone(exchange, &mut self.out),
             Event::UpstreamReport { upstream, report } => {
-                self.right.take_report(upstream, &report);
+                self.right.handle_upstream_report(upstream, &report);
                 self.admit(|egress, scope, out| egress.take_report(upstream, report, scope, out));
             }
             Event::Connections { upstream, open } => {
