--- a/crates/sedgepath-core/src/lease.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -230,7 +230,7 @@
     }
 
     /// Gives up everything: the process is about to end as planned.
-    pub fn end(&mut self) {
+    pub fn relinquish(&mut self) {
         self.ended = true;
     }
 
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -268,7 +268,7 @@
             && self.once.hand_over(&self.membership, &mut self.out)
         {
             self.out.log(Topic::Node, "stop_ended", &[]);
-            self.right.end();
+            self.right.relinquish();
             if self.right.is_idle() {
                 self.membership.send_boot_ended(&mut self.out);
             }
