--- a/crates/sedgepath-core/src/lease.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -271,7 +271,7 @@
             self.take_catalogue(catalogue);
             self.rank();
         }
-        self.count_in_flight(in_flight);
+        self.update_in_flight(in_flight);
         self.confirm(now_ms);
         self.decide_claim(now_ms);
         self.note_whole(out);
@@ -279,7 +279,7 @@
 
     /// Takes in the requests that this node has in flight; to be called after anything was sent and
     /// before [`Self::acknowledge`].
-    pub fn count_in_flight(&mut self, in_flight: impl Fn(UpstreamKey) -> u32) {
+    pub fn update_in_flight(&mut self, in_flight: impl Fn(UpstreamKey) -> u32) {
         for share in &mut self.shares {
             share.in_flight = in_flight(share.upstream);
         }
