--- a/crates/sedgepath-core/src/shift/traffic_split.rs
+++ b/crates/sedgepath-core/src/shift/traffic_split.rs
@@ -128,7 +128,7 @@
     /// The step is the longest on the straight way to the target after which no pair of windows (see
     /// the history's `pairs`) moves more than [`STANDING_PART`] of the cap, if up to twice as many
     /// requests come as in the busiest part before.
-    pub fn begin_part(&mut self, target: &[f64], cap: Cap, now_ms: u64) {
+    pub fn begin_bucket(&mut self, target: &[f64], cap: Cap, now_ms: u64) {
         let part_ms = (cap.window_ms / PARTS as u64).max(1);
         let begun = now_ms.saturating_sub(self.part_ends_at_ms) / part_ms;
         for _ in 0..begun.min(3 * PARTS as u64) {
