--- a/crates/sedgepath-core/src/drain.rs
+++ b/crates/sedgepath-core/src/drain.rs
@@ -266,7 +266,7 @@
         let mut standing = Standing::new(&shares, from_ms, &mut random);
         let mut next_step_ms = from_ms;
         for _ in 0..MOST_PARTS {
-            let at_ms = standing.part_ends_at_ms();
+            let at_ms = standing.bucket_ends_at_ms();
             standing.begin_bucket(&[0.0, 1.0], cap, at_ms);
             let left = standing.shares()[0].1;
             if left <= NO_SHARE {
--- a/crates/sedgepath-core/src/ingress/places.rs
+++ b/crates/sedgepath-core/src/ingress/places.rs
@@ -111,7 +111,7 @@
                 pending.set_home(index);
                 return Ok(owner);
             }
-            let part_left_ms = standing.part_ends_at_ms().saturating_sub(view.now_ms);
+            let part_left_ms = standing.bucket_ends_at_ms().saturating_sub(view.now_ms);
             let retry_after_ms = part_left_ms.max(LEAST_RETRY_AFTER_MS);
             refusal = Refusal { reason: Reason::ShiftCap, retry_after_ms };
         }
--- a/crates/sedgepath-core/src/shift/traffic_split.rs
+++ b/crates/sedgepath-core/src/shift/traffic_split.rs
@@ -24,7 +24,7 @@
     remainders: Vec<f64>,
     history: History,
     tokens: f64,
-    part_ends_at_ms: u64,
+    bucket_ends_at_ms: u64,
     capped: bool,
     /// The most that may move between two windows.
     limit: f64,
@@ -42,7 +42,7 @@
             history: History::new(&values),
             shares: values,
             tokens: 1.0,
-            part_ends_at_ms: now_ms,
+            bucket_ends_at_ms: now_ms,
             capped: true,
             limit: 0.0,
             expected: f64::INFINITY,
@@ -115,12 +115,12 @@
 
     /// Whether the next part of a window has begun.
     pub fn is_due(&self, now_ms: u64) -> bool {
-        self.part_ends_at_ms <= now_ms
+        self.bucket_ends_at_ms <= now_ms
     }
 
     /// Returns when the next part of a window begins, in milliseconds.
-    pub fn part_ends_at_ms(&self) -> u64 {
-        self.part_ends_at_ms
+    pub fn bucket_ends_at_ms(&self) -> u64 {
+        self.bucket_ends_at_ms
     }
 
     /// Begins the next part of a window, with shares as near to the target as the cap allows.
@@ -130,11 +130,11 @@
     /// requests come as in the busiest part before.
     pub fn begin_bucket(&mut self, target: &[f64], cap: Cap, now_ms: u64) {
         let part_ms = (cap.window_ms / PARTS as u64).max(1);
-        let begun = now_ms.saturating_sub(self.part_ends_at_ms) / part_ms;
+        let begun = now_ms.saturating_sub(self.bucket_ends_at_ms) / part_ms;
         for _ in 0..begun.min(3 * PARTS as u64) {
             self.history.begin_part(&self.shares);
         }
-        self.part_ends_at_ms = now_ms - (now_ms - self.part_ends_at_ms) % part_ms + part_ms;
+        self.bucket_ends_at_ms = now_ms - (now_ms - self.bucket_ends_at_ms) % part_ms + part_ms;
         let cap_share = cap.percent / 100.0;
         self.capped = cap_share < NO_CAP;
         self.limit = cap_share * STANDING_PART;
