--- a/crates/sedgepath-core/src/ingress/places.rs
+++ b/crates/sedgepath-core/src/ingress/places.rs
@@ -107,7 +107,7 @@
                 continue;
             };
             let Some(standing) = self.ledger.traffic_split(key, view.now_ms) else { continue };
-            if standing.try_move(home, index) {
+            if standing.try_move_request(home, index) {
                 pending.set_home(index);
                 return Ok(owner);
             }
--- a/crates/sedgepath-core/src/shift/traffic_split.rs
+++ b/crates/sedgepath-core/src/shift/traffic_split.rs
@@ -221,7 +221,7 @@
     }
 
     /// Moves a request from one domain to another if a token pays for it.
-    pub fn try_move(&mut self, from: usize, to: usize) -> bool {
+    pub fn try_move_request(&mut self, from: usize, to: usize) -> bool {
         if from == to || !self.capped {
             return true;
         }
