--- a/crates/sedgepath-core/src/ingress/places.rs
+++ b/crates/sedgepath-core/src/ingress/places.rs
@@ -146,7 +146,7 @@
     /// is known of the standing's failure domains.
     fn begin_part(&mut self, key: ShiftKey, means: &Means<'_>) -> Option<(Cap, Arc<[Candidate]>)> {
         let view = &means.view;
-        self.ledger.take_revision(view.revision, view.catalogue, view.now_ms);
+        self.ledger.apply_revision(view.revision, view.catalogue, view.now_ms);
         let entry = view.catalogue.services.get(&key.service)?.steering.as_ref()?;
         let standing = self.ledger.traffic_split(key, view.now_ms)?;
         let candidates = self
--- a/crates/sedgepath-core/src/shift.rs
+++ b/crates/sedgepath-core/src/shift.rs
@@ -107,7 +107,7 @@
     /// Shares that the revision changes must start from the former ones, also for groups that have
     /// had no request yet: this node's first request would otherwise jump to the new shares while its
     /// peers' traffic still moves there.
-    pub fn take_revision(&mut self, revision: u64, catalogue: &Catalogue, now_ms: u64) {
+    pub fn apply_revision(&mut self, revision: u64, catalogue: &Catalogue, now_ms: u64) {
         if self.revision == revision {
             return;
         }
--- a/crates/sedgepath-core/src/shift/baseline.rs
+++ b/crates/sedgepath-core/src/shift/baseline.rs
@@ -73,7 +73,7 @@
         if self.found || baseline.revision < view.revision {
             return;
         }
-        ledger.take_revision(view.revision, view.catalogue, view.now_ms);
+        ledger.apply_revision(view.revision, view.catalogue, view.now_ms);
         ledger.take_baseline(&baseline.moved, view.now_ms);
         self.found = true;
     }
