--- a/crates/sedgepath-core/src/ingress/places.rs
+++ b/crates/sedgepath-core/src/ingress/places.rs
@@ -92,7 +92,8 @@
         let Some((cap, candidates)) = self.begin_part(key, means) else {
             return Err(NO_UPSTREAM);
         };
-        let Some(home) = pending.home().or_else(|| self.ledger.home(key, cap, view.now_ms)) else {
+        let Some(home) = pending.home().or_else(|| self.ledger.assign_home(key, cap, view.now_ms))
+        else {
             return Err(NO_UPSTREAM);
         };
         let choice = Choice { service, origin: pending.origin(), class: pending.class(), home };
--- a/crates/sedgepath-core/src/shift.rs
+++ b/crates/sedgepath-core/src/shift.rs
@@ -140,8 +140,8 @@
         Some(standing.or_insert_with(|| Standing::new(declared, now_ms, &mut self.random)))
     }
 
-    /// Gives a request its home; see [`Standing::home`].
-    pub fn home(&mut self, key: ShiftKey, cap: Cap, now_ms: u64) -> Option<usize> {
+    /// Gives a request its home; see [`Standing::assign_home`].
+    pub fn assign_home(&mut self, key: ShiftKey, cap: Cap, now_ms: u64) -> Option<usize> {
         self.traffic_split(key, now_ms)?.home(cap)
     }
 
