--- a/crates/sedgepath-core/src/ingress/places.rs
+++ b/crates/sedgepath-core/src/ingress/places.rs
@@ -72,7 +72,7 @@
         self.baseline.tick(&means.view, out);
         self.candidates.clear();
         self.owners.clear();
-        for key in self.ledger.due(means.view.now_ms) {
+        for key in self.ledger.due_keys(means.view.now_ms) {
             self.begin_part(key, means);
         }
     }
--- a/crates/sedgepath-core/src/shift.rs
+++ b/crates/sedgepath-core/src/shift.rs
@@ -146,7 +146,7 @@
     }
 
     /// Returns the keys of the standings whose next part of a window has begun, in order.
-    pub fn due(&self, now_ms: u64) -> Vec<ShiftKey> {
+    pub fn due_keys(&self, now_ms: u64) -> Vec<ShiftKey> {
         let due = self.standings.iter().filter(|(_, standing)| standing.is_due(now_ms));
         let mut due: Vec<_> = due.map(|(key, _)| *key).collect();
         due.sort_unstable();
