--- a/crates/sedgepath-core/src/ingress/places.rs
+++ b/crates/sedgepath-core/src/ingress/places.rs
@@ -62,7 +62,7 @@
         out: &mut Outbox,
     ) {
         match baseline {
-            Some(baseline) => self.baseline.take(baseline, &mut self.ledger, &means.view),
+            Some(baseline) => self.baseline.handle_answer(baseline, &mut self.ledger, &means.view),
             None => self.baseline.answer(from, &self.ledger, &means.view, out),
         }
     }
--- a/crates/sedgepath-core/src/shift/baseline.rs
+++ b/crates/sedgepath-core/src/shift/baseline.rs
@@ -69,7 +69,12 @@
     }
 
     /// Takes in the first answer of a peer that is not behind.
-    pub fn take(&mut self, baseline: &Baseline, ledger: &mut ShiftLedger, view: &View<'_>) {
+    pub fn handle_answer(
+        &mut self,
+        baseline: &Baseline,
+        ledger: &mut ShiftLedger,
+        view: &View<'_>,
+    ) {
         if self.found || baseline.revision < view.revision {
             return;
         }
