--- a/crates/sedgepath-core/src/steering.rs
+++ b/crates/sedgepath-core/src/steering.rs
@@ -30,7 +30,7 @@
     pub accepts_work: bool,
     /// Whether traffic is to move away from it while it serves on: a drain takes it out of service,
     /// or all entry VMs of it that still take work are about to stop.
-    pub leaves: bool,
+    pub leaving: bool,
     /// Its region, if a record names it.
     pub region: Option<RegionKey>,
 }
@@ -43,7 +43,7 @@
 
     /// Whether traffic may move there.
     pub fn takes_more(&self) -> bool {
-        self.is_usable() && !self.is_lost() && !self.leaves
+        self.is_usable() && !self.is_lost() && !self.leaving
     }
 
     /// Whether it has failed although no record takes it out of service: none of its entry VMs can
@@ -93,7 +93,7 @@
 /// Returns the record's shares with those of unusable candidates spread over the usable ones.
 pub fn declared_over_usable(candidates: &[Candidate]) -> Vec<f64> {
     let usable = |candidate: &Candidate| {
-        if candidate.is_usable() && !candidate.leaves { candidate.share } else { 0.0 }
+        if candidate.is_usable() && !candidate.leaving { candidate.share } else { 0.0 }
     };
     let weights: Vec<_> = candidates.iter().map(usable).collect();
     let sum = weights.iter().sum::<f64>();
--- a/crates/sedgepath-core/src/view.rs
+++ b/crates/sedgepath-core/src/view.rs
@@ -71,7 +71,7 @@
                 .map(|upstream| self.catalogue.upstreams[&upstream].slots)
                 .sum(),
             accepts_work: !serving.is_empty(),
-            leaves: self.is_drained(domain) || serving.iter().all(|vm| self.is_leaving(*vm)),
+            leaving: self.is_drained(domain) || serving.iter().all(|vm| self.is_leaving(*vm)),
             region: self.catalogue.domains.get(&domain).map(|entry| entry.region),
         };
         for vm in serving {
