--- a/crates/sedgepath-core/src/steering.rs
+++ b/crates/sedgepath-core/src/steering.rs
@@ -21,7 +21,7 @@
     /// Those taken, as last reported.
     pub in_flight: u32,
     /// Whether any of its owners has reported on the service.
-    pub reported: bool,
+    pub has_report: bool,
     /// The age of the oldest of those reports in milliseconds.
     pub report_age_ms: u64,
     /// The slots that its upstreams have by their records, but for those with a drain of their own.
@@ -49,7 +49,7 @@
     /// Whether it has failed although no record takes it out of service: none of its entry VMs can
     /// be reached, or its owners can use none of its upstreams.
     pub fn is_lost(&self) -> bool {
-        self.declared_slots > 0 && (!self.accepts_work || (self.reported && self.slots == 0))
+        self.declared_slots > 0 && (!self.accepts_work || (self.has_report && self.slots == 0))
     }
 }
 
--- a/crates/sedgepath-core/src/steering/by_headroom.rs
+++ b/crates/sedgepath-core/src/steering/by_headroom.rs
@@ -107,7 +107,7 @@
 
 /// How much a domain's report counts, from 0 to 1.
 fn weight_of_report(candidate: &Candidate) -> f64 {
-    if !candidate.reported {
+    if !candidate.has_report {
         return 0.0;
     }
     let age_ms = candidate.report_age_ms as f64;
--- a/crates/sedgepath-core/src/view.rs
+++ b/crates/sedgepath-core/src/view.rs
@@ -64,7 +64,7 @@
             share,
             slots: 0,
             in_flight: 0,
-            reported: false,
+            has_report: false,
             report_age_ms: 0,
             declared_slots: self
                 .upstreams_in(domain, service)
@@ -78,7 +78,7 @@
             if let Some((load, age_ms)) = self.load_of(vm, service) {
                 candidate.slots += load.slots;
                 candidate.in_flight += load.in_flight;
-                candidate.reported = true;
+                candidate.has_report = true;
                 candidate.report_age_ms = candidate.report_age_ms.max(age_ms);
             }
         }
