--- a/crates/sedgepath-core/src/shift.rs
+++ b/crates/sedgepath-core/src/shift.rs
@@ -198,7 +198,7 @@
 pub fn cap(entry: &SteeringEntry, candidates: &[Candidate], shares: &[(DomainKey, f64)]) -> Cap {
     let holds = |domain| shares.iter().any(|share| share.0 == domain && share.1 > 0.0);
     let failover =
-        candidates.iter().any(|candidate| candidate.is_lost() && holds(candidate.domain));
+        candidates.iter().any(|candidate| candidate.has_failed() && holds(candidate.domain));
     if failover { entry.failover_cap } else { entry.cap }
 }
 
--- a/crates/sedgepath-core/src/steering.rs
+++ b/crates/sedgepath-core/src/steering.rs
@@ -43,12 +43,12 @@
 
     /// Whether traffic may move there.
     pub fn takes_more(&self) -> bool {
-        self.is_usable() && !self.is_lost() && !self.leaving
+        self.is_usable() && !self.has_failed() && !self.leaving
     }
 
     /// Whether it has failed although no record takes it out of service: none of its entry VMs can
     /// be reached, or its owners can use none of its upstreams.
-    pub fn is_lost(&self) -> bool {
+    pub fn has_failed(&self) -> bool {
         self.declared_slots > 0 && (!self.accepts_work || (self.has_report && self.slots == 0))
     }
 }
