--- a/crates/sedgepath-core/src/steering.rs
+++ b/crates/sedgepath-core/src/steering.rs
@@ -42,7 +42,7 @@
     }
 
     /// Whether traffic may move there.
-    pub fn takes_more(&self) -> bool {
+    pub fn accepts_more_traffic(&self) -> bool {
         self.is_usable() && !self.has_failed() && !self.leaving
     }
 
--- a/crates/sedgepath-core/src/steering/by_headroom.rs
+++ b/crates/sedgepath-core/src/steering/by_headroom.rs
@@ -124,7 +124,7 @@
 
 /// Returns the part of its share that a domain keeps.
 fn kept(candidate: &Candidate) -> f64 {
-    if !candidate.takes_more() {
+    if !candidate.accepts_more_traffic() {
         return 0.0;
     }
     let over = ((load(candidate) - BUSY) / (1.0 - BUSY)).clamp(0.0, 1.0);
@@ -144,7 +144,7 @@
     let must_leave = kept(&candidates[from]) <= 0.0;
     if must_leave && by_room.iter().sum::<f64>() <= 0.0 {
         return others(|home, candidate| {
-            if candidate.takes_more() {
+            if candidate.accepts_more_traffic() {
                 f64::from(candidate.declared_slots) * nearness(home, candidate)
             } else {
                 0.0
@@ -160,7 +160,7 @@
 
 /// Returns the slots that a domain can give to traffic of others.
 fn room(candidate: &Candidate) -> f64 {
-    if !candidate.takes_more() {
+    if !candidate.accepts_more_traffic() {
         return 0.0;
     }
     let known = weight_of_report(candidate);
