--- a/crates/sedgepath-core/src/ingress/places.rs
+++ b/crates/sedgepath-core/src/ingress/places.rs
@@ -156,7 +156,7 @@
             .or_insert_with(|| view.candidates(key.service, key.group, standing.domains()).into());
         let cap = shift::cap(entry, candidates, &standing.shares());
         if standing.is_due(view.now_ms) {
-            standing.begin_bucket(&means.policy.target(candidates), cap, view.now_ms);
+            standing.begin_bucket(&means.policy.target_shares(candidates), cap, view.now_ms);
         }
         Some((cap, Arc::clone(candidates)))
     }
--- a/crates/sedgepath-core/src/steering.rs
+++ b/crates/sedgepath-core/src/steering.rs
@@ -76,7 +76,7 @@
 
     /// Returns the shares of the candidates that the traffic should have, adding up to one; the
     /// ledger moves it there as fast as the cap allows.
-    fn target(&self, candidates: &[Candidate]) -> Vec<f64> {
+    fn target_shares(&self, candidates: &[Candidate]) -> Vec<f64> {
         declared_over_usable(candidates)
     }
 
--- a/crates/sedgepath-core/src/steering/by_headroom.rs
+++ b/crates/sedgepath-core/src/steering/by_headroom.rs
@@ -61,7 +61,7 @@
         "by_headroom"
     }
 
-    fn target(&self, candidates: &[Candidate]) -> Vec<f64> {
+    fn target_shares(&self, candidates: &[Candidate]) -> Vec<f64> {
         let candidates = &self.seen(candidates);
         let mut target: Vec<f64> =
             candidates.iter().map(|candidate| candidate.share * kept(candidate)).collect();
