--- a/crates/sedgepath-core/examples/policy/scenario.rs
+++ b/crates/sedgepath-core/examples/policy/scenario.rs
@@ -100,7 +100,7 @@
 }
 
 fn without_discount() -> Box<dyn SteeringPolicy> {
-    Box::new(ByHeadroom::without_discount())
+    Box::new(ByHeadroom::without_age_discount())
 }
 
 /// The variants that are compared. The baselines know no cap; the last two are the shipping policy
--- a/crates/sedgepath-core/src/steering/by_headroom.rs
+++ b/crates/sedgepath-core/src/steering/by_headroom.rs
@@ -42,7 +42,7 @@
     }
 
     /// Creates one that takes every report for fresh, to measure what the discount by age earns.
-    pub fn without_discount() -> Self {
+    pub fn without_age_discount() -> Self {
         Self { ignores_age: true }
     }
 
