--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -121,7 +121,7 @@
         stored: Option<StoredAnswer>,
     },
     /// The caller has gone away before its answer.
-    CallerGone {
+    CallerDisconnected {
         /// The request.
         request: RequestKey,
     },
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -137,7 +137,7 @@
                 self.once.relay_ended(request, stored, &mut self.out);
                 self.ingress.forget(request);
             }
-            Event::CallerGone { request } => {
+            Event::CallerDisconnected { request } => {
                 self.once.caller_gone(request, &mut self.out);
                 self.ingress.forget(request);
             }
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -134,7 +134,7 @@
             return;
         };
         self.nodes[index].requests.remove(&request);
-        self.handle(index, Event::CallerGone { request });
+        self.handle(index, Event::CallerDisconnected { request });
         let mut head = self.calls[call].head.clone();
         head.forwarded_by = Some(VmKey::of(&self.nodes[index].name));
         head.deadline_at_ms = head.deadline_at_ms.saturating_add_signed(self.nodes[target].skew_ms);
--- a/crates/sedgepathd/src/callers/serving.rs
+++ b/crates/sedgepathd/src/callers/serving.rs
@@ -66,7 +66,7 @@
             task.abort();
         }
         if !self.concluded {
-            self.callers.handle.event(Event::CallerGone { request: self.request });
+            self.callers.handle.event(Event::CallerDisconnected { request: self.request });
         }
     }
 }
--- a/crates/sedgepathd/src/driver.rs
+++ b/crates/sedgepathd/src/driver.rs
@@ -276,7 +276,7 @@
             }
         };
         match &event {
-            Event::RelayEnded { request, .. } | Event::CallerGone { request } => {
+            Event::RelayEnded { request, .. } | Event::CallerDisconnected { request } => {
                 self.requests.remove(request);
             }
             Event::CallEnded { exchange, .. } => {
