--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -144,7 +144,7 @@
         took_ms: u64,
     },
     /// The ingress no longer waits for a dispatch.
-    DispatchGone {
+    DispatchCanceled {
         /// The dispatch.
         exchange: ExchangeKey,
     },
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -150,7 +150,9 @@
             Event::CallEnded { exchange, end, .. } => {
                 self.admit(|egress, scope, out| egress.call_ended(exchange, end, scope, out));
             }
-            Event::DispatchGone { exchange } => self.egress.dispatch_gone(exchange, &mut self.out),
+            Event::DispatchCanceled { exchange } => {
+                self.egress.dispatch_gone(exchange, &mut self.out)
+            }
             Event::UpstreamReport { upstream, report } => {
                 self.right.handle_upstream_report(upstream, &report);
                 self.admit(|egress, scope, out| egress.take_report(upstream, report, scope, out));
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -115,7 +115,7 @@
                 action = actions.recv() => action,
                 () = reply.closed(), if !gone => {
                     gone = true;
-                    self.handle.event(Event::DispatchGone { exchange: self.exchange });
+                    self.handle.event(Event::DispatchCanceled { exchange: self.exchange });
                     continue;
                 }
             };
