--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -174,7 +174,7 @@
     /// The platform's list of VMs was read.
     VmList(Vec<ListedVm>),
     /// A page of a peer's records was fetched, or could not be.
-    Fetched {
+    PageFetched {
         /// The request's key.
         operation: OperationKey,
         /// The page, unless the peer did not answer.
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -167,7 +167,7 @@
                 }
             }
             Event::VmList(listed) => self.vm_list(listed),
-            Event::Fetched { operation, page } => {
+            Event::PageFetched { operation, page } => {
                 if let Some(page) = page.as_ref().filter(|page| !page.listed.is_empty())
                     && self.membership.apply_peer_vm_list(&page.listed)
                 {
@@ -369,7 +369,7 @@
     fn forget_allowances(&mut self, event: &Event) {
         let may_change = matches!(
             event,
-            Event::Datagram(_) | Event::Table { .. } | Event::VmList(_) | Event::Fetched { .. }
+            Event::Datagram(_) | Event::Table { .. } | Event::VmList(_) | Event::PageFetched { .. }
         );
         if may_change {
             self.allowances = None;
--- a/crates/sedgepath-test-support/src/bed/delivery.rs
+++ b/crates/sedgepath-test-support/src/bed/delivery.rs
@@ -104,7 +104,7 @@
             }
             BedEvent::Report(upstream, report) => Event::UpstreamReport { upstream, report },
             BedEvent::HandOverEnded(operation, taken) => Event::HandOverEnded { operation, taken },
-            BedEvent::Fetched(operation, page) => Event::Fetched { operation, page },
+            BedEvent::Fetched(operation, page) => Event::PageFetched { operation, page },
             BedEvent::Dispatch(dispatch, exchange) => {
                 let key = ExchangeKey(self.number());
                 let from = VmKey::of(&self.nodes[exchange.ingress].name);
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -187,7 +187,7 @@
         let key = key.clone();
         tokio::spawn(async move {
             let page = fetch(job.from, key, job.after).await;
-            handle.event(Event::Fetched { operation: job.operation, page });
+            handle.event(Event::PageFetched { operation: job.operation, page });
         });
     }
 }
