--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -188,7 +188,7 @@
         request: ChangeRequest,
     },
     /// A peer that stops has handed its tickets over.
-    HandedOver(HandedOver),
+    TicketsReceived(HandedOver),
     /// A peer has taken this node's tickets over, or could not be reached.
     HandOverEnded {
         /// The call's key.
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -178,7 +178,7 @@
             Event::Change { reply, request } => {
                 self.configuration.begin_change(reply, request, &mut self.out);
             }
-            Event::HandedOver(tickets) => self.once.keep(tickets),
+            Event::TicketsReceived(tickets) => self.once.keep(tickets),
             Event::HandOverEnded { operation, taken } => self.once.copied(operation, taken),
             Event::Stop => self.begin_stop(),
         }
--- a/crates/sedgepath-test-support/src/bed/platform.rs
+++ b/crates/sedgepath-test-support/src/bed/platform.rs
@@ -98,7 +98,7 @@
         let target = self.nodes.iter().position(|slot| VmKey::of(&slot.name) == to);
         let target = target.filter(|target| self.connects(index, *target) && self.runs(*target));
         if let Some(target) = target {
-            self.handle(target, Event::HandedOver(tickets));
+            self.handle(target, Event::TicketsReceived(tickets));
         }
         self.deliver_later(index, 10, BedEvent::HandOverEnded(operation, target.is_some()));
     }
--- a/crates/sedgepathd/src/homes.rs
+++ b/crates/sedgepathd/src/homes.rs
@@ -75,6 +75,6 @@
 /// Fails if the body is not tickets.
 pub fn keep(handle: &Handle, body: &Bytes) -> Result<Reply, FrameError> {
     let tickets = postcard::from_bytes(body)?;
-    handle.event(Event::HandedOver(tickets));
+    handle.event(Event::TicketsReceived(tickets));
     Ok(Reply::Concluded { status: KEPT, fields: Vec::new(), body: Bytes::new() })
 }
