--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -190,7 +190,7 @@
     /// A peer that stops has handed its tickets over.
     TicketsReceived(HandedOver),
     /// A peer has taken this node's tickets over, or could not be reached.
-    HandOverEnded {
+    TicketHandoverEnded {
         /// The call's key.
         operation: OperationKey,
         /// Whether it has taken them.
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -179,7 +179,7 @@
                 self.configuration.begin_change(reply, request, &mut self.out);
             }
             Event::TicketsReceived(tickets) => self.once.keep(tickets),
-            Event::HandOverEnded { operation, taken } => self.once.copied(operation, taken),
+            Event::TicketHandoverEnded { operation, taken } => self.once.copied(operation, taken),
             Event::Stop => self.begin_stop(),
         }
         self.settle_once()
--- a/crates/sedgepath-test-support/src/bed/delivery.rs
+++ b/crates/sedgepath-test-support/src/bed/delivery.rs
@@ -103,7 +103,9 @@
                 Event::CallEnded { exchange, end, took_ms }
             }
             BedEvent::Report(upstream, report) => Event::UpstreamReport { upstream, report },
-            BedEvent::HandOverEnded(operation, taken) => Event::HandOverEnded { operation, taken },
+            BedEvent::HandOverEnded(operation, taken) => {
+                Event::TicketHandoverEnded { operation, taken }
+            }
             BedEvent::Fetched(operation, page) => Event::PageFetched { operation, page },
             BedEvent::Dispatch(dispatch, exchange) => {
                 let key = ExchangeKey(self.number());
--- a/crates/sedgepathd/src/homes.rs
+++ b/crates/sedgepathd/src/homes.rs
@@ -46,7 +46,7 @@
             let operation = job.operation;
             let deadline_at_ms = handle.clock().now_ms() + HAND_OVER_MS;
             let taken = hand_over(&hops, job, boot, deadline_at_ms).await;
-            handle.event(Event::HandOverEnded { operation, taken });
+            handle.event(Event::TicketHandoverEnded { operation, taken });
         });
     }
 }
