--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -156,7 +156,7 @@
         report: UpstreamReport,
     },
     /// A connection to an upstream was opened or closed.
-    Connections {
+    ConnectionsChanged {
         /// The upstream.
         upstream: UpstreamKey,
         /// The open connections now.
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -157,7 +157,7 @@
                 self.right.handle_upstream_report(upstream, &report);
                 self.admit(|egress, scope, out| egress.take_report(upstream, report, scope, out));
             }
-            Event::Connections { upstream, open } => {
+            Event::ConnectionsChanged { upstream, open } => {
                 self.egress.take_connections(upstream, open, now_ms);
             }
             Event::Datagram(envelope) => self.datagram(&envelope),
--- a/crates/sedgepathd/src/upstreams.rs
+++ b/crates/sedgepathd/src/upstreams.rs
@@ -149,7 +149,7 @@
             entry.open = entry.open.saturating_add_signed(change);
             entry.open
         };
-        self.handle.event(Event::Connections { upstream, open });
+        self.handle.event(Event::ConnectionsChanged { upstream, open });
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Map<UpstreamKey, Connections>> {
