--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -197,7 +197,7 @@
         taken: bool,
     },
     /// The process was asked to stop.
-    Stop,
+    StopRequested,
 }
 
 /// An upstream's own word on its load.
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -180,7 +180,7 @@
             }
             Event::TicketsReceived(tickets) => self.once.keep(tickets),
             Event::TicketHandoverEnded { operation, taken } => self.once.copied(operation, taken),
-            Event::Stop => self.begin_stop(),
+            Event::StopRequested => self.begin_stop(),
         }
         self.settle_once()
     }
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -415,7 +415,7 @@
 
     /// Asks a node to stop as planned.
     pub fn stop(&mut self, index: NodeIndex) {
-        self.handle(index, Event::Stop);
+        self.handle(index, Event::StopRequested);
     }
 
     /// Sets how far a node's clock is ahead.
