--- a/crates/sedgepath-core/src/deduplication/visitors.rs
+++ b/crates/sedgepath-core/src/deduplication/visitors.rs
@@ -99,7 +99,7 @@
     pub fn hop_answered(&self, request: RequestKey, attempt: u32, out: &mut Outbox) -> bool {
         let known = self.visitors.contains_key(&request);
         if known {
-            out.push(Action::Relay { request, attempt });
+            out.push(Action::RelayResponse { request, attempt });
         }
         known
     }
--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -261,7 +261,7 @@
         deadline_at_ms: u64,
     },
     /// Relays the answer of an attempt to the caller; other attempts are abandoned.
-    Relay {
+    RelayResponse {
         /// The request.
         request: RequestKey,
         /// The attempt whose answer is relayed.
--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -119,7 +119,7 @@
             return;
         }
         pending.abandon_all(request, out);
-        out.push(Action::Relay { request, attempt });
+        out.push(Action::RelayResponse { request, attempt });
     }
 
     /// Takes in an attempt that ended without an answer: tries again where that is safe, else
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -28,7 +28,7 @@
             Action::ForwardHome { request, attempt, to, .. } => {
                 self.forward_home(index, request, attempt, to);
             }
-            Action::Relay { request, attempt } => self.relay(index, request, attempt),
+            Action::RelayResponse { request, attempt } => self.relay(index, request, attempt),
             Action::AnswerTickets { tickets, .. } => {
                 self.minted = tickets.unwrap_or_default();
             }
--- a/crates/sedgepathd/src/callers/serving.rs
+++ b/crates/sedgepathd/src/callers/serving.rs
@@ -111,7 +111,7 @@
         loop {
             tokio::select! {
                 action = self.actions.recv() => match action {
-                    Some(Action::Relay { attempt, .. }) => {
+                    Some(Action::RelayResponse { attempt, .. }) => {
                         if let Some(answer) = self.replies.remove(&attempt) {
                             return self.answered(*answer).await;
                         }
--- a/crates/sedgepathd/src/driver.rs
+++ b/crates/sedgepathd/src/driver.rs
@@ -322,7 +322,7 @@
                 }
                 Action::Forward { request, .. }
                 | Action::ForwardHome { request, .. }
-                | Action::Relay { request, .. }
+                | Action::RelayResponse { request, .. }
                 | Action::Abandon { request, .. } => {
                     tell(self.requests.get(&request), action);
                 }
