--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -268,7 +268,7 @@
         attempt: u32,
     },
     /// Abandons an attempt.
-    Abandon {
+    CancelAttempt {
         /// The request.
         request: RequestKey,
         /// The attempt.
--- a/crates/sedgepath-core/src/ingress/pending.rs
+++ b/crates/sedgepath-core/src/ingress/pending.rs
@@ -181,14 +181,14 @@
     pub(super) fn abandon_all(&mut self, request: RequestKey, out: &mut Outbox) {
         self.answered = true;
         for attempt in self.attempts.drain(..) {
-            out.push(Action::Abandon { request, attempt: attempt.number });
+            out.push(Action::CancelAttempt { request, attempt: attempt.number });
         }
     }
 
     /// Gives up all attempts in flight; they may run on unseen.
     pub(super) fn give_up_all(&mut self, request: RequestKey, out: &mut Outbox) {
         for attempt in std::mem::take(&mut self.attempts) {
-            out.push(Action::Abandon { request, attempt: attempt.number });
+            out.push(Action::CancelAttempt { request, attempt: attempt.number });
             self.note_end(attempt, HopEnd::Lost);
         }
     }
@@ -207,7 +207,7 @@
         let (gone, kept) = std::mem::take(&mut self.attempts).into_iter().partition(silent);
         self.attempts = kept;
         for attempt in gone {
-            out.push(Action::Abandon { request, attempt: attempt.number });
+            out.push(Action::CancelAttempt { request, attempt: attempt.number });
             self.note_end(attempt, HopEnd::Lost);
         }
     }
--- a/crates/sedgepathd/src/callers/serving.rs
+++ b/crates/sedgepathd/src/callers/serving.rs
@@ -175,7 +175,7 @@
                 };
                 self.attempt(attempt, target, Purpose::TakeHome(home));
             }
-            Action::Abandon { attempt, .. } => {
+            Action::CancelAttempt { attempt, .. } => {
                 if let Some(task) = self.running.remove(&attempt) {
                     task.abort();
                 }
--- a/crates/sedgepathd/src/driver.rs
+++ b/crates/sedgepathd/src/driver.rs
@@ -323,7 +323,7 @@
                 Action::Forward { request, .. }
                 | Action::ForwardHome { request, .. }
                 | Action::RelayResponse { request, .. }
-                | Action::Abandon { request, .. } => {
+                | Action::CancelAttempt { request, .. } => {
                     tell(self.requests.get(&request), action);
                 }
                 Action::Conclude { request, .. } => {
