--- a/crates/sedgepath-core/src/egress.rs
+++ b/crates/sedgepath-core/src/egress.rs
@@ -142,7 +142,7 @@
     /// that runs a cancellation is tried.
     pub fn dispatch_gone(&mut self, exchange: ExchangeKey, out: &mut Outbox) {
         if self.calls.contains_key(&exchange) {
-            out.push(Action::Cancel { exchange });
+            out.push(Action::CancelCall { exchange });
             return;
         }
         let waited = self.services.values_mut().any(|service| {
--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -307,7 +307,7 @@
         refusal: crate::request::Refusal,
     },
     /// Cancels an upstream call, or a dispatch that still waits in the queue.
-    Cancel {
+    CancelCall {
         /// The dispatch.
         exchange: ExchangeKey,
     },
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -35,7 +35,9 @@
             Action::HandOver { operation, to, tickets, .. } => {
                 self.hand_over(index, operation, to, tickets);
             }
-            Action::CancelAttempt { .. } | Action::AnswerLookUp { .. } | Action::Cancel { .. } => {}
+            Action::CancelAttempt { .. }
+            | Action::AnswerLookUp { .. }
+            | Action::CancelCall { .. } => {}
             Action::Conclude { request, outcome } => {
                 if let Some(call) = self.nodes[index].requests.remove(&request) {
                     self.see(call, Seen::Concluded(outcome));
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -268,7 +268,7 @@
                 Action::Refuse { exchange, refusal } => {
                     self.decisions[exchange.0 as usize] = Decision::Refused(refusal);
                 }
-                Action::Cancel { exchange } => self.cancelled.push(exchange),
+                Action::CancelCall { exchange } => self.cancelled.push(exchange),
                 _ => {}
             }
         }
--- a/crates/sedgepathd/src/driver.rs
+++ b/crates/sedgepathd/src/driver.rs
@@ -329,7 +329,7 @@
                 Action::Conclude { request, .. } => {
                     tell(self.requests.remove(&request).as_ref(), action);
                 }
-                Action::CallUpstream { exchange, .. } | Action::Cancel { exchange } => {
+                Action::CallUpstream { exchange, .. } | Action::CancelCall { exchange } => {
                     tell(self.exchanges.get(&exchange), action);
                 }
                 Action::Refuse { exchange, .. } => {
