--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -326,7 +326,7 @@
         request: TableRequest,
     },
     /// Fetches a page of a peer's records.
-    Fetch {
+    FetchPage {
         /// Names the request in its result.
         operation: OperationKey,
         /// Where the peer takes remote calls.
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -52,7 +52,7 @@
                 }
             }
             Action::Table { operation, request } => self.table_request(index, operation, request),
-            Action::Fetch { operation, from, after } => {
+            Action::FetchPage { operation, from, after } => {
                 self.fetch(index, operation, from, &after);
             }
             Action::AnswerChange { reply, outcome } => {
--- a/crates/sedgepathd/src/driver.rs
+++ b/crates/sedgepathd/src/driver.rs
@@ -339,7 +339,7 @@
                 Action::Table { operation, request } => {
                     let _ended = self.outlets.table.send(TableJob { operation, request });
                 }
-                Action::Fetch { operation, from, after } => {
+                Action::FetchPage { operation, from, after } => {
                     let job = crate::operators::FetchJob { operation, from, after };
                     let _ended = self.outlets.fetches.send(job);
                 }
--- a/crates/sedgepathd/src/metrics.rs
+++ b/crates/sedgepathd/src/metrics.rs
@@ -108,7 +108,7 @@
             Action::ForwardHome { .. } => "forward_home",
             Action::Conclude { .. } => "conclude",
             Action::Table { .. } => "table",
-            Action::Fetch { .. } => "fetch",
+            Action::FetchPage { .. } => "fetch",
             _ => return,
         };
         self.actions.with_label_values(&[name]).inc();
