--- a/crates/sedgepath-core/src/deduplication/handover.rs
+++ b/crates/sedgepath-core/src/deduplication/handover.rs
@@ -84,7 +84,7 @@
             if let Some(member) = membership.member(vm) {
                 let operation = out.next_operation();
                 let (address, tickets) = (member.card.peer_address, tickets.clone());
-                out.push(Action::HandOver { operation, to: vm, address, tickets });
+                out.push(Action::HandOverTickets { operation, to: vm, address, tickets });
                 self.copies.push(Copy { operation, taken: false });
             }
         }
--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -342,7 +342,7 @@
         outcome: ChangeOutcome,
     },
     /// Hands this node's tickets over to a peer.
-    HandOver {
+    HandOverTickets {
         /// Names the call in its result.
         operation: OperationKey,
         /// The peer.
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -32,7 +32,7 @@
             Action::AnswerTickets { tickets, .. } => {
                 self.minted = tickets.unwrap_or_default();
             }
-            Action::HandOver { operation, to, tickets, .. } => {
+            Action::HandOverTickets { operation, to, tickets, .. } => {
                 self.hand_over(index, operation, to, tickets);
             }
             Action::CancelAttempt { .. }
--- a/crates/sedgepathd/src/driver.rs
+++ b/crates/sedgepathd/src/driver.rs
@@ -310,7 +310,7 @@
                         let _unread = sender.send(tickets);
                     }
                 }
-                Action::HandOver { operation, to, address, tickets } => {
+                Action::HandOverTickets { operation, to, address, tickets } => {
                     let job = HandOverJob { operation, to, address, tickets };
                     let _ended = self.outlets.hand_overs.send(job);
                 }
