--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -312,7 +312,7 @@
         exchange: ExchangeKey,
     },
     /// Sends a datagram.
-    Send {
+    SendDatagram {
         /// Where to.
         to: SocketAddr,
         /// The datagram.
--- a/crates/sedgepath-core/src/outbox.rs
+++ b/crates/sedgepath-core/src/outbox.rs
@@ -78,7 +78,7 @@
             stamp: self.clock.tick(self.now_ms),
             message,
         };
-        self.actions.push(Action::Send { to, envelope });
+        self.actions.push(Action::SendDatagram { to, envelope });
     }
 
     /// Sends a request to the table and returns its key.
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -21,7 +21,7 @@
 
     pub(super) fn act(&mut self, index: NodeIndex, action: Action) {
         match action {
-            Action::Send { to, envelope } => self.send(index, to, &envelope),
+            Action::SendDatagram { to, envelope } => self.send(index, to, &envelope),
             Action::Forward { request, attempt, to, dispatch, .. } => {
                 self.forward(index, request, attempt, to, dispatch);
             }
--- a/crates/sedgepathd/src/driver.rs
+++ b/crates/sedgepathd/src/driver.rs
@@ -335,7 +335,7 @@
                 Action::Refuse { exchange, .. } => {
                     tell(self.exchanges.remove(&exchange).as_ref(), action);
                 }
-                Action::Send { to, envelope } => self.send_datagram(to, &envelope),
+                Action::SendDatagram { to, envelope } => self.send_datagram(to, &envelope),
                 Action::Table { operation, request } => {
                     let _ended = self.outlets.table.send(TableJob { operation, request });
                 }
