--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -270,8 +270,8 @@
     /// list lacks it, and leaves its part of the upstreams idle for so long.
     pub fn send_boot_ended(&self, out: &mut Outbox) {
         for (_, member) in self.members_in(out.identity().card.domain) {
-            out.send(member.card.peer_address, Message::Farewell);
-            out.send(member.card.peer_address, Message::Farewell);
+            out.send(member.card.peer_address, Message::BootEnded);
+            out.send(member.card.peer_address, Message::BootEnded);
         }
     }
 
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -40,7 +40,7 @@
     /// What a relay knows of the members of a failure domain.
     Summary(Summary),
     /// The sender's boot has ended all of its work and will never send to an upstream again.
-    Farewell,
+    BootEnded,
     /// Upstreams that the sender knows to leave.
     LeavingUpstreams(LeavingUpstreams),
 }
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -427,7 +427,7 @@
                 self.admit(|egress, scope, out| egress.take_leaving(leaving, scope, out));
             }
             Message::Heartbeat(heartbeat) => self.heartbeat(envelope, heartbeat),
-            Message::Farewell => {
+            Message::BootEnded => {
                 if self.membership.handle_boot_ended(envelope, &mut self.out) {
                     self.right.handle_boot_ended(envelope.from, envelope.boot);
                 }
