--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -237,7 +237,7 @@
             vm: envelope.from,
             boot: envelope.boot,
             heard_at_ms: out.now_ms(),
-            revision: heartbeat.news.revision,
+            revision: heartbeat.configuration.revision,
             leaving: heartbeat.descriptor.as_ref().map_or(known_leaving, |card| card.leaving),
             loads: heartbeat.loads.clone(),
             card: heartbeat.descriptor.clone(),
--- a/crates/sedgepath-core/src/membership/heartbeat.rs
+++ b/crates/sedgepath-core/src/membership/heartbeat.rs
@@ -163,7 +163,7 @@
         Heartbeat {
             sent_at_ms: out.now_ms(),
             descriptor: needs_card.then(|| out.identity().card.clone()),
-            news: own.news,
+            configuration: own.news,
             loads: largest_loads(own.loads),
             roster: right.roster_digest(),
             claim: right.claim(),
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisionNotice {
     /// What the sender knows of the configuration.
-    pub news: ConfigurationNews,
+    pub configuration: ConfigurationNews,
     /// Where the sender takes remote calls, to fetch the records from.
     pub operators: SocketAddr,
 }
@@ -105,7 +105,7 @@
     /// The sender's name and addresses, until the receiver has acknowledged them.
     pub descriptor: Option<MemberCard>,
     /// What the sender knows of the configuration.
-    pub news: ConfigurationNews,
+    pub configuration: ConfigurationNews,
     /// The sender's load by service.
     pub loads: Vec<ServiceLoad>,
     /// The digest of the sender's roster: the members of its failure domain and their boots.
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -413,8 +413,8 @@
         if boot(self) != known {
             self.tell_newcomer(envelope.from);
         }
-        self.configuration.hear_head_age(heartbeat.news.head_age_ms, &self.out);
-        self.hear_revision(envelope.from, heartbeat.news.revision);
+        self.configuration.hear_head_age(heartbeat.configuration.head_age_ms, &self.out);
+        self.hear_revision(envelope.from, heartbeat.configuration.revision);
     }
 
     fn datagram(&mut self, envelope: &Envelope) {
@@ -433,8 +433,8 @@
                 }
             }
             Message::Revision(notice) => {
-                self.configuration.hear_head_age(notice.news.head_age_ms, &self.out);
-                let revision = notice.news.revision;
+                self.configuration.hear_head_age(notice.configuration.head_age_ms, &self.out);
+                let revision = notice.configuration.revision;
                 self.configuration.hear_revision(envelope.from, notice.operators, revision);
             }
             Message::BaselineRequest => self.baseline(envelope.from, None),
--- a/crates/sedgepathd/examples/slopes/datagrams.rs
+++ b/crates/sedgepathd/examples/slopes/datagrams.rs
@@ -74,7 +74,7 @@
     let heartbeat = Heartbeat {
         sent_at_ms: now_ms,
         descriptor: (number < MEMBERS).then(|| card(member)),
-        news: ConfigurationNews { revision: 1, head_age_ms: 300 },
+        configuration: ConfigurationNews { revision: 1, head_age_ms: 300 },
         loads: (0..4).map(load).collect(),
         roster: 7,
         claim: Claim::Whole,
