--- a/crates/sedgepath-core/benches/look_up.rs
+++ b/crates/sedgepath-core/benches/look_up.rs
@@ -77,7 +77,7 @@
         domain: DomainKey::of(&domain(domain_number)),
         caller_address: address(1),
         peer_address: address(2),
-        operators: address(3),
+        operator_address: address(3),
         leaving: false,
     }
 }
--- a/crates/sedgepath-core/src/configuration/spread.rs
+++ b/crates/sedgepath-core/src/configuration/spread.rs
@@ -174,7 +174,10 @@
         .partition(|(near, _)| *near);
     random.shuffle(&mut near);
     random.shuffle(&mut far);
-    let notice = RevisionNotice { configuration: news, operators: out.identity().card.operators };
+    let notice = RevisionNotice {
+        configuration: news,
+        operator_address: out.identity().card.operator_address,
+    };
     let told = near.into_iter().take(TOLD_NEAR).chain(far.into_iter().take(TOLD_FAR));
     for (_, address) in told {
         out.send(address, Message::Revision(notice));
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -61,7 +61,7 @@
     /// What the sender knows of the configuration.
     pub configuration: ConfigurationNews,
     /// Where the sender takes remote calls, to fetch the records from.
-    pub operators: SocketAddr,
+    pub operator_address: SocketAddr,
 }
 
 /// Where traffic stands, for a node that has just started.
@@ -217,7 +217,7 @@
     /// Where it takes frames and datagrams of peers.
     pub peer_address: SocketAddr,
     /// Where it takes remote calls of operators and peers.
-    pub operators: SocketAddr,
+    pub operator_address: SocketAddr,
     /// Whether it is about to stop and takes no new work.
     pub leaving: bool,
 }
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -291,7 +291,7 @@
             domain: DomainKey::of(domain),
             caller_address: address(1),
             peer_address: address(2),
-            operators: address(3),
+            operator_address: address(3),
             leaving: false,
         };
         self.nodes.push(Slot {
--- a/crates/sedgepath-test-support/src/bed/platform.rs
+++ b/crates/sedgepath-test-support/src/bed/platform.rs
@@ -78,7 +78,7 @@
         from: SocketAddr,
         after: &Position,
     ) {
-        let target = self.nodes.iter().position(|slot| slot.card.operators == from);
+        let target = self.nodes.iter().position(|slot| slot.card.operator_address == from);
         let reached = target.filter(|target| self.connects(index, *target) && self.runs(*target));
         let page = reached.and_then(|target| self.node(target)).map(|node| node.page(after));
         let bytes = page.as_ref().map_or(0, |page| serde_json::json!(page).to_string().len());
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -65,7 +65,7 @@
             domain: DomainKey::of("a"),
             caller_address: address,
             peer_address: address,
-            operators: address,
+            operator_address: address,
             leaving: false,
         };
         let catalogue = Catalogue::new(records);
--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -62,7 +62,7 @@
     /// The member's name.
     pub name: Box<str>,
     /// Where it takes remote calls.
-    pub operators: std::net::SocketAddr,
+    pub operator_address: std::net::SocketAddr,
     /// The configuration revision that it has in force.
     pub revision: u64,
     /// The age of its last sign of life, in milliseconds.
--- a/crates/sedgepath/src/commands/status.rs
+++ b/crates/sedgepath/src/commands/status.rs
@@ -111,7 +111,7 @@
             (false, true) => "leaving",
             (false, false) => "live",
         };
-        let (name, address) = (&member.name, member.operators);
+        let (name, address) = (&member.name, member.operator_address);
         let (revision, silent_ms) = (member.revision, member.silent_ms);
         writeln!(
             out,
--- a/crates/sedgepath/src/operations/timeline.rs
+++ b/crates/sedgepath/src/operations/timeline.rs
@@ -60,7 +60,8 @@
     pub fn read(&mut self, client: &Client) -> Result<Reading, CliError> {
         let answer = client.ask(|client| async move { client.status().await })?;
         let status = answer.value;
-        let members = status.members.iter().map(|member| (member.name.clone(), member.operators));
+        let members =
+            status.members.iter().map(|member| (member.name.clone(), member.operator_address));
         let mut nodes: Vec<_> = members.collect();
         nodes.push((status.node, answer.node));
         let mut reading = Reading { events: Vec::new(), silent: Vec::new() };
--- a/crates/sedgepathd/examples/slopes/datagrams.rs
+++ b/crates/sedgepathd/examples/slopes/datagrams.rs
@@ -54,7 +54,7 @@
         domain: DomainKey::of("lowcountry-a"),
         caller_address: address(80),
         peer_address: address(81),
-        operators: address(82),
+        operator_address: address(82),
         leaving: false,
     }
 }
--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -171,7 +171,7 @@
         domain: DomainKey::of(&settings.domain),
         caller_address: settings.callers,
         peer_address: settings.peers,
-        operators: settings.operators,
+        operator_address: settings.operators,
         leaving: false,
     };
     Identity::new(card, boot)
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -154,7 +154,7 @@
 fn status(node: &Node, now_ms: u64) -> Status {
     let members = node.membership().members().into_iter().map(|(_, member)| MemberStatus {
         name: member.card.name.clone(),
-        operators: member.card.operators,
+        operator_address: member.card.operator_address,
         revision: member.revision,
         silent_ms: now_ms.saturating_sub(member.last_heard_at_ms),
         suspected: member.suspected,
