--- a/crates/sedgepath-core/src/lease.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -212,7 +212,7 @@
         if let Some(acknowledgement) = acknowledgement.filter(|entry| entry.boot == self.boot) {
             let grant = Grant {
                 sent_at_ms: acknowledgement.sent_at_ms,
-                roster: heartbeat.roster,
+                roster: heartbeat.roster_digest,
                 longest_deadline_ms: heartbeat.longest_deadline_ms,
                 in_flight: acknowledgement.in_flight.clone(),
                 young: acknowledgement.young,
--- a/crates/sedgepath-core/src/membership/heartbeat.rs
+++ b/crates/sedgepath-core/src/membership/heartbeat.rs
@@ -165,7 +165,7 @@
             descriptor: needs_card.then(|| out.identity().card.clone()),
             configuration: own.news,
             loads: largest_loads(own.loads),
-            roster: right.roster_digest(),
+            roster_digest: right.roster_digest(),
             claim: right.claim(),
             longest_deadline_ms: right.longest_deadline_ms(),
             acknowledgement: to.and_then(|vm| self.acknowledgement(vm, right, out)),
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -109,7 +109,7 @@
     /// The sender's load by service.
     pub loads: Vec<ServiceLoad>,
     /// The digest of the sender's roster: the members of its failure domain and their boots.
-    pub roster: u64,
+    pub roster_digest: u64,
     /// What the sender does about its right to whole upstreams.
     pub claim: Claim,
     /// The longest deadline by which the sender admits and promises, in milliseconds.
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -407,7 +407,7 @@
         let known = boot(self);
         if self.membership.handle_heartbeat(envelope, heartbeat, &mut self.out) {
             self.right.handle_heartbeat(envelope, heartbeat);
-            let (named, own) = (heartbeat.roster, self.right.roster_digest());
+            let (named, own) = (heartbeat.roster_digest, self.right.roster_digest());
             self.membership.reconcile_roster(envelope.from, named, own, &mut self.out);
         }
         if boot(self) != known {
--- a/crates/sedgepathd/examples/slopes/datagrams.rs
+++ b/crates/sedgepathd/examples/slopes/datagrams.rs
@@ -76,7 +76,7 @@
         descriptor: (number < MEMBERS).then(|| card(member)),
         configuration: ConfigurationNews { revision: 1, head_age_ms: 300 },
         loads: (0..4).map(load).collect(),
-        roster: 7,
+        roster_digest: 7,
         claim: Claim::Whole,
         longest_deadline_ms: 10_000,
         acknowledgement: Some(acknowledgement),
