--- a/crates/sedgepath-core/src/lease.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -477,7 +477,7 @@
                 .shares
                 .iter()
                 .any(|share| share.in_flight > part_of(share.slots, &share.ranked, self.own));
-            self.claim = if over { Claim::Ending } else { Claim::Released };
+            self.claim = if over { Claim::Releasing } else { Claim::Released };
         }
     }
 
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -124,7 +124,7 @@
     /// It asks for the right; an acknowledgement grants it.
     Whole,
     /// It has given the right up, but has more in flight at some upstream than its part.
-    Ending,
+    Releasing,
     /// It has given the right up and has no more in flight anywhere than its part. Promises made to
     /// it are void, and so are all grants for earlier heartbeats.
     Released,
