--- a/crates/sedgepath-core/src/lease.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -318,7 +318,7 @@
         Some(Acknowledgement {
             boot: beat.boot,
             sent_at_ms: beat.sent_at_ms,
-            card_leaving,
+            descriptor_leaving: card_leaving,
             in_flight,
             young: self.is_young(now_ms),
             newcomer: self.roster.get(vm).is_some_and(|entry| entry.newcomer),
--- a/crates/sedgepath-core/src/membership/heartbeat.rs
+++ b/crates/sedgepath-core/src/membership/heartbeat.rs
@@ -85,7 +85,7 @@
         if let Some(acknowledgement) =
             acknowledgement.filter(|entry| entry.boot == out.identity().boot)
         {
-            contact.card_leaving = acknowledgement.card_leaving;
+            contact.card_leaving = acknowledgement.descriptor_leaving;
             contact.acknowledged_at_ms = out.now_ms();
         }
         true
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -138,7 +138,7 @@
     /// When that boot sent it, by its own clock.
     pub sent_at_ms: u64,
     /// Whether the card that is known says that its member is leaving; none if no card is known.
-    pub card_leaving: Option<bool>,
+    pub descriptor_leaving: Option<bool>,
     /// What the granter still has in flight at the receiver's upstreams.
     pub in_flight: Vec<UpstreamInFlight>,
     /// Whether the granter's boot is so young that the one before may have left requests running.
--- a/crates/sedgepathd/examples/slopes/datagrams.rs
+++ b/crates/sedgepathd/examples/slopes/datagrams.rs
@@ -66,7 +66,7 @@
     let acknowledgement = Acknowledgement {
         boot: BootId(1),
         sent_at_ms: now_ms,
-        card_leaving: Some(false),
+        descriptor_leaving: Some(false),
         in_flight: Vec::new(),
         young: false,
         newcomer: false,
