--- a/crates/sedgepath-core/src/lease.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -215,7 +215,7 @@
                 roster: heartbeat.roster_digest,
                 longest_deadline_ms: heartbeat.longest_deadline_ms,
                 in_flight: acknowledgement.in_flight.clone(),
-                young: acknowledgement.young,
+                young: acknowledgement.predecessor_may_run,
                 newcomer: acknowledgement.newcomer,
             };
             self.grants.insert(envelope.from, grant);
@@ -320,7 +320,7 @@
             sent_at_ms: beat.sent_at_ms,
             descriptor_leaving: card_leaving,
             in_flight,
-            young: self.is_young(now_ms),
+            predecessor_may_run: self.is_young(now_ms),
             newcomer: self.roster.get(vm).is_some_and(|entry| entry.newcomer),
         })
     }
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -142,7 +142,7 @@
     /// What the granter still has in flight at the receiver's upstreams.
     pub in_flight: Vec<UpstreamInFlight>,
     /// Whether the granter's boot is so young that the one before may have left requests running.
-    pub young: bool,
+    pub predecessor_may_run: bool,
     /// Whether the receiver surely has no earlier boot that may have left requests running.
     pub newcomer: bool,
 }
--- a/crates/sedgepathd/examples/slopes/datagrams.rs
+++ b/crates/sedgepathd/examples/slopes/datagrams.rs
@@ -68,7 +68,7 @@
         sent_at_ms: now_ms,
         descriptor_leaving: Some(false),
         in_flight: Vec::new(),
-        young: false,
+        predecessor_may_run: false,
         newcomer: false,
     };
     let heartbeat = Heartbeat {
