--- a/crates/sedgepath-core/src/lease.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -216,7 +216,7 @@
                 longest_deadline_ms: heartbeat.longest_deadline_ms,
                 in_flight: acknowledgement.in_flight.clone(),
                 young: acknowledgement.predecessor_may_run,
-                newcomer: acknowledgement.newcomer,
+                newcomer: acknowledgement.receiver_has_no_predecessor,
             };
             self.grants.insert(envelope.from, grant);
         }
@@ -321,7 +321,7 @@
             descriptor_leaving: card_leaving,
             in_flight,
             predecessor_may_run: self.is_young(now_ms),
-            newcomer: self.roster.get(vm).is_some_and(|entry| entry.newcomer),
+            receiver_has_no_predecessor: self.roster.get(vm).is_some_and(|entry| entry.newcomer),
         })
     }
 
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -144,7 +144,7 @@
     /// Whether the granter's boot is so young that the one before may have left requests running.
     pub predecessor_may_run: bool,
     /// Whether the receiver surely has no earlier boot that may have left requests running.
-    pub newcomer: bool,
+    pub receiver_has_no_predecessor: bool,
 }
 
 /// The requests in flight at an upstream.
--- a/crates/sedgepathd/examples/slopes/datagrams.rs
+++ b/crates/sedgepathd/examples/slopes/datagrams.rs
@@ -69,7 +69,7 @@
         descriptor_leaving: Some(false),
         in_flight: Vec::new(),
         predecessor_may_run: false,
-        newcomer: false,
+        receiver_has_no_predecessor: false,
     };
     let heartbeat = Heartbeat {
         sent_at_ms: now_ms,
