--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -278,18 +278,18 @@
     /// Answers a probe if the member asked about was heard of.
     pub fn handle_probe(&self, envelope: &Envelope, probe: &Probe, out: &mut Outbox) {
         if let Some(asker) = self.members.get(&envelope.from) {
-            let direct = self.heartbeats.heard(probe.about);
-            probe::answer(asker.card.peer_address, probe.about, direct, out);
+            let direct = self.heartbeats.heard(probe.member);
+            probe::answer(asker.card.peer_address, probe.member, direct, out);
         }
     }
 
     /// Takes in the answer to a probe.
     pub fn handle_probe_answer(&mut self, answer: &ProbeAnswer, out: &mut Outbox) {
-        let Some(member) = self.members.get(&answer.about) else {
+        let Some(member) = self.members.get(&answer.member) else {
             return;
         };
         let sighting = Sighting {
-            vm: answer.about,
+            vm: answer.member,
             boot: answer.boot,
             heard_at_ms: out.now_ms().saturating_sub(answer.age_ms),
             revision: member.revision,
--- a/crates/sedgepath-core/src/membership/probe.rs
+++ b/crates/sedgepath-core/src/membership/probe.rs
@@ -22,7 +22,7 @@
     let round = about.0 ^ out.now_ms();
     others.sort_unstable_by_key(|(vm, _)| rendezvous::rank(round, vm.0));
     for (_, address) in others.into_iter().take(ASKED_PEERS) {
-        out.send(address, Message::Probe(Probe { about }));
+        out.send(address, Message::Probe(Probe { member: about }));
     }
 }
 
@@ -30,6 +30,6 @@
 pub(super) fn answer(to: SocketAddr, about: VmKey, direct: Option<Heard>, out: &mut Outbox) {
     if let Some(heard) = direct {
         let age_ms = out.now_ms().saturating_sub(heard.at_ms);
-        out.send(to, Message::ProbeAnswer(ProbeAnswer { about, boot: heard.boot, age_ms }));
+        out.send(to, Message::ProbeAnswer(ProbeAnswer { member: about, boot: heard.boot, age_ms }));
     }
 }
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -160,14 +160,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Probe {
     /// The member that the sender has not heard of for a while.
-    pub about: VmKey,
+    pub member: VmKey,
 }
 
 /// Answers a probe.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProbeAnswer {
     /// The member that was asked about.
-    pub about: VmKey,
+    pub member: VmKey,
     /// Its boot.
     pub boot: BootId,
     /// How long ago it was heard of directly, in milliseconds; a time on the wire, since clocks
