--- a/crates/sedgepath-core/benches/look_up.rs
+++ b/crates/sedgepath-core/benches/look_up.rs
@@ -103,8 +103,11 @@
     for domain_number in 0..DOMAINS {
         let members = if domain_number == 0 { MEMBERS } else { KNOWN_OF_OTHERS };
         let lines = (1..=members).map(|member| line(card(domain_number, member))).collect();
-        let summary =
-            Summary { domain: DomainKey::of(&domain(domain_number)), pass_on: false, lines };
+        let summary = Summary {
+            domain: DomainKey::of(&domain(domain_number)),
+            forward_in_domain: false,
+            lines,
+        };
         let envelope = Envelope {
             from: VmKey::of("relay"),
             boot: BootId(1),
--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -314,7 +314,7 @@
             };
             self.learn(sighting, out);
         }
-        if summary.pass_on {
+        if summary.forward_in_domain {
             let own_domain = out.identity().card.domain;
             for (_, member) in self.members_in(own_domain) {
                 if !member.suspected {
--- a/crates/sedgepath-core/src/membership/relay.rs
+++ b/crates/sedgepath-core/src/membership/relay.rs
@@ -191,7 +191,7 @@
 
 /// Passes a summary on to a member of the own failure domain.
 pub(super) fn pass_on(to: SocketAddr, summary: &Summary, out: &mut Outbox) {
-    out.send(to, Message::Summary(Summary { pass_on: false, ..summary.clone() }));
+    out.send(to, Message::Summary(Summary { forward_in_domain: false, ..summary.clone() }));
 }
 
 fn own_line(own: OwnState<'_>, with_card: bool, out: &Outbox) -> SummaryLine {
@@ -228,14 +228,14 @@
         let line_bytes = most_bytes(&line);
         if part_bytes + line_bytes > MAX_LINES_BYTES && !part.is_empty() {
             let lines = std::mem::take(&mut part);
-            out.send(to, Message::Summary(Summary { domain, pass_on, lines }));
+            out.send(to, Message::Summary(Summary { domain, forward_in_domain: pass_on, lines }));
             part_bytes = 0;
         }
         part_bytes += line_bytes;
         part.push(line);
     }
     if !part.is_empty() {
-        out.send(to, Message::Summary(Summary { domain, pass_on, lines: part }));
+        out.send(to, Message::Summary(Summary { domain, forward_in_domain: pass_on, lines: part }));
     }
 }
 
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -181,7 +181,7 @@
     /// The failure domain.
     pub domain: DomainKey,
     /// Whether the receiver is to pass it on inside its own failure domain.
-    pub pass_on: bool,
+    pub forward_in_domain: bool,
     /// The members.
     pub lines: Vec<SummaryLine>,
 }
