--- a/crates/sedgepath-core/benches/look_up.rs
+++ b/crates/sedgepath-core/benches/look_up.rs
@@ -106,7 +106,7 @@
         let summary = Summary {
             domain: DomainKey::of(&domain(domain_number)),
             forward_in_domain: false,
-            lines,
+            members: lines,
         };
         let envelope = Envelope {
             from: VmKey::of("relay"),
--- a/crates/sedgepath-core/src/membership/relay.rs
+++ b/crates/sedgepath-core/src/membership/relay.rs
@@ -228,14 +228,20 @@
         let line_bytes = most_bytes(&line);
         if part_bytes + line_bytes > MAX_LINES_BYTES && !part.is_empty() {
             let lines = std::mem::take(&mut part);
-            out.send(to, Message::Summary(Summary { domain, forward_in_domain: pass_on, lines }));
+            out.send(
+                to,
+                Message::Summary(Summary { domain, forward_in_domain: pass_on, members: lines }),
+            );
             part_bytes = 0;
         }
         part_bytes += line_bytes;
         part.push(line);
     }
     if !part.is_empty() {
-        out.send(to, Message::Summary(Summary { domain, forward_in_domain: pass_on, lines: part }));
+        out.send(
+            to,
+            Message::Summary(Summary { domain, forward_in_domain: pass_on, members: part }),
+        );
     }
 }
 
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -183,7 +183,7 @@
     /// Whether the receiver is to pass it on inside its own failure domain.
     pub forward_in_domain: bool,
     /// The members.
-    pub lines: Vec<SummaryLine>,
+    pub members: Vec<SummaryLine>,
 }
 
 /// What a relay knows of one member.
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -445,7 +445,7 @@
             }
             Message::Summary(summary) => {
                 self.membership.take_summary(summary, &mut self.out);
-                for line in &summary.lines {
+                for line in &summary.members {
                     self.hear_revision(line.vm, line.revision);
                 }
             }
--- a/crates/sedgepath-test-support/src/bed/loads.rs
+++ b/crates/sedgepath-test-support/src/bed/loads.rs
@@ -22,7 +22,7 @@
                 self.replace_of(from, &mut heartbeat.loads, faults, now_ms);
             }
             Message::Summary(summary) => {
-                for line in &mut summary.lines {
+                for line in &mut summary.members {
                     self.replace_of(line.vm, &mut line.loads, faults, now_ms);
                 }
             }
