--- a/crates/sedgepath-core/src/egress/leaving.rs
+++ b/crates/sedgepath-core/src/egress/leaving.rs
@@ -104,7 +104,7 @@
         });
         let mut upstreams: Vec<_> = leaving.collect();
         upstreams.sort_unstable_by_key(|leaving| leaving.upstream);
-        upstreams.truncate(LeavingUpstreams::MOST);
+        upstreams.truncate(LeavingUpstreams::MAX_UPSTREAMS);
         LeavingUpstreams { upstreams }
     }
 }
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -236,13 +236,13 @@
 /// Upstreams that are about to leave.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingUpstreams {
-    /// The upstreams, at most [`Self::MOST`].
+    /// The upstreams, at most [`Self::MAX_UPSTREAMS`].
     pub upstreams: Vec<LeavingUpstream>,
 }
 
 impl LeavingUpstreams {
     /// The most upstreams that one datagram names.
-    pub const MOST: usize = 100;
+    pub const MAX_UPSTREAMS: usize = 100;
 }
 
 /// An upstream that is about to leave.
