--- a/crates/sedgepath-core/examples/once_figures.rs
+++ b/crates/sedgepath-core/examples/once_figures.rs
@@ -156,7 +156,7 @@
             let Seen::Answered { .. } = bed.calls()[*last].seen else {
                 if end(&bed.calls()[*last].seen) != 0 {
                     *attempt += 1;
-                    let once = bed.calls()[*last].head.once;
+                    let once = bed.calls()[*last].head.deduplication;
                     *last = call(bed, 1 + *last % (NODES - 1), once, *attempt);
                 }
                 continue;
@@ -170,5 +170,5 @@
 fn call(bed: &mut Bed, node: usize, once: Once, attempt: u32) -> CallIndex {
     let digest = Digest::of(&[format!("{once:?}").as_bytes()]);
     let head = guest_request("deposit", bed.now_ms() + 2_000);
-    bed.call(node, RequestHead { once, attempt, idempotent: false, digest, ..head })
+    bed.call(node, RequestHead { deduplication: once, attempt, idempotent: false, digest, ..head })
 }
--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -53,7 +53,7 @@
         out: &mut Outbox,
     ) -> bool {
         let identity = out.identity();
-        let admitted = match head.once {
+        let admitted = match head.deduplication {
             Once::Repeatable => true,
             Once::Ticket(ticket) if (ticket.home, ticket.boot) == (identity.vm, identity.boot) => {
                 self.tickets.admit(request, ticket, head, out)
--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -278,7 +278,7 @@
     let Some(class) = view.catalogue.class(head.key_digest) else {
         return Err(Denied::Outcome(Outcome::UnknownOrganisation));
     };
-    if entry.once_only && head.once == Once::Repeatable {
+    if entry.once_only && head.deduplication == Once::Repeatable {
         return Err(Denied::Outcome(Outcome::KeyRequired));
     }
     if head.deadline_at_ms <= view.now_ms {
--- a/crates/sedgepath-core/src/ingress/pending.rs
+++ b/crates/sedgepath-core/src/ingress/pending.rs
@@ -46,7 +46,7 @@
     ) -> Self {
         // The owner's right to an upstream counts on the longest deadline that the record allows.
         let latest_ms = view.now_ms + entry.longest_deadline_ms;
-        let once_only = head.once != Once::Repeatable;
+        let once_only = head.deduplication != Once::Repeatable;
         let repeatable = head.idempotent && !once_only;
         Self {
             service,
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -210,7 +210,7 @@
     fn request(&mut self, request: RequestKey, head: &RequestHead) {
         let identity = self.out.shared_identity();
         let means = means!(self, identity);
-        let is_once = head.once != Once::Repeatable;
+        let is_once = head.deduplication != Once::Repeatable;
         let is_known = is_once && ingress::knows(head, means.view.catalogue);
         if is_known && !self.once.admit(request, head, &self.membership, &mut self.out) {
             return;
--- a/crates/sedgepath-core/src/request.rs
+++ b/crates/sedgepath-core/src/request.rs
@@ -71,7 +71,7 @@
     /// When the caller stops waiting, in milliseconds by this node's clock.
     pub deadline_at_ms: u64,
     /// How it is kept from running twice.
-    pub once: Once,
+    pub deduplication: Once,
     /// The number of the attempt under its key or ticket, from 1; 0 if the caller did not say.
     pub attempt: u32,
     /// Whether the method is idempotent, so that it may be retried.
--- a/crates/sedgepath-core/tests/once_support/mod.rs
+++ b/crates/sedgepath-core/tests/once_support/mod.rs
@@ -34,7 +34,7 @@
 /// Returns a request; its digest is that of the action alone, as in a repeat.
 pub fn head(bed: &Bed, once: Once, attempt: u32) -> RequestHead {
     RequestHead {
-        once,
+        deduplication: once,
         attempt,
         idempotent: false,
         digest: Digest::of(&[format!("{once:?}").as_bytes()]),
@@ -84,7 +84,7 @@
     let mut verdict = Verdict { ran_twice, ..Verdict::default() };
     let mut by_key: BTreeMap<String, Vec<CallIndex>> = BTreeMap::new();
     for (index, call) in bed.calls().iter().enumerate() {
-        by_key.entry(format!("{:?}", call.head.once)).or_default().push(index);
+        by_key.entry(format!("{:?}", call.head.deduplication)).or_default().push(index);
         if is_not_run(&call.seen) {
             verdict.ran_after_not_run += usize::from(bed.upstreams.runs_of(index) > 0);
         }
--- a/crates/sedgepath-core/tests/right.rs
+++ b/crates/sedgepath-core/tests/right.rs
@@ -66,7 +66,7 @@
                 source: IpAddr::V4(Ipv4Addr::LOCALHOST),
                 key_digest: Some(records::key_digest("key")),
                 deadline_at_ms: bed.now_ms() + LONGEST_DEADLINE_MS,
-                once: Once::Repeatable,
+                deduplication: Once::Repeatable,
                 idempotent: false,
                 digest: Digest::of(&[b"GET /"]),
                 revision_seen: 0,
--- a/crates/sedgepath-core/tests/tickets.rs
+++ b/crates/sedgepath-core/tests/tickets.rs
@@ -44,7 +44,7 @@
     let commits = bed.table_commits;
     run_actions(&mut bed, 200, 10, ticket_of, |_, _| {});
     for number in 0..200 {
-        let once = bed.calls()[number].head.once;
+        let once = bed.calls()[number].head.deduplication;
         let seen = seen_of(&mut bed, number % 4, once, 0);
         assert!(matches!(seen, Seen::Concluded(Outcome::Repeated(_))), "{seen:?}");
     }
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -152,7 +152,7 @@
         if let Some(upstream) = self.upstreams.answered(call) {
             self.see(call, Seen::Answered { upstream });
         }
-        let once = self.calls[call].head.once != Once::Repeatable;
+        let once = self.calls[call].head.deduplication != Once::Repeatable;
         let stored = once.then(|| StoredAnswer {
             status: 200,
             content_type: None,
--- a/crates/sedgepath-test-support/src/bed/upstreams.rs
+++ b/crates/sedgepath-test-support/src/bed/upstreams.rs
@@ -187,7 +187,7 @@
         upstream.peak_in_flight = upstream.peak_in_flight.max(upstream.in_flight);
         upstream.runs.push(Run {
             call: started.call,
-            once: head.map(|head| head.once),
+            once: head.map(|head| head.deduplication),
             started_at_ms: started.at_ms,
         });
         let spread_ms = upstream.service_ms / 5;
--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -109,7 +109,7 @@
         source: IpAddr::V4(Ipv4Addr::LOCALHOST),
         key_digest: key.map(records::key_digest),
         deadline_at_ms: bed.now_ms() + deadline_ms,
-        once: Once::Repeatable,
+        deduplication: Once::Repeatable,
         attempt: 0,
         idempotent: true,
         digest: Digest::of(&[b"GET /"]),
--- a/crates/sedgepathd/src/callers.rs
+++ b/crates/sedgepathd/src/callers.rs
@@ -232,7 +232,7 @@
             source,
             key_digest,
             deadline_at_ms: deadline_at_ms(&parts.headers, now_ms, &self.limits),
-            once,
+            deduplication: once,
             attempt: once::attempt(&parts.headers),
             idempotent: parts.method.is_idempotent(),
             digest: Digest::of(&[
@@ -268,7 +268,7 @@
             source: home.source,
             key_digest: home.key_digest,
             deadline_at_ms: self.handle.clock().now_ms().saturating_add(home.remaining_ms),
-            once: home.once,
+            deduplication: home.deduplication,
             attempt: home.attempt,
             idempotent: false,
             digest: home.digest,
--- a/crates/sedgepathd/src/callers/serving.rs
+++ b/crates/sedgepathd/src/callers/serving.rs
@@ -101,7 +101,7 @@
     /// A once-only request goes on when its caller has gone: what became of it has to be learnt and
     /// kept for the repeat, which would end *unknown* otherwise.
     pub(super) async fn serve(self) -> Served {
-        if self.head.once == Once::Repeatable {
+        if self.head.deduplication == Once::Repeatable {
             return self.run().await;
         }
         tokio::spawn(self.run()).await.unwrap_or(Served::Stopping)
@@ -137,7 +137,7 @@
     async fn answered(mut self, answer: Answer) -> Served {
         self.concluded = true;
         let request = self.request;
-        if self.head.once == Once::Repeatable {
+        if self.head.deduplication == Once::Repeatable {
             return Served::Answer { answer: Box::new(answer), request, is_ended: false };
         }
         let ended = |whole, stored| Event::RelayEnded { request, whole, stored };
@@ -169,7 +169,7 @@
                     source: self.head.source,
                     key_digest: self.head.key_digest,
                     remaining_ms: deadline_at_ms.saturating_sub(now_ms),
-                    once: self.head.once,
+                    deduplication: self.head.deduplication,
                     attempt: self.head.attempt,
                     digest: self.head.digest,
                 };
