--- a/crates/sedgepath-core/src/egress.rs
+++ b/crates/sedgepath-core/src/egress.rs
@@ -91,7 +91,7 @@
     ) {
         let now_ms = out.now_ms();
         let capacity = self.upstreams.capacity(dispatch.service, scope, now_ms);
-        if !self.upstreams.is_usable(dispatch.service, dispatch.avoid, scope, now_ms) {
+        if !self.upstreams.is_usable(dispatch.service, dispatch.avoid_upstream, scope, now_ms) {
             out.push(Action::Refuse { exchange, refusal: unusable(capacity, now_ms) });
             return;
         }
@@ -104,7 +104,7 @@
             class: dispatch.class,
             deadline_at_ms,
             since_ms: now_ms,
-            avoid: dispatch.avoid,
+            avoid: dispatch.avoid_upstream,
         };
         let service = self.services.entry(dispatch.service).or_default();
         service.queue.push(waiting);
--- a/crates/sedgepath-core/src/ingress/pending.rs
+++ b/crates/sedgepath-core/src/ingress/pending.rs
@@ -141,7 +141,7 @@
                 origin: self.origin,
                 remaining_ms: self.deadline_at_ms.saturating_sub(out.now_ms()),
                 once_only: self.once_only,
-                avoid: None,
+                avoid_upstream: None,
                 revision,
             },
             deadline_at_ms: self.deadline_at_ms,
--- a/crates/sedgepath-core/src/request.rs
+++ b/crates/sedgepath-core/src/request.rs
@@ -99,7 +99,7 @@
     /// Whether the request must not run twice.
     pub once_only: bool,
     /// An upstream that this request has failed at and should avoid.
-    pub avoid: Option<UpstreamKey>,
+    pub avoid_upstream: Option<UpstreamKey>,
     /// The configuration revision by which the ingress decided.
     pub revision: u64,
 }
--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -166,11 +166,11 @@
         origin: OriginKey::of("any"),
         remaining_ms: 5_000,
         once_only: false,
-        avoid: Some(UpstreamKey::of("u")),
+        avoid_upstream: Some(UpstreamKey::of("u")),
         revision: 1,
     };
     let avoiding = owner.hand_in(&dispatch);
     assert_eq!(owner.refusal(avoiding).map(|refusal| refusal.reason), Some(Reason::NoUpstream));
-    let late = owner.hand_in(&Dispatch { remaining_ms: 0, avoid: None, ..dispatch });
+    let late = owner.hand_in(&Dispatch { remaining_ms: 0, avoid_upstream: None, ..dispatch });
     assert_eq!(owner.refusal(late).map(|refusal| refusal.reason), Some(Reason::Deadline));
 }
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -132,7 +132,7 @@
             origin: OriginKey::of("any"),
             remaining_ms,
             once_only: false,
-            avoid: None,
+            avoid_upstream: None,
             revision: 1,
         })
     }
