--- a/crates/sedgepath-core/src/configuration/change/progress.rs
+++ b/crates/sedgepath-core/src/configuration/change/progress.rs
@@ -136,7 +136,7 @@
     }
 
     fn read(&mut self, keys: Vec<Box<str>>, step: Step, out: &mut Outbox) {
-        self.operation = Some(out.table(TableRequest::Read(keys)));
+        self.operation = Some(out.request_table(TableRequest::Read(keys)));
         self.step = step;
     }
 
@@ -203,7 +203,7 @@
             after: log_key(head.revision.saturating_sub(REMEMBERED_CHANGES)),
             limit: REMEMBERED_CHANGES as u32,
         };
-        self.operation = Some(out.table(request));
+        self.operation = Some(out.request_table(request));
         self.step = Step::AwaitLog { head };
     }
 
@@ -295,7 +295,7 @@
                 change: RowChange::Delete,
             });
         }
-        self.operation = Some(out.table(TableRequest::Commit(Transaction { writes })));
+        self.operation = Some(out.request_table(TableRequest::Commit(Transaction { writes })));
         self.step = Step::AwaitCommit { head };
     }
 
--- a/crates/sedgepath-core/src/configuration/reader.rs
+++ b/crates/sedgepath-core/src/configuration/reader.rs
@@ -125,7 +125,7 @@
     }
 
     fn read(&mut self, keys: Vec<Box<str>>, reading: Reading, out: &mut Outbox) {
-        let operation = out.table(TableRequest::Read(keys));
+        let operation = out.request_table(TableRequest::Read(keys));
         self.reading = Some((operation, reading));
     }
 
@@ -136,7 +136,7 @@
 
     fn scan(&mut self, head: u64, rows: Vec<RecordRow>, after: Box<str>, out: &mut Outbox) {
         let request = TableRequest::Scan { prefix: RECORD_PREFIX.into(), after, limit: PAGE_ROWS };
-        let operation = out.table(request);
+        let operation = out.request_table(request);
         self.reading = Some((operation, Reading::Scan { head, rows }));
     }
 
--- a/crates/sedgepath-core/src/deduplication/batch.rs
+++ b/crates/sedgepath-core/src/deduplication/batch.rs
@@ -114,7 +114,7 @@
             let count = self.readings.len().min(MAX_ROWS);
             let batch: Vec<_> = self.readings.drain(..count).collect();
             let keys = batch.iter().flat_map(|reading| reading.keys.iter().cloned());
-            let operation = out.table(TableRequest::Read(keys.collect()));
+            let operation = out.request_table(TableRequest::Read(keys.collect()));
             self.readings_in_flight.insert(operation, batch);
         }
     }
@@ -137,7 +137,7 @@
         }
         self.writes = later;
         let writes = batch.iter().map(|write| write.write.clone()).collect();
-        let operation = out.table(TableRequest::Commit(Transaction { writes }));
+        let operation = out.request_table(TableRequest::Commit(Transaction { writes }));
         self.commits_in_flight.insert(operation, batch);
     }
 
--- a/crates/sedgepath-core/src/outbox.rs
+++ b/crates/sedgepath-core/src/outbox.rs
@@ -82,7 +82,7 @@
     }
 
     /// Sends a request to the table and returns its key.
-    pub fn table(&mut self, request: TableRequest) -> OperationKey {
+    pub fn request_table(&mut self, request: TableRequest) -> OperationKey {
         let operation = self.next_operation();
         self.actions.push(Action::Table { operation, request });
         operation
