--- a/crates/sedgepath-core/src/configuration/spread.rs
+++ b/crates/sedgepath-core/src/configuration/spread.rs
@@ -127,7 +127,7 @@
             .collect();
         peers.sort_unstable();
         let Some((vm, from)) = random.choice(peers) else { return };
-        let operation = out.fetch(from, Position::after_revision(revision));
+        let operation = out.fetch_page(from, Position::after_revision(revision));
         self.fetching =
             Some(Fetching { operation, vm, from, after: revision, records: Vec::new() });
     }
@@ -155,7 +155,7 @@
             });
         }
         let Some(last) = fetching.records.last() else { return Fetched::NoPeer };
-        fetching.operation = out.fetch(fetching.from, Position::of(last));
+        fetching.operation = out.fetch_page(fetching.from, Position::of(last));
         self.fetching = Some(fetching);
         Fetched::Pending
     }
--- a/crates/sedgepath-core/src/outbox.rs
+++ b/crates/sedgepath-core/src/outbox.rs
@@ -89,7 +89,7 @@
     }
 
     /// Fetches a page of a peer's records and returns the request's key.
-    pub fn fetch(&mut self, from: SocketAddr, after: Position) -> OperationKey {
+    pub fn fetch_page(&mut self, from: SocketAddr, after: Position) -> OperationKey {
         let operation = self.next_operation();
         self.actions.push(Action::FetchPage { operation, from, after });
         operation
