--- a/crates/sedgepath-core/src/egress.rs
+++ b/crates/sedgepath-core/src/egress.rs
@@ -179,7 +179,7 @@
     }
 
     /// Takes in the number of connections that are open to an upstream.
-    pub fn take_connections(&mut self, upstream: UpstreamKey, open: u32, now_ms: u64) {
+    pub fn set_open_connections(&mut self, upstream: UpstreamKey, open: u32, now_ms: u64) {
         self.upstreams.entry(upstream).take_connections(open, now_ms);
     }
 
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -158,7 +158,7 @@
                 self.admit(|egress, scope, out| egress.take_report(upstream, report, scope, out));
             }
             Event::ConnectionsChanged { upstream, open } => {
-                self.egress.take_connections(upstream, open, now_ms);
+                self.egress.set_open_connections(upstream, open, now_ms);
             }
             Event::Datagram(envelope) => self.datagram(&envelope),
             Event::Table { operation, result } => {
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -234,7 +234,7 @@
 
     /// Says how many connections to an upstream are open.
     pub fn connections(&mut self, upstream: &str, open: u32) {
-        self.egress.take_connections(UpstreamKey::of(upstream), open, self.now_ms);
+        self.egress.set_open_connections(UpstreamKey::of(upstream), open, self.now_ms);
     }
 
     /// Says that nobody waits for a request any more.
