--- a/crates/sedgepath-core/src/egress.rs
+++ b/crates/sedgepath-core/src/egress.rs
@@ -140,7 +140,7 @@
 
     /// Takes in that the ingress no longer waits for a dispatch: one that waits is refused, for one
     /// that runs a cancellation is tried.
-    pub fn dispatch_gone(&mut self, exchange: ExchangeKey, out: &mut Outbox) {
+    pub fn cancel_dispatch(&mut self, exchange: ExchangeKey, out: &mut Outbox) {
         if self.calls.contains_key(&exchange) {
             out.push(Action::CancelCall { exchange });
             return;
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -151,7 +151,7 @@
                 self.admit(|egress, scope, out| egress.call_ended(exchange, end, scope, out));
             }
             Event::DispatchCanceled { exchange } => {
-                self.egress.dispatch_gone(exchange, &mut self.out)
+                self.egress.cancel_dispatch(exchange, &mut self.out)
             }
             Event::UpstreamReport { upstream, report } => {
                 self.right.handle_upstream_report(upstream, &report);
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -239,7 +239,7 @@
 
     /// Says that nobody waits for a request any more.
     pub fn gone(&mut self, exchange: ExchangeKey) {
-        self.egress.dispatch_gone(exchange, &mut self.out);
+        self.egress.cancel_dispatch(exchange, &mut self.out);
         self.take_actions();
     }
 
