--- a/crates/sedgepath-core/examples/admission_parts.rs
+++ b/crates/sedgepath-core/examples/admission_parts.rs
@@ -97,7 +97,7 @@
     };
     vec![
         ("all parts", all),
-        ("no reserve", AdmissionSettings { reserve: false, ..all }),
+        ("no reserve", AdmissionSettings { reserve_for_paying: false, ..all }),
         ("no queue", AdmissionSettings { queueing: Queueing::Off, ..all }),
         ("unbounded queue", AdmissionSettings { queueing: Queueing::Unbounded, ..all }),
         ("queue 2/1 a slot", queue(2, 1)),
--- a/crates/sedgepath-core/examples/policy/scenario.rs
+++ b/crates/sedgepath-core/examples/policy/scenario.rs
@@ -132,7 +132,8 @@
 impl Run {
     /// Runs a scenario to its end.
     pub fn new(deployment: Deployment, scenario: Scenario, variant: &Variant, seed: u64) -> Self {
-        let admission = AdmissionSettings { reserve: variant.reserve, ..Default::default() };
+        let admission =
+            AdmissionSettings { reserve_for_paying: variant.reserve, ..Default::default() };
         let settings = NodeSettings { admission, seed, ..NodeSettings::default() };
         let mut bed = Bed::new(seed).with_policy(variant.policy).with_settings(settings);
         deployment.start(&mut bed, variant.plan);
--- a/crates/sedgepath-core/src/egress.rs
+++ b/crates/sedgepath-core/src/egress.rs
@@ -239,7 +239,7 @@
 
     fn kept(&self, service: &Service, capacity: Capacity) -> u32 {
         let Capacity { slots, paying, .. } = capacity;
-        if self.settings.reserve { service.reserve.slots(slots, paying) } else { 0 }
+        if self.settings.reserve_for_paying { service.reserve.slots(slots, paying) } else { 0 }
     }
 
     /// Sends what waits for a service and can be sent, and refuses what can no longer be served.
--- a/crates/sedgepath-core/src/egress/settings.rs
+++ b/crates/sedgepath-core/src/egress/settings.rs
@@ -22,7 +22,7 @@
     /// How requests wait.
     pub queueing: Queueing,
     /// Whether slots are kept free for paying requests.
-    pub reserve: bool,
+    pub reserve_for_paying: bool,
     /// Whether cold upstreams warm up.
     pub ramp: bool,
 }
@@ -31,7 +31,7 @@
     fn default() -> Self {
         Self {
             queueing: Queueing::Bounded { paying_per_slot: 4, others_per_slot: 2 },
-            reserve: true,
+            reserve_for_paying: true,
             ramp: true,
         }
     }
