--- a/crates/sedgepath-core/examples/admission_parts.rs
+++ b/crates/sedgepath-core/examples/admission_parts.rs
@@ -102,7 +102,7 @@
         ("unbounded queue", AdmissionSettings { queueing: Queueing::Unbounded, ..all }),
         ("queue 2/1 a slot", queue(2, 1)),
         ("queue 8/4 a slot", queue(8, 4)),
-        ("no ramp", AdmissionSettings { ramp: false, ..all }),
+        ("no ramp", AdmissionSettings { warm_up: false, ..all }),
     ]
 }
 
--- a/crates/sedgepath-core/src/egress.rs
+++ b/crates/sedgepath-core/src/egress.rs
@@ -76,7 +76,7 @@
         Self {
             settings,
             calls: Map::default(),
-            upstreams: Upstreams::new(settings.ramp),
+            upstreams: Upstreams::new(settings.warm_up),
             services: Map::default(),
         }
     }
--- a/crates/sedgepath-core/src/egress/settings.rs
+++ b/crates/sedgepath-core/src/egress/settings.rs
@@ -24,7 +24,7 @@
     /// Whether slots are kept free for paying requests.
     pub reserve_for_paying: bool,
     /// Whether cold upstreams warm up.
-    pub ramp: bool,
+    pub warm_up: bool,
 }
 
 impl Default for AdmissionSettings {
@@ -32,7 +32,7 @@
         Self {
             queueing: Queueing::Bounded { paying_per_slot: 4, others_per_slot: 2 },
             reserve_for_paying: true,
-            ramp: true,
+            warm_up: true,
         }
     }
 }
