--- a/crates/sedgepath-core/src/catalogue.rs
+++ b/crates/sedgepath-core/src/catalogue.rs
@@ -116,7 +116,7 @@
     /// Services that a record of an unknown schema concerns; they are refused on this node.
     pub refused: Set<ServiceKey>,
     /// The records that could not be read.
-    pub unread: Vec<Unread>,
+    pub unreadable_records: Vec<Unread>,
     keys: Map<Digest, OrganisationKey>,
     blocks: Arc<BlockTable>,
 }
@@ -124,7 +124,7 @@
 impl Catalogue {
     /// Reads the records of a revision.
     ///
-    /// Records that can't be read are listed in [`Self::unread`]; they take nothing else down.
+    /// Records that can't be read are listed in [`Self::unreadable_records`]; they take nothing else down.
     pub fn new<'a>(records: impl IntoIterator<Item = &'a RawRecord>) -> Self {
         let mut blocks = Vec::new();
         let mut catalogue = Self::default();
@@ -147,8 +147,8 @@
         catalogue.origins.clone_from(&previous.origins);
         let others = records.into_iter().filter(|raw| &*raw.kind != "clients");
         catalogue.add_records(others, |_, _| {});
-        let unread = previous.unread.iter().filter(|unread| &*unread.kind == "clients");
-        catalogue.unread.extend(unread.cloned());
+        let unread = previous.unreadable_records.iter().filter(|unread| &*unread.kind == "clients");
+        catalogue.unreadable_records.extend(unread.cloned());
         catalogue
     }
 
@@ -328,7 +328,7 @@
         if matches!(&*raw.kind, "service" | "steering") {
             self.refused.insert(ServiceKey::of(&raw.name));
         }
-        self.unread.push(Unread {
+        self.unreadable_records.push(Unread {
             kind: raw.kind.clone(),
             name: raw.name.clone(),
             error: Arc::new(error),
--- a/crates/sedgepath-core/src/configuration.rs
+++ b/crates/sedgepath-core/src/configuration.rs
@@ -222,7 +222,7 @@
         let fields: [(&str, &dyn std::fmt::Display); 2] =
             [("revision", &revision), ("source", &source.name())];
         out.log(Topic::Configuration, "revision_applied", &fields);
-        for unread in &self.store.catalogue().unread {
+        for unread in &self.store.catalogue().unreadable_records {
             let fields: [(&str, &dyn std::fmt::Display); 3] =
                 [("kind", &unread.kind), ("name", &unread.name), ("error", &unread.error)];
             out.log(Topic::Configuration, "record_unread", &fields);
--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -40,7 +40,7 @@
     /// Whether it serves callers.
     pub ready: bool,
     /// The records that it keeps but can't read.
-    pub unread: Vec<UnreadStatus>,
+    pub unreadable_records: Vec<UnreadStatus>,
     /// The members that it knows.
     pub members: Vec<MemberStatus>,
 }
--- a/crates/sedgepath/src/commands/status.rs
+++ b/crates/sedgepath/src/commands/status.rs
@@ -97,7 +97,8 @@
 }
 
 fn write(out: &mut dyn Write, status: &Status) -> std::io::Result<()> {
-    let Status { node, revision, head_age_ms, ready, unread, members, .. } = status;
+    let Status { node, revision, head_age_ms, ready, unreadable_records: unread, members, .. } =
+        status;
     let ready = if *ready { "serves" } else { "does not serve yet" };
     writeln!(out, "{node} {ready} by revision {revision}; the head was read {head_age_ms} ms ago")?;
     for record in unread {
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -160,18 +160,19 @@
         suspected: member.suspected,
         leaving: member.card.leaving,
     });
-    let unread = node.configuration().catalogue().unread.iter().map(|unread| UnreadStatus {
-        kind: unread.kind.clone(),
-        name: unread.name.clone(),
-        reason: unread.error.to_string().into(),
-    });
+    let unread =
+        node.configuration().catalogue().unreadable_records.iter().map(|unread| UnreadStatus {
+            kind: unread.kind.clone(),
+            name: unread.name.clone(),
+            reason: unread.error.to_string().into(),
+        });
     Status {
         node: node.outbox().identity().card.name.clone(),
         domain: node.outbox().identity().card.domain,
         revision: node.configuration().revision(),
         head_age_ms: node.configuration().news(now_ms).head_age_ms,
         ready: node.configuration().ready(),
-        unread: unread.collect(),
+        unreadable_records: unread.collect(),
         members: members.collect(),
     }
 }
