--- a/crates/sedgepath-core/src/catalogue.rs
+++ b/crates/sedgepath-core/src/catalogue.rs
@@ -114,7 +114,7 @@
     /// The origin groups' names.
     pub origins: Map<OriginKey, Box<str>>,
     /// Services that a record of an unknown schema concerns; they are refused on this node.
-    pub refused: Set<ServiceKey>,
+    pub rejected_services: Set<ServiceKey>,
     /// The records that could not be read.
     pub unreadable_records: Vec<Unread>,
     keys: Map<Digest, OrganisationKey>,
@@ -326,7 +326,7 @@
     /// or by an older one, and callers would be sent against the record in force.
     fn add_unread(&mut self, raw: &RawRecord, error: RecordError) {
         if matches!(&*raw.kind, "service" | "steering") {
-            self.refused.insert(ServiceKey::of(&raw.name));
+            self.rejected_services.insert(ServiceKey::of(&raw.name));
         }
         self.unreadable_records.push(Unread {
             kind: raw.kind.clone(),
--- a/crates/sedgepath-core/src/explain.rs
+++ b/crates/sedgepath-core/src/explain.rs
@@ -146,7 +146,7 @@
         if !self.configuration_ready {
             return Entrance::NotReady;
         }
-        if self.catalogue.refused.contains(&service) {
+        if self.catalogue.rejected_services.contains(&service) {
             return Entrance::Refused;
         }
         if !self.catalogue.services.contains_key(&service) {
--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -269,7 +269,7 @@
     if !view.configuration_ready {
         return Err(Denied::NotRun(Reason::NotReady));
     }
-    if view.catalogue.refused.contains(&service) || head.revision_seen > view.revision {
+    if view.catalogue.rejected_services.contains(&service) || head.revision_seen > view.revision {
         return Err(Denied::NotRun(Reason::Configuration));
     }
     let Some(entry) = view.catalogue.services.get(&service) else {
--- a/crates/sedgepath-core/src/look_up.rs
+++ b/crates/sedgepath-core/src/look_up.rs
@@ -57,7 +57,7 @@
         view: &View<'_>,
     ) -> Result<LookUpAnswer, LookUpError> {
         let service = ServiceKey::of(&look_up.service);
-        if !view.configuration_ready || view.catalogue.refused.contains(&service) {
+        if !view.configuration_ready || view.catalogue.rejected_services.contains(&service) {
             return Err(LookUpError::Configuration);
         }
         let entry_vms = if look_up.revision_seen > view.revision {
