--- a/crates/sedgepath-core/src/catalogue.rs
+++ b/crates/sedgepath-core/src/catalogue.rs
@@ -183,7 +183,7 @@
     }
 
     /// Returns the origin group of a caller's address.
-    pub fn origin(&self, address: IpAddr) -> OriginKey {
+    pub fn origin_of_address(&self, address: IpAddr) -> OriginKey {
         self.blocks.origin(address).unwrap_or_else(|| OriginKey::of(ANY_ORIGIN))
     }
 
--- a/crates/sedgepath-core/src/explain.rs
+++ b/crates/sedgepath-core/src/explain.rs
@@ -107,7 +107,7 @@
         standing: Option<&[(DomainKey, f64)]>,
     ) -> Explanation {
         let service = ServiceKey::of(&question.service);
-        let origin = self.catalogue.origin(question.source);
+        let origin = self.catalogue.origin_of_address(question.source);
         let steering = self.catalogue.services.get(&service).and_then(|it| it.steering.as_ref());
         let own_shares = steering.is_some_and(|steering| steering.shares.contains_key(&origin));
         let organisation = question.key_digest.and_then(|key| self.catalogue.organisation(key));
--- a/crates/sedgepath-core/src/ingress/pending.rs
+++ b/crates/sedgepath-core/src/ingress/pending.rs
@@ -50,7 +50,7 @@
         let repeatable = head.idempotent && !once_only;
         Self {
             service,
-            origin: view.catalogue.origin(head.source),
+            origin: view.catalogue.origin_of_address(head.source),
             class,
             source: head.source,
             deadline_at_ms: head.deadline_at_ms.min(latest_ms),
--- a/crates/sedgepath-core/src/look_up.rs
+++ b/crates/sedgepath-core/src/look_up.rs
@@ -85,7 +85,7 @@
     }
 
     fn list(&mut self, service: ServiceKey, source: IpAddr, view: &View<'_>) -> Arc<[EntryVm]> {
-        let origin = view.catalogue.origin(source);
+        let origin = view.catalogue.origin_of_address(source);
         let variant = variant(source);
         let list = self.lists.entry((service, origin, variant));
         Arc::clone(list.or_insert_with(|| ordered(service, origin, variant, view)))
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -294,7 +294,7 @@
     pub fn explain(&self, question: &Question) -> Explanation {
         let identity = self.out.shared_identity();
         let means = means!(self, identity);
-        let origin = means.view.catalogue.origin(question.source);
+        let origin = means.view.catalogue.origin_of_address(question.source);
         let standing = self.ingress.standing(ServiceKey::of(&question.service), origin, &means);
         means.view.explain(question, means.policy, standing.as_deref())
     }
