--- a/crates/sedgepath-core/src/catalogue.rs
+++ b/crates/sedgepath-core/src/catalogue.rs
@@ -188,7 +188,7 @@
     }
 
     /// Returns the organisation that a key belongs to, given the key's digest.
-    pub fn organisation(&self, key_digest: Digest) -> Option<OrganisationKey> {
+    pub fn organisation_of_key(&self, key_digest: Digest) -> Option<OrganisationKey> {
         self.keys.get(&key_digest).copied()
     }
 
@@ -198,7 +198,7 @@
         let Some(key_digest) = key_digest else {
             return Some(Class::Guest);
         };
-        match self.organisations.get(&self.organisation(key_digest)?)?.plan {
+        match self.organisations.get(&self.organisation_of_key(key_digest)?)?.plan {
             Plan::Paying => Some(Class::Paying),
             Plan::Trial => Some(Class::Trial),
         }
--- a/crates/sedgepath-core/src/explain.rs
+++ b/crates/sedgepath-core/src/explain.rs
@@ -110,7 +110,8 @@
         let origin = self.catalogue.origin_of_address(question.source);
         let steering = self.catalogue.services.get(&service).and_then(|it| it.steering.as_ref());
         let own_shares = steering.is_some_and(|steering| steering.shares.contains_key(&origin));
-        let organisation = question.key_digest.and_then(|key| self.catalogue.organisation(key));
+        let organisation =
+            question.key_digest.and_then(|key| self.catalogue.organisation_of_key(key));
         let organisation = organisation.and_then(|key| self.catalogue.organisations.get(&key));
         let class = self.catalogue.class(question.key_digest);
         let shares = self.catalogue.shares(service, origin).unwrap_or_default();
