--- a/crates/sedgepath-core/src/catalogue.rs
+++ b/crates/sedgepath-core/src/catalogue.rs
@@ -194,7 +194,7 @@
 
     /// Returns the class of a caller, given the digest of its organisation's key, or none if the key
     /// is unknown.
-    pub fn class(&self, key_digest: Option<Digest>) -> Option<Class> {
+    pub fn class_of_key(&self, key_digest: Option<Digest>) -> Option<Class> {
         let Some(key_digest) = key_digest else {
             return Some(Class::Guest);
         };
--- a/crates/sedgepath-core/src/explain.rs
+++ b/crates/sedgepath-core/src/explain.rs
@@ -113,7 +113,7 @@
         let organisation =
             question.key_digest.and_then(|key| self.catalogue.organisation_of_key(key));
         let organisation = organisation.and_then(|key| self.catalogue.organisations.get(&key));
-        let class = self.catalogue.class(question.key_digest);
+        let class = self.catalogue.class_of_key(question.key_digest);
         let shares = self.catalogue.shares(service, origin).unwrap_or_default();
         let stands = standing.into_iter().flatten();
         let mut domains: Vec<_> = shares.iter().chain(stands).map(|(domain, _)| *domain).collect();
--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -275,7 +275,7 @@
     let Some(entry) = view.catalogue.services.get(&service) else {
         return Err(Denied::Outcome(Outcome::NoService));
     };
-    let Some(class) = view.catalogue.class(head.key_digest) else {
+    let Some(class) = view.catalogue.class_of_key(head.key_digest) else {
         return Err(Denied::Outcome(Outcome::UnknownOrganisation));
     };
     if entry.once_only && head.deduplication == Once::Repeatable {
@@ -290,5 +290,5 @@
 /// Whether a request's service and organisation are known, so that it may cost a write to the table.
 pub fn knows(head: &RequestHead, catalogue: &Catalogue) -> bool {
     catalogue.services.contains_key(&ServiceKey::of(&head.service))
-        && catalogue.class(head.key_digest).is_some()
+        && catalogue.class_of_key(head.key_digest).is_some()
 }
