--- a/crates/sedgepath-core/src/configuration.rs
+++ b/crates/sedgepath-core/src/configuration.rs
@@ -128,7 +128,7 @@
     }
 
     /// Takes in how old the newest reading of the head is that a member knows of.
-    pub fn hear_head_age(&mut self, age_ms: u64, out: &Outbox) {
+    pub fn observe_head_age(&mut self, age_ms: u64, out: &Outbox) {
         self.reader.hear_head_age(age_ms, out.now_ms());
     }
 
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -413,7 +413,7 @@
         if boot(self) != known {
             self.tell_newcomer(envelope.from);
         }
-        self.configuration.hear_head_age(heartbeat.configuration.head_age_ms, &self.out);
+        self.configuration.observe_head_age(heartbeat.configuration.head_age_ms, &self.out);
         self.hear_revision(envelope.from, heartbeat.configuration.revision);
     }
 
@@ -433,7 +433,7 @@
                 }
             }
             Message::Revision(notice) => {
-                self.configuration.hear_head_age(notice.configuration.head_age_ms, &self.out);
+                self.configuration.observe_head_age(notice.configuration.head_age_ms, &self.out);
                 let revision = notice.configuration.revision;
                 self.configuration.hear_revision(envelope.from, notice.operator_address, revision);
             }
