--- a/crates/sedgepath-core/src/configuration.rs
+++ b/crates/sedgepath-core/src/configuration.rs
@@ -133,7 +133,7 @@
     }
 
     /// Takes in that a member has a revision in force.
-    pub fn hear_revision(&mut self, vm: VmKey, operators: SocketAddr, revision: u64) {
+    pub fn observe_revision(&mut self, vm: VmKey, operators: SocketAddr, revision: u64) {
         self.spread.hear(vm, operators, revision, self.store.revision());
     }
 
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -392,7 +392,7 @@
     /// Takes in that a member has a revision in force, if it is known where to fetch it.
     fn hear_revision(&mut self, vm: VmKey, revision: u64) {
         if let Some(member) = self.membership.member(vm) {
-            self.configuration.hear_revision(vm, member.card.operator_address, revision);
+            self.configuration.observe_revision(vm, member.card.operator_address, revision);
         }
     }
 
@@ -435,7 +435,11 @@
             Message::Revision(notice) => {
                 self.configuration.observe_head_age(notice.configuration.head_age_ms, &self.out);
                 let revision = notice.configuration.revision;
-                self.configuration.hear_revision(envelope.from, notice.operator_address, revision);
+                self.configuration.observe_revision(
+                    envelope.from,
+                    notice.operator_address,
+                    revision,
+                );
             }
             Message::BaselineRequest => self.baseline(envelope.from, None),
             Message::Baseline(baseline) => self.baseline(envelope.from, Some(baseline)),
