--- a/crates/sedgepath-core/src/configuration.rs
+++ b/crates/sedgepath-core/src/configuration.rs
@@ -161,7 +161,7 @@
     }
 
     /// Takes in a result of the table; returns false if it is not one of this module.
-    pub fn take_result(
+    pub fn handle_table_result(
         &mut self,
         operation: OperationKey,
         result: &TableResult,
--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -100,7 +100,7 @@
     }
 
     /// Takes in the result of a request to the table; returns false if it is not one of this system.
-    pub fn take_result(
+    pub fn handle_table_result(
         &mut self,
         operation: OperationKey,
         result: &TableResult,
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -162,8 +162,8 @@
             }
             Event::Datagram(envelope) => self.datagram(&envelope),
             Event::Table { operation, result } => {
-                if !self.once.take_result(operation, &result, &mut self.out) {
-                    self.configuration.take_result(operation, &result, &mut self.out);
+                if !self.once.handle_table_result(operation, &result, &mut self.out) {
+                    self.configuration.handle_table_result(operation, &result, &mut self.out);
                 }
             }
             Event::VmList(listed) => self.vm_list(listed),
