--- a/crates/sedgepath-core/src/configuration.rs
+++ b/crates/sedgepath-core/src/configuration.rs
@@ -184,7 +184,12 @@
     }
 
     /// Takes in a page of a peer's records, or that the peer did not answer.
-    pub fn fetched(&mut self, operation: OperationKey, page: Option<Page>, out: &mut Outbox) {
+    pub fn handle_fetched_page(
+        &mut self,
+        operation: OperationKey,
+        page: Option<Page>,
+        out: &mut Outbox,
+    ) {
         match self.spread.take_page(operation, page, out) {
             Fetched::Changes(changes) => self.apply(changes, Source::Peer, out),
             Fetched::Pending => {}
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -173,7 +173,7 @@
                 {
                     self.right.apply_vm_list(&page.listed, now_ms);
                 }
-                self.configuration.fetched(operation, page, &mut self.out);
+                self.configuration.handle_fetched_page(operation, page, &mut self.out);
             }
             Event::Change { reply, request } => {
                 self.configuration.begin_change(reply, request, &mut self.out);
