--- a/crates/sedgepath-core/src/configuration.rs
+++ b/crates/sedgepath-core/src/configuration.rs
@@ -198,7 +198,7 @@
     }
 
     /// Takes in an operator's change.
-    pub fn begin_change(&mut self, reply: ReplyKey, request: ChangeRequest, out: &mut Outbox) {
+    pub fn start_change(&mut self, reply: ReplyKey, request: ChangeRequest, out: &mut Outbox) {
         let fields: [(&str, &dyn std::fmt::Display); 2] =
             [("change", &request.change_id), ("note", &request.note)];
         out.log(Topic::Configuration, "change_asked", &fields);
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -176,7 +176,7 @@
                 self.configuration.handle_fetched_page(operation, page, &mut self.out);
             }
             Event::Change { reply, request } => {
-                self.configuration.begin_change(reply, request, &mut self.out);
+                self.configuration.start_change(reply, request, &mut self.out);
             }
             Event::TicketsReceived(tickets) => self.once.keep(tickets),
             Event::TicketHandoverEnded { operation, taken } => self.once.copied(operation, taken),
