--- a/crates/sedgepath-core/src/configuration/spread.rs
+++ b/crates/sedgepath-core/src/configuration/spread.rs
@@ -155,7 +155,7 @@
             });
         }
         let Some(last) = fetching.records.last() else { return Fetched::NoPeer };
-        fetching.operation = out.fetch_page(fetching.from, Position::of(last));
+        fetching.operation = out.fetch_page(fetching.from, Position::of_row(last));
         self.fetching = Some(fetching);
         Fetched::Pending
     }
--- a/crates/sedgepath-core/src/configuration/store.rs
+++ b/crates/sedgepath-core/src/configuration/store.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns the place of a record.
-    pub fn of(row: &RecordRow) -> Self {
+    pub fn of_row(row: &RecordRow) -> Self {
         Self {
             revision: row.revision,
             kind: row.record.kind.clone(),
@@ -132,7 +132,7 @@
         let mut rows: Vec<_> = self
             .records
             .values()
-            .map(|row| (Position::of(row), row))
+            .map(|row| (Position::of_row(row), row))
             .filter(|(position, _)| position > after)
             .collect();
         rows.sort_unstable_by(|a, b| a.0.cmp(&b.0));
--- a/crates/sedgepath/src/client.rs
+++ b/crates/sedgepath/src/client.rs
@@ -145,7 +145,7 @@
             loop {
                 let page = client.page(after).await?;
                 rows.extend(page.records);
-                match rows.last().map(Position::of) {
+                match rows.last().map(Position::of_row) {
                     Some(last) if !page.complete => after = last,
                     _ => return Ok(InForce { revision: page.revision, rows }),
                 }
