--- a/crates/sedgepath-core/src/configuration/store.rs
+++ b/crates/sedgepath-core/src/configuration/store.rs
@@ -25,7 +25,7 @@
 
 impl Position {
     /// Whether this is the place before all records, at which a node begins after its start.
-    pub fn is_first(&self) -> bool {
+    pub fn precedes_all_records(&self) -> bool {
         self.revision <= 1 && self.kind.is_empty()
     }
 
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -97,7 +97,7 @@
     /// Returns the next page of the records that were written after a position, for a peer.
     pub fn page(&self, after: &Position) -> Page {
         let mut page = self.configuration.page(after);
-        if after.is_first() {
+        if after.precedes_all_records() {
             page.listed = self.membership.listed_vms().to_vec();
         }
         page
