--- a/crates/sedgepath-core/src/configuration/change.rs
+++ b/crates/sedgepath-core/src/configuration/change.rs
@@ -94,7 +94,7 @@
 pub enum ChangeRefusal {
     /// The records are not in order.
     #[error("the records are not in order")]
-    Check {
+    InvalidRecords {
         /// What is wrong, and where.
         problems: Vec<Problem>,
     },
--- a/crates/sedgepath-core/src/configuration/change/progress.rs
+++ b/crates/sedgepath-core/src/configuration/change/progress.rs
@@ -257,7 +257,7 @@
         let in_force = store.records().map(|row| &row.record);
         let problems = check::change(in_force, &self.request.records);
         if !problems.is_empty() {
-            let refusal = ChangeRefusal::Check { problems };
+            let refusal = ChangeRefusal::InvalidRecords { problems };
             return Some(ChangeOutcome::NotAccepted { refusal });
         }
         self.commit(head, out);
--- a/crates/sedgepath-core/tests/configuration_change.rs
+++ b/crates/sedgepath-core/tests/configuration_change.rs
@@ -221,7 +221,7 @@
     let record = records::steering("browse", &[("north-z", 1.0)], 100.0, 10_000);
     let reply = bed.change(0, request("wrong", None, record));
     bed.run_for(1_000);
-    let ChangeOutcome::NotAccepted { refusal: ChangeRefusal::Check { problems } } =
+    let ChangeOutcome::NotAccepted { refusal: ChangeRefusal::InvalidRecords { problems } } =
         outcome(&bed, reply)
     else {
         panic!("{:?}", outcome(&bed, reply));
--- a/crates/sedgepath/src/operations.rs
+++ b/crates/sedgepath/src/operations.rs
@@ -134,7 +134,7 @@
 
 fn refused(refusal: ChangeRefusal, files: &FileRecords) -> CliError {
     match refusal {
-        ChangeRefusal::Check { problems } => files.report(problems),
+        ChangeRefusal::InvalidRecords { problems } => files.report(problems),
         other => CliError::NotAccepted(other),
     }
 }
