--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -79,7 +79,7 @@
     }
 
     /// Takes in the end of an answer on its way to its caller, with the answer for repeats.
-    pub fn relay_ended(
+    pub fn handle_relay_end(
         &mut self,
         request: RequestKey,
         stored: Option<StoredAnswer>,
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -134,7 +134,7 @@
             }
             Event::HopEnded { request, attempt, end } => self.hop_ended(request, attempt, end),
             Event::RelayEnded { request, stored, .. } => {
-                self.once.relay_ended(request, stored, &mut self.out);
+                self.once.handle_relay_end(request, stored, &mut self.out);
                 self.ingress.forget(request);
             }
             Event::CallerDisconnected { request } => {
