--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -92,7 +92,7 @@
     }
 
     /// Takes in that a request's caller has gone.
-    pub fn caller_gone(&mut self, request: RequestKey, out: &mut Outbox) {
+    pub fn handle_caller_disconnect(&mut self, request: RequestKey, out: &mut Outbox) {
         self.visitors.forget(request);
         self.tickets.caller_gone(request);
         self.claims.caller_gone(request, &mut self.batcher);
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -138,7 +138,7 @@
                 self.ingress.forget(request);
             }
             Event::CallerDisconnected { request } => {
-                self.once.caller_gone(request, &mut self.out);
+                self.once.handle_caller_disconnect(request, &mut self.out);
                 self.ingress.forget(request);
             }
             Event::Dispatched { exchange, .. } if self.stop.refuses(now_ms) => {
