--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -145,7 +145,7 @@
     }
 
     /// Takes in the answer of another home; returns false if the request was not sent to one.
-    pub fn hop_answered(&self, request: RequestKey, attempt: u32, out: &mut Outbox) -> bool {
+    pub fn handle_hop_response(&self, request: RequestKey, attempt: u32, out: &mut Outbox) -> bool {
         self.visitors.hop_answered(request, attempt, out)
     }
 
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -128,7 +128,7 @@
             }
             Event::Request { request, head } => self.request(request, &head),
             Event::HopAnswered { request, attempt, .. } => {
-                if !self.once.hop_answered(request, attempt, &mut self.out) {
+                if !self.once.handle_hop_response(request, attempt, &mut self.out) {
                     self.ingress.hop_answered(request, attempt, &mut self.out);
                 }
             }
