--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -150,7 +150,7 @@
     }
 
     /// Takes in the end of a hop to another home; returns false if the request was not sent to one.
-    pub fn hop_ended(
+    pub fn handle_hop_failure(
         &mut self,
         request: RequestKey,
         end: HopEnd,
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -223,7 +223,7 @@
     }
 
     fn hop_ended(&mut self, request: RequestKey, attempt: u32, end: HopEnd) {
-        if self.once.hop_ended(request, end, &self.membership, &mut self.out) {
+        if self.once.handle_hop_failure(request, end, &self.membership, &mut self.out) {
             return;
         }
         let identity = self.out.shared_identity();
