--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -163,7 +163,7 @@
     }
 
     /// Keeps the tickets that a peer has handed over.
-    pub fn keep(&mut self, tickets: HandedOver) {
+    pub fn store_handover(&mut self, tickets: HandedOver) {
         self.visitors.keep(tickets);
     }
 
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -178,7 +178,7 @@
             Event::Change { reply, request } => {
                 self.configuration.start_change(reply, request, &mut self.out);
             }
-            Event::TicketsReceived(tickets) => self.once.keep(tickets),
+            Event::TicketsReceived(tickets) => self.once.store_handover(tickets),
             Event::TicketHandoverEnded { operation, taken } => self.once.copied(operation, taken),
             Event::StopRequested => self.begin_stop(),
         }
