--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -168,7 +168,7 @@
     }
 
     /// Takes in whether a successor has taken this node's tickets over.
-    pub fn copied(&mut self, operation: OperationKey, taken: bool) {
+    pub fn handle_copy_result(&mut self, operation: OperationKey, taken: bool) {
         if let Some(hand_over) = &mut self.hand_over {
             hand_over.copied(operation, taken);
         }
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -179,7 +179,9 @@
                 self.configuration.start_change(reply, request, &mut self.out);
             }
             Event::TicketsReceived(tickets) => self.once.store_handover(tickets),
-            Event::TicketHandoverEnded { operation, taken } => self.once.copied(operation, taken),
+            Event::TicketHandoverEnded { operation, taken } => {
+                self.once.handle_copy_result(operation, taken)
+            }
             Event::StopRequested => self.begin_stop(),
         }
         self.settle_once()
