--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -39,7 +39,7 @@
     claims: Claims,
     tickets: Tickets,
     visitors: Visitors,
-    hand_over: Option<HandOver>,
+    poll_handover: Option<HandOver>,
 }
 
 impl OnceSystem {
@@ -63,7 +63,7 @@
                 self.visitors.take(request, ticket, head, membership, batcher, out);
                 false
             }
-            Once::Key(_) if self.hand_over.is_some() => {
+            Once::Key(_) if self.poll_handover.is_some() => {
                 conclude(request, unsettled(head.attempt, Reason::NotReady), out);
                 false
             }
@@ -123,7 +123,7 @@
             }
             Job::Ticket(request) => self.visitors.replied(request, &reply, out),
             Job::HandOver(index) => {
-                if let Some(hand_over) = &mut self.hand_over {
+                if let Some(hand_over) = &mut self.poll_handover {
                     hand_over.replied(index, &reply, &mut self.batcher, out);
                 }
             }
@@ -169,7 +169,7 @@
 
     /// Takes in whether a successor has taken this node's tickets over.
     pub fn handle_copy_result(&mut self, operation: OperationKey, taken: bool) {
-        if let Some(hand_over) = &mut self.hand_over {
+        if let Some(hand_over) = &mut self.poll_handover {
             hand_over.copied(operation, taken);
         }
     }
@@ -177,18 +177,18 @@
     /// Stops running once-only requests and hands over what others need to answer for them; returns
     /// true once that is done, or has failed for good. To be called at each tick from the moment at
     /// which the node has nothing in flight.
-    pub fn hand_over(&mut self, membership: &Membership, out: &mut Outbox) -> bool {
+    pub fn poll_handover(&mut self, membership: &Membership, out: &mut Outbox) -> bool {
         self.tickets.close();
         if !self.tickets.is_idle() || !self.visitors.is_idle() {
             return false;
         }
-        if self.hand_over.is_none() {
+        if self.poll_handover.is_none() {
             let tickets = self.tickets.handed_over(out);
-            self.hand_over = Some(HandOver::new(tickets, membership, &mut self.batcher, out));
+            self.poll_handover = Some(HandOver::new(tickets, membership, &mut self.batcher, out));
             self.batcher.flush(out);
         }
         let claims = self.claims.unsettled();
-        self.hand_over.as_ref().is_some_and(|hand_over| hand_over.is_done(claims, out))
+        self.poll_handover.as_ref().is_some_and(|hand_over| hand_over.is_done(claims, out))
     }
 
     /// Runs what works by time.
@@ -196,7 +196,7 @@
         self.claims.tick(&mut self.batcher, out);
         self.visitors.tick(out);
         self.tickets.lapse(out.now_ms());
-        if let Some(hand_over) = &mut self.hand_over {
+        if let Some(hand_over) = &mut self.poll_handover {
             hand_over.tick(&mut self.batcher, out);
         }
         self.batcher.flush(out);
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -269,7 +269,7 @@
     fn end_stop(&mut self) {
         let in_flight = self.ingress.in_flight() + self.egress.calls_in_flight();
         if self.stop.may_end(self.out.now_ms(), in_flight)
-            && self.once.hand_over(&self.membership, &mut self.out)
+            && self.once.poll_handover(&self.membership, &mut self.out)
         {
             self.out.log(Topic::Node, "stop_ended", &[]);
             self.right.relinquish();
