--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -207,7 +207,7 @@
     ///
     /// The actions are the one place that all ends of a request pass, whatever decided them, so no
     /// retry can be told *not run* without the claim's release.
-    pub fn settle(&mut self, out: &mut Outbox) -> Vec<Action> {
+    pub fn intercept_outcomes(&mut self, out: &mut Outbox) -> Vec<Action> {
         let mut kept = Vec::new();
         for action in out.take_actions() {
             match action {
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -240,7 +240,7 @@
         for (request, head) in self.once.take_granted() {
             self.request(request, &head);
         }
-        self.once.settle(&mut self.out)
+        self.once.intercept_outcomes(&mut self.out)
     }
 
     fn mint(&mut self, service: &str, count: u32) -> Result<Vec<Ticket>, MintError> {
