--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -135,7 +135,7 @@
     /// # Errors
     ///
     /// Fails if the number is out of bounds, too many are valid, or the node is about to stop.
-    pub fn mint(
+    pub fn mint_tickets(
         &mut self,
         service: ServiceKey,
         count: u32,
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -251,7 +251,7 @@
         if self.stop.has_begun() {
             return Err(MintError::Stopping);
         }
-        self.once.mint(service, count, &self.out)
+        self.once.mint_tickets(service, count, &self.out)
     }
 
     fn begin_stop(&mut self) {
