--- a/crates/sedgepath-core/src/deduplication/tickets.rs
+++ b/crates/sedgepath-core/src/deduplication/tickets.rs
@@ -55,7 +55,7 @@
     NoService,
     /// The number is none or too large.
     #[error("between 1 and {MAX_MINTED} tickets can be had at once")]
-    Count,
+    CountOutOfRange,
     /// Too many tickets are valid.
     #[error("too many tickets of this node are valid")]
     Full,
@@ -69,7 +69,7 @@
     pub fn name(self) -> &'static str {
         match self {
             Self::NoService => "no_service",
-            Self::Count => "count",
+            Self::CountOutOfRange => "count",
             Self::Full => "tickets_full",
             Self::Stopping => "not_ready",
         }
@@ -117,7 +117,7 @@
     ) -> Result<Vec<Ticket>, MintError> {
         self.lapse(out.now_ms());
         if count == 0 || count > MAX_MINTED {
-            return Err(MintError::Count);
+            return Err(MintError::CountOutOfRange);
         }
         if self.closed {
             return Err(MintError::Stopping);
--- a/crates/sedgepathd/src/callers/tickets.rs
+++ b/crates/sedgepathd/src/callers/tickets.rs
@@ -54,7 +54,7 @@
 fn status(error: MintError) -> StatusCode {
     match error {
         MintError::NoService => StatusCode::NOT_FOUND,
-        MintError::Count => StatusCode::BAD_REQUEST,
+        MintError::CountOutOfRange => StatusCode::BAD_REQUEST,
         MintError::Full | MintError::Stopping => StatusCode::SERVICE_UNAVAILABLE,
     }
 }
