--- a/crates/sedgepath-core/src/deduplication/tickets.rs
+++ b/crates/sedgepath-core/src/deduplication/tickets.rs
@@ -58,7 +58,7 @@
     CountOutOfRange,
     /// Too many tickets are valid.
     #[error("too many tickets of this node are valid")]
-    Full,
+    TooManyValidTickets,
     /// The node is about to stop.
     #[error("the node is about to stop")]
     Stopping,
@@ -70,7 +70,7 @@
         match self {
             Self::NoService => "no_service",
             Self::CountOutOfRange => "count",
-            Self::Full => "tickets_full",
+            Self::TooManyValidTickets => "tickets_full",
             Self::Stopping => "not_ready",
         }
     }
@@ -123,7 +123,7 @@
             return Err(MintError::Stopping);
         }
         if self.live + count as usize > MAX_LIVE {
-            return Err(MintError::Full);
+            return Err(MintError::TooManyValidTickets);
         }
         let expires_at_ms = out.now_ms() + VALID_MS;
         self.live += count as usize;
--- a/crates/sedgepathd/src/callers/tickets.rs
+++ b/crates/sedgepathd/src/callers/tickets.rs
@@ -55,6 +55,6 @@
     match error {
         MintError::NoService => StatusCode::NOT_FOUND,
         MintError::CountOutOfRange => StatusCode::BAD_REQUEST,
-        MintError::Full | MintError::Stopping => StatusCode::SERVICE_UNAVAILABLE,
+        MintError::TooManyValidTickets | MintError::Stopping => StatusCode::SERVICE_UNAVAILABLE,
     }
 }
