--- a/crates/sedgepath-core/src/record/fields.rs
+++ b/crates/sedgepath-core/src/record/fields.rs
@@ -14,37 +14,37 @@
     /// The kind.
     pub name: &'static str,
     /// What records of it are for.
-    pub meaning: &'static str,
+    pub description: &'static str,
     /// The fields of its body, by all schemas.
     pub fields: &'static [Field],
 }
 
 /// All kinds that this version reads.
 pub const KINDS: &[Kind] = &[
-    Kind { name: "places", meaning: "The regions and their failure domains.", fields: PLACES },
+    Kind { name: "places", description: "The regions and their failure domains.", fields: PLACES },
     Kind {
         name: "service",
-        meaning: "A service and its upstreams; the record's name is the service's.",
+        description: "A service and its upstreams; the record's name is the service's.",
         fields: SERVICE,
     },
     Kind {
         name: "steering",
-        meaning: "Which callers of a service go where, and how much any shift may move; the record's name is the service's.",
+        description: "Which callers of a service go where, and how much any shift may move; the record's name is the service's.",
         fields: STEERING,
     },
     Kind {
         name: "organisations",
-        meaning: "The organisations that are admitted.",
+        description: "The organisations that are admitted.",
         fields: ORGANISATIONS,
     },
     Kind {
         name: "clients",
-        meaning: "The blocks of clients of each origin group.",
+        description: "The blocks of clients of each origin group.",
         fields: CLIENTS,
     },
     Kind {
         name: "drain",
-        meaning: "A planned drain; the record's name is that of the upstream or failure domain.",
+        description: "A planned drain; the record's name is that of the upstream or failure domain.",
         fields: DRAIN,
     },
 ];
@@ -60,7 +60,7 @@
     default: &'static str,
     meaning: &'static str,
 ) -> Field {
-    Field { name, shape, default: Some(default), since: 2, meaning }
+    Field { name, shape, default: Some(default), since: 2, description: meaning }
 }
 
 const PLACES: &[Field] = &[Field::required(
--- a/crates/sedgepath-core/src/schema.rs
+++ b/crates/sedgepath-core/src/schema.rs
@@ -75,13 +75,13 @@
     /// The schema that it came with.
     pub since: u32,
     /// What it means, with its unit.
-    pub meaning: &'static str,
+    pub description: &'static str,
 }
 
 impl Field {
     /// Creates a field of the first schema that may not be left out.
     pub const fn required(name: &'static str, shape: Shape, meaning: &'static str) -> Self {
-        Self { name, shape, default: None, since: 1, meaning }
+        Self { name, shape, default: None, since: 1, description: meaning }
     }
 
     /// Creates a field of the first schema that has a default.
@@ -91,7 +91,7 @@
         default: &'static str,
         meaning: &'static str,
     ) -> Self {
-        Self { name, shape, default: Some(default), since: 1, meaning }
+        Self { name, shape, default: Some(default), since: 1, description: meaning }
     }
 }
 
@@ -399,8 +399,10 @@
                 }
                 Some(value) => self.value(value, &field.shape, &at),
                 None if field.default.is_none() => {
-                    let fault =
-                        Fault::Missing { field: field.name.into(), meaning: field.meaning.into() };
+                    let fault = Fault::Missing {
+                        field: field.name.into(),
+                        meaning: field.description.into(),
+                    };
                     self.fault(path, fault);
                 }
                 None => {}
--- a/crates/sedgepath/src/records.rs
+++ b/crates/sedgepath/src/records.rs
@@ -20,21 +20,21 @@
         shape: Shape::Integer { least: 1, most: u32::MAX as u64 },
         default: None,
         since: 1,
-        meaning: "the schema that the record follows, 1 or 2",
+        description: "the schema that the record follows, 1 or 2",
     },
     Field {
         name: "kind",
         shape: Shape::Text { least_chars: 1 },
         default: None,
         since: 1,
-        meaning: "what the record is about, such as `service` or `steering`",
+        description: "what the record is about, such as `service` or `steering`",
     },
     Field {
         name: "name",
         shape: Shape::Text { least_chars: 1 },
         default: None,
         since: 1,
-        meaning: "the record's name, unique within its kind",
+        description: "the record's name, unique within its kind",
     },
 ];
 
--- a/crates/sedgepathd/tests/operating_page.rs
+++ b/crates/sedgepathd/tests/operating_page.rs
@@ -14,7 +14,7 @@
         let default = field.default.unwrap_or("required");
         let since = if field.since > 1 { " Since schema 2." } else { "" };
         let shape = shape(&field.shape);
-        rows.push(format!("| `{name}` | {shape} | {default} | {}.{since} |", field.meaning));
+        rows.push(format!("| `{name}` | {shape} | {default} | {}.{since} |", field.description));
         match field.shape {
             Shape::Object(fields) => rows.extend(self::rows(&format!("{name}."), fields)),
             Shape::List { of: Shape::Object(fields), .. } => {
@@ -54,7 +54,7 @@
     let mut expected = rows("", FIELDS);
     for kind in KINDS {
         expected.push(format!("### `{}`", kind.name));
-        expected.push(kind.meaning.into());
+        expected.push(kind.description.into());
         expected.extend(rows("", kind.fields));
     }
     let missing: Vec<_> = expected.into_iter().filter(|row| !page.contains(row)).collect();
