--- a/crates/sedgepath-core/src/record/fields.rs
+++ b/crates/sedgepath-core/src/record/fields.rs
@@ -86,7 +86,7 @@
     ),
     Field::optional(
         "once_only",
-        Shape::Flag,
+        Shape::Boolean,
         "false",
         "whether requests must carry an idempotency key or a ticket",
     ),
@@ -214,5 +214,5 @@
         Shape::OneOf(&["upstream", "domain"]),
         "what the record's name names",
     ),
-    Field::required("active", Shape::Flag, "whether the drain is in force; `false` ends it"),
+    Field::required("active", Shape::Boolean, "whether the drain is in force; `false` ends it"),
 ];
--- a/crates/sedgepath-core/src/schema.rs
+++ b/crates/sedgepath-core/src/schema.rs
@@ -41,7 +41,7 @@
         most: f64,
     },
     /// `true` or `false`.
-    Flag,
+    Boolean,
     /// An IP address and a port.
     Address,
     /// The digest of an organisation's key.
@@ -300,8 +300,8 @@
         match shape {
             Shape::Integer { least, most } => self.integer(value, *least, *most, path),
             Shape::Number { least, most } => self.number(value, *least, *most, path),
-            Shape::Flag if value.is_boolean() => {}
-            Shape::Flag => self.wrong_type(value, "`true` or `false`", path),
+            Shape::Boolean if value.is_boolean() => {}
+            Shape::Boolean => self.wrong_type(value, "`true` or `false`", path),
             Shape::List { of, least } => match value {
                 Value::Array(items) => self.list(items, of, *least, path),
                 _ => self.wrong_type(value, "a list", path),
--- a/crates/sedgepathd/tests/operating_page.rs
+++ b/crates/sedgepathd/tests/operating_page.rs
@@ -32,7 +32,7 @@
         Shape::Text { least_chars } => format!("text of at least {least_chars} characters"),
         Shape::Integer { least, most } => format!("{least} to {most}"),
         Shape::Number { least, most } => format!("number, {least} to {most}"),
-        Shape::Flag => "`true` or `false`".into(),
+        Shape::Boolean => "`true` or `false`".into(),
         Shape::Address => "IP address and port".into(),
         Shape::Digest => "32 hexadecimal digits".into(),
         Shape::Block => "block in CIDR form".into(),
