--- a/crates/sedgepath-core/src/record/fields.rs
+++ b/crates/sedgepath-core/src/record/fields.rs
@@ -204,7 +204,7 @@
     &[Field::required("blocks", Shape::List { of: &Shape::Object(BLOCK), least: 0 }, "the blocks")];
 
 const BLOCK: &[Field] = &[
-    Field::required("block", Shape::Block, "the block, like 192.0.2.0/24"),
+    Field::required("block", Shape::CidrBlock, "the block, like 192.0.2.0/24"),
     Field::required("origin", Shape::Name, "the name of its origin group"),
 ];
 
--- a/crates/sedgepath-core/src/schema.rs
+++ b/crates/sedgepath-core/src/schema.rs
@@ -47,7 +47,7 @@
     /// The digest of an organisation's key.
     Digest,
     /// A block of addresses in CIDR form.
-    Block,
+    CidrBlock,
     /// The base URL of an HTTP service.
     Url,
     /// One of some words.
@@ -328,7 +328,7 @@
                 Fault::Address { found: found() }
             }
             Shape::Digest if Digest::from_hex(text).is_none() => Fault::Digest { found: found() },
-            Shape::Block => match Cidr::parse(text) {
+            Shape::CidrBlock => match Cidr::parse(text) {
                 Ok(_) => return,
                 Err(error) => Fault::Block { found: found(), reason: error.to_string().into() },
             },
--- a/crates/sedgepathd/tests/operating_page.rs
+++ b/crates/sedgepathd/tests/operating_page.rs
@@ -35,7 +35,7 @@
         Shape::Boolean => "`true` or `false`".into(),
         Shape::Address => "IP address and port".into(),
         Shape::Digest => "32 hexadecimal digits".into(),
-        Shape::Block => "block in CIDR form".into(),
+        Shape::CidrBlock => "block in CIDR form".into(),
         Shape::Url => "URL".into(),
         Shape::OneOf(words) => {
             words.iter().map(|word| format!("`{word}`")).collect::<Vec<_>>().join(", ")
