--- a/crates/sedgepath-wire/src/datagram.rs
+++ b/crates/sedgepath-wire/src/datagram.rs
@@ -89,7 +89,7 @@
     /// # Errors
     ///
     /// Fails if the datagram is oversize, forged, malformed or a repeat.
-    pub fn open(&mut self, bytes: &[u8]) -> Result<Envelope, DatagramError> {
+    pub fn decode(&mut self, bytes: &[u8]) -> Result<Envelope, DatagramError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DatagramError::Oversize);
         }
--- a/crates/sedgepathd/examples/slopes/datagrams.rs
+++ b/crates/sedgepathd/examples/slopes/datagrams.rs
@@ -33,7 +33,7 @@
         let envelope = heartbeat(number, now_ms);
         let Ok(sealed) = seal(&key, &envelope) else { continue };
         bytes += sealed.len();
-        if let Ok(opened) = opener.open(&sealed) {
+        if let Ok(opened) = opener.decode(&sealed) {
             node.handle(now_ms, Event::Datagram(opened));
         }
         now_ms += u64::from(number % MEMBERS == 0);
--- a/crates/sedgepathd/src/datagrams.rs
+++ b/crates/sedgepathd/src/datagrams.rs
@@ -21,7 +21,7 @@
                 continue;
             };
             metrics.received_datagram(length);
-            match opener.open(&buffer[..length]) {
+            match opener.decode(&buffer[..length]) {
                 Ok(envelope) => handle.event(Event::Datagram(envelope)),
                 Err(error) => {
                     metrics.dropped("datagram", error.name());
