--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ExchangeId {
     /// The ingress.
-    pub from: VmKey,
+    pub ingress: VmKey,
     /// Its boot.
     pub boot: BootId,
     /// The request.
--- a/crates/sedgepathd/src/callers/serving.rs
+++ b/crates/sedgepathd/src/callers/serving.rs
@@ -188,7 +188,7 @@
     fn attempt(&mut self, attempt: u32, target: HopTarget, purpose: Purpose) {
         let callers = &self.callers;
         let id =
-            ExchangeId { from: callers.vm, boot: callers.boot, request: self.request, attempt };
+            ExchangeId { ingress: callers.vm, boot: callers.boot, request: self.request, attempt };
         let request = HopRequest { id, purpose, head: self.http.clone(), body: self.body.clone() };
         let hops = Arc::clone(&callers.hops);
         let sender = self.attempt_sender.clone();
--- a/crates/sedgepathd/src/homes.rs
+++ b/crates/sedgepathd/src/homes.rs
@@ -56,7 +56,7 @@
         return false;
     };
     let request = RequestKey(job.operation.0);
-    let id = ExchangeId { from: job.tickets.vm, boot, request, attempt: 0 };
+    let id = ExchangeId { ingress: job.tickets.vm, boot, request, attempt: 0 };
     let head = HttpRequestHead {
         method: "PUT".into(),
         target: "/".into(),
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -93,11 +93,11 @@
         let reply = async {
             match purpose {
                 Purpose::Run(dispatch) => {
-                    let reply = self.exchanges.start(id.from, dispatch, head, body);
+                    let reply = self.exchanges.start(id.ingress, dispatch, head, body);
                     Ok(reply.await.unwrap_or(Reply::Lost))
                 }
                 Purpose::TakeHome(home) => {
-                    Ok(self.callers.take_home(id.from, home, head, body).await)
+                    Ok(self.callers.take_home(id.ingress, home, head, body).await)
                 }
                 Purpose::KeepTickets => homes::keep(self.callers.handle(), &body),
             }
