--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -70,7 +70,7 @@
     /// To run the request at an upstream that the peer owns.
     Run(Dispatch),
     /// To take the request over as the home of its ticket.
-    TakeHome(HomeRequest),
+    ServeAsHome(HomeRequest),
     /// To keep the tickets of the sender, which stops; they are the body, written by postcard.
     KeepTickets,
 }
--- a/crates/sedgepathd/src/callers/serving.rs
+++ b/crates/sedgepathd/src/callers/serving.rs
@@ -173,7 +173,7 @@
                     attempt: self.head.attempt,
                     digest: self.head.digest,
                 };
-                self.attempt(attempt, target, Purpose::TakeHome(home));
+                self.attempt(attempt, target, Purpose::ServeAsHome(home));
             }
             Action::CancelAttempt { attempt, .. } => {
                 if let Some(task) = self.running.remove(&attempt) {
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -96,7 +96,7 @@
                     let reply = self.exchanges.start(id.ingress, dispatch, head, body);
                     Ok(reply.await.unwrap_or(Reply::Lost))
                 }
-                Purpose::TakeHome(home) => {
+                Purpose::ServeAsHome(home) => {
                     Ok(self.callers.take_home(id.ingress, home, head, body).await)
                 }
                 Purpose::KeepTickets => homes::keep(self.callers.handle(), &body),
