--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -72,7 +72,7 @@
     /// To take the request over as the home of its ticket.
     ServeAsHome(HomeRequest),
     /// To keep the tickets of the sender, which stops; they are the body, written by postcard.
-    KeepTickets,
+    StoreTickets,
 }
 
 /// What the home of a ticket is told of a request beyond its HTTP head.
--- a/crates/sedgepathd/src/homes.rs
+++ b/crates/sedgepathd/src/homes.rs
@@ -63,7 +63,7 @@
         fields: Vec::new(),
         body_bytes: body.len() as u64,
     };
-    let request = HopRequest { id, purpose: Purpose::KeepTickets, head, body: body.into() };
+    let request = HopRequest { id, purpose: Purpose::StoreTickets, head, body: body.into() };
     let target = HopTarget { vm: job.to, address: job.address, deadline_at_ms };
     matches!(hops.send(target, request).await, Reply::Concluded { status: KEPT, .. })
 }
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -99,7 +99,7 @@
                 Purpose::ServeAsHome(home) => {
                     Ok(self.callers.take_home(id.ingress, home, head, body).await)
                 }
-                Purpose::KeepTickets => homes::keep(self.callers.handle(), &body),
+                Purpose::StoreTickets => homes::keep(self.callers.handle(), &body),
             }
         };
         let reply = tokio::select! {
