--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -83,7 +83,7 @@
     /// The name of the service.
     pub service: Box<str>,
     /// The caller's address.
-    pub source: std::net::IpAddr,
+    pub caller_ip: std::net::IpAddr,
     /// The digest of the organisation's key.
     pub key_digest: Option<sedgepath_core::hash::Digest>,
     /// The time left until the caller's deadline, in milliseconds.
--- a/crates/sedgepathd/src/callers.rs
+++ b/crates/sedgepathd/src/callers.rs
@@ -265,7 +265,7 @@
     ) -> Reply {
         let head = RequestHead {
             service: home.service,
-            source: home.source,
+            source: home.caller_ip,
             key_digest: home.key_digest,
             deadline_at_ms: self.handle.clock().now_ms().saturating_add(home.remaining_ms),
             deduplication: home.deduplication,
--- a/crates/sedgepathd/src/callers/serving.rs
+++ b/crates/sedgepathd/src/callers/serving.rs
@@ -166,7 +166,7 @@
                 let home = HomeRequest {
                     boot,
                     service: self.head.service.clone(),
-                    source: self.head.source,
+                    caller_ip: self.head.source,
                     key_digest: self.head.key_digest,
                     remaining_ms: deadline_at_ms.saturating_sub(now_ms),
                     deduplication: self.head.deduplication,
