--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -109,7 +109,7 @@
         head: HttpRequestHead,
     },
     /// A part of a body.
-    Chunk(Vec<u8>),
+    BodyChunk(Vec<u8>),
     /// The body ends here, whole.
     End,
     /// The body breaks off here.
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -126,7 +126,7 @@
         let start = Frame::Request { id, purpose: request.purpose, head: request.head };
         stream.send(&start).await?;
         for chunk in request.body.chunks(CHUNK_BYTES) {
-            stream.send(&Frame::Chunk(chunk.to_vec())).await?;
+            stream.send(&Frame::BodyChunk(chunk.to_vec())).await?;
         }
         stream.send(&Frame::End).await?;
         let frame = stream.receive().await?;
@@ -165,7 +165,7 @@
                 () = sender.closed() => return,
             };
             let part = match received {
-                Ok(Frame::Chunk(bytes)) => Ok(bytes.into()),
+                Ok(Frame::BodyChunk(bytes)) => Ok(bytes.into()),
                 Ok(Frame::End) => {
                     self.give_back(address, stream);
                     return;
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -142,7 +142,7 @@
             return stream.send(&Frame::Broken).await;
         };
         for chunk in bytes.chunks(CHUNK_BYTES) {
-            stream.send(&Frame::Chunk(chunk.to_vec())).await?;
+            stream.send(&Frame::BodyChunk(chunk.to_vec())).await?;
         }
     }
     stream.send(&Frame::End).await
@@ -155,10 +155,10 @@
     let mut body = BytesMut::new();
     loop {
         match stream.receive().await? {
-            Frame::Chunk(bytes) if body.len() + bytes.len() <= MAX_BODY_BYTES => {
+            Frame::BodyChunk(bytes) if body.len() + bytes.len() <= MAX_BODY_BYTES => {
                 body.extend_from_slice(&bytes);
             }
-            Frame::Chunk(_) => return Err(FrameError::Oversize),
+            Frame::BodyChunk(_) => return Err(FrameError::Oversize),
             // A body that is shorter than declared would be run as another request.
             Frame::End if body.len() as u64 == head.body_bytes => return Ok(body.freeze()),
             _ => return Err(FrameError::OutOfPlace),
