--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -111,7 +111,7 @@
     /// A part of a body.
     BodyChunk(Vec<u8>),
     /// The body ends here, whole.
-    End,
+    BodyEnd,
     /// The body breaks off here.
     Broken,
     /// Starts the answer.
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -128,7 +128,7 @@
         for chunk in request.body.chunks(CHUNK_BYTES) {
             stream.send(&Frame::BodyChunk(chunk.to_vec())).await?;
         }
-        stream.send(&Frame::End).await?;
+        stream.send(&Frame::BodyEnd).await?;
         let frame = stream.receive().await?;
         // An answer to another request, late or misdirected, ends the connection: the caller must
         // never get another caller's answer.
@@ -166,7 +166,7 @@
             };
             let part = match received {
                 Ok(Frame::BodyChunk(bytes)) => Ok(bytes.into()),
-                Ok(Frame::End) => {
+                Ok(Frame::BodyEnd) => {
                     self.give_back(address, stream);
                     return;
                 }
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -145,7 +145,7 @@
             stream.send(&Frame::BodyChunk(chunk.to_vec())).await?;
         }
     }
-    stream.send(&Frame::End).await
+    stream.send(&Frame::BodyEnd).await
 }
 
 async fn receive_body(
@@ -160,7 +160,7 @@
             }
             Frame::BodyChunk(_) => return Err(FrameError::Oversize),
             // A body that is shorter than declared would be run as another request.
-            Frame::End if body.len() as u64 == head.body_bytes => return Ok(body.freeze()),
+            Frame::BodyEnd if body.len() as u64 == head.body_bytes => return Ok(body.freeze()),
             _ => return Err(FrameError::OutOfPlace),
         }
     }
