--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -113,7 +113,7 @@
     /// The body ends here, whole.
     BodyEnd,
     /// The body breaks off here.
-    Broken,
+    BodyAborted,
     /// Starts the answer.
     Answer {
         /// The exchange that is answered.
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -139,7 +139,7 @@
     stream.send(&Frame::Answer { id, head: answer.head, http: answer.http }).await?;
     while let Some(part) = answer.body.recv().await {
         let Ok(bytes) = part else {
-            return stream.send(&Frame::Broken).await;
+            return stream.send(&Frame::BodyAborted).await;
         };
         for chunk in bytes.chunks(CHUNK_BYTES) {
             stream.send(&Frame::BodyChunk(chunk.to_vec())).await?;
