--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -131,7 +131,7 @@
         refusal: Refusal,
     },
     /// The request was sent to an upstream and its answer was lost.
-    Lost {
+    ResponseLost {
         /// The exchange.
         id: ExchangeId,
     },
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -150,7 +150,7 @@
                 self.give_back(address, stream);
                 Ok(Reply::Concluded { status, fields, body: body.into() })
             }
-            Frame::Lost { .. } => {
+            Frame::ResponseLost { .. } => {
                 self.give_back(address, stream);
                 Ok(Reply::Lost)
             }
@@ -210,7 +210,7 @@
     match frame {
         Frame::Answer { id, .. }
         | Frame::Refused { id, .. }
-        | Frame::Lost { id }
+        | Frame::ResponseLost { id }
         | Frame::Concluded { id, .. } => Some(*id),
         _ => None,
     }
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -114,7 +114,7 @@
                 let refusal = not_sent();
                 stream.send(&Frame::Refused { id, refusal }).await
             }
-            Reply::Lost => stream.send(&Frame::Lost { id }).await,
+            Reply::Lost => stream.send(&Frame::ResponseLost { id }).await,
             Reply::Concluded { status, fields, body } => {
                 let body = body.to_vec();
                 stream.send(&Frame::Concluded { id, status, fields, body }).await
