--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -136,7 +136,7 @@
         id: ExchangeId,
     },
     /// The home's final word on a request that was forwarded to it, as JSON with its HTTP status.
-    Concluded {
+    HomeResponse {
         /// The exchange.
         id: ExchangeId,
         /// The HTTP status.
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -146,7 +146,7 @@
                 self.give_back(address, stream);
                 Ok(Reply::Refused(refusal))
             }
-            Frame::Concluded { status, fields, body, .. } => {
+            Frame::HomeResponse { status, fields, body, .. } => {
                 self.give_back(address, stream);
                 Ok(Reply::Concluded { status, fields, body: body.into() })
             }
@@ -211,7 +211,7 @@
         Frame::Answer { id, .. }
         | Frame::Refused { id, .. }
         | Frame::ResponseLost { id }
-        | Frame::Concluded { id, .. } => Some(*id),
+        | Frame::HomeResponse { id, .. } => Some(*id),
         _ => None,
     }
 }
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -117,7 +117,7 @@
             Reply::Lost => stream.send(&Frame::ResponseLost { id }).await,
             Reply::Concluded { status, fields, body } => {
                 let body = body.to_vec();
-                stream.send(&Frame::Concluded { id, status, fields, body }).await
+                stream.send(&Frame::HomeResponse { id, status, fields, body }).await
             }
         }
     }
