--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -168,7 +168,7 @@
     Malformed(#[from] postcard::Error),
     /// A frame came that has no place there.
     #[error("a frame came out of place")]
-    OutOfPlace,
+    UnexpectedFrame,
 }
 
 impl FrameError {
@@ -180,7 +180,7 @@
             Self::Oversize => "oversize",
             Self::Forged => "forged",
             Self::Malformed(_) => "malformed",
-            Self::OutOfPlace => "out_of_place",
+            Self::UnexpectedFrame => "out_of_place",
         }
     }
 }
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -133,7 +133,7 @@
         // An answer to another request, late or misdirected, ends the connection: the caller must
         // never get another caller's answer.
         if answered_id(&frame) != Some(id) {
-            return Err(FrameError::OutOfPlace);
+            return Err(FrameError::UnexpectedFrame);
         }
         match frame {
             Frame::Answer { head, http, .. } => {
@@ -154,7 +154,7 @@
                 self.give_back(address, stream);
                 Ok(Reply::Lost)
             }
-            _ => Err(FrameError::OutOfPlace),
+            _ => Err(FrameError::UnexpectedFrame),
         }
     }
 
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -75,7 +75,7 @@
         let mut stream = in_time(greeting).await?;
         loop {
             let Frame::Request { id, purpose, head } = stream.receive().await? else {
-                return Err(FrameError::OutOfPlace);
+                return Err(FrameError::UnexpectedFrame);
             };
             let body = in_time(receive_body(&mut stream, &head)).await?;
             self.exchange(&mut stream, id, purpose, head, body).await?;
@@ -105,7 +105,7 @@
         let reply = tokio::select! {
             reply = reply => reply?,
             // The ingress sends nothing while it waits, so this tells that it has gone.
-            _ = stream.closed() => return Err(FrameError::OutOfPlace),
+            _ = stream.closed() => return Err(FrameError::UnexpectedFrame),
         };
         match reply {
             Reply::Answer(answer) => relay(stream, id, *answer).await,
@@ -161,7 +161,7 @@
             Frame::BodyChunk(_) => return Err(FrameError::Oversize),
             // A body that is shorter than declared would be run as another request.
             Frame::BodyEnd if body.len() as u64 == head.body_bytes => return Ok(body.freeze()),
-            _ => return Err(FrameError::OutOfPlace),
+            _ => return Err(FrameError::UnexpectedFrame),
         }
     }
 }
