--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -274,7 +274,7 @@
     /// # Errors
     ///
     /// Fails if the connection breaks.
-    pub async fn closed(&mut self) -> Result<bool, FrameError> {
+    pub async fn wait_for_close(&mut self) -> Result<bool, FrameError> {
         let mut byte = [0];
         Ok(self.stream.read(&mut byte).await? == 0)
     }
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -105,7 +105,7 @@
         let reply = tokio::select! {
             reply = reply => reply?,
             // The ingress sends nothing while it waits, so this tells that it has gone.
-            _ = stream.closed() => return Err(FrameError::UnexpectedFrame),
+            _ = stream.wait_for_close() => return Err(FrameError::UnexpectedFrame),
         };
         match reply {
             Reply::Answer(answer) => relay(stream, id, *answer).await,
