--- a/crates/sedgepath-wire/src/signed_call.rs
+++ b/crates/sedgepath-wire/src/signed_call.rs
@@ -48,7 +48,7 @@
 pub enum ProofError {
     /// No key in force made the proof, or not for this call.
     #[error("the call is not proved by a key in force")]
-    Unproved,
+    InvalidSignature,
     /// Its time is too far from the node's.
     #[error("the call's time is {apart_ms} ms from the node's")]
     Untimely {
@@ -104,11 +104,11 @@
     ) -> Result<T, ProofError> {
         let Proof { at_ms, number, code: given } = call.proof;
         let Some(parts) = parts(method, &call.of, at_ms, number) else {
-            return Err(ProofError::Unproved);
+            return Err(ProofError::InvalidSignature);
         };
         // All keys are tried, so that the time does not tell which one fits.
         if self.keys.iter().filter(|key| key.verify(&[&parts], &given)).count() == 0 {
-            return Err(ProofError::Unproved);
+            return Err(ProofError::InvalidSignature);
         }
         let apart_ms = now_ms.abs_diff(at_ms);
         if apart_ms > MAX_AGE_MS {
--- a/crates/sedgepath-wire/tests/proof.rs
+++ b/crates/sedgepath-wire/tests/proof.rs
@@ -18,14 +18,14 @@
     assert_eq!(open("change", call(KEY, NOW_MS, 1)), Ok(vec![1, 2]));
     assert_eq!(open("change", call(KEY, NOW_MS, 1)), Err(ProofError::Repeated));
     assert_eq!(open("change", call("the key until now", NOW_MS, 2)), Ok(vec![1, 2]));
-    assert_eq!(open("change", call("another key", NOW_MS, 3)), Err(ProofError::Unproved));
-    assert_eq!(open("page", call(KEY, NOW_MS, 4)), Err(ProofError::Unproved));
+    assert_eq!(open("change", call("another key", NOW_MS, 3)), Err(ProofError::InvalidSignature));
+    assert_eq!(open("page", call(KEY, NOW_MS, 4)), Err(ProofError::InvalidSignature));
     let mut forged = call(KEY, NOW_MS, 5);
     forged.of.push(3);
-    assert_eq!(open("change", forged), Err(ProofError::Unproved));
+    assert_eq!(open("change", forged), Err(ProofError::InvalidSignature));
     let mut renumbered = call(KEY, NOW_MS, 6);
     renumbered.proof.number = 7;
-    assert_eq!(open("change", renumbered), Err(ProofError::Unproved));
+    assert_eq!(open("change", renumbered), Err(ProofError::InvalidSignature));
 }
 
 /// A call is refused as a repeat for as long as its time would let it in, also one that was ahead of
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -72,7 +72,7 @@
                 ProofError::Untimely { .. } => {
                     ErrorObjectOwned::owned(UNTIMELY_CODE, error.to_string(), Some(now_ms))
                 }
-                ProofError::Unproved | ProofError::Repeated => {
+                ProofError::InvalidSignature | ProofError::Repeated => {
                     ErrorObjectOwned::owned(UNPROVED_CODE, error.to_string(), None::<()>)
                 }
             }
