--- a/crates/sedgepath-wire/src/signed_call.rs
+++ b/crates/sedgepath-wire/src/signed_call.rs
@@ -51,7 +51,7 @@
     InvalidSignature,
     /// Its time is too far from the node's.
     #[error("the call's time is {apart_ms} ms from the node's")]
-    Untimely {
+    ClockSkew {
         /// How far.
         apart_ms: u64,
     },
@@ -112,7 +112,7 @@
         }
         let apart_ms = now_ms.abs_diff(at_ms);
         if apart_ms > MAX_AGE_MS {
-            return Err(ProofError::Untimely { apart_ms });
+            return Err(ProofError::ClockSkew { apart_ms });
         }
         self.forget(now_ms);
         if !self.seen.insert(number) {
--- a/crates/sedgepath-wire/tests/proof.rs
+++ b/crates/sedgepath-wire/tests/proof.rs
@@ -43,7 +43,7 @@
             let again = guard.open("change", call(KEY, at_ms, 1), now_ms);
             let apart_ms = now_ms.abs_diff(at_ms);
             let expected = if apart_ms > MAX_AGE_MS {
-                ProofError::Untimely { apart_ms }
+                ProofError::ClockSkew { apart_ms }
             } else {
                 ProofError::Repeated
             };
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -69,7 +69,7 @@
         guard.open(method, call, now_ms).map_err(|error| {
             log::warn!("event=call_refused method={method} error={:?}", error.to_string());
             match error {
-                ProofError::Untimely { .. } => {
+                ProofError::ClockSkew { .. } => {
                     ErrorObjectOwned::owned(UNTIMELY_CODE, error.to_string(), Some(now_ms))
                 }
                 ProofError::InvalidSignature | ProofError::Repeated => {
