--- a/crates/sedgepath-wire/src/signed_call.rs
+++ b/crates/sedgepath-wire/src/signed_call.rs
@@ -57,7 +57,7 @@
     },
     /// It was made before.
     #[error("the call was made before")]
-    Repeated,
+    Replayed,
 }
 
 /// Returns the key that a text stands for in proofs.
@@ -116,7 +116,7 @@
         }
         self.forget(now_ms);
         if !self.seen.insert(number) {
-            return Err(ProofError::Repeated);
+            return Err(ProofError::Replayed);
         }
         // A call that is ahead of the node's clock is timely for longer.
         self.order.push_back((at_ms.max(now_ms) + MAX_AGE_MS, number));
--- a/crates/sedgepath-wire/tests/proof.rs
+++ b/crates/sedgepath-wire/tests/proof.rs
@@ -16,7 +16,7 @@
     let mut guard = Guard::new(["the key until now", KEY]);
     let mut open = |method, call| guard.open(method, call, NOW_MS);
     assert_eq!(open("change", call(KEY, NOW_MS, 1)), Ok(vec![1, 2]));
-    assert_eq!(open("change", call(KEY, NOW_MS, 1)), Err(ProofError::Repeated));
+    assert_eq!(open("change", call(KEY, NOW_MS, 1)), Err(ProofError::Replayed));
     assert_eq!(open("change", call("the key until now", NOW_MS, 2)), Ok(vec![1, 2]));
     assert_eq!(open("change", call("another key", NOW_MS, 3)), Err(ProofError::InvalidSignature));
     assert_eq!(open("page", call(KEY, NOW_MS, 4)), Err(ProofError::InvalidSignature));
@@ -45,7 +45,7 @@
             let expected = if apart_ms > MAX_AGE_MS {
                 ProofError::ClockSkew { apart_ms }
             } else {
-                ProofError::Repeated
+                ProofError::Replayed
             };
             assert_eq!(again, Err(expected), "{ahead_ms} {now_ms}");
         }
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -72,7 +72,7 @@
                 ProofError::ClockSkew { .. } => {
                     ErrorObjectOwned::owned(UNTIMELY_CODE, error.to_string(), Some(now_ms))
                 }
-                ProofError::InvalidSignature | ProofError::Repeated => {
+                ProofError::InvalidSignature | ProofError::Replayed => {
                     ErrorObjectOwned::owned(UNPROVED_CODE, error.to_string(), None::<()>)
                 }
             }
