--- a/crates/sedgepath-yaml/src/mistakes.rs
+++ b/crates/sedgepath-yaml/src/mistakes.rs
@@ -20,7 +20,7 @@
 
 impl Mistake {
     /// Creates the mistake of a fault that was found in a document.
-    pub fn of_fault(document: &Tree, placed: &Placed<Fault>) -> Self {
+    pub fn from_fault(document: &Tree, placed: &Placed<Fault>) -> Self {
         Self::of_field(document, &placed.path, &placed.fault)
     }
 
--- a/crates/sedgepath/src/records.rs
+++ b/crates/sedgepath/src/records.rs
@@ -132,7 +132,7 @@
     let heading = Value::Object(heading);
     let faults = schema::check(&heading, HEADING, 1);
     if !faults.is_empty() {
-        let mistakes = faults.iter().map(|fault| Mistake::of_fault(document, fault));
+        let mistakes = faults.iter().map(|fault| Mistake::from_fault(document, fault));
         return Err(mistakes.collect());
     }
     let body: Map<String, Value> = entries
@@ -158,7 +158,7 @@
         }
         CheckError::Fault { fault } => {
             let fault = Placed { path: problem.path.clone(), fault: fault.clone() };
-            Mistake::of_fault(document, &fault)
+            Mistake::from_fault(document, &fault)
         }
         error => {
             let whole = problem.path.0.is_empty();
--- a/crates/sedgepathd/src/settings.rs
+++ b/crates/sedgepathd/src/settings.rs
@@ -177,7 +177,7 @@
         let json = document.to_json();
         let mut mistakes: Vec<_> = schema::check(&json, FIELDS, 1)
             .into_iter()
-            .map(|placed| Mistake::of_fault(document, &placed))
+            .map(|placed| Mistake::from_fault(document, &placed))
             .collect();
         if mistakes.is_empty() {
             match serde_json::from_value::<Self>(json) {
