--- a/crates/sedgepath-yaml/src/mistakes.rs
+++ b/crates/sedgepath-yaml/src/mistakes.rs
@@ -51,7 +51,7 @@
     }
 
     /// Creates the report of a file that is no YAML.
-    pub fn unreadable(file: &str, text: &str, error: &ReadError) -> Self {
+    pub fn from_parse_error(file: &str, text: &str, error: &ReadError) -> Self {
         let mistake = Mistake { span: error.span, message: error.message.clone() };
         Self::new(file, text, vec![mistake])
     }
--- a/crates/sedgepath/src/records.rs
+++ b/crates/sedgepath/src/records.rs
@@ -80,8 +80,8 @@
     ///
     /// Fails if the text is no YAML or holds documents without a heading.
     pub fn add(&mut self, file: &str, text: &str) -> Result<(), Mistakes> {
-        let documents =
-            sedgepath_yaml::read(text).map_err(|error| Mistakes::unreadable(file, text, &error))?;
+        let documents = sedgepath_yaml::read(text)
+            .map_err(|error| Mistakes::from_parse_error(file, text, &error))?;
         let number = self.files.len();
         self.files.push(File { name: file.into(), text: text.into() });
         let mut mistakes = Vec::new();
--- a/crates/sedgepathd/src/settings.rs
+++ b/crates/sedgepathd/src/settings.rs
@@ -167,8 +167,8 @@
     ///
     /// Fails if a field is wrong; all mistakes are shown at their places.
     pub fn parse(file: &str, text: &str) -> Result<Self, Mistakes> {
-        let documents =
-            sedgepath_yaml::read(text).map_err(|error| Mistakes::unreadable(file, text, &error))?;
+        let documents = sedgepath_yaml::read(text)
+            .map_err(|error| Mistakes::from_parse_error(file, text, &error))?;
         let whole = |message: &str| Mistake { span: Span::default(), message: message.into() };
         let [document] = &*documents else {
             let message = "a settings file holds one document";
