--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -197,7 +197,7 @@
                     evacuated.remove(domain);
                 }
             }
-            OperatorKey::Other => {}
+            OperatorKey::Unknown => {}
         }
     }
     steering.set_evacuated_domains(evacuated, now_ms);
