--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -174,7 +174,7 @@
     let mut steering = shell.steering.borrow_mut();
     let mut evacuated = steering.evacuated_domains().clone();
     for row in rows {
-        match OperatorKey::read(&row.key) {
+        match OperatorKey::parse(&row.key) {
             OperatorKey::Configuration => {
                 let Some(value) = &row.value else { continue };
                 match rows::configuration(value) {
--- a/crates/sedgepathd/src/direct/ingress.rs
+++ b/crates/sedgepathd/src/direct/ingress.rs
@@ -132,7 +132,7 @@
 async fn handle(shell: &Rc<Shell>, request: Request<Incoming>) -> Response<Body> {
     let now_ms = clock::now_ms();
     let (parts, incoming) = request.into_parts();
-    let fields = RequestFields::read(&parts.headers, &parts.uri);
+    let fields = RequestFields::parse(&parts.headers, &parts.uri);
     let attempt: Box<str> = fields.attempt.into();
     if shell.requests.get() > MAX_REQUESTS {
         let refusal = Refusal { reason: Reason::Overloaded, retry_after_ms: OVERLOADED_RETRY_MS };
--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -185,7 +185,7 @@
     response: Response<Incoming>,
     connection: Connection,
 ) -> Ended {
-    let fields = AnswerFields::read(response.status(), response.headers(), &head.attempt);
+    let fields = AnswerFields::parse(response.status(), response.headers(), &head.attempt);
     let (parts, mut incoming) = response.into_parts();
     let deadline = clock::instant(deadline_at_ms);
     let begun = match fields.kind {
