--- a/crates/sedgepath-core/src/deduplication/row.rs
+++ b/crates/sedgepath-core/src/deduplication/row.rs
@@ -24,7 +24,7 @@
 pub enum ClaimState {
     /// The holder may run the action, may be running it or may have run it.
     Held,
-    /// No request up to [`ClaimRow::attempt`] ran or will run.
+    /// No request up to [`ClaimRow::attempt_id`] ran or will run.
     NotRun,
     /// The action ran; its answer, unless that was too large to be kept.
     Answered(Option<StoredAnswer>),
--- a/crates/sedgepathd/src/direct/ingress.rs
+++ b/crates/sedgepathd/src/direct/ingress.rs
@@ -133,7 +133,7 @@
     let now_ms = clock::now_ms();
     let (parts, incoming) = request.into_parts();
     let fields = RequestFields::parse(&parts.headers, &parts.uri);
-    let attempt: Box<str> = fields.attempt.into();
+    let attempt: Box<str> = fields.attempt_id.into();
     if shell.requests.get() > MAX_REQUESTS {
         let refusal = Refusal { reason: Reason::Overloaded, retry_after_ms: OVERLOADED_RETRY_MS };
         return refuse(shell, &attempt, None, refusal);
