--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -246,7 +246,7 @@
 impl Returned {
     fn give_back(self, shell: &Shell) {
         if !self.fields.closes {
-            shell.pool.give_back(self.upstream, self.connection, self.fields.idle_ms);
+            shell.pool.give_back(self.upstream, self.connection, self.fields.keep_alive_ms);
         }
     }
 }
