--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -245,7 +245,7 @@
 
 impl Returned {
     fn give_back(self, shell: &Shell) {
-        if !self.fields.closes {
+        if !self.fields.closes_connection {
             shell.pool.give_back(self.upstream, self.connection, self.fields.keep_alive_ms);
         }
     }
