--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -190,13 +190,13 @@
     let deadline = clock::instant(deadline_at_ms);
     let begun = match fields.kind {
         AnswerKind::Foreign => return Ended::without_answer(Outcome::Failed),
-        AnswerKind::Own | AnswerKind::NotRun | AnswerKind::Misdirected => {
+        AnswerKind::Matching | AnswerKind::NotRun | AnswerKind::Misdirected => {
             match timeout_at(deadline, hold(shell, &mut incoming)).await {
                 Ok(Ok(begun)) => begun,
-                Ok(Err(_broken)) if fields.kind == AnswerKind::Own => {
+                Ok(Err(_broken)) if fields.kind == AnswerKind::Matching => {
                     return Ended::without_answer(Outcome::Failed);
                 }
-                Err(_elapsed) if fields.kind == AnswerKind::Own => {
+                Err(_elapsed) if fields.kind == AnswerKind::Matching => {
                     return Ended::without_answer(Outcome::TimedOut);
                 }
                 // The head alone proves that the request was not run.
