--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -189,7 +189,7 @@
     let (parts, mut incoming) = response.into_parts();
     let deadline = clock::instant(deadline_at_ms);
     let begun = match fields.kind {
-        AnswerKind::Foreign => return Ended::without_answer(Outcome::Failed),
+        AnswerKind::Mismatched => return Ended::without_answer(Outcome::Failed),
         AnswerKind::Matching | AnswerKind::NotRun | AnswerKind::Misdirected => {
             match timeout_at(deadline, hold(shell, &mut incoming)).await {
                 Ok(Ok(begun)) => begun,
