--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -76,9 +76,10 @@
     lines: Lines,
     options: Options,
 ) -> Result<(), StartError> {
-    let callers = settings.listen.callers.ok_or(SettingsError::NoAddress("callers"))?;
-    let ready = settings.listen.ready.ok_or(SettingsError::NoAddress("readiness"))?;
-    let look_ups = settings.listen.look_ups.ok_or(SettingsError::NoAddress("look-ups"))?;
+    let callers = settings.listen.callers.ok_or(SettingsError::MissingListenAddress("callers"))?;
+    let ready = settings.listen.ready.ok_or(SettingsError::MissingListenAddress("readiness"))?;
+    let look_ups =
+        settings.listen.look_ups.ok_or(SettingsError::MissingListenAddress("look-ups"))?;
     let peer_address = SocketAddr::new(settings.ip, settings.peer_ports.0);
     let steering = steering(&settings, callers, peer_address).with_policy(options.policy);
     let socket = UdpSocket::bind(peer_address)
