--- a/crates/sedgepathd/src/direct/find.rs
+++ b/crates/sedgepathd/src/direct/find.rs
@@ -55,7 +55,7 @@
         domain: shell.settings.domain.clone(),
         region: shell.settings.region.clone(),
     };
-    shell.store.put(VM_TABLE, &shell.settings.vm, &serde_json::to_vec(&own)?).await?;
+    shell.store.put(VM_TABLE, &shell.settings.vm_name, &serde_json::to_vec(&own)?).await?;
     shell.store.rows(VM_TABLE).await
 }
 
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -62,7 +62,7 @@
 /// Fails if the settings can't be used or an address can't be listened on.
 pub fn run(options: Options) -> Result<(), StartError> {
     let settings = Settings::from_environment()?;
-    let (line_clock, lines) = lines::start(&settings.vm)?;
+    let (line_clock, lines) = lines::start(&settings.vm_name)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -93,7 +93,7 @@
     let peer_listener = listen("peers", peer_address).await?;
     log::info!(
         "event=started vm={} domain={} region={} boot={}",
-        shell.settings.vm,
+        shell.settings.vm_name,
         shell.settings.domain,
         shell.settings.region,
         clock::unix_ms(),
@@ -140,7 +140,7 @@
 
 fn steering(settings: &Settings, callers: SocketAddr, peers: SocketAddr) -> Steering {
     let place = Place {
-        name: settings.vm.clone(),
+        name: settings.vm_name.clone(),
         domain: settings.domain.clone(),
         region: settings.region.clone(),
         regions: settings.regions.clone(),
@@ -153,7 +153,7 @@
         },
     };
     let card = VmCard {
-        name: settings.vm.clone(),
+        name: settings.vm_name.clone(),
         domain: settings.domain.clone(),
         region: settings.region.clone(),
         caller_address: callers,
