--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -143,7 +143,7 @@
         name: settings.vm_name.clone(),
         domain: settings.domain.clone(),
         region: settings.region.clone(),
-        regions: settings.regions.clone(),
+        regions: settings.region_by_domain.clone(),
     };
     let limits = Limits {
         budget: BudgetLimits {
