--- a/crates/sedgepathd/src/direct/ingress.rs
+++ b/crates/sedgepathd/src/direct/ingress.rs
@@ -54,7 +54,7 @@
 /// Takes callers' connections until the process ends.
 pub async fn serve(shell: Rc<Shell>, listener: TcpListener) {
     let most =
-        shell.settings.resources.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(64);
+        shell.settings.resource_limits.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(64);
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             // Out of descriptors for a moment; those of ended connections come free.
--- a/crates/sedgepathd/src/direct/shell.rs
+++ b/crates/sedgepathd/src/direct/shell.rs
@@ -149,7 +149,7 @@
     /// Returns how many bytes of a body may be held, at most `most`, so that those of all requests
     /// together stay within a part of the process's memory.
     pub fn hold_limit(&self, most: usize) -> usize {
-        let memory_bytes = self.settings.resources.memory_mb as usize * 1024 * 1024;
+        let memory_bytes = self.settings.resource_limits.memory_mb as usize * 1024 * 1024;
         most.min(memory_bytes / BODY_MEMORY_PART / self.requests.get().max(1))
     }
 }
