--- a/crates/sedgepathd/src/direct/ingress.rs
+++ b/crates/sedgepathd/src/direct/ingress.rs
@@ -53,8 +53,12 @@
 
 /// Takes callers' connections until the process ends.
 pub async fn serve(shell: Rc<Shell>, listener: TcpListener) {
-    let most =
-        shell.settings.resource_limits.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(64);
+    let most = shell
+        .settings
+        .resource_limits
+        .max_file_descriptors
+        .saturating_sub(RESERVED_DESCRIPTORS)
+        .max(64);
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             // Out of descriptors for a moment; those of ended connections come free.
