--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -117,7 +117,7 @@
     }
 
     wait_for_stop().await?;
-    let deadline_at_ms = clock::now_ms() + shell.settings.bounds.stop_ms - STOP_MARGIN_MS;
+    let deadline_at_ms = clock::now_ms() + shell.settings.bounds.shutdown_grace_ms - STOP_MARGIN_MS;
     log::info!("event=stopping requests={}", shell.requests.get());
     shell.steering.borrow_mut().vms_mut().begin_leaving();
     shell.stop.send_replace(StopPhase::Leaving);
