--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -147,7 +147,7 @@
     };
     let limits = Limits {
         budget: BudgetLimits {
-            ratio: settings.bounds.repeat_ratio,
+            ratio: settings.bounds.retry_budget_ratio,
             slack: settings.bounds.repeat_slack,
             window_ms: settings.bounds.repeat_window_ms,
         },
