--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -149,7 +149,7 @@
         budget: BudgetLimits {
             ratio: settings.bounds.retry_budget_ratio,
             slack: settings.bounds.repeat_slack,
-            window_ms: settings.bounds.repeat_window_ms,
+            window_ms: settings.bounds.retry_budget_window_ms,
         },
     };
     let card = VmCard {
