--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -148,7 +148,7 @@
     let limits = Limits {
         budget: BudgetLimits {
             ratio: settings.bounds.retry_budget_ratio,
-            slack: settings.bounds.repeat_slack,
+            slack: settings.bounds.retry_budget_slack,
             window_ms: settings.bounds.retry_budget_window_ms,
         },
     };
