--- a/crates/sedgepathd/src/direct/find.rs
+++ b/crates/sedgepathd/src/direct/find.rs
@@ -56,7 +56,7 @@
         region: shell.settings.region.clone(),
     };
     shell.store.put(VM_TABLE, &shell.settings.vm_name, &serde_json::to_vec(&own)?).await?;
-    shell.store.rows(VM_TABLE).await
+    shell.store.read_table(VM_TABLE).await
 }
 
 fn take_in(shell: &Shell, page: &Page) {
--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -121,7 +121,7 @@
         (copy.is_complete(), copy.position())
     };
     if lost || !known {
-        return shell.store.rows(name).await;
+        return shell.store.read_table(name).await;
     }
     // While the store is away a call that waits would hide for longer that it is back.
     let wait_ms = if shell.store_calls.get().answers() { WAIT_MS } else { 0 };
--- a/crates/sedgepathd/src/store.rs
+++ b/crates/sedgepathd/src/store.rs
@@ -75,7 +75,7 @@
         if !listed {
             listed = store.put(VM_TABLE, &name, &row).await.is_ok();
         }
-        match store.rows(VM_TABLE).await {
+        match store.read_table(VM_TABLE).await {
             Ok(page) => handle.event(Event::VmList(page.rows.iter().filter_map(read_vm).collect())),
             Err(error) => log::debug!("event=vm_list_unread error={:?}", error.to_string()),
         }
