--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -125,7 +125,7 @@
     }
     // While the store is away a call that waits would hide for longer that it is back.
     let wait_ms = if shell.store_calls.get().answers() { WAIT_MS } else { 0 };
-    shell.store.changes(name, position, wait_ms).await
+    shell.store.poll_changes(name, position, wait_ms).await
 }
 
 fn note_contact(shell: &Shell, table: Table, since_ms: u64) {
