--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -65,7 +65,7 @@
                     tokio::time::sleep(Duration::from_millis(BATCH_MS)).await;
                 }
             }
-            Err(StoreError::Forgotten) => {
+            Err(StoreError::HistoryUnavailable) => {
                 log::info!("event=store_history_lost table={}", table.name());
                 lost = true;
             }
