--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -389,7 +389,7 @@
     std::thread::sleep(Duration::from_millis(300));
     served.store.remove("servers", "u0");
     served.store.forget_history();
-    served.store.set_mode(Mode::Up);
+    served.store.set_mode(Mode::Normal);
 
     wait_for("the removal", || {
         let before = served.upstreams[0].received().len();
--- a/crates/sedgepathd/tests/faults.rs
+++ b/crates/sedgepathd/tests/faults.rs
@@ -155,7 +155,7 @@
         pass(1_000);
         faulty.system.store.set_mode(Mode::Refusing);
         pass(3_000);
-        faulty.system.store.set_mode(Mode::Up);
+        faulty.system.store.set_mode(Mode::Normal);
     });
     assert!(told.counts().answered > 200, "{:?}", told.counts());
     faulty.judge(&told);
--- a/crates/sedgepathd/tests/operators.rs
+++ b/crates/sedgepathd/tests/operators.rs
@@ -230,7 +230,7 @@
     bench.wait_for(|bench| serves(bench, 1));
     assert_eq!(exit(bench.run(&["apply", &file])).0, Exit::Failed);
     assert_eq!(exit(bench.run(&["history"])).0, Exit::Unreachable);
-    bench.system.store.set_mode(Mode::Up);
+    bench.system.store.set_mode(Mode::Normal);
     assert_eq!(bench.run(&["apply", &file]).expect("apply"), "revision 3 is accepted\n");
 }
 
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -132,7 +132,7 @@
                 self.store_links[vm].set_cut(cut);
             }
             8 => {
-                let modes = [Mode::Unresponsive, Mode::Refusing, Mode::Up];
+                let modes = [Mode::Unresponsive, Mode::Refusing, Mode::Normal];
                 self.store.set_mode(modes[self.random.usize(..3)]);
             }
             9 => self.store.forget_history(),
@@ -194,7 +194,7 @@
             self.signal(number, "-CONT");
             self.store_links[number].set_cut(Cut::None);
         }
-        self.store.set_mode(Mode::Up);
+        self.store.set_mode(Mode::Normal);
         self.store.lose_next_answers(0);
         self.store.apply_late(0);
         self.store.release_late();
