--- a/crates/sedgepath-test-support/tests/table.rs
+++ b/crates/sedgepath-test-support/tests/table.rs
@@ -195,7 +195,7 @@
     store.set_mode(Mode::Refusing);
     assert_eq!(client.execute(&insert), TableResult::Unavailable);
     assert_eq!(client.execute(&lookup), TableResult::Unavailable);
-    store.set_mode(Mode::Closing);
+    store.set_mode(Mode::ClosingConnections);
     assert_eq!(client.execute(&insert), TableResult::Unknown);
     assert_eq!(client.execute(&lookup), TableResult::Unavailable);
     assert_eq!(store.rows(TABLE), []);
