--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -424,7 +424,7 @@
 #[test]
 fn a_request_waits_for_a_vm_that_is_starting() {
     let served = Served::new(1);
-    served.store.set_mode(Mode::Slow(150));
+    served.store.set_mode(Mode::DelayedByMs(150));
     let starting = served.site.start(9, "south-a");
     let mut connection = None;
     wait_for("a listener", || {
