--- a/crates/sedgepath-test-support/tests/table.rs
+++ b/crates/sedgepath-test-support/tests/table.rs
@@ -155,7 +155,7 @@
     // The caller sees "unknown"; a read shows the row; a repeat of the insert conflicts with it.
     let store = StoreStandIn::new().expect("the stand-in starts");
     let client = client(&store);
-    store.lose_next_answers(1);
+    store.drop_next_answers(1);
     let insert = commit([put("claim/1", Condition::Absent, "mine")]);
     assert_eq!(client.execute(&insert), TableResult::Unknown);
     let row = read(&client, "claim/1");
--- a/crates/sedgepathd/tests/once.rs
+++ b/crates/sedgepathd/tests/once.rs
@@ -151,7 +151,7 @@
     let keys: Vec<String> = (0..6).map(|number| format!("late-{number}")).collect();
     for (number, key) in keys.iter().enumerate() {
         if number % 2 == 0 {
-            store.lose_next_answers(1);
+            store.drop_next_answers(1);
         } else {
             store.apply_late(1);
         }
--- a/crates/sedgepathd/tests/operators.rs
+++ b/crates/sedgepathd/tests/operators.rs
@@ -145,7 +145,7 @@
 #[test]
 fn a_lost_answer_is_settled() {
     let bench = Bench::new();
-    bench.system.store.lose_next_answers(1);
+    bench.system.store.drop_next_answers(1);
     let file = bench.steering(2);
     let arguments = ["apply", &file, "--change-id", "one"];
     assert_eq!(bench.run(&arguments).expect("apply"), "revision 2 is accepted\n");
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -141,7 +141,7 @@
             12 => self.store_links[vm].break_connections(),
             13 => self.upstreams[upstream].1.set_delay_ms(self.random.u64(0..=SLOW_LINK_MS)),
             14 => {
-                self.store.lose_next_answers(1);
+                self.store.drop_next_answers(1);
                 self.store.apply_late(self.random.u32(..2));
             }
             _ => {
@@ -195,7 +195,7 @@
             self.store_links[number].set_cut(Cut::None);
         }
         self.store.set_mode(Mode::Normal);
-        self.store.lose_next_answers(0);
+        self.store.drop_next_answers(0);
         self.store.apply_late(0);
         self.store.release_late();
         for number in 0..4 {
