--- a/crates/sedgepath-test-support/tests/table.rs
+++ b/crates/sedgepath-test-support/tests/table.rs
@@ -172,7 +172,7 @@
     // last it must conflict with the tombstone, so that it has no effect.
     let store = StoreStandIn::new().expect("the stand-in starts");
     let client = client(&store);
-    store.apply_late(1);
+    store.hold_next_writes(1);
     let insert = commit([put("claim/1", Condition::Absent, "mine")]);
     assert_eq!(client.execute(&insert), TableResult::Unknown);
     assert_eq!(read(&client, "claim/1"), None);
--- a/crates/sedgepathd/tests/once.rs
+++ b/crates/sedgepathd/tests/once.rs
@@ -153,7 +153,7 @@
         if number % 2 == 0 {
             store.drop_next_answers(1);
         } else {
-            store.apply_late(1);
+            store.hold_next_writes(1);
         }
         thread::scope(|scope| {
             scope.spawn(|| pair.key(number % 2, key, "100"));
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -142,7 +142,7 @@
             13 => self.upstreams[upstream].1.set_delay_ms(self.random.u64(0..=SLOW_LINK_MS)),
             14 => {
                 self.store.drop_next_answers(1);
-                self.store.apply_late(self.random.u32(..2));
+                self.store.hold_next_writes(self.random.u32(..2));
             }
             _ => {
                 let state = if self.random.bool() { "draining" } else { "ready" };
@@ -196,7 +196,7 @@
         }
         self.store.set_mode(Mode::Normal);
         self.store.drop_next_answers(0);
-        self.store.apply_late(0);
+        self.store.hold_next_writes(0);
         self.store.release_late();
         for number in 0..4 {
             self.upstreams[number].0.behave(Behaviour::Answer);
