--- a/crates/sedgepath-test-support/tests/table.rs
+++ b/crates/sedgepath-test-support/tests/table.rs
@@ -178,7 +178,7 @@
     assert_eq!(read(&client, "claim/1"), None);
     let tombstone = commit([put("claim/1", Condition::Absent, "not run")]);
     assert_eq!(client.execute(&tombstone), TableResult::Committed);
-    assert_eq!(store.release_late(), [false]);
+    assert_eq!(store.apply_held_writes(), [false]);
     let row = read(&client, "claim/1").expect("the tombstone stands");
     assert_eq!(&*row.value, "not run");
 }
--- a/crates/sedgepathd/tests/once.rs
+++ b/crates/sedgepathd/tests/once.rs
@@ -162,7 +162,7 @@
         });
         assert_eq!(pair.repeat(1 - number % 2, key, "100"), answered("100"));
     }
-    assert!(!store.release_late().is_empty());
+    assert!(!store.apply_held_writes().is_empty());
     for (number, key) in keys.iter().enumerate() {
         assert_eq!(pair.repeat(number % 2, key, "100"), answered("100"));
         assert_eq!(pair.runs(key), 1);
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -197,7 +197,7 @@
         self.store.set_mode(Mode::Normal);
         self.store.drop_next_answers(0);
         self.store.hold_next_writes(0);
-        self.store.release_late();
+        self.store.apply_held_writes();
         for number in 0..4 {
             self.upstreams[number].0.behave(Behaviour::Answer);
             self.upstreams[number].1.set_cut(Cut::None);
