--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -388,7 +388,7 @@
     served.store.set_mode(Mode::Refusing);
     std::thread::sleep(Duration::from_millis(300));
     served.store.remove("servers", "u0");
-    served.store.forget_history();
+    served.store.drop_history();
     served.store.set_mode(Mode::Normal);
 
     wait_for("the removal", || {
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -135,7 +135,7 @@
                 let modes = [Mode::Unresponsive, Mode::Refusing, Mode::Normal];
                 self.store.set_mode(modes[self.random.usize(..3)]);
             }
-            9 => self.store.forget_history(),
+            9 => self.store.drop_history(),
             10 => self.configure(),
             11 => self.upstreams[upstream].1.break_connections(),
             12 => self.store_links[vm].break_connections(),
