--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -235,7 +235,7 @@
             .unwrap_or(Refusal { reason: Reason::Deadline, retry_after_ms: RETRY_AFTER_MS });
         let outcome = Outcome::NotRun {
             refusal,
-            others: self.look_ups.others(pending.service(), pending.source(), &means.view),
+            others: self.look_ups.alternatives(pending.service(), pending.source(), &means.view),
         };
         Some(Conclusion { request, outcome })
     }
@@ -248,7 +248,7 @@
         refusal: Refusal,
         means: &Means<'_>,
     ) -> Conclusion {
-        let others = self.look_ups.others(service, head.source, &means.view);
+        let others = self.look_ups.alternatives(service, head.source, &means.view);
         Conclusion { request, outcome: Outcome::NotRun { refusal, others } }
     }
 }
--- a/crates/sedgepath-core/src/look_up.rs
+++ b/crates/sedgepath-core/src/look_up.rs
@@ -78,7 +78,12 @@
     }
 
     /// Returns other entry VMs for a caller whose request is refused here.
-    pub fn others(&mut self, service: ServiceKey, source: IpAddr, view: &View<'_>) -> Vec<EntryVm> {
+    pub fn alternatives(
+        &mut self,
+        service: ServiceKey,
+        source: IpAddr,
+        view: &View<'_>,
+    ) -> Vec<EntryVm> {
         let own = &view.identity.card.name;
         let list = self.list(service, source, view);
         list.iter().filter(|entry_vm| entry_vm.name != *own).cloned().collect()
