--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -301,7 +301,7 @@
     }
 
     /// Takes in a summary, and passes it on if it came from another failure domain.
-    pub fn take_summary(&mut self, summary: &Summary, out: &mut Outbox) {
+    pub fn handle_summary(&mut self, summary: &Summary, out: &mut Outbox) {
         for line in &summary.members {
             let sighting = Sighting {
                 vm: line.vm,
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -450,7 +450,7 @@
                 self.membership.handle_probe_answer(answer, &mut self.out);
             }
             Message::Summary(summary) => {
-                self.membership.take_summary(summary, &mut self.out);
+                self.membership.handle_summary(summary, &mut self.out);
                 for line in &summary.members {
                     self.hear_revision(line.vm, line.revision);
                 }
