--- a/crates/sedgepath-core/src/egress.rs
+++ b/crates/sedgepath-core/src/egress.rs
@@ -92,7 +92,7 @@
         let now_ms = out.now_ms();
         let capacity = self.upstreams.capacity(dispatch.service, scope, now_ms);
         if !self.upstreams.is_usable(dispatch.service, dispatch.avoid_upstream, scope, now_ms) {
-            out.push(Action::Refuse { exchange, refusal: unusable(capacity, now_ms) });
+            out.push(Action::RejectDispatch { exchange, refusal: unusable(capacity, now_ms) });
             return;
         }
         // A lost call holds its slot to its deadline, and an owner's promise to another member rests
@@ -151,7 +151,7 @@
         });
         if waited {
             let refusal = Refusal { reason: Reason::Cancelled, retry_after_ms: RETRY_AFTER_MS };
-            out.push(Action::Refuse { exchange, refusal });
+            out.push(Action::RejectDispatch { exchange, refusal });
         }
     }
 
@@ -272,7 +272,7 @@
         };
         for waiting in service.queue.drain_refused(|waiting| waiting.deadline_at_ms <= now_ms) {
             let refusal = Refusal { reason: Reason::Deadline, retry_after_ms: RETRY_AFTER_MS };
-            out.push(Action::Refuse { exchange: waiting.exchange, refusal });
+            out.push(Action::RejectDispatch { exchange: waiting.exchange, refusal });
         }
     }
 
@@ -363,7 +363,7 @@
             }
         }
         for (waiting, refusal) in refused {
-            out.push(Action::Refuse { exchange: waiting.exchange, refusal });
+            out.push(Action::RejectDispatch { exchange: waiting.exchange, refusal });
         }
     }
 }
--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -300,7 +300,7 @@
         deadline_at_ms: u64,
     },
     /// Refuses a dispatch.
-    Refuse {
+    RejectDispatch {
         /// The dispatch.
         exchange: ExchangeKey,
         /// Why, and when to come back.
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -142,7 +142,7 @@
                 self.ingress.forget(request);
             }
             Event::Dispatched { exchange, .. } if self.stop.refuses(now_ms) => {
-                self.out.push(Action::Refuse { exchange, refusal: stop::REFUSAL });
+                self.out.push(Action::RejectDispatch { exchange, refusal: stop::REFUSAL });
             }
             Event::Dispatched { exchange, dispatch, .. } => {
                 self.admit(|egress, scope, out| egress.dispatch(exchange, &dispatch, scope, out));
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -46,7 +46,7 @@
             Action::CallUpstream { exchange, upstream, send_by_ms, .. } => {
                 self.call_upstream(index, exchange, upstream, send_by_ms);
             }
-            Action::Refuse { exchange, refusal } => {
+            Action::RejectDispatch { exchange, refusal } => {
                 if let Some(entry) = self.nodes[index].exchanges.remove(&exchange) {
                     self.reply(&entry, BedReply::Ended(HopEnd::Refused(refusal)), index);
                 }
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -265,7 +265,7 @@
                     self.decisions[exchange.0 as usize] = sent;
                     self.sent.push(exchange);
                 }
-                Action::Refuse { exchange, refusal } => {
+                Action::RejectDispatch { exchange, refusal } => {
                     self.decisions[exchange.0 as usize] = Decision::Refused(refusal);
                 }
                 Action::CancelCall { exchange } => self.cancelled.push(exchange),
--- a/crates/sedgepathd/src/driver.rs
+++ b/crates/sedgepathd/src/driver.rs
@@ -332,7 +332,7 @@
                 Action::CallUpstream { exchange, .. } | Action::CancelCall { exchange } => {
                     tell(self.exchanges.get(&exchange), action);
                 }
-                Action::Refuse { exchange, .. } => {
+                Action::RejectDispatch { exchange, .. } => {
                     tell(self.exchanges.remove(&exchange).as_ref(), action);
                 }
                 Action::SendDatagram { to, envelope } => self.send_datagram(to, &envelope),
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -133,7 +133,7 @@
                     self.call(call, domain, head, body, reply).await;
                     return;
                 }
-                Some(Action::Refuse { refusal, .. }) => {
+                Some(Action::RejectDispatch { refusal, .. }) => {
                     let _gone = reply.send(Reply::Refused(refusal));
                     return;
                 }
--- a/crates/sedgepathd/src/metrics.rs
+++ b/crates/sedgepathd/src/metrics.rs
@@ -103,7 +103,7 @@
     pub fn count(&self, action: &Action) {
         let name = match action {
             Action::CallUpstream { .. } => "call_upstream",
-            Action::Refuse { .. } => "refuse",
+            Action::RejectDispatch { .. } => "refuse",
             Action::Forward { .. } => "forward",
             Action::ForwardHome { .. } => "forward_home",
             Action::Conclude { .. } => "conclude",
