--- a/crates/sedgepath-core/src/lease.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -306,7 +306,7 @@
         if in_flight.len() > MAX_NAMED {
             return None;
         }
-        if beat.claim == Claim::Whole {
+        if beat.claim == Claim::Requested {
             let longest_ms = self.longest_deadline_ms.max(beat.longest_deadline_ms);
             let until_ms = beat.heard_at_ms + 2 * self.settings.suspect_after_ms + longest_ms;
             let upstreams: Vec<_> = owned().map(|share| share.upstream).collect();
@@ -369,7 +369,7 @@
             let counts = grant.roster == self.digest
                 && grant.sent_at_ms >= self.claimed_at_ms
                 && grant.longest_deadline_ms >= self.longest_deadline_ms;
-            if !counts || self.claim != Claim::Whole {
+            if !counts || self.claim != Claim::Requested {
                 return None;
             }
             until_ms = until_ms.min(grant.sent_at_ms + self.settings.suspect_after_ms);
@@ -466,8 +466,8 @@
             let grant = self.grants.get(&vm);
             grant.is_some_and(|grant| grant.sent_at_ms >= lately_ms && grant.roster == self.digest)
         });
-        if reachable && self.claim != Claim::Whole {
-            self.claim = Claim::Whole;
+        if reachable && self.claim != Claim::Requested {
+            self.claim = Claim::Requested;
             self.claimed_at_ms = now_ms;
         }
         if !reachable {
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -122,7 +122,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Claim {
     /// It asks for the right; an acknowledgement grants it.
-    Whole,
+    Requested,
     /// It has given the right up, but has more in flight at some upstream than its part.
     Releasing,
     /// It has given the right up and has no more in flight anywhere than its part. Promises made to
--- a/crates/sedgepathd/examples/slopes/datagrams.rs
+++ b/crates/sedgepathd/examples/slopes/datagrams.rs
@@ -77,7 +77,7 @@
         configuration: ConfigurationNews { revision: 1, head_age_ms: 300 },
         loads: (0..4).map(load).collect(),
         roster_digest: 7,
-        claim: Claim::Whole,
+        claim: Claim::Requested,
         longest_deadline_ms: 10_000,
         acknowledgement: Some(acknowledgement),
     };
