--- a/crates/sedgepath-core/src/egress.rs
+++ b/crates/sedgepath-core/src/egress.rs
@@ -162,7 +162,7 @@
     }
 
     /// Takes in an upstream's word on its load.
-    pub fn take_report(
+    pub fn record_report(
         &mut self,
         upstream: UpstreamKey,
         report: UpstreamReport,
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -155,7 +155,7 @@
             }
             Event::UpstreamReport { upstream, report } => {
                 self.right.handle_upstream_report(upstream, &report);
-                self.admit(|egress, scope, out| egress.take_report(upstream, report, scope, out));
+                self.admit(|egress, scope, out| egress.record_report(upstream, report, scope, out));
             }
             Event::ConnectionsChanged { upstream, open } => {
                 self.egress.set_open_connections(upstream, open, now_ms);
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -229,7 +229,7 @@
             made_at_ms: self.now_ms,
         };
         let upstream = UpstreamKey::of(upstream);
-        self.step(|egress, scope, out| egress.take_report(upstream, report, scope, out));
+        self.step(|egress, scope, out| egress.record_report(upstream, report, scope, out));
     }
 
     /// Says how many connections to an upstream are open.
