--- a/crates/sedgepath-core/src/configuration.rs
+++ b/crates/sedgepath-core/src/configuration.rs
@@ -120,7 +120,7 @@
     }
 
     /// Returns what peers are told with every sign of life.
-    pub fn news(&self, now_ms: u64) -> ConfigurationNews {
+    pub fn status(&self, now_ms: u64) -> ConfigurationNews {
         ConfigurationNews {
             revision: self.store.revision(),
             head_age_ms: self.reader.head_age_ms(now_ms),
@@ -149,7 +149,7 @@
         if self.reader.is_due(out.now_ms()) {
             self.reader.poll(rank(members, out), &self.settings, out);
         }
-        let news = self.news(out.now_ms());
+        let news = self.status(out.now_ms());
         self.spread.tick(news, members, &self.settings, &mut self.random, out);
         if self.desk.waits_for_store() && self.hurry_at_ms <= out.now_ms() {
             self.hurry_at_ms = out.now_ms() + HURRY_EVERY_MS;
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -195,7 +195,7 @@
         self.admit(Egress::tick);
         self.tell_leaving();
         self.own_loads = self.admit(|egress, scope, out| egress.loads(scope, out.now_ms()));
-        let own = OwnState { news: self.configuration.news(now_ms), loads: &self.own_loads };
+        let own = OwnState { news: self.configuration.status(now_ms), loads: &self.own_loads };
         self.right.update_in_flight(|upstream| self.egress.in_flight(upstream));
         self.membership.tick(own, &mut self.right, &mut self.out);
         // What was promised to other members just now must hold for the next dispatch.
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -170,7 +170,7 @@
         node: node.outbox().identity().card.name.clone(),
         domain: node.outbox().identity().card.domain,
         revision: node.configuration().revision(),
-        head_age_ms: node.configuration().news(now_ms).head_age_ms,
+        head_age_ms: node.configuration().status(now_ms).head_age_ms,
         ready: node.configuration().ready(),
         unreadable_records: unread.collect(),
         members: members.collect(),
