--- a/crates/sedgepath-core/src/record/fields.rs
+++ b/crates/sedgepath-core/src/record/fields.rs
@@ -60,7 +60,7 @@
     default: &'static str,
     meaning: &'static str,
 ) -> Field {
-    Field { name, shape, default: Some(default), since: 2, description: meaning }
+    Field { name, shape, default: Some(default), since_schema: 2, description: meaning }
 }
 
 const PLACES: &[Field] = &[Field::required(
--- a/crates/sedgepath-core/src/schema.rs
+++ b/crates/sedgepath-core/src/schema.rs
@@ -73,7 +73,7 @@
     /// What holds if it is left out; none if it may not be left out.
     pub default: Option<&'static str>,
     /// The schema that it came with.
-    pub since: u32,
+    pub since_schema: u32,
     /// What it means, with its unit.
     pub description: &'static str,
 }
@@ -81,7 +81,7 @@
 impl Field {
     /// Creates a field of the first schema that may not be left out.
     pub const fn required(name: &'static str, shape: Shape, meaning: &'static str) -> Self {
-        Self { name, shape, default: None, since: 1, description: meaning }
+        Self { name, shape, default: None, since_schema: 1, description: meaning }
     }
 
     /// Creates a field of the first schema that has a default.
@@ -91,7 +91,7 @@
         default: &'static str,
         meaning: &'static str,
     ) -> Self {
-        Self { name, shape, default: Some(default), since: 1, description: meaning }
+        Self { name, shape, default: Some(default), since_schema: 1, description: meaning }
     }
 }
 
@@ -389,10 +389,10 @@
         for field in fields {
             let at = path.with_field(field.name);
             match object.get(field.name) {
-                Some(_) if field.since > self.schema => {
+                Some(_) if field.since_schema > self.schema => {
                     let fault = Fault::TooNew {
                         field: field.name.into(),
-                        since: field.since,
+                        since: field.since_schema,
                         schema: self.schema,
                     };
                     self.fault(&at, fault);
--- a/crates/sedgepathd/tests/operating_page.rs
+++ b/crates/sedgepathd/tests/operating_page.rs
@@ -12,7 +12,7 @@
     for field in fields {
         let name = format!("{prefix}{}", field.name);
         let default = field.default.unwrap_or("required");
-        let since = if field.since > 1 { " Since schema 2." } else { "" };
+        let since = if field.since_schema > 1 { " Since schema 2." } else { "" };
         let shape = shape(&field.shape);
         rows.push(format!("| `{name}` | {shape} | {default} | {}.{since} |", field.description));
         match field.shape {
