--- a/crates/sedgepath-wire/src/signed_call.rs
+++ b/crates/sedgepath-wire/src/signed_call.rs
@@ -96,7 +96,7 @@
     /// # Errors
     ///
     /// Fails if the call is not proved by a key in force, untimely, or a repeat.
-    pub fn open<T: Serialize>(
+    pub fn verify<T: Serialize>(
         &mut self,
         method: &str,
         call: Proved<T>,
--- a/crates/sedgepath-wire/tests/proof.rs
+++ b/crates/sedgepath-wire/tests/proof.rs
@@ -14,7 +14,7 @@
 #[test]
 fn a_call_is_taken_once_and_for_what_it_was_made() {
     let mut guard = Guard::new(["the key until now", KEY]);
-    let mut open = |method, call| guard.open(method, call, NOW_MS);
+    let mut open = |method, call| guard.verify(method, call, NOW_MS);
     assert_eq!(open("change", call(KEY, NOW_MS, 1)), Ok(vec![1, 2]));
     assert_eq!(open("change", call(KEY, NOW_MS, 1)), Err(ProofError::Replayed));
     assert_eq!(open("change", call("the key until now", NOW_MS, 2)), Ok(vec![1, 2]));
@@ -35,12 +35,12 @@
     for ahead_ms in [0, MAX_AGE_MS] {
         let mut guard = Guard::new([KEY]);
         let at_ms = NOW_MS + ahead_ms;
-        assert_eq!(guard.open("change", call(KEY, at_ms, 1), NOW_MS), Ok(vec![1, 2]));
+        assert_eq!(guard.verify("change", call(KEY, at_ms, 1), NOW_MS), Ok(vec![1, 2]));
         for now_ms in (NOW_MS..NOW_MS + 4 * MAX_AGE_MS).step_by(1_000) {
             // Other calls make the node forget what it may.
             let other = call(KEY, now_ms, now_ms);
-            assert_eq!(guard.open("change", other, now_ms), Ok(vec![1, 2]));
-            let again = guard.open("change", call(KEY, at_ms, 1), now_ms);
+            assert_eq!(guard.verify("change", other, now_ms), Ok(vec![1, 2]));
+            let again = guard.verify("change", call(KEY, at_ms, 1), now_ms);
             let apart_ms = now_ms.abs_diff(at_ms);
             let expected = if apart_ms > MAX_AGE_MS {
                 ProofError::ClockSkew { apart_ms }
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -66,7 +66,7 @@
         let now_ms = self.handle.clock().now_ms();
         // No code panics while it holds the lock.
         let mut guard = self.guard.lock().unwrap_or_else(PoisonError::into_inner);
-        guard.open(method, call, now_ms).map_err(|error| {
+        guard.verify(method, call, now_ms).map_err(|error| {
             log::warn!("event=call_refused method={method} error={:?}", error.to_string());
             match error {
                 ProofError::ClockSkew { .. } => {
