--- a/crates/sedgepath-yaml/src/mistakes.rs
+++ b/crates/sedgepath-yaml/src/mistakes.rs
@@ -29,7 +29,7 @@
     pub fn of_field(document: &Tree, path: &Path, fault: &Fault) -> Self {
         let by_key = matches!(fault, Fault::UnknownField { .. } | Fault::TooNew { .. });
         let key = by_key.then(|| document.key_place(path)).flatten();
-        let span = key.unwrap_or_else(|| document.place(path));
+        let span = key.unwrap_or_else(|| document.span_of(path));
         Self { span, message: fault.to_string().into() }
     }
 }
--- a/crates/sedgepath-yaml/src/tree.rs
+++ b/crates/sedgepath-yaml/src/tree.rs
@@ -145,7 +145,7 @@
 
     /// Returns the place to show for a path: that of the value if it fits one line, else of the key
     /// that leads to it. Of a path that ends nowhere, the last part that is there is shown.
-    pub fn place(&self, path: &Path) -> Span {
+    pub fn span_of(&self, path: &Path) -> Span {
         let mut tree = self;
         let mut key_span = None;
         for segment in &path.0 {
--- a/crates/sedgepath-yaml/tests/tree.rs
+++ b/crates/sedgepath-yaml/tests/tree.rs
@@ -12,7 +12,7 @@
 fn a_path_leads_to_its_place() {
     let documents = read(TEXT).expect("YAML");
     let shown = |document: usize, path: &Path| {
-        let span = documents[document].place(path);
+        let span = documents[document].span_of(path);
         &TEXT[span.offset..span.offset + span.bytes]
     };
     let item = Path::field("list").with_item(0);
--- a/crates/sedgepath/src/records.rs
+++ b/crates/sedgepath/src/records.rs
@@ -153,7 +153,7 @@
     match &problem.error {
         CheckError::Fault { fault: fault @ Fault::Missing { .. } } if problem.path.0.is_empty() => {
             // The mapping that lacks the field is the whole record; its name is shown.
-            let span = document.place(&Path::field("name"));
+            let span = document.span_of(&Path::field("name"));
             Mistake { span, message: fault.to_string().into() }
         }
         CheckError::Fault { fault } => {
@@ -163,9 +163,9 @@
         error => {
             let whole = problem.path.0.is_empty();
             let span: Span = if whole {
-                document.place(&Path::field("name"))
+                document.span_of(&Path::field("name"))
             } else {
-                document.place(&problem.path)
+                document.span_of(&problem.path)
             };
             Mistake { span, message: error.to_string().into() }
         }
--- a/crates/sedgepathd/src/settings.rs
+++ b/crates/sedgepathd/src/settings.rs
@@ -232,5 +232,5 @@
 }
 
 fn mistake(document: &Tree, path: &Path, message: String) -> Mistake {
-    Mistake { span: document.place(path), message: message.into() }
+    Mistake { span: document.span_of(path), message: message.into() }
 }
