--- a/crates/sedgepath-core/src/direct/routing.rs
+++ b/crates/sedgepath-core/src/direct/routing.rs
@@ -132,7 +132,7 @@
 
 impl Splits {
     /// Returns the part that takes the next request of a route, for an object if it has one.
-    pub fn next<'a>(&mut self, route: &'a Route, object: Option<u64>) -> &'a RoutePart {
+    pub fn next_service<'a>(&mut self, route: &'a Route, object: Option<u64>) -> &'a RoutePart {
         if route.weighted_services.len() < 2 {
             return &route.weighted_services[0];
         }
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -255,7 +255,7 @@
             return refuse(Reason::DeadlineExceeded, 0);
         }
         let object = asked.object.map(|name| Digest::of(&[name.as_bytes()]).to_u64());
-        let service = self.splits.next(&route, object).service.clone();
+        let service = self.splits.next_service(&route, object).service.clone();
         let vms = self.vms.max_known_vm_count();
         self.budget.deposit(&service, vms, now_ms);
         self.returns.deposit(&service, vms, now_ms);
--- a/crates/sedgepath-core/tests/direct_routing.rs
+++ b/crates/sedgepath-core/tests/direct_routing.rs
@@ -71,7 +71,7 @@
     let mut by_object = vec![[0_u32; 2]; objects.len()];
     for number in 0..3_000_i64 {
         let object = fastrand::Rng::with_seed(number as u64).usize(..objects.len());
-        let part = splits.next(&split, Some(objects[object]));
+        let part = splits.next_service(&split, Some(objects[object]));
         let is_left = &*part.service == "left";
         left += i64::from(is_left);
         by_object[object][usize::from(is_left)] += 1;
