--- a/crates/sedgepath-core/src/egress.rs
+++ b/crates/sedgepath-core/src/egress.rs
@@ -131,7 +131,7 @@
         if change == Change::Paused {
             log_upstream(Topic::Admission, "upstream_paused", call.upstream, scope, out);
         }
-        if end == CallEnd::Whole {
+        if end == CallEnd::Completed {
             let took_ms = now_ms.saturating_sub(call.sent_at_ms);
             self.services.entry(call.service).or_default().time.note(took_ms);
         }
--- a/crates/sedgepath-core/src/egress/upstream.rs
+++ b/crates/sedgepath-core/src/egress/upstream.rs
@@ -150,7 +150,7 @@
         let unreachable = end == CallEnd::NotSent && sent.may_open && now_ms <= sent.send_by_ms;
         self.connections.end(sent.may_open, unreachable, now_ms);
         let paused = match end {
-            CallEnd::Whole | CallEnd::Cancelled => {
+            CallEnd::Completed | CallEnd::Cancelled => {
                 self.ramp.used(now_ms);
                 self.health.answered();
                 false
--- a/crates/sedgepath-core/src/request.rs
+++ b/crates/sedgepath-core/src/request.rs
@@ -230,7 +230,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallEnd {
     /// The whole answer arrived.
-    Whole,
+    Completed,
     /// The upstream said that it did not start the request.
     Refused,
     /// No connection could be made, so nothing was sent.
--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -110,10 +110,10 @@
     owner.allowances[0].slots = 3;
     for exchange in &sent[..3] {
         assert!(owner.dispatch_many(1, Class::Paying, 4_000).is_empty());
-        owner.end(*exchange, CallEnd::Whole);
+        owner.end(*exchange, CallEnd::Completed);
     }
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 3);
-    owner.end(sent[3], CallEnd::Whole);
+    owner.end(sent[3], CallEnd::Completed);
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 3);
 }
 
@@ -158,7 +158,7 @@
     let sent = owner.dispatch_many(8, Class::Paying, 1_000);
     owner.end(sent[0], CallEnd::Refused);
     for exchange in &sent[1..] {
-        owner.end(*exchange, CallEnd::Whole);
+        owner.end(*exchange, CallEnd::Completed);
     }
     assert_eq!(owner.fits(Class::Paying), 4);
     owner.pass_ms(10_000);
@@ -182,7 +182,7 @@
     owner.pass_ms(30_000);
     let probe = owner.dispatch_many(4, Class::Paying, 400);
     assert_eq!(probe.len(), 1);
-    owner.end(probe[0], CallEnd::Whole);
+    owner.end(probe[0], CallEnd::Completed);
     owner.dispatch_many(4, Class::Paying, 400);
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 4);
 }
@@ -234,7 +234,7 @@
                 self.open -= 1;
                 owner.connections("u", self.open);
             }
-            owner.end(exchange, CallEnd::Whole);
+            owner.end(exchange, CallEnd::Completed);
         }
     }
 
@@ -381,7 +381,7 @@
             Some(lost_at_ms) if lost_at_ms <= now_ms => owner.end(truth.exchange, CallEnd::Lost),
             None if is_over(&truth) => {
                 running.retain(|other| other.exchange != truth.exchange);
-                owner.end(truth.exchange, CallEnd::Whole);
+                owner.end(truth.exchange, CallEnd::Completed);
             }
             _ => {}
         }
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -187,7 +187,7 @@
     assert_eq!(owner.refusal(waiting).map(|refusal| refusal.reason), Some(Reason::NoUpstream));
     assert!(owner.cancelled().is_empty());
     for exchange in running {
-        owner.end(exchange, CallEnd::Whole);
+        owner.end(exchange, CallEnd::Completed);
     }
     assert!(owner.dispatch_many(1, Class::Paying, 2_000).is_empty());
 }
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -235,7 +235,9 @@
         if let Some(entry) = self.nodes[owner].exchanges.get(&exchange).cloned() {
             let domain = DomainKey::of(&self.nodes[owner].domain);
             let reply = match end {
-                CallEnd::Whole => BedReply::Answered(AnswerHead { status: 200, upstream, domain }),
+                CallEnd::Completed => {
+                    BedReply::Answered(AnswerHead { status: 200, upstream, domain })
+                }
                 CallEnd::Refused => BedReply::Ended(HopEnd::Refused(upstreams::REFUSAL)),
                 CallEnd::NotSent | CallEnd::Cancelled => BedReply::Ended(HopEnd::NotSent),
                 CallEnd::Lost => BedReply::Ended(HopEnd::Lost),
--- a/crates/sedgepath-test-support/src/bed/upstreams.rs
+++ b/crates/sedgepath-test-support/src/bed/upstreams.rs
@@ -210,7 +210,7 @@
         if let Some(call) = started.call {
             self.answers.insert(call, started.upstream);
         }
-        CallEnd::Whole
+        CallEnd::Completed
     }
 
     /// Returns an upstream's word on its load, if it gives one.
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -182,7 +182,7 @@
                 return fits;
             }
             for exchange in sent {
-                self.end(exchange, CallEnd::Whole);
+                self.end(exchange, CallEnd::Completed);
             }
         }
     }
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -261,7 +261,7 @@
         if whole {
             self.upstreams.give_back(call.upstream, connection);
         }
-        self.ended(if whole { CallEnd::Whole } else { CallEnd::Lost });
+        self.ended(if whole { CallEnd::Completed } else { CallEnd::Lost });
         if !whole {
             let _gone = sender.send(Err(BodyBroken)).await;
         }
