--- a/crates/sedgepath-core/src/catalogue.rs
+++ b/crates/sedgepath-core/src/catalogue.rs
@@ -6,7 +6,7 @@
 use crate::blocks::{BlockTable, Cidr};
 use crate::hash::{Digest, Map, Set};
 use crate::key::{DomainKey, OrganisationKey, OriginKey, RegionKey, ServiceKey, UpstreamKey};
-use crate::record::{self, Cap, DrainTarget, Plan, RawRecord, RecordBody, RecordError};
+use crate::record::{self, Cap, DrainTargetKind, Plan, RawRecord, RecordBody, RecordError};
 use crate::request::Class;
 
 /// The origin group whose shares hold for callers of all groups that have none of their own.
@@ -305,14 +305,14 @@
         }
     }
 
-    fn add_drain(&mut self, name: &str, target: DrainTarget) {
+    fn add_drain(&mut self, name: &str, target: DrainTargetKind) {
         match target {
-            DrainTarget::Upstream => {
+            DrainTargetKind::Upstream => {
                 if let Some(upstream) = self.upstreams.get_mut(&UpstreamKey::of(name)) {
                     upstream.draining = true;
                 }
             }
-            DrainTarget::Domain => {
+            DrainTargetKind::Domain => {
                 if let Some(domain) = self.domains.get_mut(&DomainKey::of(name)) {
                     domain.draining = true;
                 }
--- a/crates/sedgepath-core/src/record.rs
+++ b/crates/sedgepath-core/src/record.rs
@@ -265,7 +265,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Drain {
     /// What is drained.
-    pub target: DrainTarget,
+    pub target: DrainTargetKind,
     /// Whether the drain is in force; a record with `false` ends it.
     pub active: bool,
 }
@@ -273,7 +273,7 @@
 /// What a drain takes out of service; the record's name names it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum DrainTarget {
+pub enum DrainTargetKind {
     /// One upstream.
     Upstream,
     /// All upstreams of a failure domain.
--- a/crates/sedgepath-core/src/record/check/whole.rs
+++ b/crates/sedgepath-core/src/record/check/whole.rs
@@ -6,7 +6,7 @@
 use crate::hash::Digest;
 use crate::key::{DomainKey, OrganisationKey, OriginKey, RegionKey, ServiceKey, UpstreamKey};
 use crate::record::{
-    Drain, DrainTarget, Organisations, Places, RawRecord, RecordBody, Service, Steering,
+    Drain, DrainTargetKind, Organisations, Places, RawRecord, RecordBody, Service, Steering,
 };
 use crate::schema::Path;
 
@@ -240,8 +240,8 @@
 
     fn refer_drain(&mut self, record: Numbered<'a>, drain: &Drain) {
         let what = match drain.target {
-            DrainTarget::Upstream => What::Upstream,
-            DrainTarget::Domain => What::Domain,
+            DrainTargetKind::Upstream => What::Upstream,
+            DrainTargetKind::Domain => What::Domain,
         };
         // A drain that has ended may outlive its target.
         if drain.active {
--- a/crates/sedgepath/src/commands/drain.rs
+++ b/crates/sedgepath/src/commands/drain.rs
@@ -1,7 +1,7 @@
 use std::io::Write;
 
 use getopts::Options;
-use sedgepath_core::record::DrainTarget;
+use sedgepath_core::record::DrainTargetKind;
 use sedgepath_wire::time::unix_ms;
 
 use super::{Command, change_options, data_options};
@@ -71,11 +71,11 @@
     Ok(())
 }
 
-fn kind(context: &Context<'_>) -> Result<Option<DrainTarget>, CliError> {
+fn kind(context: &Context<'_>) -> Result<Option<DrainTargetKind>, CliError> {
     match context.matches.opt_str("kind").as_deref() {
         None => Ok(None),
-        Some("upstream") => Ok(Some(DrainTarget::Upstream)),
-        Some("domain") => Ok(Some(DrainTarget::Domain)),
+        Some("upstream") => Ok(Some(DrainTargetKind::Upstream)),
+        Some("domain") => Ok(Some(DrainTargetKind::Domain)),
         Some(other) => {
             let message = format!("`--kind {other}` should be `upstream` or `domain`");
             Err(context.usage(message))
--- a/crates/sedgepath/src/operations/drain.rs
+++ b/crates/sedgepath/src/operations/drain.rs
@@ -3,7 +3,7 @@
 use sedgepath_core::catalogue::Catalogue;
 use sedgepath_core::drain::{DrainPlan, DrainStep, Target};
 use sedgepath_core::key::{DomainKey, UpstreamKey};
-use sedgepath_core::record::{Drain, DrainTarget, RawRecord};
+use sedgepath_core::record::{Drain, DrainTargetKind, RawRecord};
 use serde::Serialize;
 
 use super::{ApplyOptions, apply};
@@ -17,7 +17,7 @@
     /// The name of the upstream or failure domain.
     pub target: Box<str>,
     /// What the name names; found in the records if it is not given.
-    pub kind: Option<DrainTarget>,
+    pub kind: Option<DrainTargetKind>,
     /// The time now, in milliseconds.
     pub now_ms: u64,
     /// The time by which the drain has to end, in milliseconds.
@@ -65,8 +65,8 @@
 pub fn plan(in_force: &InForce, options: &DrainOptions) -> Result<DrainReport, CliError> {
     let catalogue = Catalogue::new(in_force.rows.iter().map(|row| &row.record));
     let target = match kind(&catalogue, options)? {
-        DrainTarget::Upstream => Target::Upstream(UpstreamKey::of(&options.target)),
-        DrainTarget::Domain => Target::Domain(DomainKey::of(&options.target)),
+        DrainTargetKind::Upstream => Target::Upstream(UpstreamKey::of(&options.target)),
+        DrainTargetKind::Domain => Target::Domain(DomainKey::of(&options.target)),
     };
     let plan = DrainPlan::new(&catalogue, target, options.now_ms, options.finish_by_ms)?;
     let step = |step: &DrainStep| ReportedStep { at_ms: step.at_ms, share: step.share };
@@ -145,12 +145,12 @@
     Ok(apply(client, with(options), &FileRecords::default())?.revision)
 }
 
-fn kind(catalogue: &Catalogue, options: &DrainOptions) -> Result<DrainTarget, CliError> {
+fn kind(catalogue: &Catalogue, options: &DrainOptions) -> Result<DrainTargetKind, CliError> {
     let is_upstream = catalogue.upstreams.contains_key(&UpstreamKey::of(&options.target));
     let is_domain = catalogue.domains.contains_key(&DomainKey::of(&options.target));
     match (options.kind, is_upstream, is_domain) {
-        (None | Some(DrainTarget::Upstream), true, _) => Ok(DrainTarget::Upstream),
-        (None | Some(DrainTarget::Domain), _, true) => Ok(DrainTarget::Domain),
+        (None | Some(DrainTargetKind::Upstream), true, _) => Ok(DrainTargetKind::Upstream),
+        (None | Some(DrainTargetKind::Domain), _, true) => Ok(DrainTargetKind::Domain),
         _ => Err(CliError::NoTarget { target: options.target.clone() }),
     }
 }
