--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -15,7 +15,7 @@
 
 /// How one sending of a request ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// The upstream ran it and answered in full.
     Answered {
         /// Whether the answer says that the upstream failed at it.
@@ -87,7 +87,7 @@
     Overloaded,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// Returns the name for logs and counters.
     pub fn name(self) -> &'static str {
         match self {
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -9,7 +9,7 @@
 use crate::hash::{Digest, Map, Set};
 
 use self::store::StoreContact;
-use super::attempts::{Attempts, Cause, Grounds, Outcome, Reason, Sending, Step, UnderWay};
+use super::attempts::{AttemptOutcome, Attempts, Cause, Grounds, Reason, Sending, Step, UnderWay};
 use super::budget::{BudgetLimits, RetryBudget};
 use super::placement::{Candidate, ServiceTimes, Weights};
 use super::queueing::{self, Patience, Pressure};
@@ -384,7 +384,7 @@
     /// Takes in that the caller has left or has its answer, whatever is still under way.
     pub fn cancel_request(&mut self, attempts: &mut Attempts, now_ms: u64) {
         while let Some(current) = attempts.in_flight.last() {
-            self.record_outcome(attempts, current.upstream, Outcome::Canceled, now_ms);
+            self.record_outcome(attempts, current.upstream, AttemptOutcome::Canceled, now_ms);
         }
     }
 
--- a/crates/sedgepath-core/src/direct/steering/learning.rs
+++ b/crates/sedgepath-core/src/direct/steering/learning.rs
@@ -1,7 +1,7 @@
 //! What is learnt of upstreams and services from how sendings end.
 
 use super::{SAMPLE_WEIGHT, Steering};
-use crate::direct::attempts::{Attempts, Cause, Outcome, UnderWay};
+use crate::direct::attempts::{AttemptOutcome, Attempts, Cause, UnderWay};
 use crate::direct::upstreams::UpstreamKey;
 
 impl Steering {
@@ -10,7 +10,7 @@
         &mut self,
         attempts: &mut Attempts,
         key: UpstreamKey,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         now_ms: u64,
     ) {
         let Some(index) = attempts.in_flight.iter().position(|sent| sent.upstream == key) else {
@@ -18,19 +18,22 @@
         };
         let current = attempts.in_flight.swap_remove(index);
         match outcome {
-            Outcome::Answered { .. } | Outcome::Failed | Outcome::TimedOut => {
+            AttemptOutcome::Answered { .. } | AttemptOutcome::Failed | AttemptOutcome::TimedOut => {
                 attempts.delivered += 1;
                 attempts.possible_runs += 1;
                 attempts.cause = Cause::Failed;
             }
-            Outcome::Refused { .. } | Outcome::Misdirected => {
+            AttemptOutcome::Refused { .. } | AttemptOutcome::Misdirected => {
                 attempts.delivered += 1;
                 attempts.cause = Cause::Refused;
             }
-            Outcome::Unreachable | Outcome::Canceled => {}
+            AttemptOutcome::Unreachable | AttemptOutcome::Canceled => {}
         }
         if let Some(service) = self.service(&attempts.service).cloned()
-            && !matches!(outcome, Outcome::Unreachable | Outcome::Canceled | Outcome::TimedOut)
+            && !matches!(
+                outcome,
+                AttemptOutcome::Unreachable | AttemptOutcome::Canceled | AttemptOutcome::TimedOut
+            )
         {
             self.upstreams.note_return(key, &service, now_ms);
         }
@@ -40,8 +43,10 @@
         };
         upstream.ended();
         match outcome {
-            Outcome::Answered { failed: true, .. } | Outcome::Failed => upstream.failed(now_ms),
-            Outcome::Answered { report, .. } => {
+            AttemptOutcome::Answered { failed: true, .. } | AttemptOutcome::Failed => {
+                upstream.failed(now_ms)
+            }
+            AttemptOutcome::Answered { report, .. } => {
                 let expected_ms = self
                     .times
                     .get(&attempts.service)
@@ -50,16 +55,22 @@
                 let slowness = expected_ms.map(|expected_ms| took_ms / expected_ms.max(1.0));
                 upstream.answered(report, slowness, now_ms);
             }
-            Outcome::Refused { report } => upstream.refused(report, now_ms),
-            Outcome::Misdirected => self.upstreams.misdirected(key),
-            Outcome::Unreachable => upstream.unreachable(now_ms),
-            Outcome::TimedOut => upstream.timed_out(now_ms),
-            Outcome::Canceled => {}
+            AttemptOutcome::Refused { report } => upstream.refused(report, now_ms),
+            AttemptOutcome::Misdirected => self.upstreams.misdirected(key),
+            AttemptOutcome::Unreachable => upstream.unreachable(now_ms),
+            AttemptOutcome::TimedOut => upstream.timed_out(now_ms),
+            AttemptOutcome::Canceled => {}
         }
     }
 
-    fn learn(&mut self, attempts: &Attempts, current: UnderWay, outcome: Outcome, now_ms: u64) {
-        let Outcome::Answered { failed: false, body_bytes, .. } = outcome else {
+    fn learn(
+        &mut self,
+        attempts: &Attempts,
+        current: UnderWay,
+        outcome: AttemptOutcome,
+        now_ms: u64,
+    ) {
+        let AttemptOutcome::Answered { failed: false, body_bytes, .. } = outcome else {
             return;
         };
         if current.wait_ms <= 0.0 {
--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -1,13 +1,15 @@
 //! What happens after a refusal or a failure, and how often a request is sent again.
 
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{Attempts, Outcome, Reason, Sending, Step};
+use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, Reason, Sending, Step};
 use sedgepath_core::direct::upstreams::LoadReport;
 use sedgepath_test_support::direct::{COLD_PER_S, begin, earning_vm, heartbeat, serving_vm, vm};
 
-const ANSWER: Outcome = Outcome::Answered { failed: false, report: None, body_bytes: 100 };
-const ERROR: Outcome = Outcome::Answered { failed: true, report: None, body_bytes: 0 };
-const REFUSAL: Outcome = Outcome::Refused { report: None };
+const ANSWER: AttemptOutcome =
+    AttemptOutcome::Answered { failed: false, report: None, body_bytes: 100 };
+const ERROR: AttemptOutcome =
+    AttemptOutcome::Answered { failed: true, report: None, body_bytes: 0 };
+const REFUSAL: AttemptOutcome = AttemptOutcome::Refused { report: None };
 
 fn send(vm: &mut Steering, attempts: &mut Attempts, now_ms: u64) -> Sending {
     match vm.next_step(attempts, 1, now_ms) {
@@ -20,7 +22,7 @@
 /// is not told that it was not run.
 #[test]
 fn what_may_have_run_once_is_never_sent_again() {
-    for outcome in [Outcome::Failed, Outcome::TimedOut, ERROR] {
+    for outcome in [AttemptOutcome::Failed, AttemptOutcome::TimedOut, ERROR] {
         let mut vm = earning_vm("a1", "north-a", 1, 2);
         let mut attempts = begin(&mut vm, "/charges/1", "x", 0);
         let to = send(&mut vm, &mut attempts, 0);
@@ -36,7 +38,7 @@
 /// upstream gets it.
 #[test]
 fn what_was_not_run_is_sent_elsewhere() {
-    for outcome in [REFUSAL, Outcome::Misdirected, Outcome::Unreachable] {
+    for outcome in [REFUSAL, AttemptOutcome::Misdirected, AttemptOutcome::Unreachable] {
         let mut vm = earning_vm("a1", "north-a", 1, 2);
         let mut attempts = begin(&mut vm, "/charges/1", "x", 0);
         let first = send(&mut vm, &mut attempts, 0);
@@ -73,7 +75,7 @@
     vm.upstreams_mut().upsert(only, "north", 0);
     let mut attempts = begin(&mut vm, "/reads/1", "x", 0);
     let to = send(&mut vm, &mut attempts, 0);
-    vm.record_outcome(&mut attempts, to.upstream, Outcome::Failed, 10);
+    vm.record_outcome(&mut attempts, to.upstream, AttemptOutcome::Failed, 10);
 
     assert!(matches!(vm.next_step(&mut attempts, 1, 10), Step::GiveUp { .. }));
 }
@@ -118,7 +120,12 @@
                     sent_at_ms.push(now_ms);
                 }
                 let report = Some(LoadReport { running: 0, waiting: 0, slots: 3 });
-                vm.record_outcome(&mut attempts, to.upstream, Outcome::Refused { report }, now_ms);
+                vm.record_outcome(
+                    &mut attempts,
+                    to.upstream,
+                    AttemptOutcome::Refused { report },
+                    now_ms,
+                );
             }
         }
     }
@@ -256,7 +263,7 @@
                         vm.record_outcome(
                             &mut attempts,
                             to.upstream,
-                            Outcome::Refused { report },
+                            AttemptOutcome::Refused { report },
                             now_ms,
                         );
                     }
--- a/crates/sedgepath-core/tests/direct_overload.rs
+++ b/crates/sedgepath-core/tests/direct_overload.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{Attempts, Outcome, Step};
+use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, Step};
 use sedgepath_core::direct::upstreams::{LoadReport, UpstreamKey};
 use sedgepath_test_support::direct::{begin, entry, vm};
 
@@ -72,7 +72,7 @@
         for index in 0..emulated.len() {
             for request in emulated[index].end(now_ms) {
                 let report = Some(emulated[index].report());
-                let answer = Outcome::Answered { failed: false, report, body_bytes: 100 };
+                let answer = AttemptOutcome::Answered { failed: false, report, body_bytes: 100 };
                 vm.record_outcome(&mut requests[request], keys[index], answer, now_ms);
                 if now_ms - requests[request].arrived_at_ms <= TARGET_MS {
                     results.in_time += 1;
@@ -94,7 +94,7 @@
                         break;
                     }
                     let report = Some(emulated[place(to.upstream)].report());
-                    let refusal = Outcome::Refused { report };
+                    let refusal = AttemptOutcome::Refused { report };
                     vm.record_outcome(&mut attempts, to.upstream, refusal, now_ms);
                 }
                 Step::Reject { retry_after_ms, .. } => {
--- a/crates/sedgepath-core/tests/direct_placing.rs
+++ b/crates/sedgepath-core/tests/direct_placing.rs
@@ -1,7 +1,7 @@
 //! Which upstream runs a request.
 
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{Attempts, Outcome, Step};
+use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, Step};
 use sedgepath_core::direct::upstreams::{LoadReport, UpstreamEntry};
 use sedgepath_core::hash::{Map, Set};
 use sedgepath_test_support::direct::{all_kinds, begin, entry, serving_vm, vm};
@@ -86,7 +86,7 @@
     let mut vm = serving_vm("a1", "north-a", 1, 3);
     let (mut attempts, home) = send(&mut vm, "/reads/1", 7, 0);
     let key = attempts.tried_upstreams[0];
-    vm.record_outcome(&mut attempts, key, Outcome::Unreachable, 10);
+    vm.record_outcome(&mut attempts, key, AttemptOutcome::Unreachable, 10);
 
     let (_, soon) = send(&mut vm, "/reads/1", 7, 100);
 
@@ -114,7 +114,7 @@
     let (mut attempts, home) = send(&mut vm, "/reads/1", 7, 0);
     let key = attempts.tried_upstreams[0];
     let report = Some(LoadReport { running: 3, waiting: 9, slots: 3 });
-    let answer = Outcome::Answered { failed: false, report, body_bytes: 10 };
+    let answer = AttemptOutcome::Answered { failed: false, report, body_bytes: 10 };
     vm.record_outcome(&mut attempts, key, answer, 200);
 
     let (_, next) = send(&mut vm, "/reads/1", 7, 210);
@@ -128,7 +128,7 @@
     let mut vm = serving_vm("a1", "north-a", 1, 3);
     let (mut attempts, _) = send(&mut vm, "/packs/1", 0, 0);
     let key = attempts.tried_upstreams[0];
-    let answer = Outcome::Answered { failed: false, report: None, body_bytes: 90_000 };
+    let answer = AttemptOutcome::Answered { failed: false, report: None, body_bytes: 90_000 };
     vm.record_outcome(&mut attempts, key, answer, 200);
 
     let homes = homes(&mut vm, "/packs/1");
@@ -197,7 +197,7 @@
         let Step::Send(to) = vm.next_step(&mut attempts, 1, now_ms) else { panic!("not sent") };
         expected_ms = to.decision.expected_ms;
         let report = Some(LoadReport { running: 0, waiting: 0, slots: 3 });
-        let answer = Outcome::Answered { failed: false, report, body_bytes: 100 };
+        let answer = AttemptOutcome::Answered { failed: false, report, body_bytes: 100 };
         vm.record_outcome(&mut attempts, key, answer, now_ms + 250);
     }
     assert!((240..=260).contains(&expected_ms), "{expected_ms} ms are expected");
@@ -222,7 +222,7 @@
             let key = *attempts.tried_upstreams.last().expect("sent");
             let running = vm.upstreams().get(key).map_or(0, |upstream| upstream.in_flight - 1);
             let report = Some(LoadReport { running, waiting: 0, slots: 3 });
-            let answer = Outcome::Answered { failed: false, report, body_bytes: 100 };
+            let answer = AttemptOutcome::Answered { failed: false, report, body_bytes: 100 };
             vm.record_outcome(&mut attempts, key, answer, now_ms);
         }
         let object = draws.u64(..30);
@@ -265,10 +265,10 @@
         let key = attempts.tried_upstreams[0];
         if name == slow {
             lost += 1;
-            vm.record_outcome(&mut attempts, key, Outcome::TimedOut, now_ms + 250);
+            vm.record_outcome(&mut attempts, key, AttemptOutcome::TimedOut, now_ms + 250);
         } else {
             others += 1;
-            let answer = Outcome::Answered { failed: false, report: None, body_bytes: 100 };
+            let answer = AttemptOutcome::Answered { failed: false, report: None, body_bytes: 100 };
             vm.record_outcome(&mut attempts, key, answer, now_ms + 250);
         }
     }
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -1,7 +1,7 @@
 //! Upstreams that join, leave, lapse, restart and turn cold, as the store and requests tell.
 
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{Outcome, Step};
+use sedgepath_core::direct::attempts::{AttemptOutcome, Step};
 use sedgepath_core::direct::upstreams::{EntryChange, LAPSED_GRACE_MS};
 use sedgepath_core::direct::vms::StoreView;
 use sedgepath_core::hash::Set;
@@ -169,7 +169,7 @@
     let mut attempts = begin(&mut vm, "/charges/1", "x", 0);
     let Step::Send(to) = vm.next_step(&mut attempts, 1, 0) else { panic!("not sent") };
 
-    vm.record_outcome(&mut attempts, to.upstream, Outcome::Misdirected, 10);
+    vm.record_outcome(&mut attempts, to.upstream, AttemptOutcome::Misdirected, 10);
 
     assert_eq!(attempts.possible_runs, 0, "a misdirected request counts as run");
     assert_eq!(goes_to(&mut vm, "x", 20), None);
@@ -204,10 +204,10 @@
     let mut vm = with_one();
     let mut attempts = begin(&mut vm, "/reads/1", "x", 0);
     let Step::Send(to) = vm.next_step(&mut attempts, 1, 0) else { panic!("not sent") };
-    vm.record_outcome(&mut attempts, to.upstream, Outcome::Unreachable, 10);
+    vm.record_outcome(&mut attempts, to.upstream, AttemptOutcome::Unreachable, 10);
     let mut attempts = begin(&mut vm, "/reads/1", "x", 2_000);
     let Step::Send(to) = vm.next_step(&mut attempts, 1, 2_000) else { panic!("not sent") };
-    let answer = Outcome::Answered { failed: false, report: None, body_bytes: 1 };
+    let answer = AttemptOutcome::Answered { failed: false, report: None, body_bytes: 1 };
     vm.record_outcome(&mut attempts, to.upstream, answer, 2_100);
 
     assert!(vm.upstreams().get(to.upstream).is_some_and(|upstream| upstream.is_cold(2_200)));
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -9,7 +9,7 @@
 
 use sedgepath_core::clock::Stamp;
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{Attempts, Outcome, Sending, Step};
+use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, Sending, Step};
 use sedgepath_core::direct::steering::{Asked, Policy};
 use sedgepath_core::direct::upstreams::{UpstreamEntry, UpstreamKey};
 use sedgepath_core::direct::vms::VmHeartbeat;
@@ -407,10 +407,12 @@
         self.sendings[sending].open = false;
         let report = Some(self.upstreams[sent.upstream].model.report());
         let outcome = match answer {
-            Answer::Whole => Outcome::Answered { failed: false, report, body_bytes: ANSWER_BYTES },
-            Answer::Error => Outcome::Answered { failed: true, report, body_bytes: 0 },
-            Answer::Refused => Outcome::Refused { report },
-            Answer::Unreachable => Outcome::Unreachable,
+            Answer::Whole => {
+                AttemptOutcome::Answered { failed: false, report, body_bytes: ANSWER_BYTES }
+            }
+            Answer::Error => AttemptOutcome::Answered { failed: true, report, body_bytes: 0 },
+            Answer::Refused => AttemptOutcome::Refused { report },
+            Answer::Unreachable => AttemptOutcome::Unreachable,
         };
         if answer != Answer::Unreachable {
             self.nodes[sent.vm].idle[sent.upstream].push_back(self.now_ms);
@@ -500,7 +502,7 @@
         while let Some(under_way) = attempts.in_flight.last() {
             let key = under_way.upstream;
             let steering = &mut self.nodes[request.vm].steering;
-            steering.record_outcome(attempts, key, Outcome::TimedOut, self.now_ms);
+            steering.record_outcome(attempts, key, AttemptOutcome::TimedOut, self.now_ms);
         }
         self.figures.failed += 1;
         self.end(index);
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -11,7 +11,7 @@
 
 use fastrand::Rng;
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{Attempts, Outcome, Sending, Step};
+use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, Sending, Step};
 use sedgepath_core::direct::upstreams::LoadReport;
 
 use crate::direct::{HEARTBEAT_MS, begin, heartbeat, serving_vm};
@@ -454,11 +454,11 @@
         };
         let report = Some(LoadReport { running: 1, waiting: 0, slots: 3 });
         if refused {
-            let outcome = Outcome::Refused { report };
+            let outcome = AttemptOutcome::Refused { report };
             steering.record_outcome(&mut current.attempts, upstream, outcome, now_ms);
             self.go_on(flight);
         } else {
-            let outcome = Outcome::Answered { failed: false, report, body_bytes: 100 };
+            let outcome = AttemptOutcome::Answered { failed: false, report, body_bytes: 100 };
             steering.record_outcome(&mut current.attempts, upstream, outcome, now_ms);
             self.seen.served_at_ms.push(current.asked_at_ms);
             self.flights[flight] = None;
--- a/crates/sedgepathd/src/direct/answers.rs
+++ b/crates/sedgepathd/src/direct/answers.rs
@@ -2,7 +2,7 @@
 
 use hyper::{Response, StatusCode};
 use sedgepath_adapter::headers;
-use sedgepath_core::direct::attempts::{Attempts, Outcome, Reason, Sending};
+use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, Reason, Sending};
 use sedgepath_core::direct::steering::Refusal;
 
 use super::pool::Body;
@@ -100,7 +100,7 @@
 }
 
 /// Notes a sending that brought no good answer.
-pub fn note(attempt: &str, attempts: &Attempts, to: &Sending, outcome: Outcome) {
+pub fn note(attempt: &str, attempts: &Attempts, to: &Sending, outcome: AttemptOutcome) {
     log::info!(
         "event=sending_failed request={attempt} upstream={} service={} outcome={} {}",
         to.name,
--- a/crates/sedgepathd/src/direct/ingress.rs
+++ b/crates/sedgepathd/src/direct/ingress.rs
@@ -15,7 +15,7 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use sedgepath_adapter::headers::RequestFields;
-use sedgepath_core::direct::attempts::{Outcome, Reason, Step};
+use sedgepath_core::direct::attempts::{AttemptOutcome, Reason, Step};
 use sedgepath_core::direct::steering::{Asked, Refusal};
 use sedgepath_wire::tcp;
 use tokio::net::{TcpListener, TcpStream};
@@ -211,11 +211,11 @@
             shell.metrics.sent(to.decision.cause, ended.outcome);
             flight.ended(to.upstream, ended.outcome);
             match (ended.outcome, ended.answer) {
-                (Outcome::Answered { failed: false, .. }, Some(answer)) => {
+                (AttemptOutcome::Answered { failed: false, .. }, Some(answer)) => {
                     served(shell, &head.attempt, &flight.attempts, &to);
                     return answer;
                 }
-                (Outcome::TimedOut, _) => {
+                (AttemptOutcome::TimedOut, _) => {
                     return gave_up(shell, &head.attempt, &flight.attempts, "timed_out", last);
                 }
                 (outcome, answer) => {
--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Body as _, Frame, Incoming, SizeHint};
 use hyper::{Request, Response, StatusCode, http};
 use sedgepath_adapter::headers::{self, AnswerFields, AnswerKind};
-use sedgepath_core::direct::attempts::{Attempts, Outcome, Sending, Step};
+use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, Sending, Step};
 use sedgepath_core::direct::upstreams::UpstreamKey;
 use tokio::time::timeout_at;
 
@@ -72,13 +72,13 @@
 #[derive(Debug)]
 pub struct Ended {
     /// What the decisions need to know.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// The answer.
     pub answer: Option<Response<Body>>,
 }
 
 impl Ended {
-    fn without_answer(outcome: Outcome) -> Self {
+    fn without_answer(outcome: AttemptOutcome) -> Self {
         Self { outcome, answer: None }
     }
 }
@@ -104,7 +104,7 @@
 
 impl Flight {
     /// Counts the end of the sending to an upstream.
-    pub fn ended(&mut self, upstream: UpstreamKey, outcome: Outcome) {
+    pub fn ended(&mut self, upstream: UpstreamKey, outcome: AttemptOutcome) {
         let mut steering = self.shell.steering.borrow_mut();
         steering.record_outcome(&mut self.attempts, upstream, outcome, clock::now_ms());
     }
@@ -148,7 +148,7 @@
             Some(connection) => (connection, false),
             None => match open(shell, sending, deadline_at_ms).await {
                 Some(connection) => (connection, true),
-                None => return Ended::without_answer(Outcome::Unreachable),
+                None => return Ended::without_answer(AttemptOutcome::Unreachable),
             },
         };
         let left_ms = deadline_at_ms.saturating_sub(clock::now_ms());
@@ -160,10 +160,10 @@
             Ok(Err(mut error)) => match error.take_message() {
                 // The upstream had closed the idle connection; the request comes back unsent.
                 Some(unsent) if !fresh => request = unsent,
-                Some(_unsent) => return Ended::without_answer(Outcome::Unreachable),
-                None => return Ended::without_answer(Outcome::Failed),
+                Some(_unsent) => return Ended::without_answer(AttemptOutcome::Unreachable),
+                None => return Ended::without_answer(AttemptOutcome::Failed),
             },
-            Err(_elapsed) => return Ended::without_answer(Outcome::TimedOut),
+            Err(_elapsed) => return Ended::without_answer(AttemptOutcome::TimedOut),
         }
     }
 }
@@ -189,15 +189,15 @@
     let (parts, mut incoming) = response.into_parts();
     let deadline = clock::instant(deadline_at_ms);
     let begun = match fields.kind {
-        AnswerKind::Mismatched => return Ended::without_answer(Outcome::Failed),
+        AnswerKind::Mismatched => return Ended::without_answer(AttemptOutcome::Failed),
         AnswerKind::Matching | AnswerKind::NotRun | AnswerKind::Misdirected => {
             match timeout_at(deadline, hold(shell, &mut incoming)).await {
                 Ok(Ok(begun)) => begun,
                 Ok(Err(_broken)) if fields.kind == AnswerKind::Matching => {
-                    return Ended::without_answer(Outcome::Failed);
+                    return Ended::without_answer(AttemptOutcome::Failed);
                 }
                 Err(_elapsed) if fields.kind == AnswerKind::Matching => {
-                    return Ended::without_answer(Outcome::TimedOut);
+                    return Ended::without_answer(AttemptOutcome::TimedOut);
                 }
                 // The head alone proves that the request was not run.
                 Ok(Err(_)) | Err(_) => Held::Whole(Bytes::new()),
@@ -209,9 +209,9 @@
     match (fields.kind, begun) {
         (AnswerKind::NotRun, _) => {
             returned.give_back(shell);
-            Ended::without_answer(Outcome::Refused { report })
+            Ended::without_answer(AttemptOutcome::Refused { report })
         }
-        (AnswerKind::Misdirected, _) => Ended::without_answer(Outcome::Misdirected),
+        (AnswerKind::Misdirected, _) => Ended::without_answer(AttemptOutcome::Misdirected),
         (_, Held::Whole(bytes)) => {
             returned.give_back(shell);
             let outcome = answered(parts.status, fields, bytes.len() as u64);
@@ -226,8 +226,8 @@
     }
 }
 
-fn answered(status: StatusCode, fields: AnswerFields, body_bytes: u64) -> Outcome {
-    Outcome::Answered { failed: status.is_server_error(), report: fields.load, body_bytes }
+fn answered(status: StatusCode, fields: AnswerFields, body_bytes: u64) -> AttemptOutcome {
+    AttemptOutcome::Answered { failed: status.is_server_error(), report: fields.load, body_bytes }
 }
 
 fn answer(mut parts: http::response::Parts, body: Body) -> Response<Body> {
