--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -44,7 +44,7 @@
 
 /// Why a request is sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Cause {
+pub enum AttemptCause {
     /// It has reached no upstream yet.
     #[default]
     First,
@@ -56,7 +56,7 @@
     Unresponsive,
 }
 
-impl Cause {
+impl AttemptCause {
     /// Returns the name for logs and counters.
     pub fn name(self) -> &'static str {
         match self {
@@ -154,7 +154,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Grounds {
     /// Why it is sent.
-    pub cause: Cause,
+    pub cause: AttemptCause,
     /// The upstream's place in the object's order.
     pub rank: usize,
     /// Whether it had lately run a request for the object.
@@ -199,7 +199,7 @@
     /// The sendings that may have run.
     pub possible_runs: u32,
     /// Why it would be sent next.
-    pub cause: Cause,
+    pub cause: AttemptCause,
     /// The sendings that have not ended.
     pub in_flight: Vec<UnderWay>,
 }
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -9,7 +9,9 @@
 use crate::hash::{Digest, Map, Set};
 
 use self::store::StoreContact;
-use super::attempts::{AttemptOutcome, Attempts, Cause, Grounds, Reason, Sending, Step, UnderWay};
+use super::attempts::{
+    AttemptCause, AttemptOutcome, Attempts, Grounds, Reason, Sending, Step, UnderWay,
+};
 use super::budget::{BudgetLimits, RetryBudget};
 use super::placement::{Candidate, ServiceTimes, Weights};
 use super::queueing::{self, Patience, Pressure};
@@ -268,7 +270,7 @@
             tried_upstreams: Vec::new(),
             delivered: 0,
             possible_runs: 0,
-            cause: Cause::First,
+            cause: AttemptCause::First,
             in_flight: Vec::new(),
             route,
         })
@@ -374,7 +376,7 @@
         if !self.budget.try_withdraw(&attempts.service, vms, now_ms) {
             return None;
         }
-        attempts.cause = Cause::Unresponsive;
+        attempts.cause = AttemptCause::Unresponsive;
         match self.send(attempts, candidate, now_ms) {
             Step::Send(sending) => Some(sending),
             Step::Reject { .. } | Step::GiveUp { .. } => None,
--- a/crates/sedgepath-core/src/direct/steering/learning.rs
+++ b/crates/sedgepath-core/src/direct/steering/learning.rs
@@ -1,7 +1,7 @@
 //! What is learnt of upstreams and services from how sendings end.
 
 use super::{SAMPLE_WEIGHT, Steering};
-use crate::direct::attempts::{AttemptOutcome, Attempts, Cause, UnderWay};
+use crate::direct::attempts::{AttemptCause, AttemptOutcome, Attempts, UnderWay};
 use crate::direct::upstreams::UpstreamKey;
 
 impl Steering {
@@ -21,11 +21,11 @@
             AttemptOutcome::Answered { .. } | AttemptOutcome::Failed | AttemptOutcome::TimedOut => {
                 attempts.delivered += 1;
                 attempts.possible_runs += 1;
-                attempts.cause = Cause::Failed;
+                attempts.cause = AttemptCause::Failed;
             }
             AttemptOutcome::Refused { .. } | AttemptOutcome::Misdirected => {
                 attempts.delivered += 1;
-                attempts.cause = Cause::Refused;
+                attempts.cause = AttemptCause::Refused;
             }
             AttemptOutcome::Unreachable | AttemptOutcome::Canceled => {}
         }
--- a/crates/sedgepathd/src/direct/metrics.rs
+++ b/crates/sedgepathd/src/direct/metrics.rs
@@ -6,7 +6,7 @@
     Encoder, HistogramOpts, HistogramVec, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry,
     TextEncoder,
 };
-use sedgepath_core::direct::attempts::{AttemptOutcome, Cause, Reason};
+use sedgepath_core::direct::attempts::{AttemptCause, AttemptOutcome, Reason};
 
 use super::clock;
 use super::pool::Body;
@@ -105,7 +105,7 @@
     }
 
     /// Counts the end of a sending.
-    pub fn sent(&self, cause: Cause, outcome: AttemptOutcome) {
+    pub fn sent(&self, cause: AttemptCause, outcome: AttemptOutcome) {
         self.sendings.with_label_values(&[cause.name(), outcome.name()]).inc();
     }
 
