--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -10,7 +10,9 @@
 use crate::key::{OperationKey, RequestKey, ServiceKey};
 use crate::membership::Membership;
 use crate::outbox::Outbox;
-use crate::request::{HopEnd, Once, Outcome, Reason, Refusal, RequestHead, StoredAnswer, Ticket};
+use crate::request::{
+    HopEnd, Once, Outcome, Refusal, RejectionReason, RequestHead, StoredAnswer, Ticket,
+};
 use crate::table::TableResult;
 
 pub mod batch;
@@ -64,7 +66,7 @@
                 false
             }
             Once::Key(_) if self.poll_handover.is_some() => {
-                conclude(request, unsettled(head.attempt, Reason::NotReady), out);
+                conclude(request, unsettled(head.attempt, RejectionReason::NotReady), out);
                 false
             }
             Once::Key(key) => self.claims.admit(request, key, head, &mut self.batcher, out),
@@ -226,7 +228,7 @@
 }
 
 /// The outcome of a request that was not run and will not be.
-fn not_run(reason: Reason) -> Outcome {
+fn not_run(reason: RejectionReason) -> Outcome {
     let refusal = Refusal { reason, retry_after_ms: RETRY_AFTER_MS };
     Outcome::NotRun { refusal, others: Vec::new() }
 }
@@ -244,7 +246,7 @@
 /// *Not run* is said of the first attempt only. A later one asks about the action, and an earlier
 /// attempt may have run elsewhere; a caller that heard *not run* then might start the action anew
 /// under another key. A request that does not say which attempt it is may be a repeat.
-fn unsettled(attempt: u32, reason: Reason) -> Outcome {
+fn unsettled(attempt: u32, reason: RejectionReason) -> Outcome {
     if attempt == 1 { not_run(reason) } else { Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS } }
 }
 
--- a/crates/sedgepath-core/src/deduplication/claims.rs
+++ b/crates/sedgepath-core/src/deduplication/claims.rs
@@ -30,7 +30,7 @@
 use crate::hash::{Digest, Map};
 use crate::key::RequestKey;
 use crate::outbox::Outbox;
-use crate::request::{Outcome, Reason, RequestHead, StoredAnswer};
+use crate::request::{Outcome, RejectionReason, RequestHead, StoredAnswer};
 use crate::table::{Condition, Row};
 
 use super::batch::{Batcher, Job, Reply};
@@ -80,7 +80,7 @@
             return false;
         }
         if self.by_request.len() >= MAX_CLAIMS {
-            conclude(request, unsettled(head.attempt, Reason::Claim), out);
+            conclude(request, unsettled(head.attempt, RejectionReason::Claim), out);
             return false;
         }
         let give_up_at_ms = head.deadline_at_ms.min(out.now_ms() + CLAIM_WAIT_MS);
@@ -270,7 +270,7 @@
                 self.granted.push((request, head));
             }
             Some(_) => {
-                conclude(request, not_run(Reason::Deadline), out);
+                conclude(request, not_run(RejectionReason::Deadline), out);
                 self.end(request, End::NotRun, batcher);
             }
             None => self.end(request, End::NotRun, batcher),
@@ -314,7 +314,9 @@
         let outcome = match known.state {
             _ if known.digest != digest => Outcome::KeyReused,
             ClaimState::Answered(Some(stored)) => Outcome::Repeated(stored),
-            ClaimState::NotRun if is_denied(attempt, known.attempt) => not_run(Reason::Claim),
+            ClaimState::NotRun if is_denied(attempt, known.attempt) => {
+                not_run(RejectionReason::Claim)
+            }
             ClaimState::NotRun => {
                 self.claim(request, Condition::Version(row.version), batcher, out);
                 return;
@@ -348,7 +350,7 @@
             return;
         };
         if claim.head.take().is_some() {
-            conclude(request, unsettled(claim.attempt, Reason::Claim), out);
+            conclude(request, unsettled(claim.attempt, RejectionReason::Claim), out);
         }
     }
 
--- a/crates/sedgepath-core/src/deduplication/tickets.rs
+++ b/crates/sedgepath-core/src/deduplication/tickets.rs
@@ -27,7 +27,7 @@
 use crate::hash::{Digest, Map};
 use crate::key::{RequestKey, ServiceKey};
 use crate::outbox::Outbox;
-use crate::request::{Outcome, Reason, RequestHead, StoredAnswer, Ticket};
+use crate::request::{Outcome, RejectionReason, RequestHead, StoredAnswer, Ticket};
 
 use super::row::{ClaimState, HandedOver, HandedTicket, TicketRow};
 use super::{RETRY_AFTER_MS, conclude, is_denied, not_run};
@@ -166,7 +166,7 @@
             Some(row) if row.digest != head.digest => Some(Outcome::KeyReused),
             Some(row) => match &row.state {
                 ClaimState::NotRun if is_denied(head.attempt, row.attempt) => {
-                    Some(not_run(Reason::TicketVoid))
+                    Some(not_run(RejectionReason::TicketVoid))
                 }
                 ClaimState::NotRun => self.refusal(ticket, now_ms).map(not_run),
                 ClaimState::Answered(Some(stored)) => Some(Outcome::Repeated(stored.clone())),
@@ -184,11 +184,11 @@
     }
 
     /// Returns why a ticket that has surely not run may not be run now.
-    fn refusal(&self, ticket: Ticket, now_ms: u64) -> Option<Reason> {
+    fn refusal(&self, ticket: Ticket, now_ms: u64) -> Option<RejectionReason> {
         if ticket.expires_at_ms <= now_ms {
-            Some(Reason::TicketVoid)
+            Some(RejectionReason::TicketVoid)
         } else if self.closed {
-            Some(Reason::NotReady)
+            Some(RejectionReason::NotReady)
         } else {
             None
         }
@@ -289,12 +289,12 @@
         (Some(TicketRow { state: ClaimState::Answered(Some(stored)), .. }), _) => {
             return Outcome::Repeated(stored.clone());
         }
-        (Some(TicketRow { state: ClaimState::NotRun, .. }), _) => Some(Reason::TicketVoid),
+        (Some(TicketRow { state: ClaimState::NotRun, .. }), _) => Some(RejectionReason::TicketVoid),
         (None, next_number)
             if ticket.number < next_number
                 && left.handed_over_at_ms < ticket.expires_at_ms + GRACE_MS =>
         {
-            Some(Reason::TicketVoid)
+            Some(RejectionReason::TicketVoid)
         }
         _ => None,
     };
--- a/crates/sedgepath-core/src/deduplication/visitors.rs
+++ b/crates/sedgepath-core/src/deduplication/visitors.rs
@@ -10,7 +10,7 @@
 use crate::membership::Membership;
 use crate::outbox::Outbox;
 use crate::rendezvous;
-use crate::request::{HopEnd, Outcome, Reason, RequestHead, Ticket};
+use crate::request::{HopEnd, Outcome, RejectionReason, RequestHead, Ticket};
 use crate::table::Row;
 
 use super::batch::{Batcher, Job, Reply};
@@ -144,7 +144,7 @@
         };
         let outcome = match left {
             Some(left) => answer_for(visitor.ticket, visitor.digest, &left),
-            None => unsettled(visitor.attempt, Reason::PeerUnreachable),
+            None => unsettled(visitor.attempt, RejectionReason::PeerUnreachable),
         };
         self.conclude(request, outcome, out);
     }
--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -70,7 +70,7 @@
 
 /// Why a request is answered by the VM itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum RejectionReason {
     /// No configuration is known yet.
     NoConfiguration,
     /// No route takes the path.
@@ -103,7 +103,7 @@
     }
 }
 
-impl Reason {
+impl RejectionReason {
     /// Returns the name for logs and counters.
     pub fn name(self) -> &'static str {
         match self {
@@ -126,14 +126,14 @@
     /// Tell the caller that it was not run, and when to come back.
     Reject {
         /// Why.
-        reason: Reason,
+        reason: RejectionReason,
         /// The time to come back after, in milliseconds.
         retry_after_ms: u64,
     },
     /// Pass on the last answer, or tell the caller that it may have run.
     GiveUp {
         /// Why it isn't sent again.
-        reason: Reason,
+        reason: RejectionReason,
     },
 }
 
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -10,7 +10,7 @@
 
 use self::store::StoreContact;
 use super::attempts::{
-    AttemptCause, AttemptOutcome, Attempts, Grounds, Reason, Sending, Step, UnderWay,
+    AttemptCause, AttemptOutcome, Attempts, Grounds, RejectionReason, Sending, Step, UnderWay,
 };
 use super::budget::{BudgetLimits, RetryBudget};
 use super::placement::{Candidate, ServiceTimes, Weights};
@@ -92,7 +92,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
     /// Why.
-    pub reason: Reason,
+    pub reason: RejectionReason,
     /// The time to come back after, in milliseconds.
     pub retry_after_ms: u64,
 }
@@ -247,14 +247,14 @@
     pub fn begin_request(&mut self, asked: Asked<'_>, now_ms: u64) -> Result<Attempts, Refusal> {
         let refuse = |reason, retry_after_ms| Err(Refusal { reason, retry_after_ms });
         let Some(configuration) = self.configuration.as_ref() else {
-            return refuse(Reason::NoConfiguration, NO_UPSTREAM_RETRY_MS);
+            return refuse(RejectionReason::NoConfiguration, NO_UPSTREAM_RETRY_MS);
         };
         let Some(route) = configuration.route(asked.host, asked.path).map(Arc::clone) else {
-            return refuse(Reason::NoRoute, 0);
+            return refuse(RejectionReason::NoRoute, 0);
         };
         let time_ms = asked.time_left_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
         if time_ms == 0 {
-            return refuse(Reason::DeadlineExceeded, 0);
+            return refuse(RejectionReason::DeadlineExceeded, 0);
         }
         let object = asked.object.map(|name| Digest::of(&[name.as_bytes()]).to_u64());
         let service = self.splits.next_service(&route, object).service.clone();
@@ -285,10 +285,10 @@
             Step::Reject { reason, retry_after_ms }
         };
         if !attempts.may_send() {
-            return stop(Reason::RetriesExhausted, MIN_BUSY_RETRY_MS, attempts);
+            return stop(RejectionReason::RetriesExhausted, MIN_BUSY_RETRY_MS, attempts);
         }
         let Some(candidate) = self.choose(attempts, random, now_ms) else {
-            return stop(Reason::NoUpstream, NO_UPSTREAM_RETRY_MS, attempts);
+            return stop(RejectionReason::NoUpstream, NO_UPSTREAM_RETRY_MS, attempts);
         };
         let pressure = self.pressure.note(&attempts.service, candidate.wait_ms > 0.0);
         let patience = self.policy.queue_tolerance;
@@ -297,7 +297,7 @@
             // By then what waits now has been served.
             let retry_ms = candidate.wait_ms as u64;
             let retry_ms = retry_ms.clamp(MIN_BUSY_RETRY_MS, MAX_BUSY_RETRY_MS);
-            return stop(Reason::UpstreamsBusy, retry_ms, attempts);
+            return stop(RejectionReason::UpstreamsBusy, retry_ms, attempts);
         }
         if attempts.delivered > 0 {
             let vms = self.vms.max_known_vm_count();
@@ -310,7 +310,7 @@
                 } else {
                     LATER_RETRY_MS
                 };
-                return stop(Reason::RetriesExhausted, retry_ms, attempts);
+                return stop(RejectionReason::RetriesExhausted, retry_ms, attempts);
             }
         }
         self.send(attempts, candidate, now_ms)
@@ -319,7 +319,7 @@
     fn send(&mut self, attempts: &mut Attempts, candidate: Candidate, now_ms: u64) -> Step {
         let key = candidate.upstream;
         let Some(upstream) = self.upstreams.get_mut(key) else {
-            return Step::GiveUp { reason: Reason::NoUpstream };
+            return Step::GiveUp { reason: RejectionReason::NoUpstream };
         };
         let grounds = Grounds {
             cause: attempts.cause,
--- a/crates/sedgepath-core/src/egress.rs
+++ b/crates/sedgepath-core/src/egress.rs
@@ -18,7 +18,7 @@
 use crate::key::{ExchangeKey, ServiceKey, UpstreamKey};
 use crate::message::{LeavingUpstreams, ServiceLoad};
 use crate::outbox::Outbox;
-use crate::request::{CallEnd, Dispatch, Reason, Refusal};
+use crate::request::{CallEnd, Dispatch, Refusal, RejectionReason};
 use crate::timeline::Topic;
 
 mod connections;
@@ -150,7 +150,8 @@
             service.queue.remove_exchange(exchange).is_some()
         });
         if waited {
-            let refusal = Refusal { reason: Reason::Cancelled, retry_after_ms: RETRY_AFTER_MS };
+            let refusal =
+                Refusal { reason: RejectionReason::Cancelled, retry_after_ms: RETRY_AFTER_MS };
             out.push(Action::RejectDispatch { exchange, refusal });
         }
     }
@@ -271,7 +272,8 @@
             return;
         };
         for waiting in service.queue.drain_refused(|waiting| waiting.deadline_at_ms <= now_ms) {
-            let refusal = Refusal { reason: Reason::Deadline, retry_after_ms: RETRY_AFTER_MS };
+            let refusal =
+                Refusal { reason: RejectionReason::Deadline, retry_after_ms: RETRY_AFTER_MS };
             out.push(Action::RejectDispatch { exchange: waiting.exchange, refusal });
         }
     }
@@ -369,12 +371,13 @@
 }
 
 fn full(retry_after_ms: u64) -> Refusal {
-    Refusal { reason: Reason::Full, retry_after_ms }
+    Refusal { reason: RejectionReason::Full, retry_after_ms }
 }
 
 /// Says why no upstream of a service can be used.
 fn unusable(capacity: Capacity, now_ms: u64) -> Refusal {
-    let reason = if capacity.owned { Reason::NoUpstream } else { Reason::NotOwner };
+    let reason =
+        if capacity.owned { RejectionReason::NoUpstream } else { RejectionReason::NotOwner };
     let retry_after_ms = match capacity.retry_at_ms {
         Some(retry_at_ms) => retry_at_ms.saturating_sub(now_ms).max(1),
         None => RETRY_AFTER_MS,
--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -15,7 +15,9 @@
 use crate::key::{DomainKey, OriginKey, RequestKey, ServiceKey};
 use crate::look_up::LookUps;
 use crate::outbox::Outbox;
-use crate::request::{Class, Dispatch, HopEnd, Once, Outcome, Reason, Refusal, RequestHead};
+use crate::request::{
+    Class, Dispatch, HopEnd, Once, Outcome, Refusal, RejectionReason, RequestHead,
+};
 use crate::retry::RetryBudgets;
 use crate::shift::ShiftKey;
 use crate::steering::SteeringPolicy;
@@ -88,7 +90,8 @@
         let service = ServiceKey::of(&head.service);
         let (entry, class) = match admit(service, head, &means.view) {
             Ok(_) if !self.places.is_ready() => {
-                let refusal = Refusal { reason: Reason::NotReady, retry_after_ms: RETRY_AFTER_MS };
+                let refusal =
+                    Refusal { reason: RejectionReason::NotReady, retry_after_ms: RETRY_AFTER_MS };
                 return Some(self.not_run(request, service, head, refusal, &means));
             }
             Ok(admitted) => admitted,
@@ -197,7 +200,7 @@
     fn place_again(&mut self, pending: &mut Pending, means: &Means<'_>) -> Result<Owner, Refusal> {
         let (service, class) = (pending.service(), pending.class());
         if !self.budgets.allow(service, class) {
-            let reason = Reason::RetryBudget;
+            let reason = RejectionReason::RetryBudget;
             return Err(Refusal { reason, retry_after_ms: RETRY_AFTER_MS });
         }
         let owner = self.places.place(pending, means)?;
@@ -229,10 +232,10 @@
             let outcome = Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS };
             return Some(Conclusion { request, outcome });
         }
-        let refusal = pending
-            .refusal()
-            .or(refusal)
-            .unwrap_or(Refusal { reason: Reason::Deadline, retry_after_ms: RETRY_AFTER_MS });
+        let refusal = pending.refusal().or(refusal).unwrap_or(Refusal {
+            reason: RejectionReason::Deadline,
+            retry_after_ms: RETRY_AFTER_MS,
+        });
         let outcome = Outcome::NotRun {
             refusal,
             others: self.look_ups.alternatives(pending.service(), pending.source(), &means.view),
@@ -258,7 +261,7 @@
     /// With an outcome that says all.
     Outcome(Outcome),
     /// As not run, for a reason that may pass.
-    NotRun(Reason),
+    NotRun(RejectionReason),
 }
 
 fn admit<'a>(
@@ -267,10 +270,10 @@
     view: &View<'a>,
 ) -> Result<(&'a ServiceEntry, Class), Denied> {
     if !view.configuration_ready {
-        return Err(Denied::NotRun(Reason::NotReady));
+        return Err(Denied::NotRun(RejectionReason::NotReady));
     }
     if view.catalogue.rejected_services.contains(&service) || head.revision_seen > view.revision {
-        return Err(Denied::NotRun(Reason::Configuration));
+        return Err(Denied::NotRun(RejectionReason::Configuration));
     }
     let Some(entry) = view.catalogue.services.get(&service) else {
         return Err(Denied::Outcome(Outcome::NoService));
@@ -282,7 +285,7 @@
         return Err(Denied::Outcome(Outcome::KeyRequired));
     }
     if head.deadline_at_ms <= view.now_ms {
-        return Err(Denied::NotRun(Reason::Deadline));
+        return Err(Denied::NotRun(RejectionReason::Deadline));
     }
     Ok((entry, class))
 }
--- a/crates/sedgepath-core/src/ingress/pending.rs
+++ b/crates/sedgepath-core/src/ingress/pending.rs
@@ -3,7 +3,7 @@
 use std::net::IpAddr;
 
 use super::{
-    Class, Dispatch, HopEnd, Once, Owner, Reason, Refusal, RequestHead, ServiceEntry, View,
+    Class, Dispatch, HopEnd, Once, Owner, Refusal, RejectionReason, RequestHead, ServiceEntry, View,
 };
 use crate::event::Action;
 use crate::key::{OriginKey, RequestKey, ServiceKey, VmKey};
@@ -163,7 +163,7 @@
         match end {
             HopEnd::Refused(refusal) => self.note_refusal(refusal),
             HopEnd::NotSent => self.note_refusal(Refusal {
-                reason: Reason::PeerUnreachable,
+                reason: RejectionReason::PeerUnreachable,
                 retry_after_ms: super::RETRY_AFTER_MS,
             }),
             HopEnd::Lost => self.lost = true,
--- a/crates/sedgepath-core/src/ingress/places.rs
+++ b/crates/sedgepath-core/src/ingress/places.rs
@@ -9,7 +9,7 @@
 use crate::message::Baseline;
 use crate::outbox::Outbox;
 use crate::record::Cap;
-use crate::request::{Reason, Refusal};
+use crate::request::{Refusal, RejectionReason};
 use crate::shift::baseline::BaselineSearch;
 use crate::shift::{self, ShiftKey, ShiftLedger};
 use crate::steering::{Candidate, Choice};
@@ -20,7 +20,8 @@
 const LEAST_RETRY_AFTER_MS: u64 = 50;
 
 /// What a caller is told when no upstream of its service can be reached.
-const NO_UPSTREAM: Refusal = Refusal { reason: Reason::NoUpstream, retry_after_ms: RETRY_AFTER_MS };
+const NO_UPSTREAM: Refusal =
+    Refusal { reason: RejectionReason::NoUpstream, retry_after_ms: RETRY_AFTER_MS };
 
 /// The shift ledger, and what is known of the places between two ticks.
 #[derive(Debug)]
@@ -114,7 +115,7 @@
             }
             let part_left_ms = standing.bucket_ends_at_ms().saturating_sub(view.now_ms);
             let retry_after_ms = part_left_ms.max(LEAST_RETRY_AFTER_MS);
-            refusal = Refusal { reason: Reason::ShiftCap, retry_after_ms };
+            refusal = Refusal { reason: RejectionReason::ShiftCap, retry_after_ms };
         }
         Err(refusal)
     }
--- a/crates/sedgepath-core/src/request.rs
+++ b/crates/sedgepath-core/src/request.rs
@@ -107,7 +107,7 @@
 /// Why a request was refused without being run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reason {
+pub enum RejectionReason {
     /// No upstream of the service can be reached.
     NoUpstream,
     /// All slots that the class may use are taken and the queue would outlast the deadline.
@@ -136,7 +136,7 @@
     Cancelled,
 }
 
-impl Reason {
+impl RejectionReason {
     /// Returns the reason's name as logged and sent to callers.
     pub fn name(self) -> &'static str {
         match self {
@@ -161,7 +161,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
     /// Why.
-    pub reason: Reason,
+    pub reason: RejectionReason,
     /// In how many milliseconds a new try makes sense; a time on the wire, since clocks differ.
     pub retry_after_ms: u64,
 }
--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -2,7 +2,7 @@
 
 use sedgepath_core::key::{ExchangeKey, UpstreamKey};
 use sedgepath_core::record::RawRecord;
-use sedgepath_core::request::{CallEnd, Class, Reason};
+use sedgepath_core::request::{CallEnd, Class, RejectionReason};
 use sedgepath_test_support::bed::Seen;
 use sedgepath_test_support::load::{self, Load};
 use sedgepath_test_support::owner::{Decision, Owner};
@@ -134,7 +134,7 @@
     assert_eq!(owner.decision(first), sent);
     owner.pass_ms(101);
     let late = owner.dispatch("s", Class::Paying, 2_000);
-    assert_eq!(owner.refusal(late).map(|refusal| refusal.reason), Some(Reason::NotOwner));
+    assert_eq!(owner.refusal(late).map(|refusal| refusal.reason), Some(RejectionReason::NotOwner));
 }
 
 /// An upstream of four slots says that it has ten, then two. The first changes nothing, the second
--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -2,7 +2,7 @@
 
 use sedgepath_core::key::{OriginKey, ServiceKey, UpstreamKey};
 use sedgepath_core::record::RawRecord;
-use sedgepath_core::request::{CallEnd, Class, Dispatch, Reason};
+use sedgepath_core::request::{CallEnd, Class, Dispatch, RejectionReason};
 use sedgepath_test_support::load::{self, Load, LoadSeen};
 use sedgepath_test_support::owner::{Decision, Owner};
 use sedgepath_test_support::records;
@@ -126,7 +126,7 @@
     let refused: Vec<_> = waiting.iter().filter_map(|key| owner.refusal(*key)).collect();
     // Two slots, 100 ms a request: the fifth in the queue would start after 250 ms.
     assert!((14..=18).contains(&refused.len()), "{} refused", refused.len());
-    assert!(refused.iter().all(|refusal| refusal.reason == Reason::Full));
+    assert!(refused.iter().all(|refusal| refusal.reason == RejectionReason::Full));
     assert!(refused.iter().all(|refusal| (50..=1_000).contains(&refusal.retry_after_ms)));
 }
 
@@ -138,7 +138,7 @@
     let waiting = owner.dispatch("s", Class::Paying, 1_000);
     assert_eq!(owner.decision(waiting), Decision::Queued);
     owner.pass_ms(900);
-    assert_eq!(owner.refusal(waiting).map(|refusal| refusal.reason), Some(Reason::Full));
+    assert_eq!(owner.refusal(waiting).map(|refusal| refusal.reason), Some(RejectionReason::Full));
 }
 
 /// Callers go away: one whose request waits is taken out of the queue, one whose request runs is left
@@ -150,7 +150,10 @@
     let waiting = owner.dispatch("s", Class::Paying, 5_000);
     owner.gone(waiting);
     owner.gone(running);
-    assert_eq!(owner.refusal(waiting).map(|refusal| refusal.reason), Some(Reason::Cancelled));
+    assert_eq!(
+        owner.refusal(waiting).map(|refusal| refusal.reason),
+        Some(RejectionReason::Cancelled)
+    );
     assert_eq!(owner.cancelled(), [running]);
     assert_eq!(owner.load().1, 1);
 }
@@ -170,7 +173,10 @@
         revision: 1,
     };
     let avoiding = owner.hand_in(&dispatch);
-    assert_eq!(owner.refusal(avoiding).map(|refusal| refusal.reason), Some(Reason::NoUpstream));
+    assert_eq!(
+        owner.refusal(avoiding).map(|refusal| refusal.reason),
+        Some(RejectionReason::NoUpstream)
+    );
     let late = owner.hand_in(&Dispatch { remaining_ms: 0, avoid_upstream: None, ..dispatch });
-    assert_eq!(owner.refusal(late).map(|refusal| refusal.reason), Some(Reason::Deadline));
+    assert_eq!(owner.refusal(late).map(|refusal| refusal.reason), Some(RejectionReason::Deadline));
 }
--- a/crates/sedgepath-core/tests/configuration_change.rs
+++ b/crates/sedgepath-core/tests/configuration_change.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::event::{LookUp, LookUpAnswer, LookUpError};
 use sedgepath_core::key::ReplyKey;
 use sedgepath_core::record::RawRecord;
-use sedgepath_core::request::{Outcome, Reason};
+use sedgepath_core::request::{Outcome, RejectionReason};
 use sedgepath_test_support::bed::faults::Place;
 use sedgepath_test_support::bed::{Bed, Seen, guest_request};
 use sedgepath_test_support::records::{self, UpstreamSpec};
@@ -309,5 +309,5 @@
     let Seen::Concluded(Outcome::NotRun { refusal, .. }) = &bed.calls()[call].seen else {
         panic!("{:?}", bed.calls()[call].seen);
     };
-    assert_eq!(refusal.reason, Reason::NotReady);
+    assert_eq!(refusal.reason, RejectionReason::NotReady);
 }
--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -1,7 +1,7 @@
 //! What happens after a refusal or a failure, and how often a request is sent again.
 
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, Reason, Sending, Step};
+use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, RejectionReason, Sending, Step};
 use sedgepath_core::direct::upstreams::LoadReport;
 use sedgepath_test_support::direct::{COLD_PER_S, begin, earning_vm, heartbeat, serving_vm, vm};
 
@@ -30,7 +30,11 @@
 
         let step = vm.next_step(&mut attempts, 1, 10);
 
-        assert_eq!(step, Step::GiveUp { reason: Reason::RetriesExhausted }, "after {outcome:?}");
+        assert_eq!(
+            step,
+            Step::GiveUp { reason: RejectionReason::RetriesExhausted },
+            "after {outcome:?}"
+        );
     }
 }
 
@@ -62,7 +66,7 @@
     }
     assert_eq!(
         vm.next_step(&mut attempts, 1, 20),
-        Step::GiveUp { reason: Reason::RetriesExhausted }
+        Step::GiveUp { reason: RejectionReason::RetriesExhausted }
     );
 }
 
--- a/crates/sedgepath-core/tests/direct_routing.rs
+++ b/crates/sedgepath-core/tests/direct_routing.rs
@@ -1,6 +1,6 @@
 //! Routes, splits and the configuration in force.
 
-use sedgepath_core::direct::attempts::Reason;
+use sedgepath_core::direct::attempts::RejectionReason;
 use sedgepath_core::direct::routing::{RouteKind, RoutePart, Splits};
 use sedgepath_core::direct::steering::Asked;
 use sedgepath_test_support::direct::{HOST, begin, configuration, route, serving_vm, vm};
@@ -32,7 +32,7 @@
     assert!(!vm.apply_configuration(configuration(6, vec![route(RouteKind::NonIdempotent)])));
     vm.begin_request(asked("/reads/1"), 0).expect("the new route is not in force");
     let refusal = vm.begin_request(asked("/charges/1"), 0).expect_err("an old route is in force");
-    assert_eq!(refusal.reason, Reason::NoRoute);
+    assert_eq!(refusal.reason, RejectionReason::NoRoute);
 }
 
 /// Before a configuration is known nobody is told that a path does not exist.
@@ -41,7 +41,7 @@
     let mut vm = vm("a1", "north-a", 1);
     let refusal =
         vm.begin_request(asked("/reads/1"), 0).expect_err("served without a configuration");
-    assert_eq!(refusal.reason, Reason::NoConfiguration);
+    assert_eq!(refusal.reason, RejectionReason::NoConfiguration);
     assert!(refusal.retry_after_ms > 0);
 }
 
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -2,7 +2,7 @@
 
 use sedgepath_core::key::{UpstreamKey, VmKey};
 use sedgepath_core::rendezvous;
-use sedgepath_core::request::{CallEnd, Class, Reason};
+use sedgepath_core::request::{CallEnd, Class, RejectionReason};
 use sedgepath_test_support::bed::faults::Place;
 use sedgepath_test_support::bed::{Bed, NodeIndex, Seen};
 use sedgepath_test_support::load;
@@ -184,7 +184,10 @@
     let waiting = owner.dispatch("s", Class::Paying, 2_000);
     owner.report("u2", 4, 4, true);
     assert_eq!(owner.load(), (0, 0));
-    assert_eq!(owner.refusal(waiting).map(|refusal| refusal.reason), Some(Reason::NoUpstream));
+    assert_eq!(
+        owner.refusal(waiting).map(|refusal| refusal.reason),
+        Some(RejectionReason::NoUpstream)
+    );
     assert!(owner.cancelled().is_empty());
     for exchange in running {
         owner.end(exchange, CallEnd::Completed);
--- a/crates/sedgepath-core/tests/retry.rs
+++ b/crates/sedgepath-core/tests/retry.rs
@@ -1,6 +1,6 @@
 //! The life of a request at the ingress: retries, their budget, and true outcomes.
 
-use sedgepath_core::request::{Outcome, Reason, RequestHead};
+use sedgepath_core::request::{Outcome, RejectionReason, RequestHead};
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
 use sedgepath_test_support::bed::{Bed, CallIndex, Seen};
 use sedgepath_test_support::records::{self, UpstreamSpec};
@@ -145,7 +145,7 @@
     let Seen::Concluded(Outcome::NotRun { refusal, .. }) = &bed.calls()[call].seen else {
         panic!("{:?}", bed.calls()[call].seen);
     };
-    assert_eq!(refusal.reason, Reason::Deadline);
+    assert_eq!(refusal.reason, RejectionReason::Deadline);
     assert_eq!(bed.upstreams.runs_of(call), 0);
 }
 
@@ -202,6 +202,6 @@
         let Seen::Concluded(Outcome::NotRun { refusal, .. }) = &bed.calls()[call].seen else {
             panic!("{:?}", bed.calls()[call].seen);
         };
-        assert_eq!(refusal.reason, Reason::Configuration);
+        assert_eq!(refusal.reason, RejectionReason::Configuration);
     }
 }
--- a/crates/sedgepath-core/tests/tickets.rs
+++ b/crates/sedgepath-core/tests/tickets.rs
@@ -8,7 +8,7 @@
 use once_support::{Verdict, assert_holds, bed, head, is_not_run, judge, settle};
 use sedgepath_core::deduplication::tickets::{MAX_LIVE, VALID_MS};
 use sedgepath_core::hash::Digest;
-use sedgepath_core::request::{Once, Outcome, Reason};
+use sedgepath_core::request::{Once, Outcome, RejectionReason};
 use sedgepath_test_support::bed::{Bed, NodeIndex, Seen};
 
 fn ticket(bed: &mut Bed, node: NodeIndex) -> Once {
@@ -31,7 +31,7 @@
     bed.calls()[call].seen.clone()
 }
 
-fn is_refused(seen: &Seen, reason: Reason) -> bool {
+fn is_refused(seen: &Seen, reason: RejectionReason) -> bool {
     matches!(seen, Seen::Concluded(Outcome::NotRun { refusal, .. }) if refusal.reason == reason)
 }
 
@@ -143,7 +143,7 @@
             let holds = if number < 20 {
                 matches!(seen, Seen::Concluded(Outcome::Repeated(_)))
             } else {
-                is_refused(&seen, Reason::TicketVoid)
+                is_refused(&seen, RejectionReason::TicketVoid)
             };
             assert!(holds, "ticket {number} through {node}: {seen:?}");
         }
@@ -173,7 +173,7 @@
     let used = ticket(&mut bed, 0);
     assert!(matches!(seen_of(&mut bed, 0, used, 1), Seen::Answered { .. }));
     bed.run_for(VALID_MS);
-    assert!(is_refused(&seen_of(&mut bed, 3, unused, 1), Reason::TicketVoid));
+    assert!(is_refused(&seen_of(&mut bed, 3, unused, 1), RejectionReason::TicketVoid));
     let repeat = seen_of(&mut bed, 3, used, 2);
     assert!(matches!(repeat, Seen::Concluded(Outcome::Repeated(_))), "{repeat:?}");
     assert_holds(&judge(&bed));
--- a/crates/sedgepathd/src/direct/answers.rs
+++ b/crates/sedgepathd/src/direct/answers.rs
@@ -2,7 +2,7 @@
 
 use hyper::{Response, StatusCode};
 use sedgepath_adapter::headers;
-use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, Reason, Sending};
+use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, RejectionReason, Sending};
 use sedgepath_core::direct::steering::Refusal;
 
 use super::pool::Body;
@@ -42,7 +42,7 @@
     refusal: Refusal,
 ) -> Response<Body> {
     let status = match refusal.reason {
-        Reason::NoRoute => StatusCode::NOT_FOUND,
+        RejectionReason::NoRoute => StatusCode::NOT_FOUND,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
     let mut response = plain(status, attempt);
--- a/crates/sedgepathd/src/direct/ingress.rs
+++ b/crates/sedgepathd/src/direct/ingress.rs
@@ -15,7 +15,7 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use sedgepath_adapter::headers::RequestFields;
-use sedgepath_core::direct::attempts::{AttemptOutcome, Reason, Step};
+use sedgepath_core::direct::attempts::{AttemptOutcome, RejectionReason, Step};
 use sedgepath_core::direct::steering::{Asked, Refusal};
 use sedgepath_wire::tcp;
 use tokio::net::{TcpListener, TcpStream};
@@ -139,7 +139,8 @@
     let fields = RequestFields::parse(&parts.headers, &parts.uri);
     let attempt: Box<str> = fields.attempt_id.into();
     if shell.requests.get() > MAX_REQUESTS {
-        let refusal = Refusal { reason: Reason::Overloaded, retry_after_ms: OVERLOADED_RETRY_MS };
+        let refusal =
+            Refusal { reason: RejectionReason::Overloaded, retry_after_ms: OVERLOADED_RETRY_MS };
         return refuse(shell, &attempt, None, refusal);
     }
     let asked = Asked {
--- a/crates/sedgepathd/src/direct/metrics.rs
+++ b/crates/sedgepathd/src/direct/metrics.rs
@@ -6,7 +6,7 @@
     Encoder, HistogramOpts, HistogramVec, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry,
     TextEncoder,
 };
-use sedgepath_core::direct::attempts::{AttemptCause, AttemptOutcome, Reason};
+use sedgepath_core::direct::attempts::{AttemptCause, AttemptOutcome, RejectionReason};
 
 use super::clock;
 use super::pool::Body;
@@ -110,7 +110,7 @@
     }
 
     /// Counts a request that was answered by the VM itself as not run.
-    pub fn refused(&self, reason: Reason) {
+    pub fn refused(&self, reason: RejectionReason) {
         self.refusals.with_label_values(&[reason.name()]).inc();
     }
 
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -126,7 +126,7 @@
 /// A refusal by an owner that could not send a request to the upstream: it was not run.
 fn not_sent() -> sedgepath_core::request::Refusal {
     sedgepath_core::request::Refusal {
-        reason: sedgepath_core::request::Reason::NoUpstream,
+        reason: sedgepath_core::request::RejectionReason::NoUpstream,
         retry_after_ms: 200,
     }
 }
