--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -120,7 +120,7 @@
 
 /// What to do next with a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step {
+pub enum NextStep {
     /// Send it to an upstream.
     Send(Sending),
     /// Tell the caller that it was not run, and when to come back.
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -10,7 +10,7 @@
 
 use self::store::StoreContact;
 use super::attempts::{
-    AttemptCause, AttemptOutcome, Attempts, Grounds, RejectionReason, Sending, Step, UnderWay,
+    AttemptCause, AttemptOutcome, Attempts, Grounds, NextStep, RejectionReason, Sending, UnderWay,
 };
 use super::budget::{BudgetLimits, RetryBudget};
 use super::placement::{Candidate, ServiceTimes, Weights};
@@ -277,12 +277,12 @@
     }
 
     /// Decides what happens next with a request none of whose sendings is under way.
-    pub fn next_step(&mut self, attempts: &mut Attempts, random: u64, now_ms: u64) -> Step {
+    pub fn next_step(&mut self, attempts: &mut Attempts, random: u64, now_ms: u64) -> NextStep {
         let stop = |reason, retry_after_ms, attempts: &Attempts| {
             if attempts.possible_runs > 0 {
-                return Step::GiveUp { reason };
+                return NextStep::GiveUp { reason };
             }
-            Step::Reject { reason, retry_after_ms }
+            NextStep::Reject { reason, retry_after_ms }
         };
         if !attempts.may_send() {
             return stop(RejectionReason::RetriesExhausted, MIN_BUSY_RETRY_MS, attempts);
@@ -316,10 +316,10 @@
         self.send(attempts, candidate, now_ms)
     }
 
-    fn send(&mut self, attempts: &mut Attempts, candidate: Candidate, now_ms: u64) -> Step {
+    fn send(&mut self, attempts: &mut Attempts, candidate: Candidate, now_ms: u64) -> NextStep {
         let key = candidate.upstream;
         let Some(upstream) = self.upstreams.get_mut(key) else {
-            return Step::GiveUp { reason: RejectionReason::NoUpstream };
+            return NextStep::GiveUp { reason: RejectionReason::NoUpstream };
         };
         let grounds = Grounds {
             cause: attempts.cause,
@@ -341,7 +341,7 @@
             way_ms: candidate.way_ms,
             overdue_at_ms: now_ms + overdue_ms as u64,
         });
-        Step::Send(Sending {
+        NextStep::Send(Sending {
             upstream: key,
             address: upstream.entry.address,
             name: upstream.entry.name.clone(),
@@ -378,8 +378,8 @@
         }
         attempts.cause = AttemptCause::Unresponsive;
         match self.send(attempts, candidate, now_ms) {
-            Step::Send(sending) => Some(sending),
-            Step::Reject { .. } | Step::GiveUp { .. } => None,
+            NextStep::Send(sending) => Some(sending),
+            NextStep::Reject { .. } | NextStep::GiveUp { .. } => None,
         }
     }
 
--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -1,7 +1,9 @@
 //! What happens after a refusal or a failure, and how often a request is sent again.
 
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, RejectionReason, Sending, Step};
+use sedgepath_core::direct::attempts::{
+    AttemptOutcome, Attempts, NextStep, RejectionReason, Sending,
+};
 use sedgepath_core::direct::upstreams::LoadReport;
 use sedgepath_test_support::direct::{COLD_PER_S, begin, earning_vm, heartbeat, serving_vm, vm};
 
@@ -13,7 +15,7 @@
 
 fn send(vm: &mut Steering, attempts: &mut Attempts, now_ms: u64) -> Sending {
     match vm.next_step(attempts, 1, now_ms) {
-        Step::Send(to) => to,
+        NextStep::Send(to) => to,
         other => panic!("not sent: {other:?}"),
     }
 }
@@ -32,7 +34,7 @@
 
         assert_eq!(
             step,
-            Step::GiveUp { reason: RejectionReason::RetriesExhausted },
+            NextStep::GiveUp { reason: RejectionReason::RetriesExhausted },
             "after {outcome:?}"
         );
     }
@@ -66,7 +68,7 @@
     }
     assert_eq!(
         vm.next_step(&mut attempts, 1, 20),
-        Step::GiveUp { reason: RejectionReason::RetriesExhausted }
+        NextStep::GiveUp { reason: RejectionReason::RetriesExhausted }
     );
 }
 
@@ -81,7 +83,7 @@
     let to = send(&mut vm, &mut attempts, 0);
     vm.record_outcome(&mut attempts, to.upstream, AttemptOutcome::Failed, 10);
 
-    assert!(matches!(vm.next_step(&mut attempts, 1, 10), Step::GiveUp { .. }));
+    assert!(matches!(vm.next_step(&mut attempts, 1, 10), NextStep::GiveUp { .. }));
 }
 
 /// Checks that repeats stay within a fifth of the requests and 60 in any ten seconds of the first thirty.
@@ -119,7 +121,7 @@
             }
             asked_at_ms.push(now_ms);
             let mut attempts = begin(vm, "/reads/1", &now_ms.to_string(), now_ms);
-            while let Step::Send(to) = vm.next_step(&mut attempts, 1, now_ms) {
+            while let NextStep::Send(to) = vm.next_step(&mut attempts, 1, now_ms) {
                 if attempts.delivered > 0 {
                     sent_at_ms.push(now_ms);
                 }
@@ -146,7 +148,7 @@
     let mut repeated_at_ms = Vec::new();
     for now_ms in (0..40_000).step_by(10) {
         let mut attempts = begin(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
-        while let Step::Send(to) = vm.next_step(&mut attempts, 1, now_ms) {
+        while let NextStep::Send(to) = vm.next_step(&mut attempts, 1, now_ms) {
             if attempts.delivered > 0 {
                 repeated_at_ms.push(now_ms);
             }
@@ -185,7 +187,7 @@
         for now_ms in (0..2_000).step_by(50) {
             requests += 1;
             let mut attempts = begin(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
-            while let Step::Send(to) = vm.next_step(&mut attempts, 1, now_ms) {
+            while let NextStep::Send(to) = vm.next_step(&mut attempts, 1, now_ms) {
                 repeats += u32::from(attempts.delivered > 0);
                 vm.record_outcome(&mut attempts, to.upstream, REFUSAL, now_ms);
             }
@@ -234,7 +236,7 @@
             }
             asked_at_ms.push(now_ms);
             let mut attempts = begin(vm, "/reads/1", &now_ms.to_string(), now_ms);
-            while let Step::Send(to) = vm.next_step(&mut attempts, 1, now_ms) {
+            while let NextStep::Send(to) = vm.next_step(&mut attempts, 1, now_ms) {
                 if attempts.delivered > 0 {
                     repeated_at_ms.push(now_ms);
                 }
@@ -263,7 +265,7 @@
             let mut attempts = begin(&mut vm, "/reads/1", &asked.to_string(), now_ms);
             let retry_after_ms = loop {
                 match vm.next_step(&mut attempts, asked, now_ms) {
-                    Step::Send(to) => {
+                    NextStep::Send(to) => {
                         vm.record_outcome(
                             &mut attempts,
                             to.upstream,
@@ -271,8 +273,8 @@
                             now_ms,
                         );
                     }
-                    Step::Reject { retry_after_ms, .. } => break retry_after_ms,
-                    Step::GiveUp { reason } => panic!("given up: {reason:?}"),
+                    NextStep::Reject { retry_after_ms, .. } => break retry_after_ms,
+                    NextStep::GiveUp { reason } => panic!("given up: {reason:?}"),
                 }
             };
             at_once += u64::from(retry_after_ms < 100);
@@ -292,7 +294,7 @@
         begin(&mut vm, "/reads/1", &number.to_string(), 20_000);
     }
     let mut attempts = begin(&mut vm, "/reads/1", "x", 20_000);
-    while let Step::Send(to) = vm.next_step(&mut attempts, 1, 20_000) {
+    while let NextStep::Send(to) = vm.next_step(&mut attempts, 1, 20_000) {
         vm.record_outcome(&mut attempts, to.upstream, REFUSAL, 20_000);
     }
     assert_eq!(attempts.delivered, 3);
@@ -353,7 +355,7 @@
         }
         for now_ms in (started_at_ms..started_at_ms + 400).step_by(5) {
             let mut attempts = begin(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
-            if let Step::Send(to) = vm.next_step(&mut attempts, now_ms, now_ms) {
+            if let NextStep::Send(to) = vm.next_step(&mut attempts, now_ms, now_ms) {
                 sent_to.push(to.name.clone());
                 vm.record_outcome(&mut attempts, to.upstream, ANSWER, now_ms);
             }
@@ -386,7 +388,7 @@
     for now_ms in (0..1_900).step_by(5) {
         for vm in &mut vms {
             let mut attempts = begin(vm, "/reads/1", &now_ms.to_string(), now_ms);
-            if let Step::Send(to) = vm.next_step(&mut attempts, now_ms, now_ms) {
+            if let NextStep::Send(to) = vm.next_step(&mut attempts, now_ms, now_ms) {
                 sent.push((to.name.clone(), now_ms));
                 vm.record_outcome(&mut attempts, to.upstream, ANSWER, now_ms);
             }
--- a/crates/sedgepath-core/tests/direct_overload.rs
+++ b/crates/sedgepath-core/tests/direct_overload.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, Step};
+use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, NextStep};
 use sedgepath_core::direct::upstreams::{LoadReport, UpstreamKey};
 use sedgepath_test_support::direct::{begin, entry, vm};
 
@@ -88,7 +88,7 @@
         let mut attempts = begin(vm, "/reads/1", &object, now_ms);
         loop {
             match vm.next_step(&mut attempts, 1, now_ms) {
-                Step::Send(to) => {
+                NextStep::Send(to) => {
                     if emulated[place(to.upstream)].take(requests.len(), now_ms) {
                         requests.push(attempts);
                         break;
@@ -97,14 +97,14 @@
                     let refusal = AttemptOutcome::Refused { report };
                     vm.record_outcome(&mut attempts, to.upstream, refusal, now_ms);
                 }
-                Step::Reject { retry_after_ms, .. } => {
+                NextStep::Reject { retry_after_ms, .. } => {
                     assert!(retry_after_ms > 0);
                     results.refused += 1;
                     let held_ms = now_ms - attempts.arrived_at_ms;
                     results.longest_refusal_ms = results.longest_refusal_ms.max(held_ms);
                     break;
                 }
-                Step::GiveUp { .. } => panic!("given up though nothing has run"),
+                NextStep::GiveUp { .. } => panic!("given up though nothing has run"),
             }
         }
     }
--- a/crates/sedgepath-core/tests/direct_placing.rs
+++ b/crates/sedgepath-core/tests/direct_placing.rs
@@ -1,7 +1,7 @@
 //! Which upstream runs a request.
 
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, Step};
+use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, NextStep};
 use sedgepath_core::direct::upstreams::{LoadReport, UpstreamEntry};
 use sedgepath_core::hash::{Map, Set};
 use sedgepath_test_support::direct::{all_kinds, begin, entry, serving_vm, vm};
@@ -11,7 +11,7 @@
 fn send(vm: &mut Steering, path: &str, object: usize, now_ms: u64) -> (Attempts, Box<str>) {
     let mut attempts = begin(vm, path, &format!("object {object}"), now_ms);
     match vm.next_step(&mut attempts, 1, now_ms) {
-        Step::Send(to) => (attempts, to.name),
+        NextStep::Send(to) => (attempts, to.name),
         other => panic!("not sent: {other:?}"),
     }
 }
@@ -151,7 +151,7 @@
     let emptied: Set<Box<str>> = [Box::from("south-a"), Box::from("south-b")].into_iter().collect();
     vm.set_evacuated_domains(emptied, 0);
     let mut attempts = begin(&mut vm, "/reads/1", "x", 10);
-    assert!(matches!(vm.next_step(&mut attempts, 1, 10), Step::Reject { .. }));
+    assert!(matches!(vm.next_step(&mut attempts, 1, 10), NextStep::Reject { .. }));
 }
 
 /// An upstream takes 100 connections of all VMs and resets those beyond. Ten VMs that each fill it
@@ -170,7 +170,7 @@
     let mut under_way = Vec::new();
     for object in 0..200 {
         let mut attempts = begin(&mut vm, "/reads/1", &object.to_string(), 0);
-        if matches!(vm.next_step(&mut attempts, object, 0), Step::Send(_)) {
+        if matches!(vm.next_step(&mut attempts, object, 0), NextStep::Send(_)) {
             under_way.push(attempts);
         }
     }
@@ -194,7 +194,7 @@
     for round in 0..300 {
         let now_ms = round * 1_000;
         let mut attempts = begin(&mut vm, "/reads/1", "object", now_ms);
-        let Step::Send(to) = vm.next_step(&mut attempts, 1, now_ms) else { panic!("not sent") };
+        let NextStep::Send(to) = vm.next_step(&mut attempts, 1, now_ms) else { panic!("not sent") };
         expected_ms = to.decision.expected_ms;
         let report = Some(LoadReport { running: 0, waiting: 0, slots: 3 });
         let answer = AttemptOutcome::Answered { failed: false, report, body_bytes: 100 };
@@ -227,7 +227,7 @@
         }
         let object = draws.u64(..30);
         let mut attempts = begin(&mut vm, "/reads/1", &object.to_string(), now_ms);
-        let Step::Send(to) = vm.next_step(&mut attempts, 1, now_ms) else { continue };
+        let NextStep::Send(to) = vm.next_step(&mut attempts, 1, now_ms) else { continue };
         let known = memories.entry(to.name.clone()).or_default();
         let took_ms = if known.contains(&object) { KNOWN_MS } else { OTHER_MS };
         known.retain(|other| *other != object);
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -1,7 +1,7 @@
 //! Upstreams that join, leave, lapse, restart and turn cold, as the store and requests tell.
 
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{AttemptOutcome, Step};
+use sedgepath_core::direct::attempts::{AttemptOutcome, NextStep};
 use sedgepath_core::direct::upstreams::{EntryChange, LAPSED_GRACE_MS};
 use sedgepath_core::direct::vms::StoreView;
 use sedgepath_core::hash::Set;
@@ -23,8 +23,8 @@
     let step = vm.next_step(&mut attempts, 1, now_ms);
     vm.cancel_request(&mut attempts, now_ms);
     match step {
-        Step::Send(to) => Some(to.name),
-        Step::Reject { .. } | Step::GiveUp { .. } => None,
+        NextStep::Send(to) => Some(to.name),
+        NextStep::Reject { .. } | NextStep::GiveUp { .. } => None,
     }
 }
 
@@ -167,7 +167,7 @@
 fn an_address_that_another_upstream_has_taken_is_left() {
     let mut vm = with_one();
     let mut attempts = begin(&mut vm, "/charges/1", "x", 0);
-    let Step::Send(to) = vm.next_step(&mut attempts, 1, 0) else { panic!("not sent") };
+    let NextStep::Send(to) = vm.next_step(&mut attempts, 1, 0) else { panic!("not sent") };
 
     vm.record_outcome(&mut attempts, to.upstream, AttemptOutcome::Misdirected, 10);
 
@@ -203,10 +203,10 @@
 fn an_upstream_that_comes_back_is_taken_as_cold() {
     let mut vm = with_one();
     let mut attempts = begin(&mut vm, "/reads/1", "x", 0);
-    let Step::Send(to) = vm.next_step(&mut attempts, 1, 0) else { panic!("not sent") };
+    let NextStep::Send(to) = vm.next_step(&mut attempts, 1, 0) else { panic!("not sent") };
     vm.record_outcome(&mut attempts, to.upstream, AttemptOutcome::Unreachable, 10);
     let mut attempts = begin(&mut vm, "/reads/1", "x", 2_000);
-    let Step::Send(to) = vm.next_step(&mut attempts, 1, 2_000) else { panic!("not sent") };
+    let NextStep::Send(to) = vm.next_step(&mut attempts, 1, 2_000) else { panic!("not sent") };
     let answer = AttemptOutcome::Answered { failed: false, report: None, body_bytes: 1 };
     vm.record_outcome(&mut attempts, to.upstream, answer, 2_100);
 
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -9,7 +9,7 @@
 
 use sedgepath_core::clock::Stamp;
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, Sending, Step};
+use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, NextStep, Sending};
 use sedgepath_core::direct::steering::{Asked, Policy};
 use sedgepath_core::direct::upstreams::{UpstreamEntry, UpstreamKey};
 use sedgepath_core::direct::vms::VmHeartbeat;
@@ -312,9 +312,9 @@
         let request = &mut self.requests[index];
         let Some(attempts) = request.attempts.as_mut() else { return };
         match self.nodes[request.vm].steering.next_step(attempts, random, self.now_ms) {
-            Step::Send(sending) => self.send(index, &sending),
-            Step::Reject { retry_after_ms, .. } => self.refused(index, retry_after_ms),
-            Step::GiveUp { .. } => {
+            NextStep::Send(sending) => self.send(index, &sending),
+            NextStep::Reject { retry_after_ms, .. } => self.refused(index, retry_after_ms),
+            NextStep::GiveUp { .. } => {
                 self.figures.failed += 1;
                 self.end(index);
             }
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -11,7 +11,7 @@
 
 use fastrand::Rng;
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, Sending, Step};
+use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, NextStep, Sending};
 use sedgepath_core::direct::upstreams::LoadReport;
 
 use crate::direct::{HEARTBEAT_MS, begin, heartbeat, serving_vm};
@@ -392,14 +392,14 @@
             return;
         };
         match steering.next_step(&mut current.attempts, random, now_ms) {
-            Step::Send(to) => {
+            NextStep::Send(to) => {
                 let repeat = current.attempts.delivered > 0;
                 self.sendings.push((to, repeat));
                 let sending = self.sendings.len() - 1;
                 let connect_ms = if self.rng.f64() < NEW_CONNECTIONS { 2 * WAY_MS } else { 0 };
                 self.at(now_ms + connect_ms, Event::Write { flight, sending });
             }
-            Step::Reject { retry_after_ms, .. } => {
+            NextStep::Reject { retry_after_ms, .. } => {
                 let comes_back = current.comes_back;
                 self.flights[flight] = None;
                 if comes_back && now_ms + retry_after_ms < self.day.length_ms {
@@ -410,7 +410,7 @@
                     self.at(asked_at_ms, Event::Ask { vm, asked_at_ms, comes_back: false });
                 }
             }
-            Step::GiveUp { .. } => self.flights[flight] = None,
+            NextStep::GiveUp { .. } => self.flights[flight] = None,
         }
     }
 
--- a/crates/sedgepathd/src/direct/ingress.rs
+++ b/crates/sedgepathd/src/direct/ingress.rs
@@ -15,7 +15,7 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use sedgepath_adapter::headers::RequestFields;
-use sedgepath_core::direct::attempts::{AttemptOutcome, RejectionReason, Step};
+use sedgepath_core::direct::attempts::{AttemptOutcome, NextStep, RejectionReason};
 use sedgepath_core::direct::steering::{Asked, Refusal};
 use sedgepath_wire::tcp;
 use tokio::net::{TcpListener, TcpStream};
@@ -179,12 +179,12 @@
         let to = match second.take() {
             Some(to) => to,
             None => match flight.next_step() {
-                Step::Send(to) => to,
-                Step::Reject { reason, retry_after_ms } => {
+                NextStep::Send(to) => to,
+                NextStep::Reject { reason, retry_after_ms } => {
                     let refusal = Refusal { reason, retry_after_ms };
                     return refuse(&shell, &head.attempt, Some(&flight.attempts), refusal);
                 }
-                Step::GiveUp { reason } => {
+                NextStep::GiveUp { reason } => {
                     return gave_up(&shell, &head.attempt, &flight.attempts, reason.name(), last);
                 }
             },
--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Body as _, Frame, Incoming, SizeHint};
 use hyper::{Request, Response, StatusCode, http};
 use sedgepath_adapter::headers::{self, AnswerFields, AnswerKind};
-use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, Sending, Step};
+use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, NextStep, Sending};
 use sedgepath_core::direct::upstreams::UpstreamKey;
 use tokio::time::timeout_at;
 
@@ -110,7 +110,7 @@
     }
 
     /// Decides what happens next.
-    pub fn next_step(&mut self) -> Step {
+    pub fn next_step(&mut self) -> NextStep {
         let mut steering = self.shell.steering.borrow_mut();
         steering.next_step(&mut self.attempts, fastrand::u64(..), clock::now_ms())
     }
