--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -122,7 +122,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NextStep {
     /// Send it to an upstream.
-    Send(Sending),
+    Send(Attempt),
     /// Tell the caller that it was not run, and when to come back.
     Reject {
         /// Why.
@@ -139,7 +139,7 @@
 
 /// One sending of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sending {
+pub struct Attempt {
     /// The upstream.
     pub upstream: UpstreamKey,
     /// Its address.
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -10,7 +10,7 @@
 
 use self::store::StoreContact;
 use super::attempts::{
-    AttemptCause, AttemptOutcome, Attempts, Grounds, NextStep, RejectionReason, Sending, UnderWay,
+    Attempt, AttemptCause, AttemptOutcome, Attempts, Grounds, NextStep, RejectionReason, UnderWay,
 };
 use super::budget::{BudgetLimits, RetryBudget};
 use super::placement::{Candidate, ServiceTimes, Weights};
@@ -341,7 +341,7 @@
             way_ms: candidate.way_ms,
             overdue_at_ms: now_ms + overdue_ms as u64,
         });
-        NextStep::Send(Sending {
+        NextStep::Send(Attempt {
             upstream: key,
             address: upstream.entry.address,
             name: upstream.entry.name.clone(),
@@ -365,7 +365,7 @@
     ///
     /// An upstream that is only busy or slow at this request answers others meanwhile; one that has
     /// lost its power does not, and the request would wait there until its time is up.
-    pub fn hedge(&mut self, attempts: &mut Attempts, random: u64, now_ms: u64) -> Option<Sending> {
+    pub fn hedge(&mut self, attempts: &mut Attempts, random: u64, now_ms: u64) -> Option<Attempt> {
         let first = attempts.in_flight.first()?;
         let silence_ms = self.upstreams.get(first.upstream).map(|up| up.silence_ms(now_ms));
         if silence_ms.is_some_and(|silence_ms| now_ms - silence_ms > first.sent_at_ms) {
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -9,7 +9,7 @@
 
 use sedgepath_core::clock::Stamp;
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, NextStep, Sending};
+use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, Attempts, NextStep};
 use sedgepath_core::direct::steering::{Asked, Policy};
 use sedgepath_core::direct::upstreams::{UpstreamEntry, UpstreamKey};
 use sedgepath_core::direct::vms::VmHeartbeat;
@@ -321,7 +321,7 @@
         }
     }
 
-    fn send(&mut self, index: usize, sending: &Sending) {
+    fn send(&mut self, index: usize, sending: &Attempt) {
         let request = &self.requests[index];
         let vm = request.vm;
         let found = self.upstreams.iter().position(|up| up.entry.address == sending.address);
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -11,7 +11,7 @@
 
 use fastrand::Rng;
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, NextStep, Sending};
+use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, Attempts, NextStep};
 use sedgepath_core::direct::upstreams::LoadReport;
 
 use crate::direct::{HEARTBEAT_MS, begin, heartbeat, serving_vm};
@@ -205,7 +205,7 @@
     due: BinaryHeap<Reverse<(u64, u64, Event)>>,
     scheduled: u64,
     flights: Vec<Option<Flight>>,
-    sendings: Vec<(Sending, bool)>,
+    sendings: Vec<(Attempt, bool)>,
     /// The part of a request that is due.
     demand: f64,
     seen: Seen,
--- a/crates/sedgepathd/src/direct/answers.rs
+++ b/crates/sedgepathd/src/direct/answers.rs
@@ -2,7 +2,7 @@
 
 use hyper::{Response, StatusCode};
 use sedgepath_adapter::headers;
-use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, RejectionReason, Sending};
+use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, Attempts, RejectionReason};
 use sedgepath_core::direct::steering::Refusal;
 
 use super::pool::Body;
@@ -18,7 +18,7 @@
 }
 
 /// Notes a request that was served.
-pub fn served(shell: &Shell, attempt: &str, attempts: &Attempts, to: &Sending) {
+pub fn served(shell: &Shell, attempt: &str, attempts: &Attempts, to: &Attempt) {
     let took_ms = clock::now_ms().saturating_sub(attempts.arrived_at_ms);
     shell.metrics.answered("answered", took_ms);
     log::info!(
@@ -100,7 +100,7 @@
 }
 
 /// Notes a sending that brought no good answer.
-pub fn note(attempt: &str, attempts: &Attempts, to: &Sending, outcome: AttemptOutcome) {
+pub fn note(attempt: &str, attempts: &Attempts, to: &Attempt, outcome: AttemptOutcome) {
     log::info!(
         "event=sending_failed request={attempt} upstream={} service={} outcome={} {}",
         to.name,
--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Body as _, Frame, Incoming, SizeHint};
 use hyper::{Request, Response, StatusCode, http};
 use sedgepath_adapter::headers::{self, AnswerFields, AnswerKind};
-use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, NextStep, Sending};
+use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, Attempts, NextStep};
 use sedgepath_core::direct::upstreams::UpstreamKey;
 use tokio::time::timeout_at;
 
@@ -116,7 +116,7 @@
     }
 
     /// Waits until a second upstream should be tried beside the first, and says which.
-    pub async fn hedge(&mut self) -> Sending {
+    pub async fn hedge(&mut self) -> Attempt {
         loop {
             let at_ms = self.shell.steering.borrow().hedge_at_ms(&self.attempts);
             let Some(at_ms) = at_ms else {
@@ -137,7 +137,7 @@
 pub async fn send(
     shell: &Shell,
     deadline_at_ms: u64,
-    sending: &Sending,
+    sending: &Attempt,
     head: &Head,
     body: Body,
 ) -> Ended {
@@ -168,7 +168,7 @@
     }
 }
 
-async fn open(shell: &Shell, sending: &Sending, deadline_at_ms: u64) -> Option<Connection> {
+async fn open(shell: &Shell, sending: &Attempt, deadline_at_ms: u64) -> Option<Connection> {
     let begun_at_ms = clock::now_ms();
     let left = Duration::from_millis(deadline_at_ms.saturating_sub(begun_at_ms));
     let opened = shell.pool.open(sending.address, CONNECT_TIMEOUT.min(left)).await.ok()?;
@@ -180,7 +180,7 @@
 async fn receive(
     shell: &Shell,
     deadline_at_ms: u64,
-    sending: &Sending,
+    sending: &Attempt,
     head: &Head,
     response: Response<Incoming>,
     connection: Connection,
