--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -147,12 +147,12 @@
     /// The name of its incarnation, which it checks.
     pub name: Box<str>,
     /// What decided that it goes there.
-    pub decision: Grounds,
+    pub decision: PlacementDecision,
 }
 
 /// What decided where a request goes, for logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Grounds {
+pub struct PlacementDecision {
     /// Why it is sent.
     pub cause: AttemptCause,
     /// The upstream's place in the object's order.
@@ -167,7 +167,7 @@
     pub expected_ms: u64,
 }
 
-impl std::fmt::Display for Grounds {
+impl std::fmt::Display for PlacementDecision {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let Self { cause, rank, warm, load_tenths, load_age_ms, expected_ms } = self;
         let (whole, tenth) = (load_tenths / 10, load_tenths % 10);
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -10,7 +10,8 @@
 
 use self::store::StoreContact;
 use super::attempts::{
-    Attempt, AttemptCause, AttemptOutcome, Attempts, Grounds, NextStep, RejectionReason, UnderWay,
+    Attempt, AttemptCause, AttemptOutcome, Attempts, NextStep, PlacementDecision, RejectionReason,
+    UnderWay,
 };
 use super::budget::{BudgetLimits, RetryBudget};
 use super::placement::{Candidate, ServiceTimes, Weights};
@@ -321,7 +322,7 @@
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return NextStep::GiveUp { reason: RejectionReason::NoUpstream };
         };
-        let grounds = Grounds {
+        let grounds = PlacementDecision {
             cause: attempts.cause,
             rank: candidate.rank,
             warm: candidate.warm,
