--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -179,7 +179,7 @@
 
 /// A request on its way.
 #[derive(Debug)]
-pub struct Attempts {
+pub struct RequestState {
     /// Its route.
     pub route: Arc<Route>,
     /// The service that runs it.
@@ -231,7 +231,7 @@
     }
 }
 
-impl Attempts {
+impl RequestState {
     /// Whether it may be sent once more, as far as its own attempts go.
     pub fn may_send(&self) -> bool {
         let under_way = self.in_flight.len() as u32;
--- a/crates/sedgepath-core/src/direct/queueing.rs
+++ b/crates/sedgepath-core/src/direct/queueing.rs
@@ -2,7 +2,7 @@
 
 use crate::hash::Map;
 
-use super::attempts::Attempts;
+use super::attempts::RequestState;
 use super::placement::Candidate;
 
 /// The part of a request's time that its expected answer may take up; the rest is for the estimate's
@@ -71,7 +71,7 @@
 /// that comes and goes is a burst, which is better served late. `pressure`, by [`Pressure::note`],
 /// tells the two apart.
 pub fn most_wait_ms(
-    attempts: &Attempts,
+    attempts: &RequestState,
     candidate: &Candidate,
     patience: Patience,
     pressure: f64,
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -10,8 +10,8 @@
 
 use self::store::StoreContact;
 use super::attempts::{
-    Attempt, AttemptCause, AttemptOutcome, Attempts, NextStep, PlacementDecision, RejectionReason,
-    UnderWay,
+    Attempt, AttemptCause, AttemptOutcome, NextStep, PlacementDecision, RejectionReason,
+    RequestState, UnderWay,
 };
 use super::budget::{BudgetLimits, RetryBudget};
 use super::placement::{Candidate, ServiceTimes, Weights};
@@ -245,7 +245,11 @@
     /// # Errors
     ///
     /// Fails with the VM's own answer if no route takes it or its time is up.
-    pub fn begin_request(&mut self, asked: Asked<'_>, now_ms: u64) -> Result<Attempts, Refusal> {
+    pub fn begin_request(
+        &mut self,
+        asked: Asked<'_>,
+        now_ms: u64,
+    ) -> Result<RequestState, Refusal> {
         let refuse = |reason, retry_after_ms| Err(Refusal { reason, retry_after_ms });
         let Some(configuration) = self.configuration.as_ref() else {
             return refuse(RejectionReason::NoConfiguration, NO_UPSTREAM_RETRY_MS);
@@ -262,7 +266,7 @@
         let vms = self.vms.max_known_vm_count();
         self.budget.deposit(&service, vms, now_ms);
         self.returns.deposit(&service, vms, now_ms);
-        Ok(Attempts {
+        Ok(RequestState {
             version: configuration.version,
             service,
             object,
@@ -278,8 +282,8 @@
     }
 
     /// Decides what happens next with a request none of whose sendings is under way.
-    pub fn next_step(&mut self, attempts: &mut Attempts, random: u64, now_ms: u64) -> NextStep {
-        let stop = |reason, retry_after_ms, attempts: &Attempts| {
+    pub fn next_step(&mut self, attempts: &mut RequestState, random: u64, now_ms: u64) -> NextStep {
+        let stop = |reason, retry_after_ms, attempts: &RequestState| {
             if attempts.possible_runs > 0 {
                 return NextStep::GiveUp { reason };
             }
@@ -317,7 +321,7 @@
         self.send(attempts, candidate, now_ms)
     }
 
-    fn send(&mut self, attempts: &mut Attempts, candidate: Candidate, now_ms: u64) -> NextStep {
+    fn send(&mut self, attempts: &mut RequestState, candidate: Candidate, now_ms: u64) -> NextStep {
         let key = candidate.upstream;
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return NextStep::GiveUp { reason: RejectionReason::NoUpstream };
@@ -352,7 +356,7 @@
 
     /// Returns when to look whether a request should be sent to a second upstream although the first
     /// may still answer, if it may be at all.
-    pub fn hedge_at_ms(&self, attempts: &Attempts) -> Option<u64> {
+    pub fn hedge_at_ms(&self, attempts: &RequestState) -> Option<u64> {
         let [first] = &*attempts.in_flight else {
             return None;
         };
@@ -366,7 +370,12 @@
     ///
     /// An upstream that is only busy or slow at this request answers others meanwhile; one that has
     /// lost its power does not, and the request would wait there until its time is up.
-    pub fn hedge(&mut self, attempts: &mut Attempts, random: u64, now_ms: u64) -> Option<Attempt> {
+    pub fn hedge(
+        &mut self,
+        attempts: &mut RequestState,
+        random: u64,
+        now_ms: u64,
+    ) -> Option<Attempt> {
         let first = attempts.in_flight.first()?;
         let silence_ms = self.upstreams.get(first.upstream).map(|up| up.silence_ms(now_ms));
         if silence_ms.is_some_and(|silence_ms| now_ms - silence_ms > first.sent_at_ms) {
@@ -385,7 +394,7 @@
     }
 
     /// Takes in that the caller has left or has its answer, whatever is still under way.
-    pub fn cancel_request(&mut self, attempts: &mut Attempts, now_ms: u64) {
+    pub fn cancel_request(&mut self, attempts: &mut RequestState, now_ms: u64) {
         while let Some(current) = attempts.in_flight.last() {
             self.record_outcome(attempts, current.upstream, AttemptOutcome::Canceled, now_ms);
         }
--- a/crates/sedgepath-core/src/direct/steering/choosing.rs
+++ b/crates/sedgepath-core/src/direct/steering/choosing.rs
@@ -4,7 +4,7 @@
 use crate::rendezvous;
 
 use super::Steering;
-use crate::direct::attempts::Attempts;
+use crate::direct::attempts::RequestState;
 use crate::direct::placement::{Candidate, Question};
 use crate::direct::upstreams::{Upstream, UpstreamKey};
 use crate::direct::vms::VmCard;
@@ -12,7 +12,7 @@
 impl Steering {
     pub(super) fn choose(
         &self,
-        attempts: &Attempts,
+        attempts: &RequestState,
         random: u64,
         now_ms: u64,
     ) -> Option<Candidate> {
--- a/crates/sedgepath-core/src/direct/steering/learning.rs
+++ b/crates/sedgepath-core/src/direct/steering/learning.rs
@@ -1,14 +1,14 @@
 //! What is learnt of upstreams and services from how sendings end.
 
 use super::{SAMPLE_WEIGHT, Steering};
-use crate::direct::attempts::{AttemptCause, AttemptOutcome, Attempts, UnderWay};
+use crate::direct::attempts::{AttemptCause, AttemptOutcome, RequestState, UnderWay};
 use crate::direct::upstreams::UpstreamKey;
 
 impl Steering {
     /// Takes in how a sending ended.
     pub fn record_outcome(
         &mut self,
-        attempts: &mut Attempts,
+        attempts: &mut RequestState,
         key: UpstreamKey,
         outcome: AttemptOutcome,
         now_ms: u64,
@@ -65,7 +65,7 @@
 
     fn learn(
         &mut self,
-        attempts: &Attempts,
+        attempts: &RequestState,
         current: UnderWay,
         outcome: AttemptOutcome,
         now_ms: u64,
--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -2,7 +2,7 @@
 
 use sedgepath_core::direct::Steering;
 use sedgepath_core::direct::attempts::{
-    Attempt, AttemptOutcome, Attempts, NextStep, RejectionReason,
+    Attempt, AttemptOutcome, NextStep, RejectionReason, RequestState,
 };
 use sedgepath_core::direct::upstreams::LoadReport;
 use sedgepath_test_support::direct::{COLD_PER_S, begin, earning_vm, heartbeat, serving_vm, vm};
@@ -13,7 +13,7 @@
     AttemptOutcome::Answered { failed: true, report: None, body_bytes: 0 };
 const REFUSAL: AttemptOutcome = AttemptOutcome::Refused { report: None };
 
-fn send(vm: &mut Steering, attempts: &mut Attempts, now_ms: u64) -> Attempt {
+fn send(vm: &mut Steering, attempts: &mut RequestState, now_ms: u64) -> Attempt {
     match vm.next_step(attempts, 1, now_ms) {
         NextStep::Send(to) => to,
         other => panic!("not sent: {other:?}"),
--- a/crates/sedgepath-core/tests/direct_overload.rs
+++ b/crates/sedgepath-core/tests/direct_overload.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, NextStep};
+use sedgepath_core::direct::attempts::{AttemptOutcome, NextStep, RequestState};
 use sedgepath_core::direct::upstreams::{LoadReport, UpstreamKey};
 use sedgepath_test_support::direct::{begin, entry, vm};
 
@@ -64,7 +64,7 @@
 /// Plays requests at an even rate to two upstreams through one VM.
 fn play(vm: &mut Steering, per_s: u64, seconds: u64) -> Results {
     let mut emulated = [Emulated::default(), Emulated::default()];
-    let mut requests: Vec<Attempts> = Vec::new();
+    let mut requests: Vec<RequestState> = Vec::new();
     let mut results = Results::default();
     let keys: Vec<UpstreamKey> = vm.upstreams().of_service("browse").to_vec();
     let place = |key: UpstreamKey| keys.iter().position(|known| *known == key).expect("known");
--- a/crates/sedgepath-core/tests/direct_placing.rs
+++ b/crates/sedgepath-core/tests/direct_placing.rs
@@ -1,14 +1,14 @@
 //! Which upstream runs a request.
 
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{AttemptOutcome, Attempts, NextStep};
+use sedgepath_core::direct::attempts::{AttemptOutcome, NextStep, RequestState};
 use sedgepath_core::direct::upstreams::{LoadReport, UpstreamEntry};
 use sedgepath_core::hash::{Map, Set};
 use sedgepath_test_support::direct::{all_kinds, begin, entry, serving_vm, vm};
 
 const OBJECTS: usize = 60;
 
-fn send(vm: &mut Steering, path: &str, object: usize, now_ms: u64) -> (Attempts, Box<str>) {
+fn send(vm: &mut Steering, path: &str, object: usize, now_ms: u64) -> (RequestState, Box<str>) {
     let mut attempts = begin(vm, path, &format!("object {object}"), now_ms);
     match vm.next_step(&mut attempts, 1, now_ms) {
         NextStep::Send(to) => (attempts, to.name),
@@ -213,7 +213,7 @@
     let mut draws = fastrand::Rng::with_seed(1);
     let mut vm = serving_vm("a1", "north-a", 1, 1);
     let mut memories: Map<Box<str>, Vec<u64>> = Map::default();
-    let mut under_way: Vec<(u64, Attempts)> = Vec::new();
+    let mut under_way: Vec<(u64, RequestState)> = Vec::new();
     let mut places: Map<u64, Set<Box<str>>> = Map::default();
     for number in 0..REQUESTS {
         let now_ms = number * pause_ms;
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -9,7 +9,7 @@
 
 use sedgepath_core::clock::Stamp;
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, Attempts, NextStep};
+use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, NextStep, RequestState};
 use sedgepath_core::direct::steering::{Asked, Policy};
 use sedgepath_core::direct::upstreams::{UpstreamEntry, UpstreamKey};
 use sedgepath_core::direct::vms::VmHeartbeat;
@@ -113,7 +113,7 @@
     asked_at_ms: u64,
     visits: u32,
     /// The visit that is under way.
-    attempts: Option<Attempts>,
+    attempts: Option<RequestState>,
     /// Its sendings of this visit.
     sendings: Vec<usize>,
     ended: bool,
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -3,7 +3,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-use sedgepath_core::direct::attempts::Attempts;
+use sedgepath_core::direct::attempts::RequestState;
 use sedgepath_core::direct::budget::BudgetLimits;
 use sedgepath_core::direct::routing::{
     CallerLimits, Configuration, Route, RouteKind, RoutePart, ServiceSettings,
@@ -169,7 +169,7 @@
 /// # Panics
 ///
 /// Panics if the VM refuses it.
-pub fn begin(vm: &mut Steering, path: &str, object: &str, now_ms: u64) -> Attempts {
+pub fn begin(vm: &mut Steering, path: &str, object: &str, now_ms: u64) -> RequestState {
     let asked = Asked { host: HOST, path, time_left_ms: Some(3_000), object: Some(object) };
     vm.begin_request(asked, now_ms).expect("the request is refused")
 }
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -11,7 +11,7 @@
 
 use fastrand::Rng;
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, Attempts, NextStep};
+use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, NextStep, RequestState};
 use sedgepath_core::direct::upstreams::LoadReport;
 
 use crate::direct::{HEARTBEAT_MS, begin, heartbeat, serving_vm};
@@ -180,7 +180,7 @@
     asked_at_ms: u64,
     /// Whether the caller comes back if it is refused.
     comes_back: bool,
-    attempts: Attempts,
+    attempts: RequestState,
 }
 
 /// What happens at a moment.
--- a/crates/sedgepathd/src/direct/answers.rs
+++ b/crates/sedgepathd/src/direct/answers.rs
@@ -2,7 +2,7 @@
 
 use hyper::{Response, StatusCode};
 use sedgepath_adapter::headers;
-use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, Attempts, RejectionReason};
+use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, RejectionReason, RequestState};
 use sedgepath_core::direct::steering::Refusal;
 
 use super::pool::Body;
@@ -18,7 +18,7 @@
 }
 
 /// Notes a request that was served.
-pub fn served(shell: &Shell, attempt: &str, attempts: &Attempts, to: &Attempt) {
+pub fn served(shell: &Shell, attempt: &str, attempts: &RequestState, to: &Attempt) {
     let took_ms = clock::now_ms().saturating_sub(attempts.arrived_at_ms);
     shell.metrics.answered("answered", took_ms);
     log::info!(
@@ -38,7 +38,7 @@
 pub fn refuse(
     shell: &Shell,
     attempt: &str,
-    attempts: Option<&Attempts>,
+    attempts: Option<&RequestState>,
     refusal: Refusal,
 ) -> Response<Body> {
     let status = match refusal.reason {
@@ -71,7 +71,7 @@
 pub fn gave_up(
     shell: &Shell,
     attempt: &str,
-    attempts: &Attempts,
+    attempts: &RequestState,
     reason: &str,
     last: Option<Response<Body>>,
 ) -> Response<Body> {
@@ -100,7 +100,7 @@
 }
 
 /// Notes a sending that brought no good answer.
-pub fn note(attempt: &str, attempts: &Attempts, to: &Attempt, outcome: AttemptOutcome) {
+pub fn note(attempt: &str, attempts: &RequestState, to: &Attempt, outcome: AttemptOutcome) {
     log::info!(
         "event=sending_failed request={attempt} upstream={} service={} outcome={} {}",
         to.name,
--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Body as _, Frame, Incoming, SizeHint};
 use hyper::{Request, Response, StatusCode, http};
 use sedgepath_adapter::headers::{self, AnswerFields, AnswerKind};
-use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, Attempts, NextStep};
+use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, NextStep, RequestState};
 use sedgepath_core::direct::upstreams::UpstreamKey;
 use tokio::time::timeout_at;
 
@@ -92,7 +92,7 @@
     /// What all tasks share.
     pub shell: Rc<Shell>,
     /// The request.
-    pub attempts: Attempts,
+    pub attempts: RequestState,
 }
 
 impl Drop for Flight {
