--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -201,12 +201,12 @@
     /// Why it would be sent next.
     pub cause: AttemptCause,
     /// The sendings that have not ended.
-    pub in_flight: Vec<UnderWay>,
+    pub in_flight: Vec<InFlightAttempt>,
 }
 
 /// A sending that has not ended.
 #[derive(Debug, Clone, Copy)]
-pub struct UnderWay {
+pub struct InFlightAttempt {
     /// The upstream.
     pub upstream: UpstreamKey,
     /// When it was sent, in milliseconds.
@@ -221,7 +221,7 @@
     pub overdue_at_ms: u64,
 }
 
-impl UnderWay {
+impl InFlightAttempt {
     /// Returns how long the upstream has had it, in milliseconds: its wait there and its work.
     ///
     /// With the way counted as work, upstreams of another region look slower than they are, and work
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -10,8 +10,8 @@
 
 use self::store::StoreContact;
 use super::attempts::{
-    Attempt, AttemptCause, AttemptOutcome, NextStep, PlacementDecision, RejectionReason,
-    RequestState, UnderWay,
+    Attempt, AttemptCause, AttemptOutcome, InFlightAttempt, NextStep, PlacementDecision,
+    RejectionReason, RequestState,
 };
 use super::budget::{BudgetLimits, RetryBudget};
 use super::placement::{Candidate, ServiceTimes, Weights};
@@ -338,7 +338,7 @@
         let times = self.times.get(&attempts.service).copied().unwrap_or_default();
         let overdue_ms = candidate.wait_ms + times.work_ms(false) * OVERDUE_FACTOR;
         attempts.tried_upstreams.push(key);
-        attempts.in_flight.push(UnderWay {
+        attempts.in_flight.push(InFlightAttempt {
             upstream: key,
             sent_at_ms: now_ms,
             warm: candidate.warm,
--- a/crates/sedgepath-core/src/direct/steering/learning.rs
+++ b/crates/sedgepath-core/src/direct/steering/learning.rs
@@ -1,7 +1,7 @@
 //! What is learnt of upstreams and services from how sendings end.
 
 use super::{SAMPLE_WEIGHT, Steering};
-use crate::direct::attempts::{AttemptCause, AttemptOutcome, RequestState, UnderWay};
+use crate::direct::attempts::{AttemptCause, AttemptOutcome, InFlightAttempt, RequestState};
 use crate::direct::upstreams::UpstreamKey;
 
 impl Steering {
@@ -66,7 +66,7 @@
     fn learn(
         &mut self,
         attempts: &RequestState,
-        current: UnderWay,
+        current: InFlightAttempt,
         outcome: AttemptOutcome,
         now_ms: u64,
     ) {
