--- a/crates/sedgepath-core/src/direct/budget.rs
+++ b/crates/sedgepath-core/src/direct/budget.rs
@@ -5,8 +5,8 @@
 //!
 //! # What is kept
 //!
-//! In any window, repeats of all VMs are at most [`BudgetLimits::ratio`] times the requests of that
-//! window or of the one before it, and [`BudgetLimits::slack`]. A VM knows neither what others send
+//! In any window, repeats of all VMs are at most [`RetryBudgetLimits::ratio`] times the requests of that
+//! window or of the one before it, and [`RetryBudgetLimits::slack`]. A VM knows neither what others send
 //! nor what its own last process has sent, and doesn't need to: each service has a bucket here, and
 //!
 //! - a request adds [`EARNED_SHARE`] of the ratio to it, a repeat takes one out;
@@ -51,7 +51,7 @@
 
 /// What all VMs together may send beyond the first of each request.
 #[derive(Debug, Clone, Copy)]
-pub struct BudgetLimits {
+pub struct RetryBudgetLimits {
     /// The repeats per request.
     pub ratio: f64,
     /// The repeats allowed beside these, summed over all VMs.
@@ -78,7 +78,7 @@
 /// The budgets of all services.
 #[derive(Debug)]
 pub struct RetryBudget {
-    limits: BudgetLimits,
+    limits: RetryBudgetLimits,
     /// This VM's draw, from 0 to 1: whether it may save a whole repeat where its part is less than one.
     draw: f64,
     services: Map<Box<str>, Account>,
@@ -86,7 +86,7 @@
 
 impl RetryBudget {
     /// Creates the budget of a VM that has just started.
-    pub fn new(limits: BudgetLimits, vm: &str) -> Self {
+    pub fn new(limits: RetryBudgetLimits, vm: &str) -> Self {
         let hash = Digest::of(&[vm.as_bytes()]).to_u64();
         let draw = (hash >> 11) as f64 / (1_u64 << 53) as f64;
         Self { limits, draw, services: Map::default() }
@@ -132,7 +132,7 @@
     /// What may be saved is worked out before the request or the repeat of this moment is counted: a
     /// request of a window may earn in it, or let something be saved from before it, not both.
     fn account(&mut self, service: &str, vms: usize, now_ms: u64) -> &mut Account {
-        let BudgetLimits { ratio, slack, window_ms } = self.limits;
+        let RetryBudgetLimits { ratio, slack, window_ms } = self.limits;
         if !self.services.contains_key(service) {
             self.services.insert(service.into(), Account::default());
         }
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -13,7 +13,7 @@
     Attempt, AttemptCause, AttemptOutcome, InFlightAttempt, NextStep, PlacementDecision,
     RejectionReason, RequestState,
 };
-use super::budget::{BudgetLimits, RetryBudget};
+use super::budget::{RetryBudget, RetryBudgetLimits};
 use super::placement::{Candidate, ServiceTimes, Weights};
 use super::queueing::{self, Patience, Pressure};
 use super::routing::{Configuration, ServiceSettings, Splits};
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// The retry budget of all VMs.
-    pub budget: BudgetLimits,
+    pub budget: RetryBudgetLimits,
 }
 
 /// The time to come back after when no upstream can be used, in milliseconds: an upstream that
@@ -140,7 +140,7 @@
     /// Creates the state of a VM that knows only itself.
     pub fn new(place: Place, limits: Limits, vms: Vms) -> Self {
         // Each VM keeps its own share; it has none of a slack.
-        let returns = BudgetLimits { ratio: RETURN_SHARE, slack: 0.0, ..limits.budget };
+        let returns = RetryBudgetLimits { ratio: RETURN_SHARE, slack: 0.0, ..limits.budget };
         Self {
             policy: Policy::default(),
             configuration: None,
--- a/crates/sedgepath-core/tests/direct_budget.rs
+++ b/crates/sedgepath-core/tests/direct_budget.rs
@@ -4,7 +4,7 @@
 //! An upstream that refuses says so before it has done any work, so a request meets three of them in a
 //! tenth of a second: what VMs have saved up is spent in a few seconds, and whatever they forget shows.
 
-use sedgepath_core::direct::budget::{BudgetLimits, RetryBudget};
+use sedgepath_core::direct::budget::{RetryBudget, RetryBudgetLimits};
 use sedgepath_test_support::fleet::{
     Day, Levels, REPEAT_RATIO, REPEAT_SLACK, Seen, Trouble, WINDOW_MS,
 };
@@ -109,7 +109,8 @@
 #[test]
 fn many_vms_with_few_requests_use_the_budget_and_keep_it() {
     const MANY: usize = 500;
-    let limits = BudgetLimits { ratio: REPEAT_RATIO, slack: REPEAT_SLACK, window_ms: WINDOW_MS };
+    let limits =
+        RetryBudgetLimits { ratio: REPEAT_RATIO, slack: REPEAT_SLACK, window_ms: WINDOW_MS };
     let mut vms: Vec<_> =
         (0..MANY).map(|number| RetryBudget::new(limits, &format!("vm-{number}"))).collect();
     let mut seen = Seen::default();
--- a/crates/sedgepath-emulator/src/setup.rs
+++ b/crates/sedgepath-emulator/src/setup.rs
@@ -3,7 +3,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-use sedgepath_core::direct::budget::BudgetLimits;
+use sedgepath_core::direct::budget::RetryBudgetLimits;
 use sedgepath_core::direct::routing::{
     CallerLimits, Configuration, Route, RouteKind, RoutePart, ServiceSettings,
 };
@@ -24,7 +24,7 @@
 pub(crate) const HEARTBEAT_MS: u64 = 500;
 
 /// The retry budget: that of the users' sites.
-const BUDGET: BudgetLimits = BudgetLimits { ratio: 0.2, slack: 60.0, window_ms: 10_000 };
+const BUDGET: RetryBudgetLimits = RetryBudgetLimits { ratio: 0.2, slack: 60.0, window_ms: 10_000 };
 
 /// Returns the entry of an upstream, which has been warm for long.
 pub(crate) fn entry(number: usize, domain: &str, scenario: &Scenario) -> UpstreamEntry {
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use sedgepath_core::direct::attempts::RequestState;
-use sedgepath_core::direct::budget::BudgetLimits;
+use sedgepath_core::direct::budget::RetryBudgetLimits;
 use sedgepath_core::direct::routing::{
     CallerLimits, Configuration, Route, RouteKind, RoutePart, ServiceSettings,
 };
@@ -72,7 +72,7 @@
         DOMAINS.iter().map(|(domain, region)| ((*domain).into(), (*region).into())).collect();
     let place =
         Place { name: name.into(), domain: domain.into(), region: region(domain).into(), regions };
-    let budget = BudgetLimits { ratio: 0.2, slack: 60.0, window_ms: 10_000 };
+    let budget = RetryBudgetLimits { ratio: 0.2, slack: 60.0, window_ms: 10_000 };
     Steering::new(place, Limits { budget }, vms(name, domain, number))
 }
 
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sedgepath_adapter::settings::{Settings, SettingsError};
-use sedgepath_core::direct::budget::BudgetLimits;
+use sedgepath_core::direct::budget::RetryBudgetLimits;
 use sedgepath_core::direct::replicas::Table;
 use sedgepath_core::direct::steering::Policy;
 use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, VmTiming, Vms};
@@ -146,7 +146,7 @@
         regions: settings.region_by_domain.clone(),
     };
     let limits = Limits {
-        budget: BudgetLimits {
+        budget: RetryBudgetLimits {
             ratio: settings.bounds.retry_budget_ratio,
             slack: settings.bounds.retry_budget_slack,
             window_ms: settings.bounds.retry_budget_window_ms,
