--- a/crates/sedgepath-core/src/direct/replicas.rs
+++ b/crates/sedgepath-core/src/direct/replicas.rs
@@ -55,7 +55,7 @@
 
 /// A row as of one version of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CopiedRow {
+pub struct VersionedRow {
     /// Its key.
     pub key: Box<str>,
     /// The store's version at which it got its value, or was removed.
@@ -68,7 +68,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
     /// The rows.
-    pub rows: Vec<CopiedRow>,
+    pub rows: Vec<VersionedRow>,
     /// The store's version up to which they tell all changes.
     pub position: u64,
     /// Whether they are all rows of the table; else those that have changed.
@@ -111,7 +111,7 @@
     }
 
     /// Takes in rows and returns those that were new here.
-    pub fn merge(&mut self, page: Page) -> Vec<CopiedRow> {
+    pub fn merge(&mut self, page: Page) -> Vec<VersionedRow> {
         let mut changes = Vec::new();
         if page.is_snapshot {
             changes.extend(self.missing_from(&page));
@@ -143,7 +143,7 @@
             .rows
             .iter()
             .filter(|(_, kept)| if whole { kept.value.is_some() } else { kept.version > after })
-            .map(|(key, kept)| CopiedRow {
+            .map(|(key, kept)| VersionedRow {
                 key: key.clone(),
                 version: kept.version,
                 value: kept.value.clone(),
@@ -153,17 +153,17 @@
     }
 
     /// Returns the removal of each row that a whole table doesn't have.
-    fn missing_from(&self, page: &Page) -> Vec<CopiedRow> {
+    fn missing_from(&self, page: &Page) -> Vec<VersionedRow> {
         let there: crate::hash::Set<&str> = page.rows.iter().map(|row| &*row.key).collect();
         // A row that was written after the table was read is newer than its removal below, and stays.
         let missing =
             self.rows.iter().filter(|(key, kept)| kept.value.is_some() && !there.contains(&***key));
         missing
-            .map(|(key, _)| CopiedRow { key: key.clone(), version: page.position, value: None })
+            .map(|(key, _)| VersionedRow { key: key.clone(), version: page.position, value: None })
             .collect()
     }
 
-    fn take(&mut self, row: &CopiedRow) -> bool {
+    fn take(&mut self, row: &VersionedRow) -> bool {
         let known = self.rows.get(&row.key);
         if known.is_some_and(|known| known.version >= row.version) {
             return false;
--- a/crates/sedgepath-core/tests/direct_copies.rs
+++ b/crates/sedgepath-core/tests/direct_copies.rs
@@ -3,18 +3,18 @@
 use std::sync::Arc;
 
 use proptest::prelude::*;
-use sedgepath_core::direct::replicas::{CopiedRow, Page, TableCopy};
+use sedgepath_core::direct::replicas::{Page, TableCopy, VersionedRow};
 
-fn row(key: &str, version: u64, value: Option<&str>) -> CopiedRow {
+fn row(key: &str, version: u64, value: Option<&str>) -> VersionedRow {
     let value = value.map(|value| Arc::from(value.as_bytes()));
-    CopiedRow { key: key.into(), version, value }
+    VersionedRow { key: key.into(), version, value }
 }
 
-fn changes(position: u64, rows: Vec<CopiedRow>) -> Page {
+fn changes(position: u64, rows: Vec<VersionedRow>) -> Page {
     Page { rows, position, is_snapshot: false }
 }
 
-fn whole(position: u64, rows: Vec<CopiedRow>) -> Page {
+fn whole(position: u64, rows: Vec<VersionedRow>) -> Page {
     Page { rows, position, is_snapshot: true }
 }
 
@@ -152,7 +152,7 @@
 /// The store's table at each version.
 #[derive(Debug, Default)]
 struct History {
-    rows: Vec<CopiedRow>,
+    rows: Vec<VersionedRow>,
 }
 
 impl History {
@@ -169,7 +169,7 @@
         changes(self.rows.len() as u64, last.into_values().collect())
     }
 
-    fn at(&self, position: u64) -> Vec<CopiedRow> {
+    fn at(&self, position: u64) -> Vec<VersionedRow> {
         let mut last = std::collections::BTreeMap::new();
         for row in self.rows.iter().filter(|row| row.version <= position) {
             last.insert(row.key.clone(), row.clone());
@@ -178,7 +178,7 @@
     }
 }
 
-fn sorted_rows(copy: &TableCopy) -> Vec<CopiedRow> {
+fn sorted_rows(copy: &TableCopy) -> Vec<VersionedRow> {
     let mut rows = copy.changes_since(0).rows;
     rows.sort_unstable_by(|one, other| one.key.cmp(&other.key));
     rows
@@ -259,7 +259,7 @@
         history in prop::collection::vec((0_u8..4, prop::option::of(0_u8..3)), 1..20),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..40),
     ) {
-        let rows: Vec<CopiedRow> = history
+        let rows: Vec<VersionedRow> = history
             .iter()
             .enumerate()
             .map(|(index, (key, value))| {
--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -7,7 +7,7 @@
 use sedgepath_adapter::rows::{self, OperatorKey, table_name};
 use sedgepath_adapter::store::StoreError;
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::replicas::{CopiedRow, Page, Table};
+use sedgepath_core::direct::replicas::{Page, Table, VersionedRow};
 use sedgepath_core::direct::upstreams::EntryChange;
 use sedgepath_core::direct::vms::StoreView;
 
@@ -169,7 +169,7 @@
     !changes.is_empty()
 }
 
-fn take_in_operators(shell: &Shell, rows: &[CopiedRow]) {
+fn take_in_operators(shell: &Shell, rows: &[VersionedRow]) {
     let now_ms = clock::now_ms();
     let mut steering = shell.steering.borrow_mut();
     let mut evacuated = steering.evacuated_domains().clone();
@@ -203,7 +203,7 @@
     steering.set_evacuated_domains(evacuated, now_ms);
 }
 
-fn take_in_upstream(steering: &mut Steering, row: &CopiedRow, now_ms: u64) {
+fn take_in_upstream(steering: &mut Steering, row: &VersionedRow, now_ms: u64) {
     let Some(value) = &row.value else {
         log::info!("event=upstream_removed upstream={}", row.key);
         steering.upstreams_mut().remove(&row.key, now_ms);
--- a/crates/sedgepathd/src/store.rs
+++ b/crates/sedgepathd/src/store.rs
@@ -7,7 +7,7 @@
 
 use crossbeam::channel::bounded;
 use sedgepath_adapter::store::Store;
-use sedgepath_core::direct::replicas::CopiedRow;
+use sedgepath_core::direct::replicas::VersionedRow;
 use sedgepath_core::event::{Event, ListedVm};
 use sedgepath_core::table::{RECORD_TABLE, TableRequest, TableResult, TableService};
 use serde::{Deserialize, Serialize};
@@ -89,7 +89,7 @@
     serde_json::to_vec(&row).unwrap_or_default()
 }
 
-fn read_vm(row: &CopiedRow) -> Option<ListedVm> {
+fn read_vm(row: &VersionedRow) -> Option<ListedVm> {
     match serde_json::from_slice::<VmRow>(row.value.as_ref()?) {
         Ok(VmRow { domain, peers, leaving }) => {
             Some(ListedVm { name: row.key.clone(), domain, peer_address: peers, leaving })
--- a/crates/sedgepathd/tests/giving.rs
+++ b/crates/sedgepathd/tests/giving.rs
@@ -2,7 +2,7 @@
 
 use http_body_util::BodyExt;
 use hyper::{Response, StatusCode};
-use sedgepath_core::direct::replicas::{CopiedRow, Copies, Page, Table};
+use sedgepath_core::direct::replicas::{Copies, Page, Table, VersionedRow};
 use sedgepathd::direct::giving::{self, Giving};
 use sedgepathd::direct::pool::Body;
 
@@ -14,7 +14,7 @@
 
 fn copies(rows: u32) -> Copies {
     let mut copies = Copies::default();
-    let row = |number: u32| CopiedRow {
+    let row = |number: u32| VersionedRow {
         key: format!("u{number}").into(),
         version: u64::from(number) + 1,
         value: Some(
@@ -82,7 +82,7 @@
 fn rows_that_grow_without_end_are_refused() {
     let giving = Giving::default();
     let mut copies = Copies::default();
-    let huge = CopiedRow {
+    let huge = VersionedRow {
         key: "u0".into(),
         version: 1,
         value: Some(vec![0; 2 * CONTROL_MEMORY_BYTES].into()),
--- a/crates/sedgepathd/tests/platform/slow_peer.rs
+++ b/crates/sedgepathd/tests/platform/slow_peer.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use sedgepath_core::direct::replicas::{CopiedRow, Page, Table};
+use sedgepath_core::direct::replicas::{Page, Table, VersionedRow};
 use sedgepath_core::direct::vms::gossip::{Heartbeat, PeerMessage};
 use sedgepath_test_support::direct::heartbeat;
 use sedgepath_test_support::store::StoreStandIn;
@@ -62,7 +62,7 @@
 }
 
 fn page(store: &StoreStandIn, table: &str) -> Vec<u8> {
-    let rows = store.rows(table).into_iter().map(|row| CopiedRow {
+    let rows = store.rows(table).into_iter().map(|row| VersionedRow {
         key: row.key.into(),
         version: row.version,
         value: Some(row.value.into()),
