--- a/crates/sedgepath-core/src/direct/replicas.rs
+++ b/crates/sedgepath-core/src/direct/replicas.rs
@@ -66,7 +66,7 @@
 
 /// Rows of a table, from the store or from another VM.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Page {
+pub struct TableUpdate {
     /// The rows.
     pub rows: Vec<VersionedRow>,
     /// The store's version up to which they tell all changes.
@@ -111,7 +111,7 @@
     }
 
     /// Takes in rows and returns those that were new here.
-    pub fn merge(&mut self, page: Page) -> Vec<VersionedRow> {
+    pub fn merge(&mut self, page: TableUpdate) -> Vec<VersionedRow> {
         let mut changes = Vec::new();
         if page.is_snapshot {
             changes.extend(self.missing_from(&page));
@@ -137,7 +137,7 @@
 
     /// Returns what has changed after a version, up to which the asker has all changes, or the whole
     /// table if that can't be told.
-    pub fn changes_since(&self, after: u64) -> Page {
+    pub fn changes_since(&self, after: u64) -> TableUpdate {
         let whole = self.requires_snapshot(after);
         let rows = self
             .rows
@@ -149,11 +149,11 @@
                 value: kept.value.clone(),
             })
             .collect();
-        Page { rows, position: self.position, is_snapshot: whole }
+        TableUpdate { rows, position: self.position, is_snapshot: whole }
     }
 
     /// Returns the removal of each row that a whole table doesn't have.
-    fn missing_from(&self, page: &Page) -> Vec<VersionedRow> {
+    fn missing_from(&self, page: &TableUpdate) -> Vec<VersionedRow> {
         let there: crate::hash::Set<&str> = page.rows.iter().map(|row| &*row.key).collect();
         // A row that was written after the table was read is newer than its removal below, and stays.
         let missing =
--- a/crates/sedgepath-core/tests/direct_copies.rs
+++ b/crates/sedgepath-core/tests/direct_copies.rs
@@ -3,19 +3,19 @@
 use std::sync::Arc;
 
 use proptest::prelude::*;
-use sedgepath_core::direct::replicas::{Page, TableCopy, VersionedRow};
+use sedgepath_core::direct::replicas::{TableCopy, TableUpdate, VersionedRow};
 
 fn row(key: &str, version: u64, value: Option<&str>) -> VersionedRow {
     let value = value.map(|value| Arc::from(value.as_bytes()));
     VersionedRow { key: key.into(), version, value }
 }
 
-fn changes(position: u64, rows: Vec<VersionedRow>) -> Page {
-    Page { rows, position, is_snapshot: false }
+fn changes(position: u64, rows: Vec<VersionedRow>) -> TableUpdate {
+    TableUpdate { rows, position, is_snapshot: false }
 }
 
-fn whole(position: u64, rows: Vec<VersionedRow>) -> Page {
-    Page { rows, position, is_snapshot: true }
+fn whole(position: u64, rows: Vec<VersionedRow>) -> TableUpdate {
+    TableUpdate { rows, position, is_snapshot: true }
 }
 
 /// An upstream leaves; its entry is removed. A VM that was cut off still has the entry and is asked
@@ -161,7 +161,7 @@
         self.rows.push(row(&key.to_string(), version, there.then_some("ready")));
     }
 
-    fn after(&self, position: u64) -> Page {
+    fn after(&self, position: u64) -> TableUpdate {
         let mut last = std::collections::BTreeMap::new();
         for row in self.rows.iter().filter(|row| row.version > position) {
             last.insert(row.key.clone(), row.clone());
@@ -194,7 +194,7 @@
     fn a_copy_holds_what_it_says(happenings in prop::collection::vec(happening(), 1..60)) {
         let mut history = History::default();
         let mut copies: Vec<TableCopy> = (0..4).map(|_| TableCopy::default()).collect();
-        let mut on_their_way: Vec<(usize, Page)> = Vec::new();
+        let mut on_their_way: Vec<(usize, TableUpdate)> = Vec::new();
         for happening in happenings {
             let newest = history.rows.len() as u64;
             match happening {
--- a/crates/sedgepathd/src/direct/fetch.rs
+++ b/crates/sedgepathd/src/direct/fetch.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::{Request, StatusCode, client};
 use hyper_util::rt::TokioIo;
-use sedgepath_core::direct::replicas::{Page, Table};
+use sedgepath_core::direct::replicas::{Table, TableUpdate};
 use sedgepath_wire::tcp;
 use tokio::time::timeout;
 
@@ -159,7 +159,7 @@
     table: Table,
     after: u64,
     address: SocketAddr,
-) -> Result<Page, FetchError> {
+) -> Result<TableUpdate, FetchError> {
     let begun_at_ms = clock::now_ms();
     let stream = tcp::connect(address, FETCH_TIMEOUT).await?;
     let (mut connection, task) = client::conn::http1::handshake(TokioIo::new(stream)).await?;
--- a/crates/sedgepathd/src/direct/find.rs
+++ b/crates/sedgepathd/src/direct/find.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sedgepath_adapter::store::StoreError;
-use sedgepath_core::direct::replicas::Page;
+use sedgepath_core::direct::replicas::TableUpdate;
 use serde::{Deserialize, Serialize};
 
 use super::shell::Shell;
@@ -49,7 +49,7 @@
 }
 
 /// Writes this VM's row, and then reads all: of two VMs that start together one at least finds the other.
-async fn exchange_rows(shell: &Shell) -> Result<Page, StoreError> {
+async fn exchange_rows(shell: &Shell) -> Result<TableUpdate, StoreError> {
     let own = VmRow {
         address: SocketAddr::new(shell.settings.ip, shell.settings.peer_ports.0),
         domain: shell.settings.domain.clone(),
@@ -59,7 +59,7 @@
     shell.store.read_table(VM_TABLE).await
 }
 
-fn take_in(shell: &Shell, page: &Page) {
+fn take_in(shell: &Shell, page: &TableUpdate) {
     let now_ms = clock::now_ms();
     let mut steering = shell.steering.borrow_mut();
     let vms = steering.vms_mut();
--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -7,7 +7,7 @@
 use sedgepath_adapter::rows::{self, OperatorKey, table_name};
 use sedgepath_adapter::store::StoreError;
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::replicas::{Page, Table, VersionedRow};
+use sedgepath_core::direct::replicas::{Table, TableUpdate, VersionedRow};
 use sedgepath_core::direct::upstreams::EntryChange;
 use sedgepath_core::direct::vms::StoreView;
 
@@ -113,7 +113,7 @@
     period_ms.saturating_sub(took_ms).max(MIN_PAUSE_MS) + fastrand::u64(0..jitter_ms)
 }
 
-async fn read(shell: &Shell, table: Table, lost: bool) -> Result<Page, StoreError> {
+async fn read(shell: &Shell, table: Table, lost: bool) -> Result<TableUpdate, StoreError> {
     let name = table_name(table);
     let (known, position) = {
         let copies = shell.copies.borrow();
@@ -154,7 +154,7 @@
 }
 
 /// Takes in rows of the store or of another VM, and returns whether any was new.
-pub fn take_in(shell: &Shell, table: Table, page: Page) -> bool {
+pub fn take_in(shell: &Shell, table: Table, page: TableUpdate) -> bool {
     let changes = shell.copies.borrow_mut().get_mut(table).merge(page);
     match table {
         Table::Operators => take_in_operators(shell, &changes),
--- a/crates/sedgepathd/src/direct/giving.rs
+++ b/crates/sedgepathd/src/direct/giving.rs
@@ -17,7 +17,7 @@
 use hyper::body::{Body as _, Incoming};
 use hyper::header::{CONTENT_ENCODING, HeaderMap, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use sedgepath_core::direct::replicas::{Copies, Page, Table, TableCopy};
+use sedgepath_core::direct::replicas::{Copies, Table, TableCopy, TableUpdate};
 use sedgepath_core::hash::Map;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
@@ -68,7 +68,7 @@
 /// # Errors
 ///
 /// Fails if they are damaged, or more than a VM can hold.
-pub fn read(fields: &HeaderMap, body: &[u8]) -> Result<Page, RowsError> {
+pub fn read(fields: &HeaderMap, body: &[u8]) -> Result<TableUpdate, RowsError> {
     if fields.get(CONTENT_ENCODING) != Some(&COMPRESSION) {
         return Ok(postcard::from_bytes(body)?);
     }
--- a/crates/sedgepathd/tests/giving.rs
+++ b/crates/sedgepathd/tests/giving.rs
@@ -2,7 +2,7 @@
 
 use http_body_util::BodyExt;
 use hyper::{Response, StatusCode};
-use sedgepath_core::direct::replicas::{Copies, Page, Table, VersionedRow};
+use sedgepath_core::direct::replicas::{Copies, Table, TableUpdate, VersionedRow};
 use sedgepathd::direct::giving::{self, Giving};
 use sedgepathd::direct::pool::Body;
 
@@ -21,8 +21,11 @@
             format!("{{\"service\":\"shop\",\"slots\":3,\"number\":{number}}}").into_bytes().into(),
         ),
     };
-    let page =
-        Page { rows: (0..rows).map(row).collect(), position: u64::from(rows), is_snapshot: true };
+    let page = TableUpdate {
+        rows: (0..rows).map(row).collect(),
+        position: u64::from(rows),
+        is_snapshot: true,
+    };
     copies.get_mut(Table::Upstreams).merge(page);
     copies
 }
@@ -87,7 +90,7 @@
         version: 1,
         value: Some(vec![0; 2 * CONTROL_MEMORY_BYTES].into()),
     };
-    let page = Page { rows: vec![huge], position: 1, is_snapshot: true };
+    let page = TableUpdate { rows: vec![huge], position: 1, is_snapshot: true };
     copies.get_mut(Table::Upstreams).merge(page);
     let answer = giving.answer(&copies, Table::Upstreams, 0);
     let fields = answer.headers().clone();
--- a/crates/sedgepathd/tests/platform/slow_peer.rs
+++ b/crates/sedgepathd/tests/platform/slow_peer.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use sedgepath_core::direct::replicas::{Page, Table, VersionedRow};
+use sedgepath_core::direct::replicas::{Table, TableUpdate, VersionedRow};
 use sedgepath_core::direct::vms::gossip::{Heartbeat, PeerMessage};
 use sedgepath_test_support::direct::heartbeat;
 use sedgepath_test_support::store::StoreStandIn;
@@ -67,7 +67,7 @@
         version: row.version,
         value: Some(row.value.into()),
     });
-    let page = Page { rows: rows.collect(), position: 1_000, is_snapshot: true };
+    let page = TableUpdate { rows: rows.collect(), position: 1_000, is_snapshot: true };
     postcard::to_stdvec(&page).expect("a page")
 }
 
