--- a/crates/sedgepath-core/src/direct/replicas.rs
+++ b/crates/sedgepath-core/src/direct/replicas.rs
@@ -83,7 +83,7 @@
 
 /// A copy of one table.
 #[derive(Debug, Default)]
-pub struct TableCopy {
+pub struct TableReplica {
     rows: Map<Box<str>, Kept>,
     position: u64,
     newest_version: u64,
@@ -94,7 +94,7 @@
     is_complete: bool,
 }
 
-impl TableCopy {
+impl TableReplica {
     /// Whether the copy has ever held the whole table.
     pub fn is_complete(&self) -> bool {
         self.is_complete
@@ -200,13 +200,13 @@
 /// Copies of all tables that are followed.
 #[derive(Debug, Default)]
 pub struct Copies {
-    operators: TableCopy,
-    upstreams: TableCopy,
+    operators: TableReplica,
+    upstreams: TableReplica,
 }
 
 impl Copies {
     /// Returns the copy of a table.
-    pub fn get(&self, table: Table) -> &TableCopy {
+    pub fn get(&self, table: Table) -> &TableReplica {
         match table {
             Table::Operators => &self.operators,
             Table::Upstreams => &self.upstreams,
@@ -214,7 +214,7 @@
     }
 
     /// Returns the copy of a table to be changed.
-    pub fn get_mut(&mut self, table: Table) -> &mut TableCopy {
+    pub fn get_mut(&mut self, table: Table) -> &mut TableReplica {
         match table {
             Table::Operators => &mut self.operators,
             Table::Upstreams => &mut self.upstreams,
--- a/crates/sedgepath-core/tests/direct_copies.rs
+++ b/crates/sedgepath-core/tests/direct_copies.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use proptest::prelude::*;
-use sedgepath_core::direct::replicas::{TableCopy, TableUpdate, VersionedRow};
+use sedgepath_core::direct::replicas::{TableReplica, TableUpdate, VersionedRow};
 
 fn row(key: &str, version: u64, value: Option<&str>) -> VersionedRow {
     let value = value.map(|value| Arc::from(value.as_bytes()));
@@ -23,9 +23,9 @@
 /// callers' requests would go to an upstream that is gone.
 #[test]
 fn a_removed_row_does_not_come_back_through_an_older_copy() {
-    let mut ahead = TableCopy::default();
+    let mut ahead = TableReplica::default();
     ahead.merge(whole(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
-    let mut behind = TableCopy::default();
+    let mut behind = TableReplica::default();
     behind.merge(ahead.changes_since(0));
     ahead.merge(changes(9, vec![row("b1", 9, None)]));
 
@@ -43,7 +43,7 @@
 /// gap are in no feed; they are told by their absence.
 #[test]
 fn rows_missing_from_a_whole_table_are_removed() {
-    let mut copy = TableCopy::default();
+    let mut copy = TableReplica::default();
     copy.merge(whole(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
 
     let news = copy.merge(whole(20, vec![row("b2", 4, Some("ready"))]));
@@ -56,7 +56,7 @@
 /// the table's version, so its absence says nothing.
 #[test]
 fn a_whole_table_that_arrives_late_removes_nothing_newer() {
-    let mut copy = TableCopy::default();
+    let mut copy = TableReplica::default();
     copy.merge(whole(5, vec![]));
     copy.merge(changes(9, vec![row("b1", 9, Some("ready"))]));
 
@@ -69,7 +69,7 @@
 /// upstream back: nobody would tell of its removal again, and it would get requests for seconds.
 #[test]
 fn an_older_table_that_arrives_late_brings_nothing_back() {
-    let mut copy = TableCopy::default();
+    let mut copy = TableReplica::default();
     copy.merge(whole(10, vec![row("b2", 4, Some("ready"))]));
 
     let older = vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))];
@@ -85,9 +85,9 @@
 /// are all, and go on sending to the upstream that has left.
 #[test]
 fn a_copy_begun_after_a_removal_does_not_hide_it() {
-    let mut neighbour = TableCopy::default();
+    let mut neighbour = TableReplica::default();
     neighbour.merge(whole(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
-    let mut restarted = TableCopy::default();
+    let mut restarted = TableReplica::default();
     restarted.merge(whole(10, vec![row("b2", 9, Some("draining"))]));
 
     let news = neighbour.merge(restarted.changes_since(neighbour.position()));
@@ -99,7 +99,7 @@
 /// What is asked after a version holds just what has changed since, unless the copy began later.
 #[test]
 fn only_later_changes_are_passed_on() {
-    let mut copy = TableCopy::default();
+    let mut copy = TableReplica::default();
     copy.merge(whole(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
     copy.merge(changes(8, vec![row("b3", 8, Some("ready"))]));
 
@@ -178,7 +178,7 @@
     }
 }
 
-fn sorted_rows(copy: &TableCopy) -> Vec<VersionedRow> {
+fn sorted_rows(copy: &TableReplica) -> Vec<VersionedRow> {
     let mut rows = copy.changes_since(0).rows;
     rows.sort_unstable_by(|one, other| one.key.cmp(&other.key));
     rows
@@ -193,7 +193,7 @@
     #[test]
     fn a_copy_holds_what_it_says(happenings in prop::collection::vec(happening(), 1..60)) {
         let mut history = History::default();
-        let mut copies: Vec<TableCopy> = (0..4).map(|_| TableCopy::default()).collect();
+        let mut copies: Vec<TableReplica> = (0..4).map(|_| TableReplica::default()).collect();
         let mut on_their_way: Vec<(usize, TableUpdate)> = Vec::new();
         for happening in happenings {
             let newest = history.rows.len() as u64;
@@ -202,7 +202,7 @@
                 Happening::Lose(vm) => {
                     // The answers to the last process find no one.
                     on_their_way.retain(|(asker, _)| *asker != vm);
-                    copies[vm] = TableCopy::default();
+                    copies[vm] = TableReplica::default();
                 }
                 Happening::AskStore(vm, all) => {
                     let page = if all || !copies[vm].is_complete() {
@@ -222,12 +222,12 @@
                 }
                 Happening::Restart(vm) => {
                     on_their_way.retain(|(asker, _)| *asker != vm);
-                    copies[vm] = TableCopy::default();
+                    copies[vm] = TableReplica::default();
                     copies[vm].merge(whole(newest, history.at(newest)));
                 }
                 Happening::RestartFrom(vm, from) if vm != from => {
                     on_their_way.retain(|(asker, _)| *asker != vm);
-                    copies[vm] = TableCopy::default();
+                    copies[vm] = TableReplica::default();
                     let page = copies[from].changes_since(0);
                     copies[vm].merge(page);
                 }
@@ -267,11 +267,11 @@
                 row(&key.to_string(), index as u64 + 1, value.as_deref())
             })
             .collect();
-        let mut straight = TableCopy::default();
+        let mut straight = TableReplica::default();
         straight.merge(whole(0, vec![]));
         straight.merge(changes(rows.len() as u64, rows.clone()));
 
-        let mut mixed = TableCopy::default();
+        let mut mixed = TableReplica::default();
         mixed.merge(whole(0, vec![]));
         for index in &order {
             let picked = index.get(&rows).clone();
@@ -280,7 +280,7 @@
         mixed.merge(straight.changes_since(0));
         mixed.merge(changes(0, rows));
 
-        let sorted = |copy: &TableCopy| {
+        let sorted = |copy: &TableReplica| {
             let mut rows = copy.changes_since(0).rows;
             rows.sort_unstable_by(|one, other| one.key.cmp(&other.key));
             rows
--- a/crates/sedgepathd/src/direct/giving.rs
+++ b/crates/sedgepathd/src/direct/giving.rs
@@ -17,7 +17,7 @@
 use hyper::body::{Body as _, Incoming};
 use hyper::header::{CONTENT_ENCODING, HeaderMap, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use sedgepath_core::direct::replicas::{Copies, Table, TableCopy, TableUpdate};
+use sedgepath_core::direct::replicas::{Copies, Table, TableReplica, TableUpdate};
 use sedgepath_core::hash::Map;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
@@ -86,7 +86,7 @@
 }
 
 impl Written {
-    fn new(copy: &TableCopy, after: u64) -> Result<Self, RowsError> {
+    fn new(copy: &TableReplica, after: u64) -> Result<Self, RowsError> {
         let (changed_at, plain) =
             (copy.newest_version(), postcard::to_stdvec(&copy.changes_since(after))?);
         if plain.len() < COMPRESSED_FROM_BYTES {
@@ -150,7 +150,7 @@
     }
 
     /// Returns rows, written once for all that ask for the same.
-    fn written(&self, copy: &TableCopy, table: Table, after: u64) -> Result<Written, RowsError> {
+    fn written(&self, copy: &TableReplica, table: Table, after: u64) -> Result<Written, RowsError> {
         let mut written = self.written.borrow_mut();
         let before = written.get(&(table, after));
         if let Some(same) = before.filter(|before| before.changed_at == copy.newest_version()) {
