--- a/crates/sedgepath-core/src/direct/replicas.rs
+++ b/crates/sedgepath-core/src/direct/replicas.rs
@@ -199,12 +199,12 @@
 
 /// Copies of all tables that are followed.
 #[derive(Debug, Default)]
-pub struct Copies {
+pub struct TableReplicas {
     operators: TableReplica,
     upstreams: TableReplica,
 }
 
-impl Copies {
+impl TableReplicas {
     /// Returns the copy of a table.
     pub fn get(&self, table: Table) -> &TableReplica {
         match table {
--- a/crates/sedgepathd/src/direct/giving.rs
+++ b/crates/sedgepathd/src/direct/giving.rs
@@ -17,7 +17,7 @@
 use hyper::body::{Body as _, Incoming};
 use hyper::header::{CONTENT_ENCODING, HeaderMap, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use sedgepath_core::direct::replicas::{Copies, Table, TableReplica, TableUpdate};
+use sedgepath_core::direct::replicas::{Table, TableReplica, TableReplicas, TableUpdate};
 use sedgepath_core::hash::Map;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
@@ -128,7 +128,7 @@
 impl Giving {
     /// Answers with the rows of a table that have changed after a version; without any if this VM doesn't have the
     /// table, or if the whole table is needed and given to as many VMs as it may be.
-    pub fn answer(&self, copies: &Copies, table: Table, after: u64) -> Response<Body> {
+    pub fn answer(&self, copies: &TableReplicas, table: Table, after: u64) -> Response<Body> {
         let copy = copies.get(table);
         if !copy.is_complete() {
             return empty(StatusCode::NOT_FOUND);
--- a/crates/sedgepathd/src/direct/shell.rs
+++ b/crates/sedgepathd/src/direct/shell.rs
@@ -7,7 +7,7 @@
 use sedgepath_adapter::settings::Settings;
 use sedgepath_adapter::store::Store;
 use sedgepath_core::direct::Steering;
-use sedgepath_core::direct::replicas::{Copies, Table};
+use sedgepath_core::direct::replicas::{Table, TableReplicas};
 use sedgepath_core::direct::vms::StoreView;
 use sedgepath_core::hash::Map;
 use tokio::net::UdpSocket;
@@ -26,7 +26,7 @@
     /// The decisions. Borrowed for a moment at a time, never across a wait.
     pub steering: RefCell<Steering>,
     /// Copies of the store's tables.
-    pub copies: RefCell<Copies>,
+    pub copies: RefCell<TableReplicas>,
     /// The store.
     pub store: Store,
     /// How this VM's own calls of the store end.
--- a/crates/sedgepathd/tests/giving.rs
+++ b/crates/sedgepathd/tests/giving.rs
@@ -2,7 +2,7 @@
 
 use http_body_util::BodyExt;
 use hyper::{Response, StatusCode};
-use sedgepath_core::direct::replicas::{Copies, Table, TableUpdate, VersionedRow};
+use sedgepath_core::direct::replicas::{Table, TableReplicas, TableUpdate, VersionedRow};
 use sedgepathd::direct::giving::{self, Giving};
 use sedgepathd::direct::pool::Body;
 
@@ -12,8 +12,8 @@
 /// The memory that a VM may take for control, in bytes.
 const CONTROL_MEMORY_BYTES: usize = 32 * 1024 * 1024;
 
-fn copies(rows: u32) -> Copies {
-    let mut copies = Copies::default();
+fn copies(rows: u32) -> TableReplicas {
+    let mut copies = TableReplicas::default();
     let row = |number: u32| VersionedRow {
         key: format!("u{number}").into(),
         version: u64::from(number) + 1,
@@ -59,7 +59,7 @@
     let page = giving::read(&fields, &body).expect("a table");
 
     let written = postcard::to_stdvec(&page).expect("it can be written").len();
-    let mut taken = Copies::default();
+    let mut taken = TableReplicas::default();
     assert_eq!(taken.get_mut(Table::Upstreams).merge(page).len(), 3_000);
     assert!(body.len() * 3 < written, "{} bytes of {written}", body.len());
 }
@@ -76,7 +76,7 @@
 /// Guards against a VM that starts taking "no rows" for the whole table of one that has none itself.
 #[test]
 fn a_vm_without_the_table_gives_nothing() {
-    let answer = Giving::default().answer(&Copies::default(), Table::Upstreams, 0);
+    let answer = Giving::default().answer(&TableReplicas::default(), Table::Upstreams, 0);
     assert_eq!(answer.status(), StatusCode::NOT_FOUND);
 }
 
@@ -84,7 +84,7 @@
 #[test]
 fn rows_that_grow_without_end_are_refused() {
     let giving = Giving::default();
-    let mut copies = Copies::default();
+    let mut copies = TableReplicas::default();
     let huge = VersionedRow {
         key: "u0".into(),
         version: 1,
