--- a/crates/sedgepath-core/src/direct/placement.rs
+++ b/crates/sedgepath-core/src/direct/placement.rs
@@ -9,7 +9,7 @@
 //! So the upstreams of a service are ranked for each object by weighted rendezvous hashing, near ones
 //! with a larger weight. Every VM of a region computes the same order
 //! without a message, and an upstream that joins or leaves moves only its own objects. Of the first
-//! [`Weights::candidate_count`] the one with the least expected time is taken: its wait for a slot, its work (warm or
+//! [`PlacementWeights::candidate_count`] the one with the least expected time is taken: its wait for a slot, its work (warm or
 //! not), the way there, its slowness and its failures. A busy object thus spills to its second
 //! upstream only, which then is warm too.
 
@@ -60,7 +60,7 @@
 
 /// The figures by which placing weighs upstreams; those in force are its default.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Weights {
+pub struct PlacementWeights {
     /// Whether an object's requests share one order of upstreams; else each request has its own.
     pub object_affinity: bool,
     /// See [`RANKED`].
@@ -75,7 +75,7 @@
     pub eviction_spill_factor: f64,
 }
 
-impl Default for Weights {
+impl Default for PlacementWeights {
     fn default() -> Self {
         Self {
             object_affinity: true,
@@ -168,7 +168,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Question<'a> {
     /// The figures to go by.
-    pub weights: Weights,
+    pub weights: PlacementWeights,
     /// A digest of the object that the request concerns, or a random number.
     pub object: u64,
     /// Whether upstreams get faster at an object.
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -14,7 +14,7 @@
     RejectionReason, RequestState,
 };
 use super::budget::{RetryBudget, RetryBudgetLimits};
-use super::placement::{Candidate, ServiceTimes, Weights};
+use super::placement::{Candidate, PlacementWeights, ServiceTimes};
 use super::queueing::{self, Patience, Pressure};
 use super::routing::{Configuration, ServiceSettings, Splits};
 use super::upstreams::Upstreams;
@@ -103,7 +103,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
     /// How upstreams are weighed.
-    pub weights: Weights,
+    pub weights: PlacementWeights,
     /// How long a request may wait.
     pub queue_tolerance: Patience,
     /// Whether a request may be sent a second time beside an upstream that says nothing.
@@ -112,7 +112,11 @@
 
 impl Default for Policy {
     fn default() -> Self {
-        Self { weights: Weights::default(), queue_tolerance: Patience::default(), hedging: true }
+        Self {
+            weights: PlacementWeights::default(),
+            queue_tolerance: Patience::default(),
+            hedging: true,
+        }
     }
 }
 
--- a/crates/sedgepath-emulator/src/policy.rs
+++ b/crates/sedgepath-emulator/src/policy.rs
@@ -1,7 +1,7 @@
 //! The policies compared: those in force, and baselines.
 
 use sedgepath_core::direct::ablation::Mechanism;
-use sedgepath_core::direct::placement::Weights;
+use sedgepath_core::direct::placement::PlacementWeights;
 use sedgepath_core::direct::queueing::Patience;
 use sedgepath_core::direct::steering::Policy;
 
@@ -21,33 +21,36 @@
 /// Returns all policies, the one in force first.
 pub fn all() -> Vec<Named> {
     let of = |weights, patience| Policy { weights, queue_tolerance: patience, ..Policy::default() };
-    let weights = Weights::default();
+    let weights = PlacementWeights::default();
     let patience = Patience::default();
     let long = Patience { idle_target_factor: 2.0, loaded_target_factor: 2.0 };
     vec![
         Named { name: "in force", policy: Policy::default() },
         Named {
             name: "first of the order only",
-            policy: of(Weights { candidate_count: 1, ..weights }, patience),
+            policy: of(PlacementWeights { candidate_count: 1, ..weights }, patience),
         },
         Named {
             name: "three of the order",
-            policy: of(Weights { candidate_count: 3, ..weights }, patience),
+            policy: of(PlacementWeights { candidate_count: 3, ..weights }, patience),
         },
         Named {
             name: "least expected time of all",
             policy: of(
-                Weights { candidate_count: usize::MAX, spill_cost_ms: 0.0, ..weights },
+                PlacementWeights { candidate_count: usize::MAX, spill_cost_ms: 0.0, ..weights },
                 patience,
             ),
         },
         Named {
             name: "two at random",
-            policy: of(Weights { object_affinity: false, spill_cost_ms: 0.0, ..weights }, patience),
+            policy: of(
+                PlacementWeights { object_affinity: false, spill_cost_ms: 0.0, ..weights },
+                patience,
+            ),
         },
         Named {
             name: "regions alike",
-            policy: of(Weights { own_region_weight: 1.0, ..weights }, patience),
+            policy: of(PlacementWeights { own_region_weight: 1.0, ..weights }, patience),
         },
         Named { name: "waits twice the target", policy: of(weights, long) },
         without("spills as cheap where upstreams forget", Mechanism::EvictionSpillCost),
