--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use super::queueing::{CALM_TARGET_FACTOR, Patience};
+use super::queueing::{CALM_TARGET_FACTOR, QueueTolerance};
 use super::steering::Policy;
 
 /// A mechanism that can be left out.
@@ -99,8 +99,10 @@
             Mechanism::SpillCost => weights.spill_cost_ms = 0.0,
             Mechanism::EvictionSpillCost => weights.eviction_spill_factor = 0.0,
             Mechanism::ShortQueuesUnderLoad => {
-                self.queue_tolerance =
-                    Patience { loaded_target_factor: CALM_TARGET_FACTOR, ..self.queue_tolerance };
+                self.queue_tolerance = QueueTolerance {
+                    loaded_target_factor: CALM_TARGET_FACTOR,
+                    ..self.queue_tolerance
+                };
             }
             Mechanism::Hedging => self.hedging = false,
         }
--- a/crates/sedgepath-core/src/direct/queueing.rs
+++ b/crates/sedgepath-core/src/direct/queueing.rs
@@ -26,20 +26,20 @@
 /// How many times its route's target a request may be expected to take and yet be sent; the figures in
 /// force are the default.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Patience {
+pub struct QueueTolerance {
     /// See [`CALM_TARGET_FACTOR`].
     pub idle_target_factor: f64,
     /// See [`PRESSED_TARGET_FACTOR`].
     pub loaded_target_factor: f64,
 }
 
-impl Default for Patience {
+impl Default for QueueTolerance {
     fn default() -> Self {
         Self { idle_target_factor: CALM_TARGET_FACTOR, loaded_target_factor: PRESSED_TARGET_FACTOR }
     }
 }
 
-impl Patience {
+impl QueueTolerance {
     fn factor(self, pressure: f64) -> f64 {
         self.idle_target_factor + pressure * (self.loaded_target_factor - self.idle_target_factor)
     }
@@ -73,7 +73,7 @@
 pub fn most_wait_ms(
     attempts: &RequestState,
     candidate: &Candidate,
-    patience: Patience,
+    patience: QueueTolerance,
     pressure: f64,
     now_ms: u64,
 ) -> f64 {
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -15,7 +15,7 @@
 };
 use super::budget::{RetryBudget, RetryBudgetLimits};
 use super::placement::{Candidate, PlacementWeights, ServiceTimes};
-use super::queueing::{self, Patience, Pressure};
+use super::queueing::{self, Pressure, QueueTolerance};
 use super::routing::{Configuration, ServiceSettings, Splits};
 use super::upstreams::Upstreams;
 use super::vms::Vms;
@@ -105,7 +105,7 @@
     /// How upstreams are weighed.
     pub weights: PlacementWeights,
     /// How long a request may wait.
-    pub queue_tolerance: Patience,
+    pub queue_tolerance: QueueTolerance,
     /// Whether a request may be sent a second time beside an upstream that says nothing.
     pub hedging: bool,
 }
@@ -114,7 +114,7 @@
     fn default() -> Self {
         Self {
             weights: PlacementWeights::default(),
-            queue_tolerance: Patience::default(),
+            queue_tolerance: QueueTolerance::default(),
             hedging: true,
         }
     }
--- a/crates/sedgepath-emulator/src/policy.rs
+++ b/crates/sedgepath-emulator/src/policy.rs
@@ -2,7 +2,7 @@
 
 use sedgepath_core::direct::ablation::Mechanism;
 use sedgepath_core::direct::placement::PlacementWeights;
-use sedgepath_core::direct::queueing::Patience;
+use sedgepath_core::direct::queueing::QueueTolerance;
 use sedgepath_core::direct::steering::Policy;
 
 /// A policy with its name in reports.
@@ -22,8 +22,8 @@
 pub fn all() -> Vec<Named> {
     let of = |weights, patience| Policy { weights, queue_tolerance: patience, ..Policy::default() };
     let weights = PlacementWeights::default();
-    let patience = Patience::default();
-    let long = Patience { idle_target_factor: 2.0, loaded_target_factor: 2.0 };
+    let patience = QueueTolerance::default();
+    let long = QueueTolerance { idle_target_factor: 2.0, loaded_target_factor: 2.0 };
     vec![
         Named { name: "in force", policy: Policy::default() },
         Named {
