--- a/crates/sedgepath-core/src/direct/routing.rs
+++ b/crates/sedgepath-core/src/direct/routing.rs
@@ -24,7 +24,7 @@
 
 /// A service among which a route spreads its requests.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RoutePart {
+pub struct WeightedService {
     /// The service's name.
     pub service: Box<str>,
     /// Its share of the requests, relative to the other parts.
@@ -47,7 +47,7 @@
     /// The rank; 0 is the most urgent.
     pub priority: u32,
     /// The services that run its requests; at least one.
-    pub weighted_services: Vec<RoutePart>,
+    pub weighted_services: Vec<WeightedService>,
     /// The most upstreams to which one request may be sent.
     pub max_attempts: u32,
     /// Whether an upstream that has lately run a request for an object runs the next one faster.
@@ -132,7 +132,11 @@
 
 impl Splits {
     /// Returns the part that takes the next request of a route, for an object if it has one.
-    pub fn next_service<'a>(&mut self, route: &'a Route, object: Option<u64>) -> &'a RoutePart {
+    pub fn next_service<'a>(
+        &mut self,
+        route: &'a Route,
+        object: Option<u64>,
+    ) -> &'a WeightedService {
         if route.weighted_services.len() < 2 {
             return &route.weighted_services[0];
         }
--- a/crates/sedgepath-core/tests/direct_routing.rs
+++ b/crates/sedgepath-core/tests/direct_routing.rs
@@ -1,7 +1,7 @@
 //! Routes, splits and the configuration in force.
 
 use sedgepath_core::direct::attempts::RejectionReason;
-use sedgepath_core::direct::routing::{RouteKind, RoutePart, Splits};
+use sedgepath_core::direct::routing::{RouteKind, Splits, WeightedService};
 use sedgepath_core::direct::steering::Asked;
 use sedgepath_test_support::direct::{HOST, begin, configuration, route, serving_vm, vm};
 
@@ -61,8 +61,8 @@
 fn splits_keep_shares_and_objects_together() {
     let mut split = route(RouteKind::Idempotent);
     split.weighted_services = vec![
-        RoutePart { service: "left".into(), weight: 70.0 },
-        RoutePart { service: "right".into(), weight: 30.0 },
+        WeightedService { service: "left".into(), weight: 70.0 },
+        WeightedService { service: "right".into(), weight: 30.0 },
     ];
     let mut splits = Splits::default();
     let objects: Vec<u64> =
--- a/crates/sedgepath-emulator/src/setup.rs
+++ b/crates/sedgepath-emulator/src/setup.rs
@@ -5,7 +5,7 @@
 
 use sedgepath_core::direct::budget::RetryBudgetLimits;
 use sedgepath_core::direct::routing::{
-    CallerLimits, Configuration, Route, RouteKind, RoutePart, ServiceSettings,
+    CallerLimits, Configuration, Route, RouteKind, ServiceSettings, WeightedService,
 };
 use sedgepath_core::direct::upstreams::UpstreamEntry;
 use sedgepath_core::direct::vms::{StoreView, VmCard, VmHeartbeat, VmTiming, Vms};
@@ -56,7 +56,7 @@
         timeout_ms: callers.timeout_ms,
         target_ms: callers.target_ms,
         priority: 1,
-        weighted_services: vec![RoutePart { service: SERVICE.into(), weight: 1.0 }],
+        weighted_services: vec![WeightedService { service: SERVICE.into(), weight: 1.0 }],
         max_attempts: callers.max_attempts,
         sticky: true,
         home_regions: Vec::new(),
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -6,7 +6,7 @@
 use sedgepath_core::direct::attempts::RequestState;
 use sedgepath_core::direct::budget::RetryBudgetLimits;
 use sedgepath_core::direct::routing::{
-    CallerLimits, Configuration, Route, RouteKind, RoutePart, ServiceSettings,
+    CallerLimits, Configuration, Route, RouteKind, ServiceSettings, WeightedService,
 };
 use sedgepath_core::direct::steering::Asked;
 use sedgepath_core::direct::upstreams::UpstreamEntry;
@@ -90,7 +90,7 @@
         timeout_ms: 3_000,
         target_ms: 400,
         priority: 1,
-        weighted_services: vec![RoutePart { service: SERVICE.into(), weight: 1.0 }],
+        weighted_services: vec![WeightedService { service: SERVICE.into(), weight: 1.0 }],
         max_attempts: 2,
         sticky: true,
         home_regions: Vec::new(),
