--- a/crates/sedgepath-core/src/direct/routing.rs
+++ b/crates/sedgepath-core/src/direct/routing.rs
@@ -126,11 +126,11 @@
 /// taken. So each part stays within some requests of its share after any number of requests, which
 /// neither a random draw nor the digests alone do.
 #[derive(Debug, Default)]
-pub struct Splits {
+pub struct WeightedRoundRobin {
     credits: Map<Box<str>, Vec<f64>>,
 }
 
-impl Splits {
+impl WeightedRoundRobin {
     /// Returns the part that takes the next request of a route, for an object if it has one.
     pub fn next_service<'a>(
         &mut self,
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -16,7 +16,7 @@
 use super::budget::{RetryBudget, RetryBudgetLimits};
 use super::placement::{Candidate, PlacementWeights, ServiceTimes};
 use super::queueing::{self, Pressure, QueueTolerance};
-use super::routing::{Configuration, ServiceSettings, Splits};
+use super::routing::{Configuration, ServiceSettings, WeightedRoundRobin};
 use super::upstreams::Upstreams;
 use super::vms::Vms;
 
@@ -126,7 +126,7 @@
     policy: Policy,
     location: Place,
     configuration: Option<Arc<Configuration>>,
-    splits: Splits,
+    splits: WeightedRoundRobin,
     upstreams: Upstreams,
     evacuated_domains: Set<Box<str>>,
     budget: RetryBudget,
@@ -148,7 +148,7 @@
         Self {
             policy: Policy::default(),
             configuration: None,
-            splits: Splits::default(),
+            splits: WeightedRoundRobin::default(),
             upstreams: Upstreams::default(),
             evacuated_domains: Set::default(),
             budget: RetryBudget::new(limits.budget, &place.name),
--- a/crates/sedgepath-core/tests/direct_routing.rs
+++ b/crates/sedgepath-core/tests/direct_routing.rs
@@ -1,7 +1,7 @@
 //! Routes, splits and the configuration in force.
 
 use sedgepath_core::direct::attempts::RejectionReason;
-use sedgepath_core::direct::routing::{RouteKind, Splits, WeightedService};
+use sedgepath_core::direct::routing::{RouteKind, WeightedRoundRobin, WeightedService};
 use sedgepath_core::direct::steering::Asked;
 use sedgepath_test_support::direct::{HOST, begin, configuration, route, serving_vm, vm};
 
@@ -64,7 +64,7 @@
         WeightedService { service: "left".into(), weight: 70.0 },
         WeightedService { service: "right".into(), weight: 30.0 },
     ];
-    let mut splits = Splits::default();
+    let mut splits = WeightedRoundRobin::default();
     let objects: Vec<u64> =
         (0..60_u64).map(|object| sedgepath_core::rendezvous::rank(object, 3)).collect();
     let mut left = 0_i64;
