--- a/crates/sedgepath-core/src/direct/status.rs
+++ b/crates/sedgepath-core/src/direct/status.rs
@@ -28,7 +28,7 @@
     /// The services by their names.
     pub services: BTreeMap<Box<str>, ServiceStatus>,
     /// The other VMs, in the order of their names.
-    pub other_vms: Vec<OtherVm>,
+    pub other_vms: Vec<OtherVmStatus>,
 }
 
 /// What a VM knows of a service.
@@ -56,7 +56,7 @@
 
 /// What a VM knows of another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OtherVm {
+pub struct OtherVmStatus {
     /// Its name.
     pub name: Box<str>,
     /// Its failure domain.
--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -17,7 +17,7 @@
 use self::elsewhere::{Elsewhere, Newer};
 use self::gossip::Telling;
 use self::known::{KnownVms, Standing};
-use super::status::OtherVm;
+use super::status::OtherVmStatus;
 use crate::hash::{Map, Set};
 use crate::key::VmKey;
 
@@ -249,8 +249,8 @@
     }
 
     /// Returns what is known of the other VMs, in the order of names.
-    pub fn other_vms(&self, now_ms: u64) -> Vec<OtherVm> {
-        let heard = self.peers.values().map(|Peer { card, state, heard_at_ms }| OtherVm {
+    pub fn other_vms(&self, now_ms: u64) -> Vec<OtherVmStatus> {
+        let heard = self.peers.values().map(|Peer { card, state, heard_at_ms }| OtherVmStatus {
             name: card.name.clone(),
             domain: card.domain.clone(),
             silent_ms: now_ms.saturating_sub(*heard_at_ms),
@@ -258,7 +258,7 @@
             leaving: state.leaving,
             store_reachable: state.store_health.is_reachable(),
         });
-        let listed = self.elsewhere.listed(self.timing, now_ms).map(|listed| OtherVm {
+        let listed = self.elsewhere.listed(self.timing, now_ms).map(|listed| OtherVmStatus {
             name: listed.card.name.clone(),
             domain: listed.card.domain.clone(),
             silent_ms: 0,
