--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -22,7 +22,7 @@
 
 /// Where a VM stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct VmLocation {
     /// The VM's name.
     pub name: Box<str>,
     /// Its failure domain.
@@ -124,7 +124,7 @@
 #[derive(Debug)]
 pub struct Steering {
     policy: Policy,
-    location: Place,
+    location: VmLocation,
     configuration: Option<Arc<Configuration>>,
     splits: WeightedRoundRobin,
     upstreams: Upstreams,
@@ -142,7 +142,7 @@
 
 impl Steering {
     /// Creates the state of a VM that knows only itself.
-    pub fn new(place: Place, limits: Limits, vms: Vms) -> Self {
+    pub fn new(place: VmLocation, limits: Limits, vms: Vms) -> Self {
         // Each VM keeps its own share; it has none of a slack.
         let returns = RetryBudgetLimits { ratio: RETURN_SHARE, slack: 0.0, ..limits.budget };
         Self {
@@ -170,7 +170,7 @@
     }
 
     /// Returns where the VM stands.
-    pub fn location(&self) -> &Place {
+    pub fn location(&self) -> &VmLocation {
         &self.location
     }
 
--- a/crates/sedgepath-emulator/src/setup.rs
+++ b/crates/sedgepath-emulator/src/setup.rs
@@ -9,7 +9,7 @@
 };
 use sedgepath_core::direct::upstreams::UpstreamEntry;
 use sedgepath_core::direct::vms::{StoreView, VmCard, VmHeartbeat, VmTiming, Vms};
-use sedgepath_core::direct::{Limits, Place, Steering};
+use sedgepath_core::direct::{Limits, Steering, VmLocation};
 use sedgepath_core::hash::Map;
 
 use crate::scenario::Scenario;
@@ -84,7 +84,7 @@
 ) -> Steering {
     let name: Box<str> = format!("vm{number}").into();
     let regions = domains.iter().map(|(domain, region)| ((*domain).into(), (*region).into()));
-    let place = Place {
+    let place = VmLocation {
         name: name.clone(),
         domain: domain.into(),
         region: region.into(),
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -11,7 +11,7 @@
 use sedgepath_core::direct::steering::Asked;
 use sedgepath_core::direct::upstreams::UpstreamEntry;
 use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, VmTiming, Vms};
-use sedgepath_core::direct::{Limits, Place, Steering};
+use sedgepath_core::direct::{Limits, Steering, VmLocation};
 use sedgepath_core::hash::Map;
 
 /// The failure domains of tests with their regions.
@@ -70,8 +70,12 @@
 pub fn vm(name: &str, domain: &str, number: u8) -> Steering {
     let regions: Map<Box<str>, Box<str>> =
         DOMAINS.iter().map(|(domain, region)| ((*domain).into(), (*region).into())).collect();
-    let place =
-        Place { name: name.into(), domain: domain.into(), region: region(domain).into(), regions };
+    let place = VmLocation {
+        name: name.into(),
+        domain: domain.into(),
+        region: region(domain).into(),
+        regions,
+    };
     let budget = RetryBudgetLimits { ratio: 0.2, slack: 60.0, window_ms: 10_000 };
     Steering::new(place, Limits { budget }, vms(name, domain, number))
 }
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::direct::replicas::Table;
 use sedgepath_core::direct::steering::Policy;
 use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, VmTiming, Vms};
-use sedgepath_core::direct::{Limits, Place, Steering};
+use sedgepath_core::direct::{Limits, Steering, VmLocation};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::{LocalSet, spawn_local};
@@ -139,7 +139,7 @@
 }
 
 fn steering(settings: &Settings, callers: SocketAddr, peers: SocketAddr) -> Steering {
-    let place = Place {
+    let place = VmLocation {
         name: settings.vm_name.clone(),
         domain: settings.domain.clone(),
         region: settings.region.clone(),
