--- a/crates/sedgepath-core/src/direct.rs
+++ b/crates/sedgepath-core/src/direct.rs
@@ -39,4 +39,4 @@
 pub mod upstreams;
 pub mod vms;
 
-pub use steering::{Limits, Steering, VmLocation};
+pub use steering::{OperatorLimits, Steering, VmLocation};
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -35,7 +35,7 @@
 
 /// The limits that the platform's operators set.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
+pub struct OperatorLimits {
     /// The retry budget of all VMs.
     pub budget: RetryBudgetLimits,
 }
@@ -142,7 +142,7 @@
 
 impl Steering {
     /// Creates the state of a VM that knows only itself.
-    pub fn new(place: VmLocation, limits: Limits, vms: Vms) -> Self {
+    pub fn new(place: VmLocation, limits: OperatorLimits, vms: Vms) -> Self {
         // Each VM keeps its own share; it has none of a slack.
         let returns = RetryBudgetLimits { ratio: RETURN_SHARE, slack: 0.0, ..limits.budget };
         Self {
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -11,7 +11,7 @@
 use sedgepath_core::direct::steering::Asked;
 use sedgepath_core::direct::upstreams::UpstreamEntry;
 use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, VmTiming, Vms};
-use sedgepath_core::direct::{Limits, Steering, VmLocation};
+use sedgepath_core::direct::{OperatorLimits, Steering, VmLocation};
 use sedgepath_core::hash::Map;
 
 /// The failure domains of tests with their regions.
@@ -77,7 +77,7 @@
         regions,
     };
     let budget = RetryBudgetLimits { ratio: 0.2, slack: 60.0, window_ms: 10_000 };
-    Steering::new(place, Limits { budget }, vms(name, domain, number))
+    Steering::new(place, OperatorLimits { budget }, vms(name, domain, number))
 }
 
 /// Returns a route under `/KIND/`.
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::direct::replicas::Table;
 use sedgepath_core::direct::steering::Policy;
 use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, VmTiming, Vms};
-use sedgepath_core::direct::{Limits, Steering, VmLocation};
+use sedgepath_core::direct::{OperatorLimits, Steering, VmLocation};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::{LocalSet, spawn_local};
@@ -145,7 +145,7 @@
         region: settings.region.clone(),
         regions: settings.region_by_domain.clone(),
     };
-    let limits = Limits {
+    let limits = OperatorLimits {
         budget: RetryBudgetLimits {
             ratio: settings.bounds.retry_budget_ratio,
             slack: settings.bounds.retry_budget_slack,
