--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -78,7 +78,7 @@
 
 /// A request as a caller sent it.
 #[derive(Debug, Clone, Copy)]
-pub struct Asked<'a> {
+pub struct IncomingRequest<'a> {
     /// The host that it names.
     pub host: &'a str,
     /// Its path, without a query.
@@ -251,7 +251,7 @@
     /// Fails with the VM's own answer if no route takes it or its time is up.
     pub fn begin_request(
         &mut self,
-        asked: Asked<'_>,
+        asked: IncomingRequest<'_>,
         now_ms: u64,
     ) -> Result<RequestState, Refusal> {
         let refuse = |reason, retry_after_ms| Err(Refusal { reason, retry_after_ms });
--- a/crates/sedgepath-core/tests/direct_routing.rs
+++ b/crates/sedgepath-core/tests/direct_routing.rs
@@ -2,11 +2,11 @@
 
 use sedgepath_core::direct::attempts::RejectionReason;
 use sedgepath_core::direct::routing::{RouteKind, WeightedRoundRobin, WeightedService};
-use sedgepath_core::direct::steering::Asked;
+use sedgepath_core::direct::steering::IncomingRequest;
 use sedgepath_test_support::direct::{HOST, begin, configuration, route, serving_vm, vm};
 
-fn asked(path: &str) -> Asked<'_> {
-    Asked { host: HOST, path, time_left_ms: Some(1_000), object: None }
+fn asked(path: &str) -> IncomingRequest<'_> {
+    IncomingRequest { host: HOST, path, time_left_ms: Some(1_000), object: None }
 }
 
 /// Of two routes that fit, the one with the longer prefix takes the request; a host is compared
@@ -49,7 +49,7 @@
 #[test]
 fn the_routes_timeout_bounds_the_callers() {
     let mut vm = serving_vm("a1", "north-a", 1, 1);
-    let asked = Asked { time_left_ms: Some(60_000), ..asked("/reads/1") };
+    let asked = IncomingRequest { time_left_ms: Some(60_000), ..asked("/reads/1") };
     let attempts = vm.begin_request(asked, 100).expect("refused");
     assert_eq!(attempts.deadline_at_ms, 3_100);
     assert_eq!(begin(&mut vm, "/reads/1", "x", 5).deadline_at_ms, 3_005);
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -10,7 +10,7 @@
 use sedgepath_core::clock::Stamp;
 use sedgepath_core::direct::Steering;
 use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, NextStep, RequestState};
-use sedgepath_core::direct::steering::{Asked, Policy};
+use sedgepath_core::direct::steering::{IncomingRequest, Policy};
 use sedgepath_core::direct::upstreams::{UpstreamEntry, UpstreamKey};
 use sedgepath_core::direct::vms::VmHeartbeat;
 
@@ -294,7 +294,8 @@
         request.visits += 1;
         let visit = request.visits;
         let object = request.object.to_string();
-        let asked = Asked { host: HOST, path: "/", time_left_ms: None, object: Some(&object) };
+        let asked =
+            IncomingRequest { host: HOST, path: "/", time_left_ms: None, object: Some(&object) };
         match self.nodes[request.vm].steering.begin_request(asked, self.now_ms) {
             Ok(attempts) => {
                 let deadline_at_ms = attempts.deadline_at_ms;
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -8,7 +8,7 @@
 use sedgepath_core::direct::routing::{
     CallerLimits, Configuration, Route, RouteKind, ServiceSettings, WeightedService,
 };
-use sedgepath_core::direct::steering::Asked;
+use sedgepath_core::direct::steering::IncomingRequest;
 use sedgepath_core::direct::upstreams::UpstreamEntry;
 use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, VmTiming, Vms};
 use sedgepath_core::direct::{OperatorLimits, Steering, VmLocation};
@@ -174,6 +174,7 @@
 ///
 /// Panics if the VM refuses it.
 pub fn begin(vm: &mut Steering, path: &str, object: &str, now_ms: u64) -> RequestState {
-    let asked = Asked { host: HOST, path, time_left_ms: Some(3_000), object: Some(object) };
+    let asked =
+        IncomingRequest { host: HOST, path, time_left_ms: Some(3_000), object: Some(object) };
     vm.begin_request(asked, now_ms).expect("the request is refused")
 }
--- a/crates/sedgepathd/src/direct/ingress.rs
+++ b/crates/sedgepathd/src/direct/ingress.rs
@@ -16,7 +16,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use sedgepath_adapter::headers::RequestFields;
 use sedgepath_core::direct::attempts::{AttemptOutcome, NextStep, RejectionReason};
-use sedgepath_core::direct::steering::{Asked, Refusal};
+use sedgepath_core::direct::steering::{IncomingRequest, Refusal};
 use sedgepath_wire::tcp;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout_at;
@@ -143,7 +143,7 @@
             Refusal { reason: RejectionReason::Overloaded, retry_after_ms: OVERLOADED_RETRY_MS };
         return refuse(shell, &attempt, None, refusal);
     }
-    let asked = Asked {
+    let asked = IncomingRequest {
         host: fields.host,
         path: parts.uri.path(),
         time_left_ms: fields.time_left_ms,
