--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -11,7 +11,7 @@
 use crate::membership::Membership;
 use crate::outbox::Outbox;
 use crate::request::{
-    HopEnd, Once, Outcome, Refusal, RejectionReason, RequestHead, StoredAnswer, Ticket,
+    HopEnd, Once, Outcome, Rejection, RejectionReason, RequestHead, StoredAnswer, Ticket,
 };
 use crate::table::TableResult;
 
@@ -229,7 +229,7 @@
 
 /// The outcome of a request that was not run and will not be.
 fn not_run(reason: RejectionReason) -> Outcome {
-    let refusal = Refusal { reason, retry_after_ms: RETRY_AFTER_MS };
+    let refusal = Rejection { reason, retry_after_ms: RETRY_AFTER_MS };
     Outcome::NotRun { refusal, others: Vec::new() }
 }
 
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -91,7 +91,7 @@
 
 /// A request that the VM answers itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Rejection {
     /// Why.
     pub reason: RejectionReason,
     /// The time to come back after, in milliseconds.
@@ -253,8 +253,8 @@
         &mut self,
         asked: IncomingRequest<'_>,
         now_ms: u64,
-    ) -> Result<RequestState, Refusal> {
-        let refuse = |reason, retry_after_ms| Err(Refusal { reason, retry_after_ms });
+    ) -> Result<RequestState, Rejection> {
+        let refuse = |reason, retry_after_ms| Err(Rejection { reason, retry_after_ms });
         let Some(configuration) = self.configuration.as_ref() else {
             return refuse(RejectionReason::NoConfiguration, NO_UPSTREAM_RETRY_MS);
         };
--- a/crates/sedgepath-core/src/egress.rs
+++ b/crates/sedgepath-core/src/egress.rs
@@ -18,7 +18,7 @@
 use crate::key::{ExchangeKey, ServiceKey, UpstreamKey};
 use crate::message::{LeavingUpstreams, ServiceLoad};
 use crate::outbox::Outbox;
-use crate::request::{CallEnd, Dispatch, Refusal, RejectionReason};
+use crate::request::{CallEnd, Dispatch, Rejection, RejectionReason};
 use crate::timeline::Topic;
 
 mod connections;
@@ -151,7 +151,7 @@
         });
         if waited {
             let refusal =
-                Refusal { reason: RejectionReason::Cancelled, retry_after_ms: RETRY_AFTER_MS };
+                Rejection { reason: RejectionReason::Cancelled, retry_after_ms: RETRY_AFTER_MS };
             out.push(Action::RejectDispatch { exchange, refusal });
         }
     }
@@ -273,7 +273,7 @@
         };
         for waiting in service.queue.drain_refused(|waiting| waiting.deadline_at_ms <= now_ms) {
             let refusal =
-                Refusal { reason: RejectionReason::Deadline, retry_after_ms: RETRY_AFTER_MS };
+                Rejection { reason: RejectionReason::Deadline, retry_after_ms: RETRY_AFTER_MS };
             out.push(Action::RejectDispatch { exchange: waiting.exchange, refusal });
         }
     }
@@ -370,19 +370,19 @@
     }
 }
 
-fn full(retry_after_ms: u64) -> Refusal {
-    Refusal { reason: RejectionReason::Full, retry_after_ms }
+fn full(retry_after_ms: u64) -> Rejection {
+    Rejection { reason: RejectionReason::Full, retry_after_ms }
 }
 
 /// Says why no upstream of a service can be used.
-fn unusable(capacity: Capacity, now_ms: u64) -> Refusal {
+fn unusable(capacity: Capacity, now_ms: u64) -> Rejection {
     let reason =
         if capacity.owned { RejectionReason::NoUpstream } else { RejectionReason::NotOwner };
     let retry_after_ms = match capacity.retry_at_ms {
         Some(retry_at_ms) => retry_at_ms.saturating_sub(now_ms).max(1),
         None => RETRY_AFTER_MS,
     };
-    Refusal { reason, retry_after_ms }
+    Rejection { reason, retry_after_ms }
 }
 
 fn longest_deadline_ms(service: ServiceKey, scope: Scope<'_>) -> u64 {
--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -304,7 +304,7 @@
         /// The dispatch.
         exchange: ExchangeKey,
         /// Why, and when to come back.
-        refusal: crate::request::Refusal,
+        refusal: crate::request::Rejection,
     },
     /// Cancels an upstream call, or a dispatch that still waits in the queue.
     CancelCall {
--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -16,7 +16,7 @@
 use crate::look_up::LookUps;
 use crate::outbox::Outbox;
 use crate::request::{
-    Class, Dispatch, HopEnd, Once, Outcome, Refusal, RejectionReason, RequestHead,
+    Class, Dispatch, HopEnd, Once, Outcome, Rejection, RejectionReason, RequestHead,
 };
 use crate::retry::RetryBudgets;
 use crate::shift::ShiftKey;
@@ -91,13 +91,13 @@
         let (entry, class) = match admit(service, head, &means.view) {
             Ok(_) if !self.places.is_ready() => {
                 let refusal =
-                    Refusal { reason: RejectionReason::NotReady, retry_after_ms: RETRY_AFTER_MS };
+                    Rejection { reason: RejectionReason::NotReady, retry_after_ms: RETRY_AFTER_MS };
                 return Some(self.not_run(request, service, head, refusal, &means));
             }
             Ok(admitted) => admitted,
             Err(Denied::Outcome(outcome)) => return Some(Conclusion { request, outcome }),
             Err(Denied::NotRun(reason)) => {
-                let refusal = Refusal { reason, retry_after_ms: RETRY_AFTER_MS };
+                let refusal = Rejection { reason, retry_after_ms: RETRY_AFTER_MS };
                 return Some(self.not_run(request, service, head, refusal, &means));
             }
         };
@@ -197,11 +197,15 @@
     }
 
     /// Finds the owner for a further attempt and pays for it out of the budget.
-    fn place_again(&mut self, pending: &mut Pending, means: &Means<'_>) -> Result<Owner, Refusal> {
+    fn place_again(
+        &mut self,
+        pending: &mut Pending,
+        means: &Means<'_>,
+    ) -> Result<Owner, Rejection> {
         let (service, class) = (pending.service(), pending.class());
         if !self.budgets.allow(service, class) {
             let reason = RejectionReason::RetryBudget;
-            return Err(Refusal { reason, retry_after_ms: RETRY_AFTER_MS });
+            return Err(Rejection { reason, retry_after_ms: RETRY_AFTER_MS });
         }
         let owner = self.places.place(pending, means)?;
         self.budgets.spend(service, class);
@@ -232,7 +236,7 @@
             let outcome = Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS };
             return Some(Conclusion { request, outcome });
         }
-        let refusal = pending.refusal().or(refusal).unwrap_or(Refusal {
+        let refusal = pending.refusal().or(refusal).unwrap_or(Rejection {
             reason: RejectionReason::Deadline,
             retry_after_ms: RETRY_AFTER_MS,
         });
@@ -248,7 +252,7 @@
         request: RequestKey,
         service: ServiceKey,
         head: &RequestHead,
-        refusal: Refusal,
+        refusal: Rejection,
         means: &Means<'_>,
     ) -> Conclusion {
         let others = self.look_ups.alternatives(service, head.source, &means.view);
--- a/crates/sedgepath-core/src/ingress/pending.rs
+++ b/crates/sedgepath-core/src/ingress/pending.rs
@@ -3,7 +3,8 @@
 use std::net::IpAddr;
 
 use super::{
-    Class, Dispatch, HopEnd, Once, Owner, Refusal, RejectionReason, RequestHead, ServiceEntry, View,
+    Class, Dispatch, HopEnd, Once, Owner, Rejection, RejectionReason, RequestHead, ServiceEntry,
+    View,
 };
 use crate::event::Action;
 use crate::key::{OriginKey, RequestKey, ServiceKey, VmKey};
@@ -32,7 +33,7 @@
     home: Option<usize>,
     failed: Vec<VmKey>,
     lost: bool,
-    refusal: Option<Refusal>,
+    refusal: Option<Rejection>,
     answered: bool,
 }
 
@@ -106,7 +107,7 @@
     }
 
     /// The refusal that lets the caller come back soonest.
-    pub(super) fn refusal(&self) -> Option<Refusal> {
+    pub(super) fn refusal(&self) -> Option<Rejection> {
         self.refusal
     }
 
@@ -162,7 +163,7 @@
         self.failed.push(attempt.vm);
         match end {
             HopEnd::Refused(refusal) => self.note_refusal(refusal),
-            HopEnd::NotSent => self.note_refusal(Refusal {
+            HopEnd::NotSent => self.note_refusal(Rejection {
                 reason: RejectionReason::PeerUnreachable,
                 retry_after_ms: super::RETRY_AFTER_MS,
             }),
@@ -170,7 +171,7 @@
         }
     }
 
-    fn note_refusal(&mut self, refusal: Refusal) {
+    fn note_refusal(&mut self, refusal: Rejection) {
         let sooner = self.refusal.is_none_or(|known| refusal.retry_after_ms < known.retry_after_ms);
         if sooner {
             self.refusal = Some(refusal);
--- a/crates/sedgepath-core/src/ingress/places.rs
+++ b/crates/sedgepath-core/src/ingress/places.rs
@@ -9,7 +9,7 @@
 use crate::message::Baseline;
 use crate::outbox::Outbox;
 use crate::record::Cap;
-use crate::request::{Refusal, RejectionReason};
+use crate::request::{Rejection, RejectionReason};
 use crate::shift::baseline::BaselineSearch;
 use crate::shift::{self, ShiftKey, ShiftLedger};
 use crate::steering::{Candidate, Choice};
@@ -20,8 +20,8 @@
 const LEAST_RETRY_AFTER_MS: u64 = 50;
 
 /// What a caller is told when no upstream of its service can be reached.
-const NO_UPSTREAM: Refusal =
-    Refusal { reason: RejectionReason::NoUpstream, retry_after_ms: RETRY_AFTER_MS };
+const NO_UPSTREAM: Rejection =
+    Rejection { reason: RejectionReason::NoUpstream, retry_after_ms: RETRY_AFTER_MS };
 
 /// The shift ledger, and what is known of the places between two ticks.
 #[derive(Debug)]
@@ -86,7 +86,7 @@
         &mut self,
         pending: &mut Pending,
         means: &Means<'_>,
-    ) -> Result<Owner, Refusal> {
+    ) -> Result<Owner, Rejection> {
         let view = &means.view;
         let service = pending.service();
         let key = ShiftKey::of(service, pending.origin(), view.catalogue);
@@ -115,7 +115,7 @@
             }
             let part_left_ms = standing.bucket_ends_at_ms().saturating_sub(view.now_ms);
             let retry_after_ms = part_left_ms.max(LEAST_RETRY_AFTER_MS);
-            refusal = Refusal { reason: RejectionReason::ShiftCap, retry_after_ms };
+            refusal = Rejection { reason: RejectionReason::ShiftCap, retry_after_ms };
         }
         Err(refusal)
     }
--- a/crates/sedgepath-core/src/request.rs
+++ b/crates/sedgepath-core/src/request.rs
@@ -159,7 +159,7 @@
 
 /// A refusal with the time to come back: proof that the request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct Rejection {
     /// Why.
     pub reason: RejectionReason,
     /// In how many milliseconds a new try makes sense; a time on the wire, since clocks differ.
@@ -205,7 +205,7 @@
     /// It was not run and will not be.
     NotRun {
         /// Why, and when to come back.
-        refusal: Refusal,
+        refusal: Rejection,
         /// Other entry VMs to try.
         others: Vec<EntryVm>,
     },
@@ -245,7 +245,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HopEnd {
     /// The owner refused: the request was not run.
-    Refused(Refusal),
+    Refused(Rejection),
     /// No connection could be made, so nothing was sent.
     NotSent,
     /// The hop broke after the request was sent; it may have run.
--- a/crates/sedgepath-core/src/stop.rs
+++ b/crates/sedgepath-core/src/stop.rs
@@ -7,10 +7,11 @@
 //! dispatch that crosses the end of the process would end unknown. A second request to stop ends it
 //! at once.
 
-use crate::request::{Refusal, RejectionReason};
+use crate::request::{Rejection, RejectionReason};
 
 /// The answer to a dispatch that comes too late; another owner takes over meanwhile.
-pub const REFUSAL: Refusal = Refusal { reason: RejectionReason::NotReady, retry_after_ms: 1_000 };
+pub const REFUSAL: Rejection =
+    Rejection { reason: RejectionReason::NotReady, retry_after_ms: 1_000 };
 
 /// The time of refusing new work with nothing in flight, in milliseconds.
 const LAST_WHILE_MS: u64 = 1_000;
--- a/crates/sedgepath-test-support/src/bed/upstreams.rs
+++ b/crates/sedgepath-test-support/src/bed/upstreams.rs
@@ -5,13 +5,13 @@
 
 use sedgepath_core::event::UpstreamReport;
 use sedgepath_core::key::{ExchangeKey, UpstreamKey};
-use sedgepath_core::request::{CallEnd, Once, Refusal, RejectionReason, RequestHead};
+use sedgepath_core::request::{CallEnd, Once, Rejection, RejectionReason, RequestHead};
 
 use super::{CallIndex, NodeIndex};
 
 /// What an upstream's refusal before the start of a request says.
-pub const REFUSAL: Refusal =
-    Refusal { reason: RejectionReason::UpstreamRefused, retry_after_ms: 100 };
+pub const REFUSAL: Rejection =
+    Rejection { reason: RejectionReason::UpstreamRefused, retry_after_ms: 100 };
 
 /// One run of a request at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -14,7 +14,7 @@
 use sedgepath_core::message::MemberCard;
 use sedgepath_core::outbox::Outbox;
 use sedgepath_core::record::RawRecord;
-use sedgepath_core::request::{CallEnd, Class, Dispatch, Refusal};
+use sedgepath_core::request::{CallEnd, Class, Dispatch, Rejection};
 
 /// The time between two ticks, in milliseconds.
 const TICK_EVERY_MS: u64 = 20;
@@ -39,7 +39,7 @@
         at_ms: u64,
     },
     /// It was refused.
-    Refused(Refusal),
+    Refused(Rejection),
 }
 
 /// One owner of all upstreams of its records.
@@ -203,7 +203,7 @@
     }
 
     /// Returns the refusal of a request, if it was refused.
-    pub fn refusal(&self, exchange: ExchangeKey) -> Option<Refusal> {
+    pub fn refusal(&self, exchange: ExchangeKey) -> Option<Rejection> {
         match self.decision(exchange) {
             Decision::Refused(refusal) => Some(refusal),
             _ => None,
--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -11,7 +11,7 @@
 use std::io;
 
 use sedgepath_core::key::{BootId, RequestKey, VmKey};
-use sedgepath_core::request::{AnswerHead, Dispatch, Refusal};
+use sedgepath_core::request::{AnswerHead, Dispatch, Rejection};
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
@@ -128,7 +128,7 @@
         /// The exchange that is refused.
         id: ExchangeId,
         /// Why.
-        refusal: Refusal,
+        refusal: Rejection,
     },
     /// The request was sent to an upstream and its answer was lost.
     ResponseLost {
--- a/crates/sedgepathd/src/direct/answers.rs
+++ b/crates/sedgepathd/src/direct/answers.rs
@@ -3,7 +3,7 @@
 use hyper::{Response, StatusCode};
 use sedgepath_adapter::headers;
 use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, RejectionReason, RequestState};
-use sedgepath_core::direct::steering::Refusal;
+use sedgepath_core::direct::steering::Rejection;
 
 use super::pool::Body;
 use super::questions::empty;
@@ -39,7 +39,7 @@
     shell: &Shell,
     attempt: &str,
     attempts: Option<&RequestState>,
-    refusal: Refusal,
+    refusal: Rejection,
 ) -> Response<Body> {
     let status = match refusal.reason {
         RejectionReason::NoRoute => StatusCode::NOT_FOUND,
--- a/crates/sedgepathd/src/direct/ingress.rs
+++ b/crates/sedgepathd/src/direct/ingress.rs
@@ -16,7 +16,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use sedgepath_adapter::headers::RequestFields;
 use sedgepath_core::direct::attempts::{AttemptOutcome, NextStep, RejectionReason};
-use sedgepath_core::direct::steering::{IncomingRequest, Refusal};
+use sedgepath_core::direct::steering::{IncomingRequest, Rejection};
 use sedgepath_wire::tcp;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout_at;
@@ -140,7 +140,7 @@
     let attempt: Box<str> = fields.attempt_id.into();
     if shell.requests.get() > MAX_REQUESTS {
         let refusal =
-            Refusal { reason: RejectionReason::Overloaded, retry_after_ms: OVERLOADED_RETRY_MS };
+            Rejection { reason: RejectionReason::Overloaded, retry_after_ms: OVERLOADED_RETRY_MS };
         return refuse(shell, &attempt, None, refusal);
     }
     let asked = IncomingRequest {
@@ -181,7 +181,7 @@
             None => match flight.next_step() {
                 NextStep::Send(to) => to,
                 NextStep::Reject { reason, retry_after_ms } => {
-                    let refusal = Refusal { reason, retry_after_ms };
+                    let refusal = Rejection { reason, retry_after_ms };
                     return refuse(&shell, &head.attempt, Some(&flight.attempts), refusal);
                 }
                 NextStep::GiveUp { reason } => {
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -10,7 +10,7 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use sedgepath_core::event::{Action, Event, UpstreamReport};
 use sedgepath_core::key::{BootId, DomainKey, ExchangeKey, VmKey};
-use sedgepath_core::request::{AnswerHead, CallEnd, Dispatch, Refusal, RejectionReason};
+use sedgepath_core::request::{AnswerHead, CallEnd, Dispatch, Rejection, RejectionReason};
 use sedgepath_wire::frame::{Field, HttpAnswerHead, HttpRequestHead};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
@@ -166,8 +166,10 @@
             }
             Err(CallError::NotSent) => self.not_sent(reply),
             Err(CallError::Lost) if self.cancel(call).await => {
-                let refusal =
-                    Refusal { reason: RejectionReason::Cancelled, retry_after_ms: RETRY_AFTER_MS };
+                let refusal = Rejection {
+                    reason: RejectionReason::Cancelled,
+                    retry_after_ms: RETRY_AFTER_MS,
+                };
                 let _gone = reply.send(Reply::Refused(refusal));
                 self.ended(CallEnd::Cancelled);
             }
@@ -234,7 +236,7 @@
             self.handle.event(Event::UpstreamReport { upstream: call.upstream, report });
         }
         if is_not_started(parts.status, &parts.headers) {
-            let refusal = Refusal {
+            let refusal = Rejection {
                 reason: RejectionReason::UpstreamRefused,
                 retry_after_ms: RETRY_AFTER_MS,
             };
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -124,8 +124,8 @@
 }
 
 /// A refusal by an owner that could not send a request to the upstream: it was not run.
-fn not_sent() -> sedgepath_core::request::Refusal {
-    sedgepath_core::request::Refusal {
+fn not_sent() -> sedgepath_core::request::Rejection {
+    sedgepath_core::request::Rejection {
         reason: sedgepath_core::request::RejectionReason::NoUpstream,
         retry_after_ms: 200,
     }
--- a/crates/sedgepathd/src/reply.rs
+++ b/crates/sedgepathd/src/reply.rs
@@ -1,7 +1,7 @@
 //! The reply to a dispatched request, and bodies on their way.
 
 use bytes::Bytes;
-use sedgepath_core::request::{AnswerHead, Refusal};
+use sedgepath_core::request::{AnswerHead, Rejection};
 use sedgepath_wire::frame::{Field, HttpAnswerHead};
 use tokio::sync::mpsc;
 
@@ -42,7 +42,7 @@
     /// An answer has begun.
     Answer(Box<Answer>),
     /// The request was not run.
-    Refused(Refusal),
+    Refused(Rejection),
     /// Nothing was sent.
     NotSent,
     /// The request was sent and its answer was lost.
