--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -7,7 +7,7 @@
 use std::str::FromStr;
 
 use super::queueing::{CALM_TARGET_FACTOR, QueueTolerance};
-use super::steering::Policy;
+use super::steering::SteeringConfig;
 
 /// A mechanism that can be left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -85,7 +85,7 @@
     }
 }
 
-impl Policy {
+impl SteeringConfig {
     /// Leaves a mechanism out.
     pub fn without(mut self, mechanism: Mechanism) -> Self {
         let weights = &mut self.weights;
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -101,7 +101,7 @@
 /// The figures by which requests are placed and made to wait; those in force are the default, others
 /// are for comparison.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Policy {
+pub struct SteeringConfig {
     /// How upstreams are weighed.
     pub weights: PlacementWeights,
     /// How long a request may wait.
@@ -110,7 +110,7 @@
     pub hedging: bool,
 }
 
-impl Default for Policy {
+impl Default for SteeringConfig {
     fn default() -> Self {
         Self {
             weights: PlacementWeights::default(),
@@ -123,7 +123,7 @@
 /// The state of a VM that sends to upstreams itself.
 #[derive(Debug)]
 pub struct Steering {
-    policy: Policy,
+    policy: SteeringConfig,
     location: VmLocation,
     configuration: Option<Arc<Configuration>>,
     splits: WeightedRoundRobin,
@@ -146,7 +146,7 @@
         // Each VM keeps its own share; it has none of a slack.
         let returns = RetryBudgetLimits { ratio: RETURN_SHARE, slack: 0.0, ..limits.budget };
         Self {
-            policy: Policy::default(),
+            policy: SteeringConfig::default(),
             configuration: None,
             splits: WeightedRoundRobin::default(),
             upstreams: Upstreams::default(),
@@ -164,7 +164,7 @@
     }
 
     /// Sets figures other than those in force.
-    pub fn with_policy(mut self, policy: Policy) -> Self {
+    pub fn with_policy(mut self, policy: SteeringConfig) -> Self {
         self.policy = policy;
         self
     }
--- a/crates/sedgepath-core/tests/direct_ablation.rs
+++ b/crates/sedgepath-core/tests/direct_ablation.rs
@@ -1,13 +1,13 @@
 //! What a mechanism left out changes.
 
 use sedgepath_core::direct::ablation::Mechanism;
-use sedgepath_core::direct::steering::Policy;
+use sedgepath_core::direct::steering::SteeringConfig;
 
 /// Someone leaves a mechanism out to see what it is worth. Were its name to change nothing, the table
 /// would say that it is worth nothing, and it would be removed.
 #[test]
 fn each_mechanism_left_out_is_another_policy() {
-    let in_force = Policy::default();
+    let in_force = SteeringConfig::default();
     for mechanism in Mechanism::ALL {
         assert_ne!(in_force.without(mechanism), in_force, "without {mechanism}");
     }
--- a/crates/sedgepath-emulator/src/policy.rs
+++ b/crates/sedgepath-emulator/src/policy.rs
@@ -3,7 +3,7 @@
 use sedgepath_core::direct::ablation::Mechanism;
 use sedgepath_core::direct::placement::PlacementWeights;
 use sedgepath_core::direct::queueing::QueueTolerance;
-use sedgepath_core::direct::steering::Policy;
+use sedgepath_core::direct::steering::SteeringConfig;
 
 /// A policy with its name in reports.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -11,21 +11,25 @@
     /// The name.
     pub name: &'static str,
     /// The figures.
-    pub policy: Policy,
+    pub policy: SteeringConfig,
 }
 
 fn without(name: &'static str, mechanism: Mechanism) -> Named {
-    Named { name, policy: Policy::default().without(mechanism) }
+    Named { name, policy: SteeringConfig::default().without(mechanism) }
 }
 
 /// Returns all policies, the one in force first.
 pub fn all() -> Vec<Named> {
-    let of = |weights, patience| Policy { weights, queue_tolerance: patience, ..Policy::default() };
+    let of = |weights, patience| SteeringConfig {
+        weights,
+        queue_tolerance: patience,
+        ..SteeringConfig::default()
+    };
     let weights = PlacementWeights::default();
     let patience = QueueTolerance::default();
     let long = QueueTolerance { idle_target_factor: 2.0, loaded_target_factor: 2.0 };
     vec![
-        Named { name: "in force", policy: Policy::default() },
+        Named { name: "in force", policy: SteeringConfig::default() },
         Named {
             name: "first of the order only",
             policy: of(PlacementWeights { candidate_count: 1, ..weights }, patience),
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -10,7 +10,7 @@
 use sedgepath_core::clock::Stamp;
 use sedgepath_core::direct::Steering;
 use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, NextStep, RequestState};
-use sedgepath_core::direct::steering::{IncomingRequest, Policy};
+use sedgepath_core::direct::steering::{IncomingRequest, SteeringConfig};
 use sedgepath_core::direct::upstreams::{UpstreamEntry, UpstreamKey};
 use sedgepath_core::direct::vms::VmHeartbeat;
 
@@ -164,7 +164,7 @@
 }
 
 /// Plays a scenario under a policy.
-pub fn play(scenario: &Scenario, policy: Policy, seed: u64) -> Figures {
+pub fn play(scenario: &Scenario, policy: SteeringConfig, seed: u64) -> Figures {
     let mut run = Run::new(scenario, policy, seed);
     while let Some(Reverse((at_ms, _, event))) = run.events.pop() {
         run.now_ms = at_ms;
@@ -179,7 +179,7 @@
 }
 
 impl<'a> Run<'a> {
-    fn new(scenario: &'a Scenario, policy: Policy, seed: u64) -> Self {
+    fn new(scenario: &'a Scenario, policy: SteeringConfig, seed: u64) -> Self {
         let domains: Vec<_> = scenario.domains().collect();
         let region_of = |name: &str| {
             scenario.regions.iter().position(|region| *region.name == *name).unwrap_or(0)
--- a/crates/sedgepathd/src/command.rs
+++ b/crates/sedgepathd/src/command.rs
@@ -5,7 +5,7 @@
 
 use getopts::{Matches, Options};
 use sedgepath_core::direct::ablation::UnknownMechanism;
-use sedgepath_core::direct::steering::Policy;
+use sedgepath_core::direct::steering::SteeringConfig;
 
 use crate::settings::Settings;
 use crate::{daemon, direct};
@@ -86,7 +86,7 @@
 /// Reads the options that go with `--direct`.
 fn direct_options(matches: &Matches) -> Result<direct::run::Options, OptionError> {
     let metrics_port = matches.opt_str("metrics-port").map(|port| port.parse()).transpose()?;
-    let mut policy = Policy::default();
+    let mut policy = SteeringConfig::default();
     for name in matches.opt_strs("without") {
         policy = policy.without(name.parse()?);
     }
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -7,7 +7,7 @@
 use sedgepath_adapter::settings::{Settings, SettingsError};
 use sedgepath_core::direct::budget::RetryBudgetLimits;
 use sedgepath_core::direct::replicas::Table;
-use sedgepath_core::direct::steering::Policy;
+use sedgepath_core::direct::steering::SteeringConfig;
 use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, VmTiming, Vms};
 use sedgepath_core::direct::{OperatorLimits, Steering, VmLocation};
 use tokio::net::{TcpListener, UdpSocket};
@@ -52,7 +52,7 @@
     /// The port on which metrics are served, if any.
     pub metrics_port: Option<u16>,
     /// How requests are placed and made to wait.
-    pub policy: Policy,
+    pub policy: SteeringConfig,
 }
 
 /// Runs an entry VM until it is asked to stop.
