--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -17,7 +17,7 @@
 use super::placement::{Candidate, PlacementWeights, ServiceTimes};
 use super::queueing::{self, Pressure, QueueTolerance};
 use super::routing::{Configuration, ServiceSettings, WeightedRoundRobin};
-use super::upstreams::Upstreams;
+use super::upstreams::UpstreamTable;
 use super::vms::Vms;
 
 /// Where a VM stands.
@@ -127,7 +127,7 @@
     location: VmLocation,
     configuration: Option<Arc<Configuration>>,
     splits: WeightedRoundRobin,
-    upstreams: Upstreams,
+    upstreams: UpstreamTable,
     evacuated_domains: Set<Box<str>>,
     budget: RetryBudget,
     /// The callers that are told to come back at once, kept as repeats are.
@@ -149,7 +149,7 @@
             policy: SteeringConfig::default(),
             configuration: None,
             splits: WeightedRoundRobin::default(),
-            upstreams: Upstreams::default(),
+            upstreams: UpstreamTable::default(),
             evacuated_domains: Set::default(),
             budget: RetryBudget::new(limits.budget, &place.name),
             returns: RetryBudget::new(returns, &place.name),
@@ -180,12 +180,12 @@
     }
 
     /// Returns the upstreams.
-    pub fn upstreams(&self) -> &Upstreams {
+    pub fn upstreams(&self) -> &UpstreamTable {
         &self.upstreams
     }
 
     /// Returns the upstreams to be changed.
-    pub fn upstreams_mut(&mut self) -> &mut Upstreams {
+    pub fn upstreams_mut(&mut self) -> &mut UpstreamTable {
         &mut self.upstreams
     }
 
--- a/crates/sedgepath-core/src/direct/upstreams.rs
+++ b/crates/sedgepath-core/src/direct/upstreams.rs
@@ -12,7 +12,7 @@
 
 use crate::hash::{Digest, Map};
 
-pub use table::{EntryChange, LAPSED_GRACE_MS, Upstreams};
+pub use table::{EntryChange, LAPSED_GRACE_MS, UpstreamTable};
 
 /// The weight of a new sample in the moving averages; about the last ten requests count.
 const SAMPLE_WEIGHT: f64 = 0.1;
--- a/crates/sedgepath-core/src/direct/upstreams/table.rs
+++ b/crates/sedgepath-core/src/direct/upstreams/table.rs
@@ -22,7 +22,7 @@
 
 /// All upstreams.
 #[derive(Debug, Default)]
-pub struct Upstreams {
+pub struct UpstreamTable {
     by_key: Map<UpstreamKey, Upstream>,
     by_name: Map<Box<str>, UpstreamKey>,
     by_service: Map<Box<str>, Vec<UpstreamKey>>,
@@ -42,7 +42,7 @@
     None,
 }
 
-impl Upstreams {
+impl UpstreamTable {
     /// Returns an upstream.
     pub fn get(&self, key: UpstreamKey) -> Option<&Upstream> {
         self.by_key.get(&key)
