--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -18,7 +18,7 @@
 use super::queueing::{self, Pressure, QueueTolerance};
 use super::routing::{Configuration, ServiceSettings, WeightedRoundRobin};
 use super::upstreams::UpstreamTable;
-use super::vms::Vms;
+use super::vms::VmTable;
 
 /// Where a VM stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -136,13 +136,13 @@
     answer_bytes: Map<Box<str>, f64>,
     pressure: Pressure,
     far_ms: f64,
-    vms: Vms,
+    vms: VmTable,
     store: StoreContact,
 }
 
 impl Steering {
     /// Creates the state of a VM that knows only itself.
-    pub fn new(place: VmLocation, limits: OperatorLimits, vms: Vms) -> Self {
+    pub fn new(place: VmLocation, limits: OperatorLimits, vms: VmTable) -> Self {
         // Each VM keeps its own share; it has none of a slack.
         let returns = RetryBudgetLimits { ratio: RETURN_SHARE, slack: 0.0, ..limits.budget };
         Self {
@@ -195,12 +195,12 @@
     }
 
     /// Returns the entry VMs.
-    pub fn vms(&self) -> &Vms {
+    pub fn vms(&self) -> &VmTable {
         &self.vms
     }
 
     /// Returns the entry VMs to be changed.
-    pub fn vms_mut(&mut self) -> &mut Vms {
+    pub fn vms_mut(&mut self) -> &mut VmTable {
         &mut self.vms
     }
 
--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -42,7 +42,7 @@
 
 /// The entry VMs as this one sees them.
 #[derive(Debug)]
-pub struct Vms {
+pub struct VmTable {
     own: VmHeartbeat,
     timing: VmTiming,
     /// Those that are heard themselves: the own failure domain, and others before they are known.
@@ -54,7 +54,7 @@
     without_contact_since_ms: Option<u64>,
 }
 
-impl Vms {
+impl VmTable {
     /// Creates a table in which only this VM stands.
     pub fn new(own: VmHeartbeat, timing: VmTiming) -> Self {
         Self {
--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -26,7 +26,7 @@
 use super::heartbeat::{VmCard, VmHeartbeat, VmState};
 use super::known::Standing;
 use super::summary::{DomainSummary, MAX_LISTED, Member, PassedOn};
-use super::{Peer, Vms};
+use super::{Peer, VmTable};
 use crate::clock::Stamp;
 use crate::hash::{Digest, Map};
 use crate::key::VmKey;
@@ -148,7 +148,7 @@
     }
 }
 
-impl Vms {
+impl VmTable {
     /// Returns what this VM sends now, as it does each period.
     pub fn periodic_messages(&mut self, stamp: Stamp, rng: &mut Rng, now_ms: u64) -> Vec<Outgoing> {
         let mut outgoing = vec![self.heartbeat_of_round(stamp, now_ms)];
--- a/crates/sedgepath-core/src/direct/vms/readers.rs
+++ b/crates/sedgepath-core/src/direct/vms/readers.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 use super::elsewhere::Listed;
-use super::{Peer, Vms};
+use super::{Peer, VmTable};
 use crate::hash::Set;
 
 /// How many VMs follow the store at the least, over all regions, if there are as many: with two, one
@@ -72,7 +72,7 @@
     }
 }
 
-impl Vms {
+impl VmTable {
     /// Whether this VM is one of those that follow the store.
     ///
     /// The store may turn away just those that follow it. While none of the region has an answer, the
--- a/crates/sedgepath-core/tests/direct_vms.rs
+++ b/crates/sedgepath-core/tests/direct_vms.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use sedgepath_core::direct::vms::{StoreView, VmHeartbeat, Vms};
+use sedgepath_core::direct::vms::{StoreView, VmHeartbeat, VmTable};
 use sedgepath_test_support::direct::{heartbeat, vms};
 
 fn address(number: u8) -> SocketAddr {
@@ -10,7 +10,7 @@
 }
 
 /// A VM of `north-a` that hears four others.
-fn five() -> Vms {
+fn five() -> VmTable {
     let mut own = vms("a1", "north-a", 1);
     for peer in others() {
         own.record_heartbeat(peer, 0);
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use sedgepath_core::clock::Stamp;
 use sedgepath_core::direct::vms::gossip::{Heartbeat, PeerMessage};
-use sedgepath_core::direct::vms::{DomainSummary, Member, News, PassedOn, StoreView, Vms};
+use sedgepath_core::direct::vms::{DomainSummary, Member, News, PassedOn, StoreView, VmTable};
 use sedgepath_test_support::direct::{heartbeat, vms};
 
 const NOW_MS: u64 = 1_000;
@@ -50,7 +50,7 @@
     ]
 }
 
-fn take(vm: &mut Vms, message: PeerMessage) {
+fn take(vm: &mut VmTable, message: PeerMessage) {
     match message {
         PeerMessage::Heartbeat(Heartbeat::Full(heartbeat)) => {
             vm.record_heartbeat(heartbeat, NOW_MS)
--- a/crates/sedgepath-emulator/src/setup.rs
+++ b/crates/sedgepath-emulator/src/setup.rs
@@ -8,7 +8,7 @@
     CallerLimits, Configuration, Route, RouteKind, ServiceSettings, WeightedService,
 };
 use sedgepath_core::direct::upstreams::UpstreamEntry;
-use sedgepath_core::direct::vms::{StoreView, VmCard, VmHeartbeat, VmTiming, Vms};
+use sedgepath_core::direct::vms::{StoreView, VmCard, VmHeartbeat, VmTable, VmTiming};
 use sedgepath_core::direct::{OperatorLimits, Steering, VmLocation};
 use sedgepath_core::hash::Map;
 
@@ -106,5 +106,5 @@
         max_silence_ms: 5_500,
         forget_after_ms: 20_000,
     };
-    Steering::new(place, OperatorLimits { budget: BUDGET }, Vms::new(own, timing))
+    Steering::new(place, OperatorLimits { budget: BUDGET }, VmTable::new(own, timing))
 }
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -10,7 +10,7 @@
 };
 use sedgepath_core::direct::steering::IncomingRequest;
 use sedgepath_core::direct::upstreams::UpstreamEntry;
-use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, VmTiming, Vms};
+use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, VmTable, VmTiming};
 use sedgepath_core::direct::{OperatorLimits, Steering, VmLocation};
 use sedgepath_core::hash::Map;
 
@@ -62,8 +62,8 @@
 };
 
 /// Returns a VM's view of the others, in which it stands alone.
-pub fn vms(name: &str, domain: &str, number: u8) -> Vms {
-    Vms::new(heartbeat(name, domain, number), TIMING)
+pub fn vms(name: &str, domain: &str, number: u8) -> VmTable {
+    VmTable::new(heartbeat(name, domain, number), TIMING)
 }
 
 /// Returns a VM that knows nothing yet.
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -10,7 +10,7 @@
 use fastrand::Rng;
 use sedgepath_core::clock::Stamp;
 use sedgepath_core::direct::vms::gossip::{Heartbeat, Outgoing, PeerMessage};
-use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, Vms};
+use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, VmTable};
 use sedgepath_core::hash::{Map, Set};
 
 use crate::direct::{HEARTBEAT_MS, TIMING};
@@ -39,7 +39,7 @@
 
 #[derive(Debug)]
 struct Vm {
-    table: Option<Vms>,
+    table: Option<VmTable>,
     boot: u64,
     suspended_until_ms: u64,
 }
@@ -168,7 +168,7 @@
         let boot = boot.unwrap_or(self.boots);
         let mut own = VmHeartbeat::new(self.card(vm), boot, HEARTBEAT_MS);
         own.state.ready = true;
-        self.vms[vm] = Vm { table: Some(Vms::new(own, TIMING)), boot, suspended_until_ms: 0 };
+        self.vms[vm] = Vm { table: Some(VmTable::new(own, TIMING)), boot, suspended_until_ms: 0 };
         let first_ms = self.now_ms + self.rng.u64(1..100);
         self.at(first_ms, Event::Round { vm, boot });
     }
@@ -206,7 +206,7 @@
     }
 
     /// Returns a VM's table.
-    pub fn table(&self, vm: Number) -> Option<&Vms> {
+    pub fn table(&self, vm: Number) -> Option<&VmTable> {
         self.vms[vm].table.as_ref()
     }
 
@@ -215,7 +215,7 @@
     /// # Panics
     ///
     /// Panics if the VM doesn't run.
-    pub fn table_mut(&mut self, vm: Number) -> &mut Vms {
+    pub fn table_mut(&mut self, vm: Number) -> &mut VmTable {
         self.vms[vm].table.as_mut().expect("the VM runs")
     }
 
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -8,7 +8,7 @@
 use sedgepath_core::direct::budget::RetryBudgetLimits;
 use sedgepath_core::direct::replicas::Table;
 use sedgepath_core::direct::steering::SteeringConfig;
-use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, VmTiming, Vms};
+use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, VmTable, VmTiming};
 use sedgepath_core::direct::{OperatorLimits, Steering, VmLocation};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::{SignalKind, signal};
@@ -166,7 +166,7 @@
         max_silence_ms: settings.bounds.settled_after_ms + NAMED_SILENT_MS,
         forget_after_ms: FORGOTTEN_AFTER_MS,
     };
-    let mut vms = Vms::new(own, timing);
+    let mut vms = VmTable::new(own, timing);
     for seed in &settings.seeds {
         // All VMs listen on the same ports.
         vms.add_address(SocketAddr::new(seed.ip(), peers.port()), clock::now_ms());
