--- a/crates/sedgepath-core/src/direct/steering/choosing.rs
+++ b/crates/sedgepath-core/src/direct/steering/choosing.rs
@@ -7,7 +7,7 @@
 use crate::direct::attempts::RequestState;
 use crate::direct::placement::{Candidate, Question};
 use crate::direct::upstreams::{Upstream, UpstreamKey};
-use crate::direct::vms::VmCard;
+use crate::direct::vms::VmDescriptor;
 
 impl Steering {
     pub(super) fn choose(
@@ -77,8 +77,8 @@
     /// The bound is for all VMs together. One VM of the upstream's failure domain, or of the region if
     /// there is none, sends; two that disagree on who serves, or two processes of one VM within a second,
     /// stay within the bound by what each leaves of the rate.
-    fn leads(&self, upstream: &Upstream, serving: &[&VmCard]) -> bool {
-        let near = |fits: &dyn Fn(&VmCard) -> bool| -> Vec<VmKey> {
+    fn leads(&self, upstream: &Upstream, serving: &[&VmDescriptor]) -> bool {
+        let near = |fits: &dyn Fn(&VmDescriptor) -> bool| -> Vec<VmKey> {
             let near = serving.iter().filter(|card| fits(card));
             near.map(|card| card.key()).collect()
         };
--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -21,14 +21,14 @@
 use crate::hash::{Map, Set};
 use crate::key::VmKey;
 
-pub use heartbeat::{StoreView, VmCard, VmHeartbeat, VmState, VmTiming};
+pub use heartbeat::{StoreView, VmDescriptor, VmHeartbeat, VmState, VmTiming};
 pub use readers::STEP_IN_MS;
 pub use summary::{DomainSummary, Member, News, PassedOn};
 
 /// A VM that is heard itself.
 #[derive(Debug)]
 struct Peer {
-    card: VmCard,
+    card: VmDescriptor,
     state: VmState,
     heard_at_ms: u64,
 }
@@ -164,7 +164,7 @@
         true
     }
 
-    fn take_state(&mut self, card: VmCard, state: VmState, now_ms: u64) {
+    fn take_state(&mut self, card: VmDescriptor, state: VmState, now_ms: u64) {
         let forgotten_at_ms = now_ms + self.timing.forget_after_ms;
         self.known.heard(card.peer_address, &Standing::of(&card), forgotten_at_ms);
         self.known.note(now_ms);
@@ -273,11 +273,15 @@
     }
 
     /// Returns the VMs that serve, this one among them unless it leaves, in the order of addresses.
-    pub fn serving_vms(&self, now_ms: u64) -> Vec<&VmCard> {
+    pub fn serving_vms(&self, now_ms: u64) -> Vec<&VmDescriptor> {
         self.serving_where(now_ms, &|_| true)
     }
 
-    fn serving_where(&self, now_ms: u64, fits: &dyn Fn(&VmCard) -> bool) -> Vec<&VmCard> {
+    fn serving_where(
+        &self,
+        now_ms: u64,
+        fits: &dyn Fn(&VmDescriptor) -> bool,
+    ) -> Vec<&VmDescriptor> {
         let heard = self.heard_now(now_ms).filter(|peer| peer.state.ready);
         let heard = heard.map(|peer| &peer.card);
         // What a VM says itself counts more than what others say of it.
@@ -330,7 +334,7 @@
     /// that crosses to another costs; else those of its region, or all. Never empty unless this VM
     /// leaves and knows no other.
     pub fn look_up(&self, domain: &str, region: &str, now_ms: u64) -> Vec<SocketAddr> {
-        let near = |fits: &dyn Fn(&VmCard) -> bool| -> Vec<SocketAddr> {
+        let near = |fits: &dyn Fn(&VmDescriptor) -> bool| -> Vec<SocketAddr> {
             let serving = self.serving_where(now_ms, fits);
             serving.into_iter().map(|card| card.caller_address).take(MAX_NAMED).collect()
         };
--- a/crates/sedgepath-core/src/direct/vms/elsewhere.rs
+++ b/crates/sedgepath-core/src/direct/vms/elsewhere.rs
@@ -6,7 +6,7 @@
 
 use std::net::SocketAddr;
 
-use super::heartbeat::{StoreView, VmCard, VmTiming};
+use super::heartbeat::{StoreView, VmDescriptor, VmTiming};
 use super::summary::{DomainSummary, Member, News};
 use crate::clock::Stamp;
 use crate::hash::{Map, Set};
@@ -14,7 +14,7 @@
 /// A VM of another failure domain.
 #[derive(Debug)]
 pub(super) struct Listed {
-    pub(super) card: VmCard,
+    pub(super) card: VmDescriptor,
     pub(super) member: Member,
 }
 
--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -23,7 +23,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::elsewhere::Newer;
-use super::heartbeat::{VmCard, VmHeartbeat, VmState};
+use super::heartbeat::{VmDescriptor, VmHeartbeat, VmState};
 use super::known::Standing;
 use super::summary::{DomainSummary, MAX_LISTED, Member, PassedOn};
 use super::{Peer, VmTable};
@@ -229,7 +229,7 @@
     /// Returns what this VM can say of its failure domain.
     fn summary(&self, stamp: Stamp, now_ms: u64) -> DomainSummary {
         let VmHeartbeat { descriptor: card, state, .. } = &self.own;
-        let member = |card: &VmCard, state: &VmState| Member {
+        let member = |card: &VmDescriptor, state: &VmState| Member {
             ip: card.peer_address.ip(),
             ready: state.ready,
             has_store: state.store_health.is_reachable(),
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -10,7 +10,7 @@
 
 /// How to reach an entry VM.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct VmCard {
+pub struct VmDescriptor {
     /// The VM's name; the text of its address where only that is known.
     pub name: Box<str>,
     /// Its failure domain.
@@ -23,7 +23,7 @@
     pub peer_address: SocketAddr,
 }
 
-impl VmCard {
+impl VmDescriptor {
     /// Returns its key for rendezvous hashing, the same on all VMs whether or not they know its name.
     pub fn key(&self) -> VmKey {
         let port = self.peer_address.port().to_le_bytes();
@@ -111,7 +111,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmHeartbeat {
     /// How to reach it.
-    pub descriptor: VmCard,
+    pub descriptor: VmDescriptor,
     /// What changes of it.
     pub state: VmState,
     /// Where others of its failure domain take datagrams: addresses that the receiver may not know yet.
@@ -120,7 +120,7 @@
 
 impl VmHeartbeat {
     /// Creates that of a VM that has just started and doesn't take requests yet.
-    pub fn new(card: VmCard, boot: u64, period_ms: u64) -> Self {
+    pub fn new(card: VmDescriptor, boot: u64, period_ms: u64) -> Self {
         let state = VmState {
             stamp: Stamp::default(),
             period_ms,
--- a/crates/sedgepath-core/src/direct/vms/known.rs
+++ b/crates/sedgepath-core/src/direct/vms/known.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::heartbeat::VmCard;
+use super::heartbeat::VmDescriptor;
 use super::summary::DomainSummary;
 use crate::hash::{Map, Set};
 
@@ -18,7 +18,7 @@
 }
 
 impl Standing {
-    pub(super) fn of(card: &VmCard) -> Self {
+    pub(super) fn of(card: &VmDescriptor) -> Self {
         Self { domain: card.domain.clone(), region: card.region.clone() }
     }
 }
--- a/crates/sedgepath-core/src/direct/vms/summary.rs
+++ b/crates/sedgepath-core/src/direct/vms/summary.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::heartbeat::{StoreView, VmCard};
+use super::heartbeat::{StoreView, VmDescriptor};
 use crate::clock::Stamp;
 use crate::hash::Digest;
 
@@ -59,8 +59,8 @@
     }
 
     /// Returns how to reach a VM that it lists.
-    pub(super) fn card(&self, member: &Member) -> VmCard {
-        VmCard {
+    pub(super) fn card(&self, member: &Member) -> VmDescriptor {
+        VmDescriptor {
             name: member.ip.to_string().into(),
             domain: self.domain.clone(),
             region: self.region.clone(),
--- a/crates/sedgepath-emulator/src/setup.rs
+++ b/crates/sedgepath-emulator/src/setup.rs
@@ -8,7 +8,7 @@
     CallerLimits, Configuration, Route, RouteKind, ServiceSettings, WeightedService,
 };
 use sedgepath_core::direct::upstreams::UpstreamEntry;
-use sedgepath_core::direct::vms::{StoreView, VmCard, VmHeartbeat, VmTable, VmTiming};
+use sedgepath_core::direct::vms::{StoreView, VmDescriptor, VmHeartbeat, VmTable, VmTiming};
 use sedgepath_core::direct::{OperatorLimits, Steering, VmLocation};
 use sedgepath_core::hash::Map;
 
@@ -90,7 +90,7 @@
         region: region.into(),
         regions: regions.collect(),
     };
-    let card = VmCard {
+    let card = VmDescriptor {
         name,
         domain: domain.into(),
         region: region.into(),
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -10,7 +10,7 @@
 };
 use sedgepath_core::direct::steering::IncomingRequest;
 use sedgepath_core::direct::upstreams::UpstreamEntry;
-use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, VmTable, VmTiming};
+use sedgepath_core::direct::vms::{VmDescriptor, VmHeartbeat, VmTable, VmTiming};
 use sedgepath_core::direct::{OperatorLimits, Steering, VmLocation};
 use sedgepath_core::hash::Map;
 
@@ -38,7 +38,7 @@
 /// Returns the heartbeat of a VM that serves.
 pub fn heartbeat(name: &str, domain: &str, number: u8) -> VmHeartbeat {
     let address = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, number)), port);
-    let card = VmCard {
+    let card = VmDescriptor {
         name: name.into(),
         domain: domain.into(),
         region: region(domain).into(),
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -10,7 +10,7 @@
 use fastrand::Rng;
 use sedgepath_core::clock::Stamp;
 use sedgepath_core::direct::vms::gossip::{Heartbeat, Outgoing, PeerMessage};
-use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, VmTable};
+use sedgepath_core::direct::vms::{VmDescriptor, VmHeartbeat, VmTable};
 use sedgepath_core::hash::{Map, Set};
 
 use crate::direct::{HEARTBEAT_MS, TIMING};
@@ -360,10 +360,10 @@
         self.events.insert(self.scheduled, event);
     }
 
-    fn card(&self, vm: Number) -> VmCard {
+    fn card(&self, vm: Number) -> VmDescriptor {
         let domain = self.domain(vm);
         let peers = address(vm);
-        VmCard {
+        VmDescriptor {
             name: format!("front-domain-{domain}-{vm}").into(),
             domain: format!("region-domain-{domain}").into(),
             region: format!("region-{}", domain / DOMAINS_PER_REGION).into(),
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -8,7 +8,7 @@
 use sedgepath_core::direct::budget::RetryBudgetLimits;
 use sedgepath_core::direct::replicas::Table;
 use sedgepath_core::direct::steering::SteeringConfig;
-use sedgepath_core::direct::vms::{VmCard, VmHeartbeat, VmTable, VmTiming};
+use sedgepath_core::direct::vms::{VmDescriptor, VmHeartbeat, VmTable, VmTiming};
 use sedgepath_core::direct::{OperatorLimits, Steering, VmLocation};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::{SignalKind, signal};
@@ -152,7 +152,7 @@
             window_ms: settings.bounds.retry_budget_window_ms,
         },
     };
-    let card = VmCard {
+    let card = VmDescriptor {
         name: settings.vm_name.clone(),
         domain: settings.domain.clone(),
         region: settings.region.clone(),
