--- a/crates/sedgepath-core/src/direct/steering/store.rs
+++ b/crates/sedgepath-core/src/direct/steering/store.rs
@@ -1,7 +1,7 @@
 //! Whether the store is there, as far as this VM and those that it hears can tell.
 
 use super::Steering;
-use crate::direct::vms::StoreView;
+use crate::direct::vms::StoreHealth;
 
 /// What is known of the store's being there.
 #[derive(Debug, Clone, Copy)]
@@ -19,11 +19,11 @@
     /// The store is away only if it fails a VM and answers none that this one hears. If it answered
     /// another one all the time, only this VM was cut off, and what the store now lacks has not lapsed
     /// but left.
-    pub fn update_store_health(&mut self, own: StoreView, now_ms: u64) {
+    pub fn update_store_health(&mut self, own: StoreHealth, now_ms: u64) {
         let contact_ms = match self.vms.store_health(own, now_ms) {
-            StoreView::Reachable { for_ms } => for_ms,
-            StoreView::Unknown => return,
-            StoreView::Failing => {
+            StoreHealth::Reachable { for_ms } => for_ms,
+            StoreHealth::Unknown => return,
+            StoreHealth::Failing => {
                 if !self.store.away {
                     self.store.away = true;
                     self.store.away_since_ms = Some(self.store.last_at_ms);
--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -21,7 +21,7 @@
 use crate::hash::{Map, Set};
 use crate::key::VmKey;
 
-pub use heartbeat::{StoreView, VmDescriptor, VmHeartbeat, VmState, VmTiming};
+pub use heartbeat::{StoreHealth, VmDescriptor, VmHeartbeat, VmState, VmTiming};
 pub use readers::STEP_IN_MS;
 pub use summary::{DomainSummary, Member, News, PassedOn};
 
@@ -82,7 +82,7 @@
     }
 
     /// Sets how new this VM's copies are, and what it can tell of the store.
-    pub fn set_replica_state(&mut self, changed_at: [u64; 2], store: StoreView) {
+    pub fn set_replica_state(&mut self, changed_at: [u64; 2], store: StoreHealth) {
         self.own.state.newest_version = changed_at;
         self.own.state.store_health = store;
     }
@@ -320,11 +320,11 @@
 
     /// Returns what all VMs that are heard, this one among them, can tell of the store by now: the
     /// longest for which it has answered one of them, else whether it fails one.
-    pub fn store_health(&self, own: StoreView, now_ms: u64) -> StoreView {
+    pub fn store_health(&self, own: StoreHealth, now_ms: u64) -> StoreHealth {
         let heard = self.peers.values().filter(|peer| !self.is_silent(peer, now_ms));
         let others =
             heard.map(|peer| peer.state.store_health.aged(now_ms.saturating_sub(peer.heard_at_ms)));
-        let near = others.fold(own, StoreView::with);
+        let near = others.fold(own, StoreHealth::with);
         near.with(self.elsewhere.store(&self.timing, now_ms))
     }
 
--- a/crates/sedgepath-core/src/direct/vms/elsewhere.rs
+++ b/crates/sedgepath-core/src/direct/vms/elsewhere.rs
@@ -6,7 +6,7 @@
 
 use std::net::SocketAddr;
 
-use super::heartbeat::{StoreView, VmDescriptor, VmTiming};
+use super::heartbeat::{StoreHealth, VmDescriptor, VmTiming};
 use super::summary::{DomainSummary, Member, News};
 use crate::clock::Stamp;
 use crate::hash::{Map, Set};
@@ -127,11 +127,11 @@
     }
 
     /// Returns what the other domains can tell of the store by now.
-    pub(super) fn store(&self, timing: &VmTiming, now_ms: u64) -> StoreView {
+    pub(super) fn store(&self, timing: &VmTiming, now_ms: u64) -> StoreHealth {
         let fresh = self.by_sender.values().filter(|told| now_ms < told.silent_at_ms(timing));
         let views =
             fresh.map(|told| told.summary.store.aged(now_ms.saturating_sub(told.heard_at_ms)));
-        views.fold(StoreView::Unknown, StoreView::with)
+        views.fold(StoreHealth::Unknown, StoreHealth::with)
     }
 
     /// Returns the VMs of a failure domain that are listed as there.
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -40,7 +40,7 @@
 /// A VM that makes no calls knows nothing of the store. Taken for one that gets no answer, it would make an
 /// outage of each moment in which nobody asks, and lapses of the removals read after it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum StoreView {
+pub enum StoreHealth {
     /// It makes no calls, or has had the end of none yet.
     #[default]
     Unknown,
@@ -53,7 +53,7 @@
     Failing,
 }
 
-impl StoreView {
+impl StoreHealth {
     /// Returns for how long the store has answered without a break, in milliseconds.
     pub fn reachable_for_ms(self) -> Option<u64> {
         match self {
@@ -104,7 +104,7 @@
     /// How new its copies of the store's tables are, by the store's versions.
     pub newest_version: [u64; 2],
     /// What it can tell of the store.
-    pub store_health: StoreView,
+    pub store_health: StoreHealth,
 }
 
 /// All that a VM says of itself: now and then to its failure domain, and to those that don't know it yet.
@@ -128,7 +128,7 @@
             ready: false,
             leaving: false,
             newest_version: [0; 2],
-            store_health: StoreView::Unknown,
+            store_health: StoreHealth::Unknown,
         };
         Self { descriptor: card, state, known: Vec::new() }
     }
--- a/crates/sedgepath-core/src/direct/vms/summary.rs
+++ b/crates/sedgepath-core/src/direct/vms/summary.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::heartbeat::{StoreView, VmDescriptor};
+use super::heartbeat::{StoreHealth, VmDescriptor};
 use crate::clock::Stamp;
 use crate::hash::Digest;
 
@@ -46,7 +46,7 @@
     /// How new the sender's copies of the store's tables are, by the store's versions.
     pub changed_at: [u64; 2],
     /// What the domain can tell of the store.
-    pub store: StoreView,
+    pub store: StoreHealth,
     /// VMs of the receiver's failure domain that the sender knows of: halves of it that were cut off
     /// from each other for long, and one that starts without the store, find the others again.
     pub yours: Vec<IpAddr>,
@@ -74,9 +74,9 @@
         let mut said = Vec::new();
         said.extend(self.period_ms.to_le_bytes());
         said.push(match self.store {
-            StoreView::Unknown => 0,
-            StoreView::Reachable { .. } => 1,
-            StoreView::Failing => 2,
+            StoreHealth::Unknown => 0,
+            StoreHealth::Reachable { .. } => 1,
+            StoreHealth::Failing => 2,
         });
         for member in &self.members {
             match member.ip {
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -3,7 +3,7 @@
 use sedgepath_core::direct::Steering;
 use sedgepath_core::direct::attempts::{AttemptOutcome, NextStep};
 use sedgepath_core::direct::upstreams::{EntryChange, LAPSED_GRACE_MS};
-use sedgepath_core::direct::vms::StoreView;
+use sedgepath_core::direct::vms::StoreHealth;
 use sedgepath_core::hash::Set;
 use sedgepath_test_support::direct::{
     COLD_START_MS, all_kinds, begin, entry, heartbeat, serving_vm, vm,
@@ -86,9 +86,9 @@
 #[test]
 fn entries_that_lapse_with_the_store_away_are_used_until_they_are_due_back() {
     let mut vm = with_one();
-    vm.update_store_health(StoreView::Reachable { for_ms: 5_000 }, 5_000);
-    vm.update_store_health(StoreView::Failing, 9_000);
-    vm.update_store_health(StoreView::Reachable { for_ms: 0 }, 14_000);
+    vm.update_store_health(StoreHealth::Reachable { for_ms: 5_000 }, 5_000);
+    vm.update_store_health(StoreHealth::Failing, 9_000);
+    vm.update_store_health(StoreHealth::Reachable { for_ms: 0 }, 14_000);
     vm.upstreams_mut().remove("b0", 14_010);
 
     assert_eq!(goes_to(&mut vm, "x", 14_100).as_deref(), Some("b0"));
@@ -102,15 +102,15 @@
 #[test]
 fn an_entry_removed_while_others_had_the_store_is_gone_at_once() {
     let mut vm = with_one();
-    vm.update_store_health(StoreView::Reachable { for_ms: 5_000 }, 5_000);
-    vm.update_store_health(StoreView::Failing, 9_000);
-    vm.update_store_health(StoreView::Reachable { for_ms: 0 }, 14_000);
+    vm.update_store_health(StoreHealth::Reachable { for_ms: 5_000 }, 5_000);
+    vm.update_store_health(StoreHealth::Failing, 9_000);
+    vm.update_store_health(StoreHealth::Reachable { for_ms: 0 }, 14_000);
     vm.upstreams_mut().remove("b0", 14_010);
     let mut peer = heartbeat("a2", "north-a", 2);
-    peer.state.store_health = StoreView::Reachable { for_ms: 14_000 };
+    peer.state.store_health = StoreHealth::Reachable { for_ms: 14_000 };
     vm.vms_mut().record_heartbeat(peer, 14_100);
 
-    vm.update_store_health(StoreView::Reachable { for_ms: 100 }, 14_100);
+    vm.update_store_health(StoreHealth::Reachable { for_ms: 100 }, 14_100);
 
     assert_eq!(vm.upstreams_mut().remove_lapsed(14_100), vec!["b0".into()]);
 }
@@ -122,12 +122,12 @@
 fn an_entry_removed_while_nobody_read_the_store_is_gone_at_once() {
     let mut vm = with_one();
     let mut reader = heartbeat("a0", "north-a", 2);
-    reader.state.store_health = StoreView::Reachable { for_ms: 5_000 };
+    reader.state.store_health = StoreHealth::Reachable { for_ms: 5_000 };
     vm.vms_mut().record_heartbeat(reader, 5_000);
-    vm.update_store_health(StoreView::Unknown, 5_100);
+    vm.update_store_health(StoreHealth::Unknown, 5_100);
 
-    vm.update_store_health(StoreView::Unknown, 7_300);
-    vm.update_store_health(StoreView::Reachable { for_ms: 0 }, 7_400);
+    vm.update_store_health(StoreHealth::Unknown, 7_300);
+    vm.update_store_health(StoreHealth::Reachable { for_ms: 0 }, 7_400);
     vm.upstreams_mut().remove("b0", 7_400);
 
     assert_eq!(goes_to(&mut vm, "x", 7_410), None);
@@ -139,14 +139,14 @@
 fn an_outage_that_others_tell_of_is_an_outage() {
     let mut vm = with_one();
     let mut reader = heartbeat("a0", "north-a", 2);
-    reader.state.store_health = StoreView::Reachable { for_ms: 5_000 };
+    reader.state.store_health = StoreHealth::Reachable { for_ms: 5_000 };
     vm.vms_mut().record_heartbeat(reader.clone(), 5_000);
-    vm.update_store_health(StoreView::Unknown, 5_100);
-    reader.state.store_health = StoreView::Failing;
+    vm.update_store_health(StoreHealth::Unknown, 5_100);
+    reader.state.store_health = StoreHealth::Failing;
     vm.vms_mut().record_heartbeat(reader.clone(), 6_000);
-    vm.update_store_health(StoreView::Unknown, 6_100);
+    vm.update_store_health(StoreHealth::Unknown, 6_100);
 
-    reader.state.store_health = StoreView::Reachable { for_ms: 0 };
+    reader.state.store_health = StoreHealth::Reachable { for_ms: 0 };
     vm.vms_mut().record_heartbeat(reader, 9_000);
     vm.upstreams_mut().remove("b0", 9_010);
 
@@ -157,7 +157,7 @@
 #[test]
 fn a_removed_upstream_gets_nothing_new() {
     let mut vm = with_one();
-    vm.update_store_health(StoreView::Reachable { for_ms: 60_000 }, 60_000);
+    vm.update_store_health(StoreHealth::Reachable { for_ms: 60_000 }, 60_000);
     vm.upstreams_mut().remove("b0", 60_100);
     assert_eq!(goes_to(&mut vm, "x", 60_100), None);
 }
--- a/crates/sedgepath-core/tests/direct_vms.rs
+++ b/crates/sedgepath-core/tests/direct_vms.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use sedgepath_core::direct::vms::{StoreView, VmHeartbeat, VmTable};
+use sedgepath_core::direct::vms::{StoreHealth, VmHeartbeat, VmTable};
 use sedgepath_test_support::direct::{heartbeat, vms};
 
 fn address(number: u8) -> SocketAddr {
@@ -89,7 +89,7 @@
 
     let mut third = vms("b1", "north-b", 3);
     let mut readers = others();
-    readers[0].state.store_health = StoreView::Reachable { for_ms: 5_000 };
+    readers[0].state.store_health = StoreHealth::Reachable { for_ms: 5_000 };
     for peer in readers {
         third.record_heartbeat(peer, 0);
     }
@@ -117,7 +117,7 @@
 fn suspended_readers_are_replaced_within_a_second_and_a_half() {
     let mut third = vms("b1", "north-b", 3);
     for mut reader in [heartbeat("a1", "north-a", 1), heartbeat("a2", "north-a", 2)] {
-        reader.state.store_health = StoreView::Reachable { for_ms: 5_000 };
+        reader.state.store_health = StoreHealth::Reachable { for_ms: 5_000 };
         third.record_heartbeat(reader, 10_000);
     }
     third.record_heartbeat(heartbeat("c1", "south-a", 4), 10_000);
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use sedgepath_core::clock::Stamp;
 use sedgepath_core::direct::vms::gossip::{Heartbeat, PeerMessage};
-use sedgepath_core::direct::vms::{DomainSummary, Member, News, PassedOn, StoreView, VmTable};
+use sedgepath_core::direct::vms::{DomainSummary, Member, News, PassedOn, StoreHealth, VmTable};
 use sedgepath_test_support::direct::{heartbeat, vms};
 
 const NOW_MS: u64 = 1_000;
@@ -29,7 +29,7 @@
         peers_port: 7_000,
         members: vec![member(4), member(5)],
         changed_at: [1, 2],
-        store: StoreView::Reachable { for_ms: 100 },
+        store: StoreHealth::Reachable { for_ms: 100 },
         yours: vec![ip(1), ip(2)],
     }
 }
@@ -88,7 +88,7 @@
         let now_ms = NOW_MS + later_ms;
         prop_assert!(!vm.look_up("north-a", "north", now_ms).is_empty());
         vm.should_read_store(now_ms);
-        vm.store_health(StoreView::Unknown, now_ms);
+        vm.store_health(StoreHealth::Unknown, now_ms);
         vm.periodic_messages(Stamp::default(), &mut fastrand::Rng::with_seed(1), now_ms);
     }
 }
@@ -99,16 +99,16 @@
     let mut vm = vms("a1", "north-a", 1);
     let mut absurd = summary();
     absurd.period_ms = u64::MAX;
-    absurd.store = StoreView::Reachable { for_ms: u64::MAX };
+    absurd.store = StoreHealth::Reachable { for_ms: u64::MAX };
     vm.record_summary(absurd.clone(), NOW_MS);
     vm.record_relayed_summary(PassedOn { age_ms: u64::MAX, news: News::Changed(absurd) }, NOW_MS);
     let mut near = heartbeat("a2", "north-a", 2);
     near.state.period_ms = u64::MAX;
-    near.state.store_health = StoreView::Reachable { for_ms: u64::MAX };
+    near.state.store_health = StoreHealth::Reachable { for_ms: u64::MAX };
     vm.record_heartbeat(near, NOW_MS);
 
     vm.should_read_store(NOW_MS + 1);
     assert_eq!(vm.serving_vms(NOW_MS + 12_000).len(), 1, "one that says so is named for ever");
-    assert!(vm.store_health(StoreView::Unknown, NOW_MS + 1).is_reachable());
+    assert!(vm.store_health(StoreHealth::Unknown, NOW_MS + 1).is_reachable());
     vm.periodic_messages(Stamp::default(), &mut fastrand::Rng::with_seed(1), NOW_MS + 1);
 }
--- a/crates/sedgepath-emulator/src/setup.rs
+++ b/crates/sedgepath-emulator/src/setup.rs
@@ -8,7 +8,7 @@
     CallerLimits, Configuration, Route, RouteKind, ServiceSettings, WeightedService,
 };
 use sedgepath_core::direct::upstreams::UpstreamEntry;
-use sedgepath_core::direct::vms::{StoreView, VmDescriptor, VmHeartbeat, VmTable, VmTiming};
+use sedgepath_core::direct::vms::{StoreHealth, VmDescriptor, VmHeartbeat, VmTable, VmTiming};
 use sedgepath_core::direct::{OperatorLimits, Steering, VmLocation};
 use sedgepath_core::hash::Map;
 
@@ -99,7 +99,7 @@
     };
     let mut own = VmHeartbeat::new(card, 1, HEARTBEAT_MS);
     own.state.ready = true;
-    own.state.store_health = StoreView::Reachable { for_ms: 0 };
+    own.state.store_health = StoreHealth::Reachable { for_ms: 0 };
     let timing = VmTiming {
         heartbeat_interval_ms: HEARTBEAT_MS,
         max_heartbeats_per_s: 130,
--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::direct::Steering;
 use sedgepath_core::direct::replicas::{Table, TableUpdate, VersionedRow};
 use sedgepath_core::direct::upstreams::EntryChange;
-use sedgepath_core::direct::vms::StoreView;
+use sedgepath_core::direct::vms::StoreHealth;
 
 use super::shell::{Shell, StoreCalls};
 use super::{clock, peers};
@@ -149,7 +149,7 @@
     if lost {
         log::warn!("event=store_away error={:?}", error.to_string());
     }
-    shell.steering.borrow_mut().update_store_health(StoreView::Failing, clock::now_ms());
+    shell.steering.borrow_mut().update_store_health(StoreHealth::Failing, clock::now_ms());
     lost
 }
 
--- a/crates/sedgepathd/src/direct/shell.rs
+++ b/crates/sedgepathd/src/direct/shell.rs
@@ -8,7 +8,7 @@
 use sedgepath_adapter::store::Store;
 use sedgepath_core::direct::Steering;
 use sedgepath_core::direct::replicas::{Table, TableReplicas};
-use sedgepath_core::direct::vms::StoreView;
+use sedgepath_core::direct::vms::StoreHealth;
 use sedgepath_core::hash::Map;
 use tokio::net::UdpSocket;
 
@@ -75,11 +75,13 @@
     }
 
     /// Returns what it tells of the store by now.
-    pub fn view(self, now_ms: u64) -> StoreView {
+    pub fn view(self, now_ms: u64) -> StoreHealth {
         match self {
-            Self::Unasked => StoreView::Unknown,
-            Self::Since { at_ms } => StoreView::Reachable { for_ms: now_ms.saturating_sub(at_ms) },
-            Self::Lost => StoreView::Failing,
+            Self::Unasked => StoreHealth::Unknown,
+            Self::Since { at_ms } => {
+                StoreHealth::Reachable { for_ms: now_ms.saturating_sub(at_ms) }
+            }
+            Self::Lost => StoreHealth::Failing,
         }
     }
 }
