--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -100,7 +100,7 @@
 
 /// A message to be sent.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct OutgoingMessage {
     /// The message.
     pub message: PeerMessage,
     /// To whom.
@@ -150,7 +150,12 @@
 
 impl VmTable {
     /// Returns what this VM sends now, as it does each period.
-    pub fn periodic_messages(&mut self, stamp: Stamp, rng: &mut Rng, now_ms: u64) -> Vec<Outgoing> {
+    pub fn periodic_messages(
+        &mut self,
+        stamp: Stamp,
+        rng: &mut Rng,
+        now_ms: u64,
+    ) -> Vec<OutgoingMessage> {
         let mut outgoing = vec![self.heartbeat_of_round(stamp, now_ms)];
         let passed_on = self.passed_on(rng, now_ms);
         let summary = self.summary(stamp, now_ms);
@@ -164,14 +169,19 @@
         outgoing.extend(spoken_to.map(|to| self.tell(&summary, &to.domain, rng, now_ms)));
         if !passed_on.is_empty() {
             let message = PeerMessage::RelayedSummary(passed_on);
-            outgoing.push(Outgoing { message, to: self.domain_addresses() });
+            outgoing.push(OutgoingMessage { message, to: self.domain_addresses() });
         }
         outgoing
     }
 
     /// Returns what this VM sends at once when its copies of the store's tables have changed: to its own
     /// failure domain, and to the others of its region, whoever speaks for it.
-    pub fn change_messages(&mut self, stamp: Stamp, rng: &mut Rng, now_ms: u64) -> Vec<Outgoing> {
+    pub fn change_messages(
+        &mut self,
+        stamp: Stamp,
+        rng: &mut Rng,
+        now_ms: u64,
+    ) -> Vec<OutgoingMessage> {
         let mut outgoing = vec![self.full_heartbeat(stamp, now_ms)];
         let summary = self.summary(stamp, now_ms);
         let domains = self.other_domains();
@@ -181,9 +191,12 @@
     }
 
     /// Returns all that this VM says of itself, to those that get its heartbeats.
-    pub fn full_heartbeat(&mut self, stamp: Stamp, now_ms: u64) -> Outgoing {
+    pub fn full_heartbeat(&mut self, stamp: Stamp, now_ms: u64) -> OutgoingMessage {
         let to = self.heartbeat_targets(now_ms);
-        Outgoing { message: PeerMessage::Heartbeat(Heartbeat::Full(self.heartbeat(stamp))), to }
+        OutgoingMessage {
+            message: PeerMessage::Heartbeat(Heartbeat::Full(self.heartbeat(stamp))),
+            to,
+        }
     }
 
     /// Returns the answer to a VM of another failure domain that has made itself known.
@@ -210,7 +223,7 @@
         VmHeartbeat { descriptor: self.own.descriptor.clone(), state: self.state(stamp), known }
     }
 
-    fn heartbeat_of_round(&mut self, stamp: Stamp, now_ms: u64) -> Outgoing {
+    fn heartbeat_of_round(&mut self, stamp: Stamp, now_ms: u64) -> OutgoingMessage {
         let to = self.heartbeat_targets(now_ms);
         self.telling.rounds += 1;
         let unplaced = self.known.unplaced().next().is_some();
@@ -219,7 +232,7 @@
         } else {
             Heartbeat::StateOnly(self.state(stamp))
         };
-        Outgoing { message: PeerMessage::Heartbeat(heartbeat), to }
+        OutgoingMessage { message: PeerMessage::Heartbeat(heartbeat), to }
     }
 
     fn state(&self, stamp: Stamp) -> VmState {
@@ -260,10 +273,16 @@
     }
 
     /// Returns a summary to some VMs of another failure domain.
-    fn tell(&self, summary: &DomainSummary, domain: &str, rng: &mut Rng, now_ms: u64) -> Outgoing {
+    fn tell(
+        &self,
+        summary: &DomainSummary,
+        domain: &str,
+        rng: &mut Rng,
+        now_ms: u64,
+    ) -> OutgoingMessage {
         let yours = self.named_to(domain, YOURS_PER_SUMMARY, rng);
         let message = PeerMessage::Summary(DomainSummary { yours, ..summary.clone() });
-        Outgoing { message, to: self.listeners(domain, rng, now_ms) }
+        OutgoingMessage { message, to: self.listeners(domain, rng, now_ms) }
     }
 
     /// Whether this VM is one of those that speak for its failure domain to another.
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -9,7 +9,7 @@
 
 use fastrand::Rng;
 use sedgepath_core::clock::Stamp;
-use sedgepath_core::direct::vms::gossip::{Heartbeat, Outgoing, PeerMessage};
+use sedgepath_core::direct::vms::gossip::{Heartbeat, OutgoingMessage, PeerMessage};
 use sedgepath_core::direct::vms::{VmDescriptor, VmHeartbeat, VmTable};
 use sedgepath_core::hash::{Map, Set};
 
@@ -289,7 +289,7 @@
         };
         let round = table.periodic_messages(stamp, &mut rng, now_ms);
         let period_ms = table.period_ms();
-        for Outgoing { message, to } in round {
+        for OutgoingMessage { message, to } in round {
             for to in to {
                 self.send(vm, to, message.clone());
             }
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use sedgepath_core::clock::Stamp;
-use sedgepath_core::direct::vms::gossip::{Heartbeat, Outgoing, PeerMessage};
+use sedgepath_core::direct::vms::gossip::{Heartbeat, OutgoingMessage, PeerMessage};
 use sedgepath_core::direct::vms::{PassedOn, VmHeartbeat};
 
 use super::shell::Shell;
@@ -63,8 +63,8 @@
     (shell.line_clock.tick(), now_ms)
 }
 
-async fn send(shell: &Shell, outgoing: Vec<Outgoing>) {
-    for Outgoing { message, to } in outgoing {
+async fn send(shell: &Shell, outgoing: Vec<OutgoingMessage>) {
+    for OutgoingMessage { message, to } in outgoing {
         match message {
             PeerMessage::RelayedSummary(summaries) => {
                 for part in parts(summaries) {
