--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -23,7 +23,7 @@
 
 pub use heartbeat::{StoreHealth, VmDescriptor, VmHeartbeat, VmState, VmTiming};
 pub use readers::STEP_IN_MS;
-pub use summary::{DomainSummary, Member, News, PassedOn};
+pub use summary::{DomainSummary, Member, News, RelayedSummary};
 
 /// A VM that is heard itself.
 #[derive(Debug)]
@@ -200,7 +200,7 @@
     }
 
     /// Takes in what another failure domain says of its VMs, as a VM of this one passes it on.
-    pub fn record_relayed_summary(&mut self, passed_on: PassedOn, now_ms: u64) {
+    pub fn record_relayed_summary(&mut self, passed_on: RelayedSummary, now_ms: u64) {
         let heard_at_ms = now_ms.saturating_sub(passed_on.age_ms);
         match passed_on.news {
             News::Changed(summary) => {
--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -25,7 +25,7 @@
 use super::elsewhere::Newer;
 use super::heartbeat::{VmDescriptor, VmHeartbeat, VmState};
 use super::known::Standing;
-use super::summary::{DomainSummary, MAX_LISTED, Member, PassedOn};
+use super::summary::{DomainSummary, MAX_LISTED, Member, RelayedSummary};
 use super::{Peer, VmTable};
 use crate::clock::Stamp;
 use crate::hash::{Digest, Map};
@@ -84,7 +84,7 @@
     /// What it says of its failure domain.
     Summary(DomainSummary),
     /// What others have told it of theirs.
-    RelayedSummary(Vec<PassedOn>),
+    RelayedSummary(Vec<RelayedSummary>),
 }
 
 impl PeerMessage {
@@ -329,7 +329,7 @@
         others.filter(|standing| standing.domain != self.own.descriptor.domain).cloned().collect()
     }
 
-    fn passed_on(&mut self, rng: &mut Rng, now_ms: u64) -> Vec<PassedOn> {
+    fn passed_on(&mut self, rng: &mut Rng, now_ms: u64) -> Vec<RelayedSummary> {
         let all_whole = now_ms < self.telling.whole_until_ms;
         let mut passed_on = Vec::new();
         for (sender, summary) in std::mem::take(&mut self.telling.to_pass_on) {
@@ -337,7 +337,7 @@
             let whole = changed || all_whole || rng.f64() < WHOLE_SHARE;
             let age_ms = now_ms.saturating_sub(received_at_ms);
             let news = self.elsewhere.news(sender, whole);
-            passed_on.extend(news.map(|news| PassedOn { age_ms, news }));
+            passed_on.extend(news.map(|news| RelayedSummary { age_ms, news }));
         }
         passed_on
     }
--- a/crates/sedgepath-core/src/direct/vms/summary.rs
+++ b/crates/sedgepath-core/src/direct/vms/summary.rs
@@ -91,7 +91,7 @@
 
 /// A summary that a VM has received and passes on to those of its own failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PassedOn {
+pub struct RelayedSummary {
     /// Since when the VM has had it, in milliseconds.
     pub age_ms: u64,
     /// The summary.
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -10,7 +10,9 @@
 use proptest::prelude::*;
 use sedgepath_core::clock::Stamp;
 use sedgepath_core::direct::vms::gossip::{Heartbeat, PeerMessage};
-use sedgepath_core::direct::vms::{DomainSummary, Member, News, PassedOn, StoreHealth, VmTable};
+use sedgepath_core::direct::vms::{
+    DomainSummary, Member, News, RelayedSummary, StoreHealth, VmTable,
+};
 use sedgepath_test_support::direct::{heartbeat, vms};
 
 const NOW_MS: u64 = 1_000;
@@ -36,7 +38,7 @@
 
 fn messages() -> Vec<PeerMessage> {
     let whole = heartbeat("a2", "north-a", 2);
-    let changed = PassedOn { age_ms: 10, news: News::Changed(summary()) };
+    let changed = RelayedSummary { age_ms: 10, news: News::Changed(summary()) };
     let same = News::Unchanged {
         sender: summary().sender(),
         boot: 1,
@@ -46,7 +48,7 @@
     vec![
         PeerMessage::Heartbeat(Heartbeat::Full(whole)),
         PeerMessage::Summary(summary()),
-        PeerMessage::RelayedSummary(vec![changed, PassedOn { age_ms: 10, news: same }]),
+        PeerMessage::RelayedSummary(vec![changed, RelayedSummary { age_ms: 10, news: same }]),
     ]
 }
 
@@ -101,7 +103,10 @@
     absurd.period_ms = u64::MAX;
     absurd.store = StoreHealth::Reachable { for_ms: u64::MAX };
     vm.record_summary(absurd.clone(), NOW_MS);
-    vm.record_relayed_summary(PassedOn { age_ms: u64::MAX, news: News::Changed(absurd) }, NOW_MS);
+    vm.record_relayed_summary(
+        RelayedSummary { age_ms: u64::MAX, news: News::Changed(absurd) },
+        NOW_MS,
+    );
     let mut near = heartbeat("a2", "north-a", 2);
     near.state.period_ms = u64::MAX;
     near.state.store_health = StoreHealth::Reachable { for_ms: u64::MAX };
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -7,7 +7,7 @@
 
 use sedgepath_core::clock::Stamp;
 use sedgepath_core::direct::vms::gossip::{Heartbeat, OutgoingMessage, PeerMessage};
-use sedgepath_core::direct::vms::{PassedOn, VmHeartbeat};
+use sedgepath_core::direct::vms::{RelayedSummary, VmHeartbeat};
 
 use super::shell::Shell;
 use super::{clock, fetch};
@@ -77,8 +77,8 @@
 }
 
 /// Splits summaries into as many datagrams as they need.
-fn parts(passed_on: Vec<PassedOn>) -> Vec<Vec<PassedOn>> {
-    let mut parts: Vec<Vec<PassedOn>> = Vec::new();
+fn parts(passed_on: Vec<RelayedSummary>) -> Vec<Vec<RelayedSummary>> {
+    let mut parts: Vec<Vec<RelayedSummary>> = Vec::new();
     let mut room_bytes = 0;
     for summary in passed_on {
         let bytes = postcard::to_stdvec(&summary).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len());
