--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -23,7 +23,7 @@
 
 pub use heartbeat::{StoreHealth, VmDescriptor, VmHeartbeat, VmState, VmTiming};
 pub use readers::STEP_IN_MS;
-pub use summary::{DomainSummary, Member, News, RelayedSummary};
+pub use summary::{DomainSummary, Member, RelayedSummary, SummaryUpdate};
 
 /// A VM that is heard itself.
 #[derive(Debug)]
@@ -203,10 +203,10 @@
     pub fn record_relayed_summary(&mut self, passed_on: RelayedSummary, now_ms: u64) {
         let heard_at_ms = now_ms.saturating_sub(passed_on.age_ms);
         match passed_on.news {
-            News::Changed(summary) => {
+            SummaryUpdate::Changed(summary) => {
                 self.take(summary, heard_at_ms, now_ms);
             }
-            News::Unchanged { sender, boot, stamp, digest } => {
+            SummaryUpdate::Unchanged { sender, boot, stamp, digest } => {
                 let same = self.elsewhere.repeat(sender, (boot, stamp), digest, heard_at_ms);
                 if let Some(summary) = same {
                     let forgotten_at_ms = heard_at_ms + self.timing.forget_after_ms;
--- a/crates/sedgepath-core/src/direct/vms/elsewhere.rs
+++ b/crates/sedgepath-core/src/direct/vms/elsewhere.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 use super::heartbeat::{StoreHealth, VmDescriptor, VmTiming};
-use super::summary::{DomainSummary, Member, News};
+use super::summary::{DomainSummary, Member, SummaryUpdate};
 use crate::clock::Stamp;
 use crate::hash::{Map, Set};
 
@@ -93,12 +93,17 @@
     }
 
     /// Returns what the last summary of a VM is passed on as: whole, or as a digest.
-    pub(super) fn news(&self, sender: SocketAddr, whole: bool) -> Option<News> {
+    pub(super) fn news(&self, sender: SocketAddr, whole: bool) -> Option<SummaryUpdate> {
         let Told { summary, digest, .. } = self.by_sender.get(&sender)?;
         Some(if whole {
-            News::Changed(summary.clone())
+            SummaryUpdate::Changed(summary.clone())
         } else {
-            News::Unchanged { sender, boot: summary.boot, stamp: summary.stamp, digest: *digest }
+            SummaryUpdate::Unchanged {
+                sender,
+                boot: summary.boot,
+                stamp: summary.stamp,
+                digest: *digest,
+            }
         })
     }
 
--- a/crates/sedgepath-core/src/direct/vms/summary.rs
+++ b/crates/sedgepath-core/src/direct/vms/summary.rs
@@ -95,12 +95,12 @@
     /// Since when the VM has had it, in milliseconds.
     pub age_ms: u64,
     /// The summary.
-    pub news: News,
+    pub news: SummaryUpdate,
 }
 
 /// What a summary says against the last one of its sender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum SummaryUpdate {
     /// Something else, or the receiver may not have it.
     Changed(DomainSummary),
     /// The same.
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -11,7 +11,7 @@
 use sedgepath_core::clock::Stamp;
 use sedgepath_core::direct::vms::gossip::{Heartbeat, PeerMessage};
 use sedgepath_core::direct::vms::{
-    DomainSummary, Member, News, RelayedSummary, StoreHealth, VmTable,
+    DomainSummary, Member, RelayedSummary, StoreHealth, SummaryUpdate, VmTable,
 };
 use sedgepath_test_support::direct::{heartbeat, vms};
 
@@ -38,8 +38,8 @@
 
 fn messages() -> Vec<PeerMessage> {
     let whole = heartbeat("a2", "north-a", 2);
-    let changed = RelayedSummary { age_ms: 10, news: News::Changed(summary()) };
-    let same = News::Unchanged {
+    let changed = RelayedSummary { age_ms: 10, news: SummaryUpdate::Changed(summary()) };
+    let same = SummaryUpdate::Unchanged {
         sender: summary().sender(),
         boot: 1,
         stamp: Stamp { time_ms: 6, count: 0 },
@@ -104,7 +104,7 @@
     absurd.store = StoreHealth::Reachable { for_ms: u64::MAX };
     vm.record_summary(absurd.clone(), NOW_MS);
     vm.record_relayed_summary(
-        RelayedSummary { age_ms: u64::MAX, news: News::Changed(absurd) },
+        RelayedSummary { age_ms: u64::MAX, news: SummaryUpdate::Changed(absurd) },
         NOW_MS,
     );
     let mut near = heartbeat("a2", "north-a", 2);
