--- a/crates/sedgepath-core/src/explain.rs
+++ b/crates/sedgepath-core/src/explain.rs
@@ -10,7 +10,7 @@
 use crate::record::Cap;
 use crate::request::Class;
 use crate::steering::{Candidate, SteeringPolicy};
-use crate::view::View;
+use crate::view::SystemView;
 
 /// What is to be explained.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -96,7 +96,7 @@
     pub candidates: Vec<ExplainedCandidate>,
 }
 
-impl View<'_> {
+impl SystemView<'_> {
     /// Explains where a request would go.
     ///
     /// `standing` is where the traffic of the caller's group stands, as far as known.
--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -21,7 +21,7 @@
 use crate::retry::RetryBudgets;
 use crate::shift::ShiftKey;
 use crate::steering::SteeringPolicy;
-use crate::view::{Owner, View};
+use crate::view::{Owner, SystemView};
 
 mod pending;
 mod places;
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Means<'a> {
     /// What the node knows.
-    pub view: View<'a>,
+    pub view: SystemView<'a>,
     /// The policy that ranks failure domains.
     pub policy: &'a dyn SteeringPolicy,
 }
@@ -271,7 +271,7 @@
 fn admit<'a>(
     service: ServiceKey,
     head: &RequestHead,
-    view: &View<'a>,
+    view: &SystemView<'a>,
 ) -> Result<(&'a ServiceEntry, Class), Denied> {
     if !view.configuration_ready {
         return Err(Denied::NotRun(RejectionReason::NotReady));
--- a/crates/sedgepath-core/src/ingress/pending.rs
+++ b/crates/sedgepath-core/src/ingress/pending.rs
@@ -4,7 +4,7 @@
 
 use super::{
     Class, Dispatch, HopEnd, Once, Owner, Rejection, RejectionReason, RequestHead, ServiceEntry,
-    View,
+    SystemView,
 };
 use crate::event::Action;
 use crate::key::{OriginKey, RequestKey, ServiceKey, VmKey};
@@ -42,7 +42,7 @@
         head: &RequestHead,
         service: ServiceKey,
         class: Class,
-        view: &View<'_>,
+        view: &SystemView<'_>,
         entry: &ServiceEntry,
     ) -> Self {
         // The owner's right to an upstream counts on the longest deadline that the record allows.
@@ -201,7 +201,7 @@
     pub(super) fn give_up_silent(
         &mut self,
         request: RequestKey,
-        view: &View<'_>,
+        view: &SystemView<'_>,
         out: &mut Outbox,
     ) {
         let silent = |attempt: &Attempt| is_silent(attempt.vm, view);
@@ -214,12 +214,12 @@
     }
 
     /// Whether the request's deadline has passed or one of its owners has gone silent.
-    pub(super) fn is_due(&self, view: &View<'_>) -> bool {
+    pub(super) fn is_due(&self, view: &SystemView<'_>) -> bool {
         let silent = || self.attempts.iter().any(|attempt| is_silent(attempt.vm, view));
         !self.answered && (self.deadline_at_ms <= view.now_ms || silent())
     }
 }
 
-fn is_silent(vm: VmKey, view: &View<'_>) -> bool {
+fn is_silent(vm: VmKey, view: &SystemView<'_>) -> bool {
     vm != view.identity.vm && view.membership.member(vm).is_none_or(|member| member.suspected)
 }
--- a/crates/sedgepath-core/src/look_up.rs
+++ b/crates/sedgepath-core/src/look_up.rs
@@ -13,7 +13,7 @@
 use crate::key::{DomainKey, OriginKey, ServiceKey, VmKey};
 use crate::rendezvous::rank;
 use crate::request::EntryVm;
-use crate::view::View;
+use crate::view::SystemView;
 
 /// The most entry VMs that an answer names.
 const MAX_NAMED: usize = 8;
@@ -36,7 +36,7 @@
 
 impl LookUps {
     /// Drops the lists if the members that serve, or the configuration, have changed.
-    pub fn drop_stale_lists(&mut self, view: &View<'_>) {
+    pub fn drop_stale_lists(&mut self, view: &SystemView<'_>) {
         let fingerprint = fingerprint(view);
         if fingerprint != self.fingerprint {
             self.fingerprint = fingerprint;
@@ -54,7 +54,7 @@
         &mut self,
         look_up: &LookUp,
         valid_ms: u64,
-        view: &View<'_>,
+        view: &SystemView<'_>,
     ) -> Result<LookUpAnswer, LookUpError> {
         let service = ServiceKey::of(&look_up.service);
         if !view.configuration_ready || view.catalogue.rejected_services.contains(&service) {
@@ -82,14 +82,19 @@
         &mut self,
         service: ServiceKey,
         source: IpAddr,
-        view: &View<'_>,
+        view: &SystemView<'_>,
     ) -> Vec<EntryVm> {
         let own = &view.identity.card.name;
         let list = self.list(service, source, view);
         list.iter().filter(|entry_vm| entry_vm.name != *own).cloned().collect()
     }
 
-    fn list(&mut self, service: ServiceKey, source: IpAddr, view: &View<'_>) -> Arc<[EntryVm]> {
+    fn list(
+        &mut self,
+        service: ServiceKey,
+        source: IpAddr,
+        view: &SystemView<'_>,
+    ) -> Arc<[EntryVm]> {
         let origin = view.catalogue.origin_of_address(source);
         let variant = variant(source);
         let list = self.lists.entry((service, origin, variant));
@@ -112,7 +117,7 @@
     entry_vm: EntryVm,
 }
 
-fn serving(view: &View<'_>) -> Vec<Named> {
+fn serving(view: &SystemView<'_>) -> Vec<Named> {
     let card = &view.identity.card;
     let own = (!card.leaving).then_some((view.identity.vm, card));
     let members = view.membership.members();
@@ -134,7 +139,7 @@
     service: ServiceKey,
     origin: OriginKey,
     variant: u64,
-    view: &View<'_>,
+    view: &SystemView<'_>,
 ) -> Arc<[EntryVm]> {
     let shares = view.catalogue.shares(service, origin).unwrap_or_default();
     let mut named: Vec<_> = serving(view)
@@ -163,7 +168,7 @@
     domain: DomainKey,
     shares: &[(DomainKey, f64)],
     variant: u64,
-    view: &View<'_>,
+    view: &SystemView<'_>,
 ) -> f64 {
     let share = shares.iter().find(|share| share.0 == domain).map_or(0.0, |share| share.1);
     if share > 0.0 {
@@ -175,7 +180,7 @@
     if near { f64::MAX } else { f64::INFINITY }
 }
 
-fn not_behind(revision_seen: u64, view: &View<'_>) -> Result<Arc<[EntryVm]>, LookUpError> {
+fn not_behind(revision_seen: u64, view: &SystemView<'_>) -> Result<Arc<[EntryVm]>, LookUpError> {
     let named: Arc<[EntryVm]> = view
         .membership
         .members()
@@ -190,7 +195,7 @@
     if named.is_empty() { Err(LookUpError::Configuration) } else { Ok(named) }
 }
 
-fn fingerprint(view: &View<'_>) -> u64 {
+fn fingerprint(view: &SystemView<'_>) -> u64 {
     let own = rank(view.revision, u64::from(view.identity.card.leaving));
     // The sum does not depend on the order of the members.
     let members = view.membership.members();
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -25,13 +25,13 @@
 use crate::steering::{ByHeadroom, SteeringPolicy};
 use crate::stop::{self, PlannedStop};
 use crate::timeline::Topic;
-use crate::view::View;
+use crate::view::SystemView;
 
 /// What the ingress decides by: a macro, so that the ingress and the outbox can be borrowed beside.
 macro_rules! means {
     ($node:ident, $identity:ident) => {
         Means {
-            view: View {
+            view: SystemView {
                 now_ms: $node.out.now_ms(),
                 identity: &$identity,
                 catalogue: $node.configuration.catalogue(),
--- a/crates/sedgepath-core/src/shift/baseline.rs
+++ b/crates/sedgepath-core/src/shift/baseline.rs
@@ -8,7 +8,7 @@
 use crate::key::VmKey;
 use crate::message::{Baseline, Message};
 use crate::outbox::Outbox;
-use crate::view::View;
+use crate::view::SystemView;
 
 use super::ShiftLedger;
 
@@ -36,7 +36,7 @@
     }
 
     /// Asks peers until one has answered or the wait is over.
-    pub fn tick(&mut self, view: &View<'_>, out: &mut Outbox) {
+    pub fn tick(&mut self, view: &SystemView<'_>, out: &mut Outbox) {
         if self.found || view.revision == 0 {
             return;
         }
@@ -61,7 +61,13 @@
     }
 
     /// Answers a peer's question, unless this node has no baseline itself.
-    pub fn answer(&self, asker: VmKey, ledger: &ShiftLedger, view: &View<'_>, out: &mut Outbox) {
+    pub fn answer(
+        &self,
+        asker: VmKey,
+        ledger: &ShiftLedger,
+        view: &SystemView<'_>,
+        out: &mut Outbox,
+    ) {
         if let Some(member) = view.membership.member(asker).filter(|_| self.found) {
             let baseline = Baseline { revision: view.revision, moved: ledger.moved() };
             out.send(member.card.peer_address, Message::Baseline(baseline));
@@ -73,7 +79,7 @@
         &mut self,
         baseline: &Baseline,
         ledger: &mut ShiftLedger,
-        view: &View<'_>,
+        view: &SystemView<'_>,
     ) {
         if self.found || baseline.revision < view.revision {
             return;
--- a/crates/sedgepath-core/src/view.rs
+++ b/crates/sedgepath-core/src/view.rs
@@ -25,7 +25,7 @@
 
 /// What a node knows of the system at one moment.
 #[derive(Debug, Clone, Copy)]
-pub struct View<'a> {
+pub struct SystemView<'a> {
     /// The time in milliseconds.
     pub now_ms: u64,
     /// The node itself.
@@ -42,7 +42,7 @@
     pub own_loads: &'a [ServiceLoad],
 }
 
-impl View<'_> {
+impl SystemView<'_> {
     /// Returns what is known of failure domains, with the record's shares for an origin group.
     pub fn candidates(
         &self,
