--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -21,7 +21,7 @@
 use crate::retry::RetryBudgets;
 use crate::shift::ShiftKey;
 use crate::steering::SteeringPolicy;
-use crate::view::{Owner, SystemView};
+use crate::view::{SystemView, UpstreamOwner};
 
 mod pending;
 mod places;
@@ -201,7 +201,7 @@
         &mut self,
         pending: &mut Pending,
         means: &Means<'_>,
-    ) -> Result<Owner, Rejection> {
+    ) -> Result<UpstreamOwner, Rejection> {
         let (service, class) = (pending.service(), pending.class());
         if !self.budgets.allow(service, class) {
             let reason = RejectionReason::RetryBudget;
--- a/crates/sedgepath-core/src/ingress/pending.rs
+++ b/crates/sedgepath-core/src/ingress/pending.rs
@@ -3,8 +3,8 @@
 use std::net::IpAddr;
 
 use super::{
-    Class, Dispatch, HopEnd, Once, Owner, Rejection, RejectionReason, RequestHead, ServiceEntry,
-    SystemView,
+    Class, Dispatch, HopEnd, Once, Rejection, RejectionReason, RequestHead, ServiceEntry,
+    SystemView, UpstreamOwner,
 };
 use crate::event::Action;
 use crate::key::{OriginKey, RequestKey, ServiceKey, VmKey};
@@ -125,7 +125,7 @@
     pub(super) fn send(
         &mut self,
         request: RequestKey,
-        owner: Owner,
+        owner: UpstreamOwner,
         revision: u64,
         out: &mut Outbox,
     ) {
--- a/crates/sedgepath-core/src/ingress/places.rs
+++ b/crates/sedgepath-core/src/ingress/places.rs
@@ -13,7 +13,7 @@
 use crate::shift::baseline::BaselineSearch;
 use crate::shift::{self, ShiftKey, ShiftLedger};
 use crate::steering::{Candidate, Choice};
-use crate::view::Owner;
+use crate::view::UpstreamOwner;
 
 /// The least time after which a caller whose traffic may not move yet is told to come back, in
 /// milliseconds.
@@ -29,7 +29,7 @@
     ledger: ShiftLedger,
     baseline: BaselineSearch,
     candidates: Map<ShiftKey, Arc<[Candidate]>>,
-    owners: Map<(DomainKey, ServiceKey), Arc<[Owner]>>,
+    owners: Map<(DomainKey, ServiceKey), Arc<[UpstreamOwner]>>,
     random: fastrand::Rng,
 }
 
@@ -86,7 +86,7 @@
         &mut self,
         pending: &mut Pending,
         means: &Means<'_>,
-    ) -> Result<Owner, Rejection> {
+    ) -> Result<UpstreamOwner, Rejection> {
         let view = &means.view;
         let service = pending.service();
         let key = ShiftKey::of(service, pending.origin(), view.catalogue);
@@ -130,7 +130,7 @@
         domain: DomainKey,
         pending: &Pending,
         means: &Means<'_>,
-    ) -> Option<Owner> {
+    ) -> Option<UpstreamOwner> {
         let service = pending.service();
         let owners = self.owners.entry((domain, service));
         let owners = owners.or_insert_with(|| means.view.upstream_owners(domain, service).into());
@@ -163,7 +163,7 @@
     }
 }
 
-fn draw(owners: &[Owner], random: &mut fastrand::Rng) -> Option<Owner> {
+fn draw(owners: &[UpstreamOwner], random: &mut fastrand::Rng) -> Option<UpstreamOwner> {
     let sum: u32 = owners.iter().map(|owner| owner.slots).sum();
     let mut point = random.u32(0..sum.max(1));
     owners
@@ -176,6 +176,6 @@
         .copied()
 }
 
-fn has_slots(owner: &Owner) -> bool {
+fn has_slots(owner: &UpstreamOwner) -> bool {
     owner.load.is_none_or(|load| load.slots > 0)
 }
--- a/crates/sedgepath-core/src/view.rs
+++ b/crates/sedgepath-core/src/view.rs
@@ -12,7 +12,7 @@
 
 /// The owner of an upstream and where it takes frames.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Owner {
+pub struct UpstreamOwner {
     /// The VM.
     pub vm: VmKey,
     /// Where it takes frames.
@@ -113,15 +113,20 @@
     /// owners, and where a member can't be told dead from cut off, all that use their parts.
     ///
     /// Where none has told of any, those that own upstreams by the members known here are returned.
-    pub fn upstream_owners(&self, domain: DomainKey, service: ServiceKey) -> Vec<Owner> {
+    pub fn upstream_owners(&self, domain: DomainKey, service: ServiceKey) -> Vec<UpstreamOwner> {
         let serving = self.serving_vms_in(domain);
         let told: Vec<_> = serving.iter().filter_map(|vm| self.told_owner(*vm, service)).collect();
         if told.is_empty() { self.presumed_owners(domain, service, &serving) } else { told }
     }
 
-    fn told_owner(&self, vm: VmKey, service: ServiceKey) -> Option<Owner> {
+    fn told_owner(&self, vm: VmKey, service: ServiceKey) -> Option<UpstreamOwner> {
         let (load, _) = self.load_of(vm, service).filter(|(load, _)| load.slots > 0)?;
-        Some(Owner { vm, address: self.peer_address(vm)?, slots: load.slots, load: Some(load) })
+        Some(UpstreamOwner {
+            vm,
+            address: self.peer_address(vm)?,
+            slots: load.slots,
+            load: Some(load),
+        })
     }
 
     fn presumed_owners(
@@ -129,8 +134,8 @@
         domain: DomainKey,
         service: ServiceKey,
         serving: &[VmKey],
-    ) -> Vec<Owner> {
-        let mut owners: Vec<Owner> = Vec::new();
+    ) -> Vec<UpstreamOwner> {
+        let mut owners: Vec<UpstreamOwner> = Vec::new();
         for upstream in self.upstreams_in(domain, service) {
             let Some(vm) = rendezvous::owner(u64::from(upstream.0), serving) else { continue };
             let slots = self.catalogue.upstreams[&upstream].slots;
@@ -138,7 +143,7 @@
                 owner.slots += slots;
             } else if let Some(address) = self.peer_address(vm) {
                 let load = self.load_of(vm, service).map(|(load, _)| load);
-                owners.push(Owner { vm, address, slots, load });
+                owners.push(UpstreamOwner { vm, address, slots, load });
             }
         }
         owners
