--- a/crates/sedgepath-core/benches/look_up.rs
+++ b/crates/sedgepath-core/benches/look_up.rs
@@ -7,7 +7,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
-use sedgepath_core::clock::Stamp;
+use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::event::{Event, LookUp};
 use sedgepath_core::key::{BootId, DomainKey, VmKey};
 use sedgepath_core::message::{Envelope, MemberCard, Message, Summary, SummaryLine};
@@ -112,7 +112,7 @@
             from: VmKey::of("relay"),
             boot: BootId(1),
             sequence: domain_number as u64,
-            stamp: Stamp::default(),
+            stamp: HybridTimestamp::default(),
             message: Message::Summary(summary),
         };
         bed.handle(0, Event::Datagram(envelope));
--- a/crates/sedgepath-core/src/clock.rs
+++ b/crates/sedgepath-core/src/clock.rs
@@ -10,7 +10,7 @@
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Stamp {
+pub struct HybridTimestamp {
     /// The largest physical time heard of, in milliseconds since the Unix epoch.
     pub time_ms: u64,
     /// The number of the event within that millisecond.
@@ -25,22 +25,22 @@
 /// A node's hybrid logical clock.
 #[derive(Debug, Default)]
 pub struct HybridClock {
-    last: Stamp,
+    last: HybridTimestamp,
 }
 
 impl HybridClock {
     /// Returns the stamp of a local event or of a message about to be sent.
-    pub fn tick(&mut self, now_ms: u64) -> Stamp {
+    pub fn tick(&mut self, now_ms: u64) -> HybridTimestamp {
         self.last = if now_ms > self.last.time_ms {
-            Stamp { time_ms: now_ms, count: 0 }
+            HybridTimestamp { time_ms: now_ms, count: 0 }
         } else {
-            Stamp { time_ms: self.last.time_ms, count: self.last.count + 1 }
+            HybridTimestamp { time_ms: self.last.time_ms, count: self.last.count + 1 }
         };
         self.last
     }
 
     /// Merges the stamp of a message received; one that leads by over [`MAX_LEAD_MS`] is ignored.
-    pub fn merge(&mut self, now_ms: u64, heard: Stamp) {
+    pub fn merge(&mut self, now_ms: u64, heard: HybridTimestamp) {
         if heard.time_ms <= now_ms.saturating_add(MAX_LEAD_MS) {
             self.last = self.last.max(heard);
         }
--- a/crates/sedgepath-core/src/direct/vms/elsewhere.rs
+++ b/crates/sedgepath-core/src/direct/vms/elsewhere.rs
@@ -8,7 +8,7 @@
 
 use super::heartbeat::{StoreHealth, VmDescriptor, VmTiming};
 use super::summary::{DomainSummary, Member, SummaryUpdate};
-use crate::clock::Stamp;
+use crate::clock::HybridTimestamp;
 use crate::hash::{Map, Set};
 
 /// A VM of another failure domain.
@@ -76,7 +76,7 @@
     pub(super) fn repeat(
         &mut self,
         sender: SocketAddr,
-        (boot, stamp): (u64, Stamp),
+        (boot, stamp): (u64, HybridTimestamp),
         digest: u64,
         heard_at_ms: u64,
     ) -> Option<&DomainSummary> {
--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -27,7 +27,7 @@
 use super::known::Standing;
 use super::summary::{DomainSummary, MAX_LISTED, Member, RelayedSummary};
 use super::{Peer, VmTable};
-use crate::clock::Stamp;
+use crate::clock::HybridTimestamp;
 use crate::hash::{Digest, Map};
 use crate::key::VmKey;
 use crate::rendezvous;
@@ -152,7 +152,7 @@
     /// Returns what this VM sends now, as it does each period.
     pub fn periodic_messages(
         &mut self,
-        stamp: Stamp,
+        stamp: HybridTimestamp,
         rng: &mut Rng,
         now_ms: u64,
     ) -> Vec<OutgoingMessage> {
@@ -178,7 +178,7 @@
     /// failure domain, and to the others of its region, whoever speaks for it.
     pub fn change_messages(
         &mut self,
-        stamp: Stamp,
+        stamp: HybridTimestamp,
         rng: &mut Rng,
         now_ms: u64,
     ) -> Vec<OutgoingMessage> {
@@ -191,7 +191,7 @@
     }
 
     /// Returns all that this VM says of itself, to those that get its heartbeats.
-    pub fn full_heartbeat(&mut self, stamp: Stamp, now_ms: u64) -> OutgoingMessage {
+    pub fn full_heartbeat(&mut self, stamp: HybridTimestamp, now_ms: u64) -> OutgoingMessage {
         let to = self.heartbeat_targets(now_ms);
         OutgoingMessage {
             message: PeerMessage::Heartbeat(Heartbeat::Full(self.heartbeat(stamp))),
@@ -203,7 +203,7 @@
     pub fn join_reply(
         &self,
         domain: &str,
-        stamp: Stamp,
+        stamp: HybridTimestamp,
         rng: &mut Rng,
         now_ms: u64,
     ) -> PeerMessage {
@@ -213,7 +213,7 @@
     }
 
     /// Returns all that this VM says of itself, sent now.
-    pub fn heartbeat(&mut self, stamp: Stamp) -> VmHeartbeat {
+    pub fn heartbeat(&mut self, stamp: HybridTimestamp) -> VmHeartbeat {
         let heard: Vec<_> = self.known.heard_in(&self.own.descriptor.domain).collect();
         let next = self.telling.addresses;
         self.telling.addresses = next.wrapping_add(KNOWN_PER_HEARTBEAT);
@@ -223,7 +223,7 @@
         VmHeartbeat { descriptor: self.own.descriptor.clone(), state: self.state(stamp), known }
     }
 
-    fn heartbeat_of_round(&mut self, stamp: Stamp, now_ms: u64) -> OutgoingMessage {
+    fn heartbeat_of_round(&mut self, stamp: HybridTimestamp, now_ms: u64) -> OutgoingMessage {
         let to = self.heartbeat_targets(now_ms);
         self.telling.rounds += 1;
         let unplaced = self.known.unplaced().next().is_some();
@@ -235,12 +235,12 @@
         OutgoingMessage { message: PeerMessage::Heartbeat(heartbeat), to }
     }
 
-    fn state(&self, stamp: Stamp) -> VmState {
+    fn state(&self, stamp: HybridTimestamp) -> VmState {
         VmState { stamp, period_ms: self.period_ms(), ..self.own.state }
     }
 
     /// Returns what this VM can say of its failure domain.
-    fn summary(&self, stamp: Stamp, now_ms: u64) -> DomainSummary {
+    fn summary(&self, stamp: HybridTimestamp, now_ms: u64) -> DomainSummary {
         let VmHeartbeat { descriptor: card, state, .. } = &self.own;
         let member = |card: &VmDescriptor, state: &VmState| Member {
             ip: card.peer_address.ip(),
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::clock::Stamp;
+use crate::clock::HybridTimestamp;
 use crate::hash::Digest;
 use crate::key::VmKey;
 
@@ -92,7 +92,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmState {
     /// When it was sent, in the order of events over all VMs.
-    pub stamp: Stamp,
+    pub stamp: HybridTimestamp,
     /// The time until it is sent again, in milliseconds.
     pub period_ms: u64,
     /// When the VM's process started, in milliseconds since the Unix epoch; the later of two counts.
@@ -122,7 +122,7 @@
     /// Creates that of a VM that has just started and doesn't take requests yet.
     pub fn new(card: VmDescriptor, boot: u64, period_ms: u64) -> Self {
         let state = VmState {
-            stamp: Stamp::default(),
+            stamp: HybridTimestamp::default(),
             period_ms,
             boot_at_ms: boot,
             ready: false,
--- a/crates/sedgepath-core/src/direct/vms/summary.rs
+++ b/crates/sedgepath-core/src/direct/vms/summary.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::heartbeat::{StoreHealth, VmDescriptor};
-use crate::clock::Stamp;
+use crate::clock::HybridTimestamp;
 use crate::hash::Digest;
 
 /// The most VMs that a summary lists, so that it fits a datagram.
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DomainSummary {
     /// When it was sent, in the order of events over all VMs.
-    pub stamp: Stamp,
+    pub stamp: HybridTimestamp,
     /// The time until its sender's next one, in milliseconds.
     pub period_ms: u64,
     /// When its sender's process started, in milliseconds since the Unix epoch.
@@ -110,7 +110,7 @@
         /// When its sender's process started, in milliseconds since the Unix epoch.
         boot: u64,
         /// When it was sent, in the order of events over all VMs.
-        stamp: Stamp,
+        stamp: HybridTimestamp,
         /// A digest of what it says; one that doesn't have that learns nothing.
         digest: u64,
     },
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::clock::Stamp;
+use crate::clock::HybridTimestamp;
 use crate::key::{BootId, DomainKey, OriginKey, ServiceKey, UpstreamKey, VmKey};
 
 /// A datagram: who sent it, in which order, and what it says.
@@ -17,7 +17,7 @@
     /// The number of the datagram within the boot, to drop repeated ones.
     pub sequence: u64,
     /// The sender's place in the time line.
-    pub stamp: Stamp,
+    pub stamp: HybridTimestamp,
     /// What it says.
     pub message: Message,
 }
--- a/crates/sedgepath-core/src/outbox.rs
+++ b/crates/sedgepath-core/src/outbox.rs
@@ -111,7 +111,7 @@
     }
 
     /// Merges the stamp of a datagram received.
-    pub fn merge_stamp(&mut self, stamp: crate::clock::Stamp) {
+    pub fn merge_stamp(&mut self, stamp: crate::clock::HybridTimestamp) {
         self.clock.merge(self.now_ms, stamp);
     }
 
--- a/crates/sedgepath-core/src/timeline.rs
+++ b/crates/sedgepath-core/src/timeline.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::clock::Stamp;
+use crate::clock::HybridTimestamp;
 
 /// The most entries that a node keeps; the oldest are dropped first.
 pub const KEPT_ENTRIES: usize = 4096;
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// When, in the order of all nodes.
-    pub stamp: Stamp,
+    pub stamp: HybridTimestamp,
     /// What it is about.
     pub topic: Topic,
     /// The name of the event, in the form `member_joined`.
@@ -109,7 +109,7 @@
     }
 
     /// Returns the entries after a stamp, oldest first.
-    pub fn since(&self, after: Stamp) -> Vec<Entry> {
+    pub fn since(&self, after: HybridTimestamp) -> Vec<Entry> {
         let start = self.entries.partition_point(|entry| entry.stamp <= after);
         self.entries.range(start..).cloned().collect()
     }
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -8,7 +8,7 @@
 
 use fuzz_support::config;
 use proptest::prelude::*;
-use sedgepath_core::clock::Stamp;
+use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::direct::vms::gossip::{Heartbeat, PeerMessage};
 use sedgepath_core::direct::vms::{
     DomainSummary, Member, RelayedSummary, StoreHealth, SummaryUpdate, VmTable,
@@ -21,7 +21,7 @@
     let ip = |number| IpAddr::V4(Ipv4Addr::new(10, 0, 0, number));
     let member = |number| Member { ip: ip(number), ready: true, has_store: true };
     DomainSummary {
-        stamp: Stamp { time_ms: 5, count: 0 },
+        stamp: HybridTimestamp { time_ms: 5, count: 0 },
         period_ms: 500,
         boot: 1,
         domain: "south-a".into(),
@@ -42,7 +42,7 @@
     let same = SummaryUpdate::Unchanged {
         sender: summary().sender(),
         boot: 1,
-        stamp: Stamp { time_ms: 6, count: 0 },
+        stamp: HybridTimestamp { time_ms: 6, count: 0 },
         digest: 7,
     };
     vec![
@@ -91,7 +91,7 @@
         prop_assert!(!vm.look_up("north-a", "north", now_ms).is_empty());
         vm.should_read_store(now_ms);
         vm.store_health(StoreHealth::Unknown, now_ms);
-        vm.periodic_messages(Stamp::default(), &mut fastrand::Rng::with_seed(1), now_ms);
+        vm.periodic_messages(HybridTimestamp::default(), &mut fastrand::Rng::with_seed(1), now_ms);
     }
 }
 
@@ -115,5 +115,5 @@
     vm.should_read_store(NOW_MS + 1);
     assert_eq!(vm.serving_vms(NOW_MS + 12_000).len(), 1, "one that says so is named for ever");
     assert!(vm.store_health(StoreHealth::Unknown, NOW_MS + 1).is_reachable());
-    vm.periodic_messages(Stamp::default(), &mut fastrand::Rng::with_seed(1), NOW_MS + 1);
+    vm.periodic_messages(HybridTimestamp::default(), &mut fastrand::Rng::with_seed(1), NOW_MS + 1);
 }
--- a/crates/sedgepath-emulator/src/run.rs
+++ b/crates/sedgepath-emulator/src/run.rs
@@ -7,7 +7,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::sync::Arc;
 
-use sedgepath_core::clock::Stamp;
+use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::direct::Steering;
 use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, NextStep, RequestState};
 use sedgepath_core::direct::steering::{IncomingRequest, SteeringConfig};
@@ -514,7 +514,7 @@
         let told: Vec<VmHeartbeat> = self
             .nodes
             .iter_mut()
-            .map(|node| node.steering.vms_mut().heartbeat(Stamp::default()))
+            .map(|node| node.steering.vms_mut().heartbeat(HybridTimestamp::default()))
             .collect();
         for (index, node) in self.nodes.iter_mut().enumerate() {
             for (other, heartbeat) in told.iter().enumerate() {
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -8,7 +8,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use fastrand::Rng;
-use sedgepath_core::clock::Stamp;
+use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::direct::vms::gossip::{Heartbeat, OutgoingMessage, PeerMessage};
 use sedgepath_core::direct::vms::{VmDescriptor, VmHeartbeat, VmTable};
 use sedgepath_core::hash::{Map, Set};
@@ -282,7 +282,7 @@
             return self.at(resumes_at_ms, Event::Round { vm, boot });
         }
         self.stamps += 1;
-        let stamp = Stamp { time_ms: self.stamps, count: 0 };
+        let stamp = HybridTimestamp { time_ms: self.stamps, count: 0 };
         let (now_ms, mut rng) = (self.now_ms, self.rng.fork());
         let Some(table) = &mut self.vms[vm].table else {
             return;
@@ -326,7 +326,7 @@
         let own_domain = self.domain(vm);
         let mut welcome = None;
         self.stamps += 1;
-        let stamp = Stamp { time_ms: self.stamps, count: 0 };
+        let stamp = HybridTimestamp { time_ms: self.stamps, count: 0 };
         let mut rng = self.rng.fork();
         let Some(table) = &mut self.vms[vm].table else {
             return;
--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -2,7 +2,7 @@
 
 use jsonrpsee::core::RpcResult;
 use jsonrpsee::proc_macros::rpc;
-use sedgepath_core::clock::Stamp;
+use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::configuration::change::{ChangeOutcome, ChangeRequest};
 use sedgepath_core::configuration::rows::LoggedChange;
 use sedgepath_core::configuration::store::{Page, Position};
@@ -127,5 +127,5 @@
 
     /// Returns the entries of the node's time line after a stamp.
     #[method(name = "timeline")]
-    async fn timeline(&self, after: Proved<Stamp>) -> RpcResult<TimelinePart>;
+    async fn timeline(&self, after: Proved<HybridTimestamp>) -> RpcResult<TimelinePart>;
 }
--- a/crates/sedgepath-wire/src/rpc/caller.rs
+++ b/crates/sedgepath-wire/src/rpc/caller.rs
@@ -2,7 +2,7 @@
 
 use jsonrpsee::core::client::Error;
 use jsonrpsee::http_client::HttpClient;
-use sedgepath_core::clock::Stamp;
+use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::configuration::change::{ChangeOutcome, ChangeRequest};
 use sedgepath_core::configuration::rows::LoggedChange;
 use sedgepath_core::configuration::store::{Page, Position};
@@ -93,7 +93,7 @@
     /// # Errors
     ///
     /// Fails if the node gives no answer, or an error.
-    pub async fn timeline(&self, after: Stamp) -> Result<TimelinePart, Error> {
+    pub async fn timeline(&self, after: HybridTimestamp) -> Result<TimelinePart, Error> {
         proved!(self.timeline(method::TIMELINE, after))
     }
 
--- a/crates/sedgepath/src/operations/logs.rs
+++ b/crates/sedgepath/src/operations/logs.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use sedgepath_core::clock::Stamp;
+use sedgepath_core::clock::HybridTimestamp;
 use serde::Serialize;
 
 use crate::error::CliError;
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct LogLine {
     /// Its place in the order over all VMs.
-    pub stamp: Stamp,
+    pub stamp: HybridTimestamp,
     /// The VM that wrote it.
     pub vm: Box<str>,
     /// The kind of event.
@@ -32,7 +32,7 @@
         let line = &line[line.find("at=")?..];
         let (at, text) = line.split_once(' ')?;
         let (time_ms, count) = at.strip_prefix("at=")?.split_once('.')?;
-        let stamp = Stamp { time_ms: time_ms.parse().ok()?, count: count.parse().ok()? };
+        let stamp = HybridTimestamp { time_ms: time_ms.parse().ok()?, count: count.parse().ok()? };
         Some(Self {
             stamp,
             vm: field(text, "vm")?.into(),
--- a/crates/sedgepath/src/operations/timeline.rs
+++ b/crates/sedgepath/src/operations/timeline.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use sedgepath_core::clock::Stamp;
+use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::timeline::Entry;
 use serde::Serialize;
 
@@ -42,14 +42,14 @@
 /// Reads the time lines of all nodes, each from where it was last read to.
 #[derive(Debug)]
 pub struct Reader {
-    since: Stamp,
-    read_to: BTreeMap<Box<str>, Stamp>,
+    since: HybridTimestamp,
+    read_to: BTreeMap<Box<str>, HybridTimestamp>,
 }
 
 impl Reader {
     /// Creates a reader that begins at a time, in milliseconds since the Unix epoch.
     pub fn new(since_ms: u64) -> Self {
-        Self { since: Stamp { time_ms: since_ms, count: 0 }, read_to: BTreeMap::new() }
+        Self { since: HybridTimestamp { time_ms: since_ms, count: 0 }, read_to: BTreeMap::new() }
     }
 
     /// Reads what every member has that the first node knows.
--- a/crates/sedgepathd/examples/slopes/datagrams.rs
+++ b/crates/sedgepathd/examples/slopes/datagrams.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Instant;
 
-use sedgepath_core::clock::Stamp;
+use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::event::Event;
 use sedgepath_core::identity::{Identity, NodeSettings};
 use sedgepath_core::key::{BootId, DomainKey, ServiceKey, VmKey};
@@ -85,7 +85,7 @@
         from: VmKey::of(&format!("lowcountry-a-{member}")),
         boot: BootId(2),
         sequence: 1 + number / MEMBERS,
-        stamp: Stamp { time_ms: now_ms, count: 0 },
+        stamp: HybridTimestamp { time_ms: now_ms, count: 0 },
         message: Message::Heartbeat(Box::new(heartbeat)),
     }
 }
--- a/crates/sedgepathd/src/direct/lines.rs
+++ b/crates/sedgepathd/src/direct/lines.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use crossbeam::channel::{Receiver, Sender, bounded};
-use sedgepath_core::clock::{HybridClock, Stamp};
+use sedgepath_core::clock::{HybridClock, HybridTimestamp};
 
 use super::clock;
 
@@ -99,12 +99,12 @@
 
 impl LineClock {
     /// Returns the stamp of a line or of a heartbeat about to be sent.
-    pub fn tick(&self) -> Stamp {
+    pub fn tick(&self) -> HybridTimestamp {
         self.lock().tick(clock::unix_ms())
     }
 
     /// Takes in the stamp of a heartbeat.
-    pub fn merge(&self, heard: Stamp) {
+    pub fn merge(&self, heard: HybridTimestamp) {
         self.lock().merge(clock::unix_ms(), heard);
     }
 
@@ -135,7 +135,7 @@
         .level_for(CALM, log::LevelFilter::Info)
         .filter(move |metadata| within_budget(&budgets, &counted, metadata.target() == CALM))
         .format(move |out, message, record| {
-            let Stamp { time_ms, count } = stamps.tick();
+            let HybridTimestamp { time_ms, count } = stamps.tick();
             let level = record.level().as_str().to_ascii_lowercase();
             out.finish(format_args!("at={time_ms}.{count} vm={vm} level={level} {message}"));
         })
@@ -217,7 +217,7 @@
     if calm + urgent == 0 {
         return String::new();
     }
-    let Stamp { time_ms, count } = stamps.tick();
+    let HybridTimestamp { time_ms, count } = stamps.tick();
     format!(
         "at={time_ms}.{count} vm={vm} level=info event=lines_left_out calm={calm} urgent={urgent}\n"
     )
--- a/crates/sedgepathd/src/direct/peers.rs
+++ b/crates/sedgepathd/src/direct/peers.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sedgepath_core::clock::Stamp;
+use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::direct::vms::gossip::{Heartbeat, OutgoingMessage, PeerMessage};
 use sedgepath_core::direct::vms::{RelayedSummary, VmHeartbeat};
 
@@ -50,7 +50,7 @@
     send(shell, vec![heartbeat]).await;
 }
 
-fn note_own_state(shell: &Shell) -> (Stamp, u64) {
+fn note_own_state(shell: &Shell) -> (HybridTimestamp, u64) {
     let now_ms = clock::now_ms();
     let mut steering = shell.steering.borrow_mut();
     let ready = steering.can_serve() && !steering.vms().is_leaving();
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -7,7 +7,7 @@
 use jsonrpsee::core::{RpcResult, async_trait};
 use jsonrpsee::http_client::HttpClientBuilder;
 use jsonrpsee::types::ErrorObjectOwned;
-use sedgepath_core::clock::Stamp;
+use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::configuration::change::{ChangeOutcome, ChangeRequest};
 use sedgepath_core::configuration::rows::{LOG_PREFIX, LoggedChange, log_key};
 use sedgepath_core::configuration::store::{Page, Position};
@@ -123,7 +123,7 @@
         self.ask(move |node| node.explain(&question)).await
     }
 
-    async fn timeline(&self, after: Proved<Stamp>) -> RpcResult<TimelinePart> {
+    async fn timeline(&self, after: Proved<HybridTimestamp>) -> RpcResult<TimelinePart> {
         let after = self.open(method::TIMELINE, after)?;
         self.ask(move |node| TimelinePart {
             node: node.outbox().identity().card.name.clone(),
