--- a/crates/sedgepath-core/src/clock.rs
+++ b/crates/sedgepath-core/src/clock.rs
@@ -24,11 +24,11 @@
 
 /// A node's hybrid logical clock.
 #[derive(Debug, Default)]
-pub struct HybridClock {
+pub struct HybridLogicalClock {
     last: HybridTimestamp,
 }
 
-impl HybridClock {
+impl HybridLogicalClock {
     /// Returns the stamp of a local event or of a message about to be sent.
     pub fn tick(&mut self, now_ms: u64) -> HybridTimestamp {
         self.last = if now_ms > self.last.time_ms {
--- a/crates/sedgepath-core/src/outbox.rs
+++ b/crates/sedgepath-core/src/outbox.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::clock::HybridClock;
+use crate::clock::HybridLogicalClock;
 use crate::configuration::store::Position;
 use crate::event::Action;
 use crate::identity::Identity;
@@ -19,7 +19,7 @@
     now_ms: u64,
     sequence: u64,
     operations: u64,
-    clock: HybridClock,
+    clock: HybridLogicalClock,
     timeline: Timeline,
     actions: Vec<Action>,
 }
@@ -32,7 +32,7 @@
             now_ms: 0,
             sequence: 0,
             operations: 0,
-            clock: HybridClock::default(),
+            clock: HybridLogicalClock::default(),
             timeline: Timeline::default(),
             actions: Vec::new(),
         }
--- a/crates/sedgepathd/src/direct/lines.rs
+++ b/crates/sedgepathd/src/direct/lines.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use crossbeam::channel::{Receiver, Sender, bounded};
-use sedgepath_core::clock::{HybridClock, HybridTimestamp};
+use sedgepath_core::clock::{HybridLogicalClock, HybridTimestamp};
 
 use super::clock;
 
@@ -94,7 +94,7 @@
 /// The order of lines over all VMs.
 #[derive(Debug, Clone, Default)]
 pub struct LineClock {
-    clock: Arc<Mutex<HybridClock>>,
+    clock: Arc<Mutex<HybridLogicalClock>>,
 }
 
 impl LineClock {
@@ -108,7 +108,7 @@
         self.lock().merge(clock::unix_ms(), heard);
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, HybridClock> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, HybridLogicalClock> {
         // No code panics while it holds the lock.
         self.clock.lock().unwrap_or_else(PoisonError::into_inner)
     }
