--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -13,7 +13,7 @@
 use crate::event::Action;
 use crate::hash::Map;
 use crate::key::{DomainKey, OriginKey, RequestKey, ServiceKey};
-use crate::look_up::LookUps;
+use crate::look_up::LookUpCache;
 use crate::outbox::Outbox;
 use crate::request::{
     Class, Dispatch, HopEnd, Once, Outcome, Rejection, RejectionReason, RequestHead,
@@ -59,7 +59,7 @@
 pub struct Ingress {
     pending: Map<RequestKey, Pending>,
     budgets: RetryBudgets,
-    look_ups: LookUps,
+    look_ups: LookUpCache,
     places: Places,
 }
 
@@ -69,13 +69,13 @@
         Self {
             pending: Map::default(),
             budgets: RetryBudgets::default(),
-            look_ups: LookUps::default(),
+            look_ups: LookUpCache::default(),
             places: Places::new(seed),
         }
     }
 
     /// Returns the lists of entry VMs that look-ups are answered from.
-    pub fn look_ups_mut(&mut self) -> &mut LookUps {
+    pub fn look_ups_mut(&mut self) -> &mut LookUpCache {
         &mut self.look_ups
     }
 
--- a/crates/sedgepath-core/src/look_up.rs
+++ b/crates/sedgepath-core/src/look_up.rs
@@ -29,12 +29,12 @@
 
 /// The ordered lists of entry VMs.
 #[derive(Debug, Default)]
-pub struct LookUps {
+pub struct LookUpCache {
     lists: Map<ListKey, Arc<[EntryVm]>>,
     fingerprint: u64,
 }
 
-impl LookUps {
+impl LookUpCache {
     /// Drops the lists if the members that serve, or the configuration, have changed.
     pub fn drop_stale_lists(&mut self, view: &SystemView<'_>) {
         let fingerprint = fingerprint(view);
