--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -102,7 +102,7 @@
 
 /// What a node tells the members about itself.
 #[derive(Debug, Clone, Copy)]
-pub struct OwnState<'a> {
+pub struct LocalState<'a> {
     /// What the node knows of the configuration.
     pub news: ConfigurationNews,
     /// The load by service.
@@ -325,7 +325,7 @@
     }
 
     /// Suspects silent members and sends the heartbeats, probes and summaries that are due.
-    pub fn tick(&mut self, own: OwnState<'_>, right: &mut Right, out: &mut Outbox) {
+    pub fn tick(&mut self, own: LocalState<'_>, right: &mut Right, out: &mut Outbox) {
         self.suspect_silent(out);
         self.forget_gone(out);
         self.send_heartbeats(own, right, out);
--- a/crates/sedgepath-core/src/membership/heartbeat.rs
+++ b/crates/sedgepath-core/src/membership/heartbeat.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use super::{Membership, OwnState, probe};
+use super::{LocalState, Membership, probe};
 use crate::hash::Map;
 use crate::key::{BootId, DomainKey, VmKey};
 use crate::lease::{HeardBeat, Right};
@@ -124,7 +124,7 @@
     /// changed its claim.
     pub(super) fn send_heartbeats(
         &mut self,
-        own: OwnState<'_>,
+        own: LocalState<'_>,
         right: &mut Right,
         out: &mut Outbox,
     ) {
@@ -154,7 +154,7 @@
     fn heartbeat(
         &self,
         to: Option<VmKey>,
-        own: OwnState<'_>,
+        own: LocalState<'_>,
         right: &mut Right,
         out: &Outbox,
     ) -> Heartbeat {
--- a/crates/sedgepath-core/src/membership/relay.rs
+++ b/crates/sedgepath-core/src/membership/relay.rs
@@ -25,7 +25,7 @@
 use std::net::SocketAddr;
 
 use super::heartbeat::largest_loads;
-use super::{Membership, OwnState};
+use super::{LocalState, Membership};
 use crate::key::{DomainKey, VmKey};
 use crate::message::{Message, Summary, SummaryLine};
 use crate::outbox::Outbox;
@@ -54,7 +54,7 @@
 
 impl Membership {
     /// Sends the summaries of the own failure domain that are due.
-    pub(super) fn send_summaries(&mut self, own: OwnState<'_>, out: &mut Outbox) {
+    pub(super) fn send_summaries(&mut self, own: LocalState<'_>, out: &mut Outbox) {
         self.tell_leaving(own, out);
         if out.now_ms() < self.relay.next_at_ms {
             return;
@@ -76,7 +76,7 @@
     ///
     /// Without it their look-ups would name this node until its next summary, which matters for a
     /// process that stops within that time.
-    fn tell_leaving(&mut self, own: OwnState<'_>, out: &mut Outbox) {
+    fn tell_leaving(&mut self, own: LocalState<'_>, out: &mut Outbox) {
         if !out.identity().card.leaving || self.relay.told_leaving {
             return;
         }
@@ -161,7 +161,7 @@
     }
 
     /// Returns the lines of the own failure domain, this node among them.
-    fn own_lines(&self, own: OwnState<'_>, with_cards: bool, out: &Outbox) -> Vec<SummaryLine> {
+    fn own_lines(&self, own: LocalState<'_>, with_cards: bool, out: &Outbox) -> Vec<SummaryLine> {
         let domain = out.identity().card.domain;
         let live = self.members_in(domain).into_iter().filter(|(_, member)| !member.suspected);
         let mut lines: Vec<_> = live.map(|(vm, _)| self.line(vm, with_cards, out)).collect();
@@ -194,7 +194,7 @@
     out.send(to, Message::Summary(Summary { forward_in_domain: false, ..summary.clone() }));
 }
 
-fn own_line(own: OwnState<'_>, with_card: bool, out: &Outbox) -> SummaryLine {
+fn own_line(own: LocalState<'_>, with_card: bool, out: &Outbox) -> SummaryLine {
     let identity = out.identity();
     SummaryLine {
         vm: identity.vm,
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -18,7 +18,7 @@
 use crate::ingress::{self, Conclusion, Ingress, Means};
 use crate::key::{RequestKey, ServiceKey, UpstreamKey, VmKey};
 use crate::lease::Right;
-use crate::membership::{Membership, OwnState};
+use crate::membership::{LocalState, Membership};
 use crate::message::{Baseline, Envelope, Heartbeat, Message, ServiceLoad};
 use crate::outbox::Outbox;
 use crate::request::{HopEnd, Once, RequestHead, Ticket};
@@ -195,7 +195,7 @@
         self.admit(Egress::tick);
         self.tell_leaving();
         self.own_loads = self.admit(|egress, scope, out| egress.loads(scope, out.now_ms()));
-        let own = OwnState { news: self.configuration.status(now_ms), loads: &self.own_loads };
+        let own = LocalState { news: self.configuration.status(now_ms), loads: &self.own_loads };
         self.right.update_in_flight(|upstream| self.egress.in_flight(upstream));
         self.membership.tick(own, &mut self.right, &mut self.out);
         // What was promised to other members just now must hold for the next dispatch.
