--- a/crates/sedgepath-core/src/lease.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -125,7 +125,7 @@
 
 /// The node's right to the upstreams of its failure domain.
 #[derive(Debug)]
-pub struct Right {
+pub struct UpstreamLease {
     settings: NodeSettings,
     own: VmKey,
     boot: BootId,
@@ -150,7 +150,7 @@
     ended: bool,
 }
 
-impl Right {
+impl UpstreamLease {
     /// Creates the right of a boot, which has nothing yet.
     pub fn new(settings: NodeSettings, identity: &Identity) -> Self {
         Self {
--- a/crates/sedgepath-core/src/lease/usable.rs
+++ b/crates/sedgepath-core/src/lease/usable.rs
@@ -1,6 +1,6 @@
 //! How much of each upstream the right and the parts leave to this node at a moment.
 
-use super::{Right, Share};
+use super::{Share, UpstreamLease};
 use crate::allowance::Allowance;
 use crate::key::{UpstreamKey, VmKey};
 
@@ -8,7 +8,7 @@
 /// what others opened just before counts within the same second.
 const RATE_WINDOW_MS: u64 = 1_000;
 
-impl Right {
+impl UpstreamLease {
     /// Returns what this node may use of the upstreams of its failure domain at this moment.
     pub fn allowances(&self, now_ms: u64) -> Vec<Allowance> {
         if self.ended {
--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -56,7 +56,7 @@
 use crate::hash::Map;
 use crate::identity::NodeSettings;
 use crate::key::{BootId, DomainKey, VmKey};
-use crate::lease::Right;
+use crate::lease::UpstreamLease;
 use crate::message::{
     ConfigurationNews, Envelope, Heartbeat, MemberCard, Message, Probe, ProbeAnswer, ServiceLoad,
     Summary,
@@ -325,7 +325,7 @@
     }
 
     /// Suspects silent members and sends the heartbeats, probes and summaries that are due.
-    pub fn tick(&mut self, own: LocalState<'_>, right: &mut Right, out: &mut Outbox) {
+    pub fn tick(&mut self, own: LocalState<'_>, right: &mut UpstreamLease, out: &mut Outbox) {
         self.suspect_silent(out);
         self.forget_gone(out);
         self.send_heartbeats(own, right, out);
--- a/crates/sedgepath-core/src/membership/heartbeat.rs
+++ b/crates/sedgepath-core/src/membership/heartbeat.rs
@@ -8,7 +8,7 @@
 use super::{LocalState, Membership, probe};
 use crate::hash::Map;
 use crate::key::{BootId, DomainKey, VmKey};
-use crate::lease::{HeardBeat, Right};
+use crate::lease::{HeardBeat, UpstreamLease};
 use crate::message::{Acknowledgement, Claim, Envelope, Heartbeat, Message, ServiceLoad};
 use crate::outbox::Outbox;
 
@@ -125,7 +125,7 @@
     pub(super) fn send_heartbeats(
         &mut self,
         own: LocalState<'_>,
-        right: &mut Right,
+        right: &mut UpstreamLease,
         out: &mut Outbox,
     ) {
         let news = Some((out.identity().card.leaving, right.claim()));
@@ -155,7 +155,7 @@
         &self,
         to: Option<VmKey>,
         own: LocalState<'_>,
-        right: &mut Right,
+        right: &mut UpstreamLease,
         out: &Outbox,
     ) -> Heartbeat {
         let valid_ms = self.settings.suspect_after_ms;
@@ -175,7 +175,7 @@
     fn acknowledgement(
         &self,
         vm: VmKey,
-        right: &mut Right,
+        right: &mut UpstreamLease,
         out: &Outbox,
     ) -> Option<Acknowledgement> {
         let beat = self.heartbeats.contacts.get(&vm)?.beat;
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -17,7 +17,7 @@
 use crate::identity::{Identity, NodeSettings};
 use crate::ingress::{self, Conclusion, Ingress, Means};
 use crate::key::{RequestKey, ServiceKey, UpstreamKey, VmKey};
-use crate::lease::Right;
+use crate::lease::UpstreamLease;
 use crate::membership::{LocalState, Membership};
 use crate::message::{Baseline, Envelope, Heartbeat, Message, ServiceLoad};
 use crate::outbox::Outbox;
@@ -53,7 +53,7 @@
     out: Outbox,
     configuration: Configuration,
     membership: Membership,
-    right: Right,
+    right: UpstreamLease,
     policy: Box<dyn SteeringPolicy>,
     ingress: Ingress,
     egress: Egress,
@@ -68,7 +68,7 @@
     /// Creates a node that knows nothing yet.
     pub fn new(identity: Identity, settings: NodeSettings) -> Self {
         Self {
-            right: Right::new(settings.clone(), &identity),
+            right: UpstreamLease::new(settings.clone(), &identity),
             out: Outbox::new(identity),
             configuration: Configuration::new(settings.clone()),
             membership: Membership::new(settings.clone()),
