--- a/crates/sedgepath-core/src/drain.rs
+++ b/crates/sedgepath-core/src/drain.rs
@@ -18,7 +18,7 @@
 use crate::catalogue::{Catalogue, ServiceEntry};
 use crate::key::{DomainKey, OriginKey, ServiceKey, UpstreamKey};
 use crate::record::Cap;
-use crate::shift::traffic_split::Standing;
+use crate::shift::traffic_split::TrafficSplit;
 
 /// A share below which nothing is left to move; shares are sums of floating-point numbers.
 const NO_SHARE: f64 = 1e-9;
@@ -263,7 +263,7 @@
         // The remainders of single requests don't matter here.
         let mut random = fastrand::Rng::with_seed(0);
         let shares = [(TARGET, share), (ELSEWHERE, 1.0 - share)];
-        let mut standing = Standing::new(&shares, from_ms, &mut random);
+        let mut standing = TrafficSplit::new(&shares, from_ms, &mut random);
         let mut next_step_ms = from_ms;
         for _ in 0..MOST_PARTS {
             let at_ms = standing.bucket_ends_at_ms();
--- a/crates/sedgepath-core/src/shift.rs
+++ b/crates/sedgepath-core/src/shift.rs
@@ -60,7 +60,7 @@
 mod history;
 pub mod traffic_split;
 
-use traffic_split::Standing;
+use traffic_split::TrafficSplit;
 
 /// The part of the cap that standing shares may use.
 pub const STANDING_PART: f64 = 0.8;
@@ -88,7 +88,7 @@
     random: fastrand::Rng,
     revision: u64,
     declared: Map<ShiftKey, Vec<(DomainKey, f64)>>,
-    standings: Map<ShiftKey, Standing>,
+    standings: Map<ShiftKey, TrafficSplit>,
 }
 
 impl ShiftLedger {
@@ -120,7 +120,7 @@
             } else if let Some(known) = known
                 && known != shares
             {
-                let mut standing = Standing::new(known, now_ms, &mut self.random);
+                let mut standing = TrafficSplit::new(known, now_ms, &mut self.random);
                 standing.add_domains(shares.iter().map(|share| share.0));
                 self.standings.insert(*key, standing);
             }
@@ -130,17 +130,17 @@
 
     /// Returns where traffic stands, if any has come yet.
     pub fn shares(&self, key: ShiftKey) -> Option<Vec<(DomainKey, f64)>> {
-        self.standings.get(&key).map(Standing::shares)
+        self.standings.get(&key).map(TrafficSplit::shares)
     }
 
     /// Returns the standing of a service and origin group; it starts from the record's shares.
-    pub fn traffic_split(&mut self, key: ShiftKey, now_ms: u64) -> Option<&mut Standing> {
+    pub fn traffic_split(&mut self, key: ShiftKey, now_ms: u64) -> Option<&mut TrafficSplit> {
         let declared = self.declared.get(&key)?;
         let standing = self.standings.entry(key);
-        Some(standing.or_insert_with(|| Standing::new(declared, now_ms, &mut self.random)))
+        Some(standing.or_insert_with(|| TrafficSplit::new(declared, now_ms, &mut self.random)))
     }
 
-    /// Gives a request its home; see [`Standing::assign_home`].
+    /// Gives a request its home; see [`TrafficSplit::assign_home`].
     pub fn assign_home(&mut self, key: ShiftKey, cap: Cap, now_ms: u64) -> Option<usize> {
         self.traffic_split(key, now_ms)?.home(cap)
     }
@@ -170,7 +170,7 @@
         for peer in moved {
             let key = ShiftKey { service: peer.service, group: peer.group };
             if let Some(declared) = self.declared.get(&key) {
-                let mut standing = Standing::of_peer(peer, now_ms, &mut self.random);
+                let mut standing = TrafficSplit::of_peer(peer, now_ms, &mut self.random);
                 standing.add_domains(declared.iter().map(|share| share.0));
                 self.standings.insert(key, standing);
             }
--- a/crates/sedgepath-core/src/shift/traffic_split.rs
+++ b/crates/sedgepath-core/src/shift/traffic_split.rs
@@ -18,7 +18,7 @@
 
 /// Where the traffic of an origin group stands, and what of it has moved.
 #[derive(Debug)]
-pub struct Standing {
+pub struct TrafficSplit {
     domains: Vec<DomainKey>,
     shares: Vec<f64>,
     remainders: Vec<f64>,
@@ -32,7 +32,7 @@
     expected: f64,
 }
 
-impl Standing {
+impl TrafficSplit {
     /// Creates a standing that has always had these shares.
     pub fn new(shares: &[(DomainKey, f64)], now_ms: u64, random: &mut fastrand::Rng) -> Self {
         let values: Vec<_> = shares.iter().map(|share| share.1).collect();
