--- a/crates/sedgepath-core/src/ingress/places.rs
+++ b/crates/sedgepath-core/src/ingress/places.rs
@@ -10,7 +10,7 @@
 use crate::outbox::Outbox;
 use crate::record::Cap;
 use crate::request::{Rejection, RejectionReason};
-use crate::shift::baseline::BaselineSearch;
+use crate::shift::baseline::BaselineFetch;
 use crate::shift::{self, ShiftKey, ShiftLedger};
 use crate::steering::{Candidate, Choice};
 use crate::view::UpstreamOwner;
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub struct Places {
     ledger: ShiftLedger,
-    baseline: BaselineSearch,
+    baseline: BaselineFetch,
     candidates: Map<ShiftKey, Arc<[Candidate]>>,
     owners: Map<(DomainKey, ServiceKey), Arc<[UpstreamOwner]>>,
     random: fastrand::Rng,
@@ -37,7 +37,7 @@
     pub(super) fn new(seed: u64) -> Self {
         Self {
             ledger: ShiftLedger::new(seed),
-            baseline: BaselineSearch::default(),
+            baseline: BaselineFetch::default(),
             candidates: Map::default(),
             owners: Map::default(),
             random: fastrand::Rng::with_seed(seed),
--- a/crates/sedgepath-core/src/shift/baseline.rs
+++ b/crates/sedgepath-core/src/shift/baseline.rs
@@ -23,13 +23,13 @@
 
 /// The node's way to its baseline.
 #[derive(Debug, Default)]
-pub struct BaselineSearch {
+pub struct BaselineFetch {
     give_up_at_ms: Option<u64>,
     next_ask_at_ms: u64,
     found: bool,
 }
 
-impl BaselineSearch {
+impl BaselineFetch {
     /// Whether the node may steer.
     pub fn is_ready(&self) -> bool {
         self.found
