--- a/crates/sedgepath-core/src/explain.rs
+++ b/crates/sedgepath-core/src/explain.rs
@@ -9,7 +9,7 @@
 use crate::key::{DomainKey, OriginKey, ServiceKey};
 use crate::record::Cap;
 use crate::request::Class;
-use crate::steering::{Candidate, SteeringPolicy};
+use crate::steering::{CandidateDomain, SteeringPolicy};
 use crate::view::SystemView;
 
 /// What is to be explained.
@@ -163,7 +163,7 @@
     fn explained(
         &self,
         service: ServiceKey,
-        candidate: &Candidate,
+        candidate: &CandidateDomain,
         standing: Option<&[(DomainKey, f64)]>,
     ) -> ExplainedCandidate {
         let stands = |shares: &[(DomainKey, f64)]| {
--- a/crates/sedgepath-core/src/ingress/places.rs
+++ b/crates/sedgepath-core/src/ingress/places.rs
@@ -12,7 +12,7 @@
 use crate::request::{Rejection, RejectionReason};
 use crate::shift::baseline::BaselineFetch;
 use crate::shift::{self, ShiftKey, ShiftLedger};
-use crate::steering::{Candidate, Choice};
+use crate::steering::{CandidateDomain, Choice};
 use crate::view::UpstreamOwner;
 
 /// The least time after which a caller whose traffic may not move yet is told to come back, in
@@ -28,7 +28,7 @@
 pub struct Places {
     ledger: ShiftLedger,
     baseline: BaselineFetch,
-    candidates: Map<ShiftKey, Arc<[Candidate]>>,
+    candidates: Map<ShiftKey, Arc<[CandidateDomain]>>,
     owners: Map<(DomainKey, ServiceKey), Arc<[UpstreamOwner]>>,
     random: fastrand::Rng,
 }
@@ -146,7 +146,11 @@
 
     /// Lets the standing shares move if the next part of a window has begun; returns the cap and what
     /// is known of the standing's failure domains.
-    fn begin_part(&mut self, key: ShiftKey, means: &Means<'_>) -> Option<(Cap, Arc<[Candidate]>)> {
+    fn begin_part(
+        &mut self,
+        key: ShiftKey,
+        means: &Means<'_>,
+    ) -> Option<(Cap, Arc<[CandidateDomain]>)> {
         let view = &means.view;
         self.ledger.apply_revision(view.revision, view.catalogue, view.now_ms);
         let entry = view.catalogue.services.get(&key.service)?.steering.as_ref()?;
--- a/crates/sedgepath-core/src/shift.rs
+++ b/crates/sedgepath-core/src/shift.rs
@@ -54,7 +54,7 @@
 use crate::key::{DomainKey, OriginKey, ServiceKey};
 use crate::message::StandingShares;
 use crate::record::Cap;
-use crate::steering::Candidate;
+use crate::steering::CandidateDomain;
 
 pub mod baseline;
 mod history;
@@ -195,7 +195,11 @@
 }
 
 /// Returns the cap in force: the one for failover while a domain that holds traffic can't serve.
-pub fn cap(entry: &SteeringEntry, candidates: &[Candidate], shares: &[(DomainKey, f64)]) -> Cap {
+pub fn cap(
+    entry: &SteeringEntry,
+    candidates: &[CandidateDomain],
+    shares: &[(DomainKey, f64)],
+) -> Cap {
     let holds = |domain| shares.iter().any(|share| share.0 == domain && share.1 > 0.0);
     let failover =
         candidates.iter().any(|candidate| candidate.has_failed() && holds(candidate.domain));
--- a/crates/sedgepath-core/src/steering.rs
+++ b/crates/sedgepath-core/src/steering.rs
@@ -11,7 +11,7 @@
 
 /// A failure domain that a request could go to.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Candidate {
+pub struct CandidateDomain {
     /// The failure domain.
     pub domain: DomainKey,
     /// Its share by the record, from 0 to 1.
@@ -35,7 +35,7 @@
     pub region: Option<RegionKey>,
 }
 
-impl Candidate {
+impl CandidateDomain {
     /// Whether a request could be run there at all.
     pub fn is_usable(&self) -> bool {
         self.accepts_work && self.declared_slots > 0
@@ -76,7 +76,7 @@
 
     /// Returns the shares of the candidates that the traffic should have, adding up to one; the
     /// ledger moves it there as fast as the cap allows.
-    fn target_shares(&self, candidates: &[Candidate]) -> Vec<f64> {
+    fn target_shares(&self, candidates: &[CandidateDomain]) -> Vec<f64> {
         declared_over_usable(candidates)
     }
 
@@ -85,14 +85,14 @@
     fn rank(
         &self,
         choice: Choice,
-        candidates: &[Candidate],
+        candidates: &[CandidateDomain],
         random: &mut fastrand::Rng,
     ) -> Vec<usize>;
 }
 
 /// Returns the record's shares with those of unusable candidates spread over the usable ones.
-pub fn declared_over_usable(candidates: &[Candidate]) -> Vec<f64> {
-    let usable = |candidate: &Candidate| {
+pub fn declared_over_usable(candidates: &[CandidateDomain]) -> Vec<f64> {
+    let usable = |candidate: &CandidateDomain| {
         if candidate.is_usable() && !candidate.leaving { candidate.share } else { 0.0 }
     };
     let weights: Vec<_> = candidates.iter().map(usable).collect();
--- a/crates/sedgepath-core/src/steering/baselines.rs
+++ b/crates/sedgepath-core/src/steering/baselines.rs
@@ -1,6 +1,6 @@
 //! Policies to measure the shipping one against.
 
-use super::{Candidate, Choice, SteeringPolicy, draw_order};
+use super::{CandidateDomain, Choice, SteeringPolicy, draw_order};
 
 /// Draws at random by the record's shares.
 #[derive(Debug)]
@@ -14,7 +14,7 @@
     fn rank(
         &self,
         _choice: Choice,
-        candidates: &[Candidate],
+        candidates: &[CandidateDomain],
         random: &mut fastrand::Rng,
     ) -> Vec<usize> {
         draw_order(candidates.iter().map(|candidate| candidate.share).collect(), random)
@@ -33,7 +33,7 @@
     fn rank(
         &self,
         _choice: Choice,
-        candidates: &[Candidate],
+        candidates: &[CandidateDomain],
         _random: &mut fastrand::Rng,
     ) -> Vec<usize> {
         let load = |index: &usize| {
--- a/crates/sedgepath-core/src/steering/by_headroom.rs
+++ b/crates/sedgepath-core/src/steering/by_headroom.rs
@@ -9,7 +9,7 @@
 //! as loaded like any other: acting on an old report sends everybody to the domain that was idle a
 //! while ago. A report that is missing counts the same.
 
-use super::{Candidate, Choice, SteeringPolicy, draw_order};
+use super::{CandidateDomain, Choice, SteeringPolicy, draw_order};
 use crate::request::Class;
 
 /// The load from which a domain keeps less than its share.
@@ -47,10 +47,10 @@
     }
 
     /// Returns the candidates with the ages that the policy goes by.
-    fn seen(&self, candidates: &[Candidate]) -> Vec<Candidate> {
-        let seen = |candidate: &Candidate| {
+    fn seen(&self, candidates: &[CandidateDomain]) -> Vec<CandidateDomain> {
+        let seen = |candidate: &CandidateDomain| {
             let report_age_ms = if self.ignores_age { 0 } else { candidate.report_age_ms };
-            Candidate { report_age_ms, ..*candidate }
+            CandidateDomain { report_age_ms, ..*candidate }
         };
         candidates.iter().map(seen).collect()
     }
@@ -61,7 +61,7 @@
         "by_headroom"
     }
 
-    fn target_shares(&self, candidates: &[Candidate]) -> Vec<f64> {
+    fn target_shares(&self, candidates: &[CandidateDomain]) -> Vec<f64> {
         let candidates = &self.seen(candidates);
         let mut target: Vec<f64> =
             candidates.iter().map(|candidate| candidate.share * kept(candidate)).collect();
@@ -86,7 +86,7 @@
     fn rank(
         &self,
         choice: Choice,
-        candidates: &[Candidate],
+        candidates: &[CandidateDomain],
         random: &mut fastrand::Rng,
     ) -> Vec<usize> {
         let candidates = &self.seen(candidates);
@@ -106,7 +106,7 @@
 }
 
 /// How much a domain's report counts, from 0 to 1.
-fn weight_of_report(candidate: &Candidate) -> f64 {
+fn weight_of_report(candidate: &CandidateDomain) -> f64 {
     if !candidate.has_report {
         return 0.0;
     }
@@ -114,16 +114,16 @@
     ((STALE_MS - age_ms) / (STALE_MS - FRESH_MS)).clamp(0.0, 1.0)
 }
 
-fn load(candidate: &Candidate) -> f64 {
+fn load(candidate: &CandidateDomain) -> f64 {
     f64::from(candidate.in_flight) / f64::from(candidate.slots.max(1))
 }
 
-fn is_full(candidate: &Candidate) -> bool {
+fn is_full(candidate: &CandidateDomain) -> bool {
     weight_of_report(candidate) >= 1.0 && load(candidate) >= 1.0
 }
 
 /// Returns the part of its share that a domain keeps.
-fn kept(candidate: &Candidate) -> f64 {
+fn kept(candidate: &CandidateDomain) -> f64 {
     if !candidate.accepts_more_traffic() {
         return 0.0;
     }
@@ -133,8 +133,8 @@
 
 /// Returns the weights by which the domains take over what leaves one of them; all zero if it had
 /// better stay.
-fn takers(from: usize, candidates: &[Candidate]) -> Vec<f64> {
-    let others = |weight: fn(&Candidate, &Candidate) -> f64| -> Vec<f64> {
+fn takers(from: usize, candidates: &[CandidateDomain]) -> Vec<f64> {
+    let others = |weight: fn(&CandidateDomain, &CandidateDomain) -> f64| -> Vec<f64> {
         let weight_of = |(index, candidate)| {
             if index == from { 0.0 } else { weight(&candidates[from], candidate) }
         };
@@ -154,12 +154,12 @@
     by_room
 }
 
-fn taker(home: &Candidate, candidate: &Candidate) -> f64 {
+fn taker(home: &CandidateDomain, candidate: &CandidateDomain) -> f64 {
     room(candidate) * nearness(home, candidate)
 }
 
 /// Returns the slots that a domain can give to traffic of others.
-fn room(candidate: &Candidate) -> f64 {
+fn room(candidate: &CandidateDomain) -> f64 {
     if !candidate.accepts_more_traffic() {
         return 0.0;
     }
@@ -169,10 +169,10 @@
     known * reported + (1.0 - known) * assumed
 }
 
-fn nearness(home: &Candidate, candidate: &Candidate) -> f64 {
+fn nearness(home: &CandidateDomain, candidate: &CandidateDomain) -> f64 {
     if is_near(home, candidate) { NEAR_WEIGHT } else { 1.0 }
 }
 
-fn is_near(home: &Candidate, candidate: &Candidate) -> bool {
+fn is_near(home: &CandidateDomain, candidate: &CandidateDomain) -> bool {
     home.region == candidate.region
 }
--- a/crates/sedgepath-core/src/view.rs
+++ b/crates/sedgepath-core/src/view.rs
@@ -8,7 +8,7 @@
 use crate::membership::{self, Membership};
 use crate::message::ServiceLoad;
 use crate::rendezvous;
-use crate::steering::Candidate;
+use crate::steering::CandidateDomain;
 
 /// The owner of an upstream and where it takes frames.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,7 +49,7 @@
         service: ServiceKey,
         origin: OriginKey,
         domains: &[DomainKey],
-    ) -> Vec<Candidate> {
+    ) -> Vec<CandidateDomain> {
         let shares = self.catalogue.shares(service, origin).unwrap_or_default();
         let share_of = |domain: DomainKey| {
             shares.iter().find(|share| share.0 == domain).map_or(0.0, |share| share.1)
@@ -57,9 +57,9 @@
         domains.iter().map(|domain| self.candidate(service, *domain, share_of(*domain))).collect()
     }
 
-    fn candidate(&self, service: ServiceKey, domain: DomainKey, share: f64) -> Candidate {
+    fn candidate(&self, service: ServiceKey, domain: DomainKey, share: f64) -> CandidateDomain {
         let serving = self.serving_vms_in(domain);
-        let mut candidate = Candidate {
+        let mut candidate = CandidateDomain {
             domain,
             share,
             slots: 0,
