--- a/crates/sedgepath-core/src/ingress/places.rs
+++ b/crates/sedgepath-core/src/ingress/places.rs
@@ -12,7 +12,7 @@
 use crate::request::{Rejection, RejectionReason};
 use crate::shift::baseline::BaselineFetch;
 use crate::shift::{self, ShiftKey, ShiftLedger};
-use crate::steering::{CandidateDomain, Choice};
+use crate::steering::{CandidateDomain, SteeringRequest};
 use crate::view::UpstreamOwner;
 
 /// The least time after which a caller whose traffic may not move yet is told to come back, in
@@ -97,7 +97,8 @@
         else {
             return Err(NO_UPSTREAM);
         };
-        let choice = Choice { service, origin: pending.origin(), class: pending.class(), home };
+        let choice =
+            SteeringRequest { service, origin: pending.origin(), class: pending.class(), home };
         let mut order = means.policy.rank(choice, &candidates, &mut self.random);
         if pending.home().is_some() {
             order.insert(0, home);
--- a/crates/sedgepath-core/src/steering.rs
+++ b/crates/sedgepath-core/src/steering.rs
@@ -55,7 +55,7 @@
 
 /// What a choice is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Choice {
+pub struct SteeringRequest {
     /// The service.
     pub service: ServiceKey,
     /// The origin group of the caller.
@@ -84,7 +84,7 @@
     /// cost a token of the ledger.
     fn rank(
         &self,
-        choice: Choice,
+        choice: SteeringRequest,
         candidates: &[CandidateDomain],
         random: &mut fastrand::Rng,
     ) -> Vec<usize>;
--- a/crates/sedgepath-core/src/steering/baselines.rs
+++ b/crates/sedgepath-core/src/steering/baselines.rs
@@ -1,6 +1,6 @@
 //! Policies to measure the shipping one against.
 
-use super::{CandidateDomain, Choice, SteeringPolicy, draw_order};
+use super::{CandidateDomain, SteeringPolicy, SteeringRequest, draw_order};
 
 /// Draws at random by the record's shares.
 #[derive(Debug)]
@@ -13,7 +13,7 @@
 
     fn rank(
         &self,
-        _choice: Choice,
+        _choice: SteeringRequest,
         candidates: &[CandidateDomain],
         random: &mut fastrand::Rng,
     ) -> Vec<usize> {
@@ -32,7 +32,7 @@
 
     fn rank(
         &self,
-        _choice: Choice,
+        _choice: SteeringRequest,
         candidates: &[CandidateDomain],
         _random: &mut fastrand::Rng,
     ) -> Vec<usize> {
--- a/crates/sedgepath-core/src/steering/by_headroom.rs
+++ b/crates/sedgepath-core/src/steering/by_headroom.rs
@@ -9,7 +9,7 @@
 //! as loaded like any other: acting on an old report sends everybody to the domain that was idle a
 //! while ago. A report that is missing counts the same.
 
-use super::{CandidateDomain, Choice, SteeringPolicy, draw_order};
+use super::{CandidateDomain, SteeringPolicy, SteeringRequest, draw_order};
 use crate::request::Class;
 
 /// The load from which a domain keeps less than its share.
@@ -85,7 +85,7 @@
 
     fn rank(
         &self,
-        choice: Choice,
+        choice: SteeringRequest,
         candidates: &[CandidateDomain],
         random: &mut fastrand::Rng,
     ) -> Vec<usize> {
