--- a/crates/sedgepath-core/examples/policy/scenario.rs
+++ b/crates/sedgepath-core/examples/policy/scenario.rs
@@ -8,7 +8,7 @@
 use sedgepath_core::identity::NodeSettings;
 use sedgepath_core::request::{Class, RequestHead};
 use sedgepath_core::steering::{
-    ByHeadroom, LeastLoadedByLastReport, RandomByShare, SteeringPolicy,
+    HeadroomPolicy, LeastLoadedByLastReport, RandomByShare, SteeringPolicy,
 };
 use sedgepath_test_support::bed::{Bed, NodeIndex};
 use sedgepath_test_support::records;
@@ -96,11 +96,11 @@
 }
 
 fn by_headroom() -> Box<dyn SteeringPolicy> {
-    Box::new(ByHeadroom::new())
+    Box::new(HeadroomPolicy::new())
 }
 
 fn without_discount() -> Box<dyn SteeringPolicy> {
-    Box::new(ByHeadroom::without_age_discount())
+    Box::new(HeadroomPolicy::without_age_discount())
 }
 
 /// The variants that are compared. The baselines know no cap; the last two are the shipping policy
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -22,7 +22,7 @@
 use crate::message::{Baseline, Envelope, Heartbeat, Message, ServiceLoad};
 use crate::outbox::Outbox;
 use crate::request::{HopEnd, Once, RequestHead, Ticket};
-use crate::steering::{ByHeadroom, SteeringPolicy};
+use crate::steering::{HeadroomPolicy, SteeringPolicy};
 use crate::stop::{self, PlannedStop};
 use crate::timeline::Topic;
 use crate::view::SystemView;
@@ -72,7 +72,7 @@
             out: Outbox::new(identity),
             configuration: Configuration::new(settings.clone()),
             membership: Membership::new(settings.clone()),
-            policy: Box::new(ByHeadroom::new()),
+            policy: Box::new(HeadroomPolicy::new()),
             ingress: Ingress::new(settings.seed),
             egress: Egress::new(settings.admission),
             once: OnceSystem::default(),
--- a/crates/sedgepath-core/src/steering.rs
+++ b/crates/sedgepath-core/src/steering.rs
@@ -7,7 +7,7 @@
 mod by_headroom;
 
 pub use baselines::{LeastLoadedByLastReport, RandomByShare};
-pub use by_headroom::ByHeadroom;
+pub use by_headroom::HeadroomPolicy;
 
 /// A failure domain that a request could go to.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/sedgepath-core/src/steering/by_headroom.rs
+++ b/crates/sedgepath-core/src/steering/by_headroom.rs
@@ -31,11 +31,11 @@
 
 /// Steers by the record's shares and by headroom.
 #[derive(Debug, Default)]
-pub struct ByHeadroom {
+pub struct HeadroomPolicy {
     ignores_age: bool,
 }
 
-impl ByHeadroom {
+impl HeadroomPolicy {
     /// Creates the policy that ships.
     pub fn new() -> Self {
         Self::default()
@@ -56,7 +56,7 @@
     }
 }
 
-impl SteeringPolicy for ByHeadroom {
+impl SteeringPolicy for HeadroomPolicy {
     fn name(&self) -> &'static str {
         "by_headroom"
     }
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -25,7 +25,7 @@
 use sedgepath_core::request::{
     AnswerHead, CallEnd, Dispatch, HopEnd, Once, Outcome, RequestHead, Ticket,
 };
-use sedgepath_core::steering::{ByHeadroom, SteeringPolicy};
+use sedgepath_core::steering::{HeadroomPolicy, SteeringPolicy};
 use sedgepath_core::table::{TableRequest, TableResult};
 
 use crate::table::MemoryTable;
@@ -249,7 +249,7 @@
             due: BTreeMap::new(),
             random: fastrand::Rng::with_seed(seed),
             settings: NodeSettings { seed, ..NodeSettings::default() },
-            policy: || Box::new(ByHeadroom::new()),
+            policy: || Box::new(HeadroomPolicy::new()),
             loads: LoadHistory::default(),
             nodes: Vec::new(),
             table: MemoryTable::new(),
