--- a/crates/sedgepath-core/examples/policy/scenario.rs
+++ b/crates/sedgepath-core/examples/policy/scenario.rs
@@ -8,7 +8,7 @@
 use sedgepath_core::identity::NodeSettings;
 use sedgepath_core::request::{Class, RequestHead};
 use sedgepath_core::steering::{
-    HeadroomPolicy, LeastLoadedByLastReport, RandomByShare, SteeringPolicy,
+    HeadroomPolicy, LeastLoadedByLastReport, SteeringPolicy, WeightedRandomPolicy,
 };
 use sedgepath_test_support::bed::{Bed, NodeIndex};
 use sedgepath_test_support::records;
@@ -88,7 +88,7 @@
 const CAPPED: Plan = Plan { cap_percent: CAP_PERCENT };
 
 fn random_by_share() -> Box<dyn SteeringPolicy> {
-    Box::new(RandomByShare)
+    Box::new(WeightedRandomPolicy)
 }
 
 fn least_loaded() -> Box<dyn SteeringPolicy> {
--- a/crates/sedgepath-core/src/steering/baselines.rs
+++ b/crates/sedgepath-core/src/steering/baselines.rs
@@ -4,9 +4,9 @@
 
 /// Draws at random by the record's shares.
 #[derive(Debug)]
-pub struct RandomByShare;
+pub struct WeightedRandomPolicy;
 
-impl SteeringPolicy for RandomByShare {
+impl SteeringPolicy for WeightedRandomPolicy {
     fn name(&self) -> &'static str {
         "random_by_share"
     }
