--- a/crates/sedgepath-core/examples/policy/scenario.rs
+++ b/crates/sedgepath-core/examples/policy/scenario.rs
@@ -8,7 +8,7 @@
 use sedgepath_core::identity::NodeSettings;
 use sedgepath_core::request::{Class, RequestHead};
 use sedgepath_core::steering::{
-    HeadroomPolicy, LeastLoadedByLastReport, SteeringPolicy, WeightedRandomPolicy,
+    HeadroomPolicy, LeastLoadedPolicy, SteeringPolicy, WeightedRandomPolicy,
 };
 use sedgepath_test_support::bed::{Bed, NodeIndex};
 use sedgepath_test_support::records;
@@ -92,7 +92,7 @@
 }
 
 fn least_loaded() -> Box<dyn SteeringPolicy> {
-    Box::new(LeastLoadedByLastReport)
+    Box::new(LeastLoadedPolicy)
 }
 
 fn by_headroom() -> Box<dyn SteeringPolicy> {
--- a/crates/sedgepath-core/src/steering.rs
+++ b/crates/sedgepath-core/src/steering.rs
@@ -6,7 +6,7 @@
 mod baselines;
 mod by_headroom;
 
-pub use baselines::{LeastLoadedByLastReport, WeightedRandomPolicy};
+pub use baselines::{LeastLoadedPolicy, WeightedRandomPolicy};
 pub use by_headroom::HeadroomPolicy;
 
 /// A failure domain that a request could go to.
--- a/crates/sedgepath-core/src/steering/baselines.rs
+++ b/crates/sedgepath-core/src/steering/baselines.rs
@@ -23,9 +23,9 @@
 
 /// Takes the domain with the least load by its last report, whatever the report's age.
 #[derive(Debug)]
-pub struct LeastLoadedByLastReport;
+pub struct LeastLoadedPolicy;
 
-impl SteeringPolicy for LeastLoadedByLastReport {
+impl SteeringPolicy for LeastLoadedPolicy {
     fn name(&self) -> &'static str {
         "least_loaded_by_last_report"
     }
