--- a/crates/sedgepath-core/src/configuration.rs
+++ b/crates/sedgepath-core/src/configuration.rs
@@ -19,7 +19,7 @@
 use crate::identity::NodeSettings;
 use crate::key::{OperationKey, ReplyKey, VmKey};
 use crate::membership::Membership;
-use crate::message::ConfigurationNews;
+use crate::message::ConfigurationStatus;
 use crate::outbox::Outbox;
 use crate::rendezvous;
 use crate::table::TableResult;
@@ -120,8 +120,8 @@
     }
 
     /// Returns what peers are told with every sign of life.
-    pub fn status(&self, now_ms: u64) -> ConfigurationNews {
-        ConfigurationNews {
+    pub fn status(&self, now_ms: u64) -> ConfigurationStatus {
+        ConfigurationStatus {
             revision: self.store.revision(),
             head_age_ms: self.reader.head_age_ms(now_ms),
         }
--- a/crates/sedgepath-core/src/configuration/spread.rs
+++ b/crates/sedgepath-core/src/configuration/spread.rs
@@ -18,7 +18,7 @@
 use crate::identity::NodeSettings;
 use crate::key::{OperationKey, VmKey};
 use crate::membership::Membership;
-use crate::message::{ConfigurationNews, Message, RevisionNotice};
+use crate::message::{ConfigurationStatus, Message, RevisionNotice};
 use crate::outbox::Outbox;
 
 /// The members of the own failure domain that are told of a new revision.
@@ -92,7 +92,7 @@
     /// Tells of a new revision and starts a fetch when it is due.
     pub fn tick(
         &mut self,
-        news: ConfigurationNews,
+        news: ConfigurationStatus,
         members: &Membership,
         settings: &NodeSettings,
         random: &mut fastrand::Rng,
@@ -162,7 +162,7 @@
 }
 
 fn tell(
-    news: ConfigurationNews,
+    news: ConfigurationStatus,
     members: &Membership,
     random: &mut fastrand::Rng,
     out: &mut Outbox,
--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -58,7 +58,7 @@
 use crate::key::{BootId, DomainKey, VmKey};
 use crate::lease::UpstreamLease;
 use crate::message::{
-    ConfigurationNews, Envelope, Heartbeat, MemberCard, Message, Probe, ProbeAnswer, ServiceLoad,
+    ConfigurationStatus, Envelope, Heartbeat, MemberCard, Message, Probe, ProbeAnswer, ServiceLoad,
     Summary,
 };
 use crate::outbox::Outbox;
@@ -104,7 +104,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct LocalState<'a> {
     /// What the node knows of the configuration.
-    pub news: ConfigurationNews,
+    pub news: ConfigurationStatus,
     /// The load by service.
     pub loads: &'a [ServiceLoad],
 }
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -47,7 +47,7 @@
 
 /// What a node knows of the configuration, passed on with every sign of life.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ConfigurationNews {
+pub struct ConfigurationStatus {
     /// The revision that the node has in force.
     pub revision: u64,
     /// The time since the newest successful reading of the platform's head that the node knows of,
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisionNotice {
     /// What the sender knows of the configuration.
-    pub configuration: ConfigurationNews,
+    pub configuration: ConfigurationStatus,
     /// Where the sender takes remote calls, to fetch the records from.
     pub operator_address: SocketAddr,
 }
@@ -105,7 +105,7 @@
     /// The sender's name and addresses, until the receiver has acknowledged them.
     pub descriptor: Option<MemberCard>,
     /// What the sender knows of the configuration.
-    pub configuration: ConfigurationNews,
+    pub configuration: ConfigurationStatus,
     /// The sender's load by service.
     pub loads: Vec<ServiceLoad>,
     /// The digest of the sender's roster: the members of its failure domain and their boots.
--- a/crates/sedgepathd/examples/slopes/datagrams.rs
+++ b/crates/sedgepathd/examples/slopes/datagrams.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::key::{BootId, DomainKey, ServiceKey, VmKey};
 use sedgepath_core::membership::Member;
 use sedgepath_core::message::{
-    Acknowledgement, Claim, ConfigurationNews, Envelope, Heartbeat, MemberCard, Message,
+    Acknowledgement, Claim, ConfigurationStatus, Envelope, Heartbeat, MemberCard, Message,
     ServiceLoad,
 };
 use sedgepath_core::node::Node;
@@ -74,7 +74,7 @@
     let heartbeat = Heartbeat {
         sent_at_ms: now_ms,
         descriptor: (number < MEMBERS).then(|| card(member)),
-        configuration: ConfigurationNews { revision: 1, head_age_ms: 300 },
+        configuration: ConfigurationStatus { revision: 1, head_age_ms: 300 },
         loads: (0..4).map(load).collect(),
         roster_digest: 7,
         claim: Claim::Requested,
