--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -70,12 +70,12 @@
     /// The configuration revision that the sender has in force.
     pub revision: u64,
     /// The shares that differ from the records'.
-    pub moved: Vec<StandingShares>,
+    pub moved: Vec<GroupShares>,
 }
 
 /// Where the traffic of an origin group stands, while it differs from the record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct StandingShares {
+pub struct GroupShares {
     /// The service.
     pub service: ServiceKey,
     /// The origin group of the record.
--- a/crates/sedgepath-core/src/shift.rs
+++ b/crates/sedgepath-core/src/shift.rs
@@ -52,7 +52,7 @@
 use crate::catalogue::{Catalogue, SteeringEntry};
 use crate::hash::Map;
 use crate::key::{DomainKey, OriginKey, ServiceKey};
-use crate::message::StandingShares;
+use crate::message::GroupShares;
 use crate::record::Cap;
 use crate::steering::CandidateDomain;
 
@@ -154,7 +154,7 @@
     }
 
     /// Returns the shares that differ from the record's, for a peer.
-    pub fn moved(&self) -> Vec<StandingShares> {
+    pub fn moved(&self) -> Vec<GroupShares> {
         let mut moved: Vec<_> = self
             .standings
             .iter()
@@ -166,7 +166,7 @@
     }
 
     /// Takes a peer's shares as the baseline of a node that has none of its own.
-    pub fn take_baseline(&mut self, moved: &[StandingShares], now_ms: u64) {
+    pub fn take_baseline(&mut self, moved: &[GroupShares], now_ms: u64) {
         for peer in moved {
             let key = ShiftKey { service: peer.service, group: peer.group };
             if let Some(declared) = self.declared.get(&key) {
--- a/crates/sedgepath-core/src/shift/traffic_split.rs
+++ b/crates/sedgepath-core/src/shift/traffic_split.rs
@@ -3,7 +3,7 @@
 use super::history::{History, PARTS, Pair};
 use super::{NO_CAP, STANDING_PART, TOKEN_PART};
 use crate::key::{DomainKey, OriginKey, ServiceKey};
-use crate::message::{StandingShare, StandingShares};
+use crate::message::{GroupShares, StandingShare};
 use crate::record::Cap;
 
 /// How far shares must be from the record's to be handed on to peers.
@@ -53,7 +53,7 @@
     ///
     /// The peer's way of the last two windows is taken over as well: with the shares of the moment
     /// alone the node would take a shift on its way for one that is over, and begin another.
-    pub fn of_peer(peer: &StandingShares, now_ms: u64, random: &mut fastrand::Rng) -> Self {
+    pub fn of_peer(peer: &GroupShares, now_ms: u64, random: &mut fastrand::Rng) -> Self {
         let one_ago: Vec<_> = peer.shares.iter().map(|share| share.one_window_ago).collect();
         let two_ago: Vec<_> = peer.shares.iter().map(|share| share.two_windows_ago).collect();
         let shares: Vec<_> = peer.shares.iter().map(|share| (share.domain, share.now)).collect();
@@ -63,7 +63,7 @@
     }
 
     /// Returns the standing for a peer.
-    pub fn for_peer(&self, service: ServiceKey, group: OriginKey) -> StandingShares {
+    pub fn for_peer(&self, service: ServiceKey, group: OriginKey) -> GroupShares {
         let one_ago = self.history.part_ago(PARTS);
         let two_ago = self.history.part_ago(2 * PARTS);
         let shares = (0..self.domains.len()).map(|index| StandingShare {
@@ -72,7 +72,7 @@
             one_window_ago: one_ago[index],
             two_windows_ago: two_ago[index],
         });
-        StandingShares { service, group, shares: shares.collect() }
+        GroupShares { service, group, shares: shares.collect() }
     }
 
     /// Whether the shares differ from the record's, or did within the last two windows.
