--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -81,12 +81,12 @@
     /// The origin group of the record.
     pub group: OriginKey,
     /// The shares by failure domain.
-    pub shares: Vec<StandingShare>,
+    pub shares: Vec<DomainShare>,
 }
 
 /// The share of a failure domain, and on which way it came there.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct StandingShare {
+pub struct DomainShare {
     /// The failure domain.
     pub domain: DomainKey,
     /// The share now.
--- a/crates/sedgepath-core/src/shift/traffic_split.rs
+++ b/crates/sedgepath-core/src/shift/traffic_split.rs
@@ -3,7 +3,7 @@
 use super::history::{History, PARTS, Pair};
 use super::{NO_CAP, STANDING_PART, TOKEN_PART};
 use crate::key::{DomainKey, OriginKey, ServiceKey};
-use crate::message::{GroupShares, StandingShare};
+use crate::message::{DomainShare, GroupShares};
 use crate::record::Cap;
 
 /// How far shares must be from the record's to be handed on to peers.
@@ -66,7 +66,7 @@
     pub fn for_peer(&self, service: ServiceKey, group: OriginKey) -> GroupShares {
         let one_ago = self.history.part_ago(PARTS);
         let two_ago = self.history.part_ago(2 * PARTS);
-        let shares = (0..self.domains.len()).map(|index| StandingShare {
+        let shares = (0..self.domains.len()).map(|index| DomainShare {
             domain: self.domains[index],
             now: self.shares[index],
             one_window_ago: one_ago[index],
