--- a/crates/sedgepath-core/src/lease.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -24,7 +24,7 @@
 //!   has in flight there; the owner leaves these slots free.
 //! - Without the right a member uses its part of an upstream, except while it has promised not to.
 //! - An owner that lacks a grant for long gives its claim up, and says so once it has no more in flight
-//!   than its part ([`Claim::Released`]); promises to it are void then, and all grants for heartbeats
+//!   than its part ([`LeaseClaim::Released`]); promises to it are void then, and all grants for heartbeats
 //!   sent before. Without this rule the members that are alive would keep each other from the parts of
 //!   their upstreams for as long as one of them is dead: of 42, each upstream would lose 41 parts.
 //! - A boot forgets what the last one promised and started. It uses its part only after boot + 2T + D,
@@ -67,7 +67,7 @@
 use crate::identity::{Identity, NodeSettings};
 use crate::key::{BootId, DomainKey, UpstreamKey, VmKey};
 use crate::membership::Membership;
-use crate::message::{Acknowledgement, Claim, Envelope, Heartbeat, UpstreamInFlight};
+use crate::message::{Acknowledgement, Envelope, Heartbeat, LeaseClaim, UpstreamInFlight};
 use crate::outbox::Outbox;
 use crate::rendezvous;
 use crate::timeline::Topic;
@@ -94,7 +94,7 @@
     /// When it arrived, by this node's clock.
     pub heard_at_ms: u64,
     /// What it claims.
-    pub claim: Claim,
+    pub claim: LeaseClaim,
     /// The longest deadline by which its sender admits, in milliseconds.
     pub longest_deadline_ms: u64,
 }
@@ -142,7 +142,7 @@
     promises: Promises,
     confirmed: Set<VmKey>,
     part_from_ms: Option<u64>,
-    claim: Claim,
+    claim: LeaseClaim,
     claimed_at_ms: u64,
     whole_since_ms: Option<u64>,
     reported_idle: Set<UpstreamKey>,
@@ -170,7 +170,7 @@
             promises: Promises::default(),
             confirmed: Set::default(),
             part_from_ms: None,
-            claim: Claim::Released,
+            claim: LeaseClaim::Released,
             claimed_at_ms: 0,
             whole_since_ms: None,
             reported_idle: Set::default(),
@@ -185,7 +185,7 @@
     }
 
     /// Returns what this node does about its right to whole upstreams.
-    pub fn claim(&self) -> Claim {
+    pub fn claim(&self) -> LeaseClaim {
         self.claim
     }
 
@@ -205,7 +205,7 @@
 
     /// Takes in a heartbeat of a member of the own failure domain.
     pub fn handle_heartbeat(&mut self, envelope: &Envelope, heartbeat: &Heartbeat) {
-        if heartbeat.claim == Claim::Released {
+        if heartbeat.claim == LeaseClaim::Released {
             self.promises.release(Holder { vm: envelope.from, boot: envelope.boot });
         }
         let acknowledgement = heartbeat.acknowledgement.as_ref();
@@ -306,7 +306,7 @@
         if in_flight.len() > MAX_NAMED {
             return None;
         }
-        if beat.claim == Claim::Requested {
+        if beat.claim == LeaseClaim::Requested {
             let longest_ms = self.longest_deadline_ms.max(beat.longest_deadline_ms);
             let until_ms = beat.heard_at_ms + 2 * self.settings.suspect_after_ms + longest_ms;
             let upstreams: Vec<_> = owned().map(|share| share.upstream).collect();
@@ -369,7 +369,7 @@
             let counts = grant.roster == self.digest
                 && grant.sent_at_ms >= self.claimed_at_ms
                 && grant.longest_deadline_ms >= self.longest_deadline_ms;
-            if !counts || self.claim != Claim::Requested {
+            if !counts || self.claim != LeaseClaim::Requested {
                 return None;
             }
             until_ms = until_ms.min(grant.sent_at_ms + self.settings.suspect_after_ms);
@@ -466,8 +466,8 @@
             let grant = self.grants.get(&vm);
             grant.is_some_and(|grant| grant.sent_at_ms >= lately_ms && grant.roster == self.digest)
         });
-        if reachable && self.claim != Claim::Requested {
-            self.claim = Claim::Requested;
+        if reachable && self.claim != LeaseClaim::Requested {
+            self.claim = LeaseClaim::Requested;
             self.claimed_at_ms = now_ms;
         }
         if !reachable {
@@ -477,7 +477,7 @@
                 .shares
                 .iter()
                 .any(|share| share.in_flight > part_of(share.slots, &share.ranked, self.own));
-            self.claim = if over { Claim::Releasing } else { Claim::Released };
+            self.claim = if over { LeaseClaim::Releasing } else { LeaseClaim::Released };
         }
     }
 
--- a/crates/sedgepath-core/src/membership/heartbeat.rs
+++ b/crates/sedgepath-core/src/membership/heartbeat.rs
@@ -9,7 +9,7 @@
 use crate::hash::Map;
 use crate::key::{BootId, DomainKey, VmKey};
 use crate::lease::{HeardBeat, UpstreamLease};
-use crate::message::{Acknowledgement, Claim, Envelope, Heartbeat, Message, ServiceLoad};
+use crate::message::{Acknowledgement, Envelope, Heartbeat, LeaseClaim, Message, ServiceLoad};
 use crate::outbox::Outbox;
 
 /// The most services whose load a heartbeat tells, so that it fits a datagram; those with the
@@ -48,7 +48,7 @@
 pub(super) struct Heartbeats {
     contacts: Map<VmKey, Contact>,
     next_at_ms: u64,
-    told: Option<(bool, Claim)>,
+    told: Option<(bool, LeaseClaim)>,
 }
 
 impl Heartbeats {
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -111,7 +111,7 @@
     /// The digest of the sender's roster: the members of its failure domain and their boots.
     pub roster_digest: u64,
     /// What the sender does about its right to whole upstreams.
-    pub claim: Claim,
+    pub claim: LeaseClaim,
     /// The longest deadline by which the sender admits and promises, in milliseconds.
     pub longest_deadline_ms: u64,
     /// Acknowledges the last heartbeat of the receiver that the sender has.
@@ -120,7 +120,7 @@
 
 /// What the sender of a heartbeat does about its right to whole upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Claim {
+pub enum LeaseClaim {
     /// It asks for the right; an acknowledgement grants it.
     Requested,
     /// It has given the right up, but has more in flight at some upstream than its part.
--- a/crates/sedgepathd/examples/slopes/datagrams.rs
+++ b/crates/sedgepathd/examples/slopes/datagrams.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::key::{BootId, DomainKey, ServiceKey, VmKey};
 use sedgepath_core::membership::Member;
 use sedgepath_core::message::{
-    Acknowledgement, Claim, ConfigurationStatus, Envelope, Heartbeat, MemberCard, Message,
+    Acknowledgement, ConfigurationStatus, Envelope, Heartbeat, LeaseClaim, MemberCard, Message,
     ServiceLoad,
 };
 use sedgepath_core::node::Node;
@@ -77,7 +77,7 @@
         configuration: ConfigurationStatus { revision: 1, head_age_ms: 300 },
         loads: (0..4).map(load).collect(),
         roster_digest: 7,
-        claim: Claim::Requested,
+        claim: LeaseClaim::Requested,
         longest_deadline_ms: 10_000,
         acknowledgement: Some(acknowledgement),
     };
