--- a/crates/sedgepath-core/benches/look_up.rs
+++ b/crates/sedgepath-core/benches/look_up.rs
@@ -10,7 +10,7 @@
 use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::event::{Event, LookUp};
 use sedgepath_core::key::{BootId, DomainKey, VmKey};
-use sedgepath_core::message::{Envelope, MemberCard, Message, Summary, SummaryLine};
+use sedgepath_core::message::{Envelope, MemberCard, MembershipSummary, Message, SummaryLine};
 use sedgepath_core::record::RawRecord;
 use sedgepath_test_support::bed::Bed;
 use sedgepath_test_support::records::{self, UpstreamSpec};
@@ -103,7 +103,7 @@
     for domain_number in 0..DOMAINS {
         let members = if domain_number == 0 { MEMBERS } else { KNOWN_OF_OTHERS };
         let lines = (1..=members).map(|member| line(card(domain_number, member))).collect();
-        let summary = Summary {
+        let summary = MembershipSummary {
             domain: DomainKey::of(&domain(domain_number)),
             forward_in_domain: false,
             members: lines,
--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -58,8 +58,8 @@
 use crate::key::{BootId, DomainKey, VmKey};
 use crate::lease::UpstreamLease;
 use crate::message::{
-    ConfigurationStatus, Envelope, Heartbeat, MemberCard, Message, Probe, ProbeAnswer, ServiceLoad,
-    Summary,
+    ConfigurationStatus, Envelope, Heartbeat, MemberCard, MembershipSummary, Message, Probe,
+    ProbeAnswer, ServiceLoad,
 };
 use crate::outbox::Outbox;
 use crate::rendezvous;
@@ -301,7 +301,7 @@
     }
 
     /// Takes in a summary, and passes it on if it came from another failure domain.
-    pub fn handle_summary(&mut self, summary: &Summary, out: &mut Outbox) {
+    pub fn handle_summary(&mut self, summary: &MembershipSummary, out: &mut Outbox) {
         for line in &summary.members {
             let sighting = Sighting {
                 vm: line.vm,
--- a/crates/sedgepath-core/src/membership/relay.rs
+++ b/crates/sedgepath-core/src/membership/relay.rs
@@ -27,7 +27,7 @@
 use super::heartbeat::largest_loads;
 use super::{LocalState, Membership};
 use crate::key::{DomainKey, VmKey};
-use crate::message::{Message, Summary, SummaryLine};
+use crate::message::{MembershipSummary, Message, SummaryLine};
 use crate::outbox::Outbox;
 use crate::rendezvous;
 
@@ -190,8 +190,11 @@
 }
 
 /// Passes a summary on to a member of the own failure domain.
-pub(super) fn pass_on(to: SocketAddr, summary: &Summary, out: &mut Outbox) {
-    out.send(to, Message::Summary(Summary { forward_in_domain: false, ..summary.clone() }));
+pub(super) fn pass_on(to: SocketAddr, summary: &MembershipSummary, out: &mut Outbox) {
+    out.send(
+        to,
+        Message::Summary(MembershipSummary { forward_in_domain: false, ..summary.clone() }),
+    );
 }
 
 fn own_line(own: LocalState<'_>, with_card: bool, out: &Outbox) -> SummaryLine {
@@ -230,7 +233,11 @@
             let lines = std::mem::take(&mut part);
             out.send(
                 to,
-                Message::Summary(Summary { domain, forward_in_domain: pass_on, members: lines }),
+                Message::Summary(MembershipSummary {
+                    domain,
+                    forward_in_domain: pass_on,
+                    members: lines,
+                }),
             );
             part_bytes = 0;
         }
@@ -240,7 +247,11 @@
     if !part.is_empty() {
         out.send(
             to,
-            Message::Summary(Summary { domain, forward_in_domain: pass_on, members: part }),
+            Message::Summary(MembershipSummary {
+                domain,
+                forward_in_domain: pass_on,
+                members: part,
+            }),
         );
     }
 }
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -38,7 +38,7 @@
     /// Answers a probe.
     ProbeAnswer(ProbeAnswer),
     /// What a relay knows of the members of a failure domain.
-    Summary(Summary),
+    Summary(MembershipSummary),
     /// The sender's boot has ended all of its work and will never send to an upstream again.
     BootEnded,
     /// Upstreams that the sender knows to leave.
@@ -177,7 +177,7 @@
 
 /// What a relay knows of the members of a failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Summary {
+pub struct MembershipSummary {
     /// The failure domain.
     pub domain: DomainKey,
     /// Whether the receiver is to pass it on inside its own failure domain.
