--- a/crates/sedgepath-core/benches/look_up.rs
+++ b/crates/sedgepath-core/benches/look_up.rs
@@ -10,7 +10,7 @@
 use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::event::{Event, LookUp};
 use sedgepath_core::key::{BootId, DomainKey, VmKey};
-use sedgepath_core::message::{Envelope, MemberCard, MembershipSummary, Message, SummaryLine};
+use sedgepath_core::message::{Envelope, MemberCard, MemberSummary, MembershipSummary, Message};
 use sedgepath_core::record::RawRecord;
 use sedgepath_test_support::bed::Bed;
 use sedgepath_test_support::records::{self, UpstreamSpec};
@@ -82,8 +82,8 @@
     }
 }
 
-fn line(card: MemberCard) -> SummaryLine {
-    SummaryLine {
+fn line(card: MemberCard) -> MemberSummary {
+    MemberSummary {
         vm: VmKey::of(&card.name),
         boot: BootId(1),
         age_ms: 0,
--- a/crates/sedgepath-core/src/membership/relay.rs
+++ b/crates/sedgepath-core/src/membership/relay.rs
@@ -27,7 +27,7 @@
 use super::heartbeat::largest_loads;
 use super::{LocalState, Membership};
 use crate::key::{DomainKey, VmKey};
-use crate::message::{MembershipSummary, Message, SummaryLine};
+use crate::message::{MemberSummary, MembershipSummary, Message};
 use crate::outbox::Outbox;
 use crate::rendezvous;
 
@@ -161,7 +161,7 @@
     }
 
     /// Returns the lines of the own failure domain, this node among them.
-    fn own_lines(&self, own: LocalState<'_>, with_cards: bool, out: &Outbox) -> Vec<SummaryLine> {
+    fn own_lines(&self, own: LocalState<'_>, with_cards: bool, out: &Outbox) -> Vec<MemberSummary> {
         let domain = out.identity().card.domain;
         let live = self.members_in(domain).into_iter().filter(|(_, member)| !member.suspected);
         let mut lines: Vec<_> = live.map(|(vm, _)| self.line(vm, with_cards, out)).collect();
@@ -175,9 +175,9 @@
         lines
     }
 
-    fn line(&self, vm: VmKey, with_card: bool, out: &Outbox) -> SummaryLine {
+    fn line(&self, vm: VmKey, with_card: bool, out: &Outbox) -> MemberSummary {
         let member = &self.members[&vm];
-        SummaryLine {
+        MemberSummary {
             vm,
             boot: member.boot,
             age_ms: out.now_ms().saturating_sub(member.last_heard_at_ms),
@@ -197,9 +197,9 @@
     );
 }
 
-fn own_line(own: LocalState<'_>, with_card: bool, out: &Outbox) -> SummaryLine {
+fn own_line(own: LocalState<'_>, with_card: bool, out: &Outbox) -> MemberSummary {
     let identity = out.identity();
-    SummaryLine {
+    MemberSummary {
         vm: identity.vm,
         boot: identity.boot,
         age_ms: 0,
@@ -222,7 +222,7 @@
     to: SocketAddr,
     domain: DomainKey,
     pass_on: bool,
-    lines: Vec<SummaryLine>,
+    lines: Vec<MemberSummary>,
     out: &mut Outbox,
 ) {
     let mut part = Vec::new();
@@ -257,7 +257,7 @@
 }
 
 /// Returns the most bytes that a line takes on the wire, by the codec's variable-length integers.
-fn most_bytes(line: &SummaryLine) -> usize {
+fn most_bytes(line: &MemberSummary) -> usize {
     const FIXED_BYTES: usize = 40;
     const LOAD_BYTES: usize = 15;
     const CARD_BYTES: usize = 70;
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -183,12 +183,12 @@
     /// Whether the receiver is to pass it on inside its own failure domain.
     pub forward_in_domain: bool,
     /// The members.
-    pub members: Vec<SummaryLine>,
+    pub members: Vec<MemberSummary>,
 }
 
 /// What a relay knows of one member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SummaryLine {
+pub struct MemberSummary {
     /// The member.
     pub vm: VmKey,
     /// Its boot.
