--- a/crates/sedgepath-core/benches/look_up.rs
+++ b/crates/sedgepath-core/benches/look_up.rs
@@ -10,7 +10,9 @@
 use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::event::{Event, LookUp};
 use sedgepath_core::key::{BootId, DomainKey, VmKey};
-use sedgepath_core::message::{Envelope, MemberCard, MemberSummary, MembershipSummary, Message};
+use sedgepath_core::message::{
+    Envelope, MemberDescriptor, MemberSummary, MembershipSummary, Message,
+};
 use sedgepath_core::record::RawRecord;
 use sedgepath_test_support::bed::Bed;
 use sedgepath_test_support::records::{self, UpstreamSpec};
@@ -68,11 +70,11 @@
     ]
 }
 
-fn card(domain_number: usize, member: usize) -> MemberCard {
+fn card(domain_number: usize, member: usize) -> MemberDescriptor {
     let [high, low] = (member as u16).to_be_bytes();
     let address =
         |port| SocketAddr::from((Ipv4Addr::new(10, domain_number as u8, high, low), port));
-    MemberCard {
+    MemberDescriptor {
         name: format!("vm-{domain_number}-{member}").into(),
         domain: DomainKey::of(&domain(domain_number)),
         caller_address: address(1),
@@ -82,7 +84,7 @@
     }
 }
 
-fn line(card: MemberCard) -> MemberSummary {
+fn line(card: MemberDescriptor) -> MemberSummary {
     MemberSummary {
         vm: VmKey::of(&card.name),
         boot: BootId(1),
--- a/crates/sedgepath-core/src/identity.rs
+++ b/crates/sedgepath-core/src/identity.rs
@@ -2,7 +2,7 @@
 
 use crate::egress::settings::AdmissionSettings;
 use crate::key::{BootId, VmKey};
-use crate::message::MemberCard;
+use crate::message::MemberDescriptor;
 
 /// Who a node is.
 #[derive(Debug, Clone)]
@@ -12,12 +12,12 @@
     /// This run of the process.
     pub boot: BootId,
     /// Name, failure domain and addresses.
-    pub card: MemberCard,
+    pub card: MemberDescriptor,
 }
 
 impl Identity {
     /// Creates the identity of one run of a process.
-    pub fn new(card: MemberCard, boot: BootId) -> Self {
+    pub fn new(card: MemberDescriptor, boot: BootId) -> Self {
         Self { vm: VmKey::of(&card.name), boot, card }
     }
 }
--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -58,7 +58,7 @@
 use crate::key::{BootId, DomainKey, VmKey};
 use crate::lease::UpstreamLease;
 use crate::message::{
-    ConfigurationStatus, Envelope, Heartbeat, MemberCard, MembershipSummary, Message, Probe,
+    ConfigurationStatus, Envelope, Heartbeat, MemberDescriptor, MembershipSummary, Message, Probe,
     ProbeAnswer, ServiceLoad,
 };
 use crate::outbox::Outbox;
@@ -81,7 +81,7 @@
     /// Its boot.
     pub boot: BootId,
     /// Its name, failure domain and addresses.
-    pub card: MemberCard,
+    pub card: MemberDescriptor,
     /// The configuration revision that it has in force.
     pub revision: u64,
     /// Its load by service.
@@ -118,7 +118,7 @@
     revision: u64,
     leaving: bool,
     loads: Vec<ServiceLoad>,
-    card: Option<MemberCard>,
+    card: Option<MemberDescriptor>,
 }
 
 /// A VM of the platform's list, with its names reduced to keys.
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -103,7 +103,7 @@
     /// When it was sent, in milliseconds by the sender's clock; comes back in the acknowledgement.
     pub sent_at_ms: u64,
     /// The sender's name and addresses, until the receiver has acknowledged them.
-    pub descriptor: Option<MemberCard>,
+    pub descriptor: Option<MemberDescriptor>,
     /// What the sender knows of the configuration.
     pub configuration: ConfigurationStatus,
     /// The sender's load by service.
@@ -202,12 +202,12 @@
     /// Its load by service.
     pub loads: Vec<ServiceLoad>,
     /// Its name and addresses; not in every summary.
-    pub descriptor: Option<MemberCard>,
+    pub descriptor: Option<MemberDescriptor>,
 }
 
 /// What others need to know to reach a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberCard {
+pub struct MemberDescriptor {
     /// The VM's name.
     pub name: Box<str>,
     /// Its failure domain.
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -19,7 +19,7 @@
 use sedgepath_core::key::{
     BootId, DomainKey, ExchangeKey, OperationKey, ReplyKey, RequestKey, UpstreamKey,
 };
-use sedgepath_core::message::MemberCard;
+use sedgepath_core::message::MemberDescriptor;
 use sedgepath_core::node::Node;
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::request::{
@@ -112,7 +112,7 @@
 struct Slot {
     name: Box<str>,
     domain: Box<str>,
-    card: MemberCard,
+    card: MemberDescriptor,
     node: Option<Node>,
     boots: u64,
     skew_ms: i64,
@@ -286,7 +286,7 @@
         let address = |port: u16| {
             SocketAddr::from((Ipv4Addr::new(127, 1, (index >> 8) as u8, index as u8), port))
         };
-        let card = MemberCard {
+        let card = MemberDescriptor {
             name: name.into(),
             domain: DomainKey::of(domain),
             caller_address: address(1),
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -11,7 +11,7 @@
 use sedgepath_core::event::{Action, UpstreamReport};
 use sedgepath_core::identity::Identity;
 use sedgepath_core::key::{BootId, DomainKey, ExchangeKey, OriginKey, ServiceKey, UpstreamKey};
-use sedgepath_core::message::MemberCard;
+use sedgepath_core::message::MemberDescriptor;
 use sedgepath_core::outbox::Outbox;
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::request::{CallEnd, Class, Dispatch, Rejection};
@@ -60,7 +60,7 @@
     /// Creates an owner that may use all upstreams of the records whole.
     pub fn new(records: &[RawRecord]) -> Self {
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 9));
-        let card = MemberCard {
+        let card = MemberDescriptor {
             name: "owner".into(),
             domain: DomainKey::of("a"),
             caller_address: address,
--- a/crates/sedgepathd/examples/slopes/datagrams.rs
+++ b/crates/sedgepathd/examples/slopes/datagrams.rs
@@ -9,8 +9,8 @@
 use sedgepath_core::key::{BootId, DomainKey, ServiceKey, VmKey};
 use sedgepath_core::membership::Member;
 use sedgepath_core::message::{
-    Acknowledgement, ConfigurationStatus, Envelope, Heartbeat, LeaseClaim, MemberCard, Message,
-    ServiceLoad,
+    Acknowledgement, ConfigurationStatus, Envelope, Heartbeat, LeaseClaim, MemberDescriptor,
+    Message, ServiceLoad,
 };
 use sedgepath_core::node::Node;
 use sedgepath_wire::datagram::{Opener, seal};
@@ -47,9 +47,9 @@
     );
 }
 
-fn card(number: u64) -> MemberCard {
+fn card(number: u64) -> MemberDescriptor {
     let address = |port: u16| SocketAddr::from((Ipv4Addr::new(10, 0, 0, number as u8), port));
-    MemberCard {
+    MemberDescriptor {
         name: format!("lowcountry-a-{number}").into(),
         domain: DomainKey::of("lowcountry-a"),
         caller_address: address(80),
--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -12,7 +12,7 @@
 use sedgepath_core::event::Event;
 use sedgepath_core::identity::Identity;
 use sedgepath_core::key::{BootId, DomainKey};
-use sedgepath_core::message::MemberCard;
+use sedgepath_core::message::MemberDescriptor;
 use sedgepath_core::node::Node;
 use sedgepath_core::table::TableService;
 use sedgepath_wire::key::SharedKey;
@@ -166,7 +166,7 @@
 }
 
 fn identity(settings: &Settings, boot: BootId) -> Identity {
-    let card = MemberCard {
+    let card = MemberDescriptor {
         name: settings.name.clone(),
         domain: DomainKey::of(&settings.domain),
         caller_address: settings.callers,
