--- a/crates/sedgepath-core/examples/once_figures.rs
+++ b/crates/sedgepath-core/examples/once_figures.rs
@@ -7,7 +7,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use sedgepath_core::hash::Digest;
-use sedgepath_core::request::{Once, Outcome, RequestHead};
+use sedgepath_core::request::{Deduplication, Outcome, RequestHead};
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
 use sedgepath_test_support::bed::{Bed, CallIndex, Seen, guest_request};
 use sedgepath_test_support::records::{self, UpstreamSpec};
@@ -141,9 +141,9 @@
         }
         let node = if bed.node(node).is_some() { node } else { 1 };
         let once = if tickets {
-            Once::Ticket(bed.mint(node, "deposit", 1)[0])
+            Deduplication::Ticket(bed.mint(node, "deposit", 1)[0])
         } else {
-            Once::Key(Digest::of(&[&number.to_le_bytes()]))
+            Deduplication::Key(Digest::of(&[&number.to_le_bytes()]))
         };
         latest.push(call(bed, node, once, 1));
         attempts.push(1);
@@ -167,7 +167,7 @@
     latest
 }
 
-fn call(bed: &mut Bed, node: usize, once: Once, attempt: u32) -> CallIndex {
+fn call(bed: &mut Bed, node: usize, once: Deduplication, attempt: u32) -> CallIndex {
     let digest = Digest::of(&[format!("{once:?}").as_bytes()]);
     let head = guest_request("deposit", bed.now_ms() + 2_000);
     bed.call(node, RequestHead { deduplication: once, attempt, idempotent: false, digest, ..head })
--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -11,7 +11,7 @@
 use crate::membership::Membership;
 use crate::outbox::Outbox;
 use crate::request::{
-    HopEnd, Once, Outcome, Rejection, RejectionReason, RequestHead, StoredAnswer, Ticket,
+    Deduplication, HopEnd, Outcome, Rejection, RejectionReason, RequestHead, StoredAnswer, Ticket,
 };
 use crate::table::TableResult;
 
@@ -56,20 +56,24 @@
     ) -> bool {
         let identity = out.identity();
         let admitted = match head.deduplication {
-            Once::Repeatable => true,
-            Once::Ticket(ticket) if (ticket.home, ticket.boot) == (identity.vm, identity.boot) => {
+            Deduplication::Repeatable => true,
+            Deduplication::Ticket(ticket)
+                if (ticket.home, ticket.boot) == (identity.vm, identity.boot) =>
+            {
                 self.tickets.admit(request, ticket, head, out)
             }
-            Once::Ticket(ticket) => {
+            Deduplication::Ticket(ticket) => {
                 let batcher = &mut self.batcher;
                 self.visitors.take(request, ticket, head, membership, batcher, out);
                 false
             }
-            Once::Key(_) if self.poll_handover.is_some() => {
+            Deduplication::Key(_) if self.poll_handover.is_some() => {
                 conclude(request, unsettled(head.attempt, RejectionReason::NotReady), out);
                 false
             }
-            Once::Key(key) => self.claims.admit(request, key, head, &mut self.batcher, out),
+            Deduplication::Key(key) => {
+                self.claims.admit(request, key, head, &mut self.batcher, out)
+            }
         };
         self.batcher.flush(out);
         admitted
--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -16,7 +16,7 @@
 use crate::look_up::LookUpCache;
 use crate::outbox::Outbox;
 use crate::request::{
-    Class, Dispatch, HopEnd, Once, Outcome, Rejection, RejectionReason, RequestHead,
+    Class, Deduplication, Dispatch, HopEnd, Outcome, Rejection, RejectionReason, RequestHead,
 };
 use crate::retry::RetryBudgets;
 use crate::shift::ShiftKey;
@@ -285,7 +285,7 @@
     let Some(class) = view.catalogue.class_of_key(head.key_digest) else {
         return Err(Denied::Outcome(Outcome::UnknownOrganisation));
     };
-    if entry.once_only && head.deduplication == Once::Repeatable {
+    if entry.once_only && head.deduplication == Deduplication::Repeatable {
         return Err(Denied::Outcome(Outcome::KeyRequired));
     }
     if head.deadline_at_ms <= view.now_ms {
--- a/crates/sedgepath-core/src/ingress/pending.rs
+++ b/crates/sedgepath-core/src/ingress/pending.rs
@@ -3,7 +3,7 @@
 use std::net::IpAddr;
 
 use super::{
-    Class, Dispatch, HopEnd, Once, Rejection, RejectionReason, RequestHead, ServiceEntry,
+    Class, Deduplication, Dispatch, HopEnd, Rejection, RejectionReason, RequestHead, ServiceEntry,
     SystemView, UpstreamOwner,
 };
 use crate::event::Action;
@@ -47,7 +47,7 @@
     ) -> Self {
         // The owner's right to an upstream counts on the longest deadline that the record allows.
         let latest_ms = view.now_ms + entry.longest_deadline_ms;
-        let once_only = head.deduplication != Once::Repeatable;
+        let once_only = head.deduplication != Deduplication::Repeatable;
         let repeatable = head.idempotent && !once_only;
         Self {
             service,
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -21,7 +21,7 @@
 use crate::membership::{LocalState, Membership};
 use crate::message::{Baseline, Envelope, Heartbeat, Message, ServiceLoad};
 use crate::outbox::Outbox;
-use crate::request::{HopEnd, Once, RequestHead, Ticket};
+use crate::request::{Deduplication, HopEnd, RequestHead, Ticket};
 use crate::steering::{HeadroomPolicy, SteeringPolicy};
 use crate::stop::{self, PlannedStop};
 use crate::timeline::Topic;
@@ -212,7 +212,7 @@
     fn request(&mut self, request: RequestKey, head: &RequestHead) {
         let identity = self.out.shared_identity();
         let means = means!(self, identity);
-        let is_once = head.deduplication != Once::Repeatable;
+        let is_once = head.deduplication != Deduplication::Repeatable;
         let is_known = is_once && ingress::knows(head, means.view.catalogue);
         if is_known && !self.once.admit(request, head, &self.membership, &mut self.out) {
             return;
--- a/crates/sedgepath-core/src/request.rs
+++ b/crates/sedgepath-core/src/request.rs
@@ -50,7 +50,7 @@
 
 /// How a request is kept from running twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Once {
+pub enum Deduplication {
     /// It may run more than once.
     Repeatable,
     /// It runs at most once under a key that the caller chose, given by its digest.
@@ -71,7 +71,7 @@
     /// When the caller stops waiting, in milliseconds by this node's clock.
     pub deadline_at_ms: u64,
     /// How it is kept from running twice.
-    pub deduplication: Once,
+    pub deduplication: Deduplication,
     /// The number of the attempt under its key or ticket, from 1; 0 if the caller did not say.
     pub attempt: u32,
     /// Whether the method is idempotent, so that it may be retried.
--- a/crates/sedgepath-core/tests/claims.rs
+++ b/crates/sedgepath-core/tests/claims.rs
@@ -7,15 +7,15 @@
 use once_callers::{kill_in_turn, pause_two, run_actions};
 use once_support::{Verdict, assert_holds, bed, head, judge, settle};
 use sedgepath_core::hash::Digest;
-use sedgepath_core::request::{Once, Outcome};
+use sedgepath_core::request::{Deduplication, Outcome};
 use sedgepath_test_support::bed::{Bed, Seen};
 
 /// Returns a key that a caller chose.
-fn key(number: usize) -> Once {
-    Once::Key(Digest::of(&[b"key", &number.to_le_bytes()]))
+fn key(number: usize) -> Deduplication {
+    Deduplication::Key(Digest::of(&[b"key", &number.to_le_bytes()]))
 }
 
-fn key_of(_bed: &mut Bed, number: usize) -> Once {
+fn key_of(_bed: &mut Bed, number: usize) -> Deduplication {
     key(number)
 }
 
@@ -43,7 +43,7 @@
 #[test]
 fn a_once_only_service_takes_no_request_without_a_key() {
     let mut bed = bed(14);
-    let head = head(&bed, Once::Repeatable, 0);
+    let head = head(&bed, Deduplication::Repeatable, 0);
     let call = bed.call(0, head);
     assert_eq!(bed.calls()[call].seen, Seen::Concluded(Outcome::KeyRequired));
 }
--- a/crates/sedgepath-core/tests/fuzz_once.rs
+++ b/crates/sedgepath-core/tests/fuzz_once.rs
@@ -19,7 +19,7 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use sedgepath_core::hash::Digest;
 use sedgepath_core::key::UpstreamKey;
-use sedgepath_core::request::Once;
+use sedgepath_core::request::Deduplication;
 use sedgepath_test_support::bed::Bed;
 use sedgepath_test_support::bed::faults::Place;
 
@@ -114,20 +114,20 @@
 /// The nodes, and what their callers remember.
 struct Run {
     bed: Bed,
-    keys: BTreeMap<usize, Once>,
+    keys: BTreeMap<usize, Deduplication>,
     attempts: BTreeMap<usize, u32>,
 }
 
 impl Run {
     /// Returns the key or ticket of an action; none if no ticket can be had now.
-    fn once(&mut self, node: usize, action: usize) -> Option<Once> {
+    fn once(&mut self, node: usize, action: usize) -> Option<Deduplication> {
         if let Some(once) = self.keys.get(&action) {
             return Some(*once);
         }
         let once = if action.is_multiple_of(2) {
-            Once::Key(Digest::of(&[b"key", &action.to_le_bytes()]))
+            Deduplication::Key(Digest::of(&[b"key", &action.to_le_bytes()]))
         } else {
-            Once::Ticket(*self.bed.mint((node + action) % NODES, "deposit", 1).first()?)
+            Deduplication::Ticket(*self.bed.mint((node + action) % NODES, "deposit", 1).first()?)
         };
         self.keys.insert(action, once);
         Some(once)
--- a/crates/sedgepath-core/tests/once_support/callers.rs
+++ b/crates/sedgepath-core/tests/once_support/callers.rs
@@ -1,6 +1,6 @@
 //! Callers that repeat their actions.
 
-use sedgepath_core::request::Once;
+use sedgepath_core::request::Deduplication;
 use sedgepath_test_support::bed::{Bed, CallIndex, NodeIndex};
 
 use super::once_support::{head, is_answer};
@@ -8,7 +8,7 @@
 /// A caller that repeats an action through one node after the other until it knows its end.
 #[derive(Debug)]
 pub struct Action {
-    once: Once,
+    once: Deduplication,
     attempt: u32,
     call: CallIndex,
     repeat_at_ms: u64,
@@ -16,7 +16,7 @@
 
 impl Action {
     /// Asks for the action the first time.
-    pub fn new(bed: &mut Bed, node: NodeIndex, once: Once) -> Self {
+    pub fn new(bed: &mut Bed, node: NodeIndex, once: Deduplication) -> Self {
         let head = head(bed, once, 1);
         let call = bed.call(node, head);
         Self { once, attempt: 1, call, repeat_at_ms: bed.now_ms() + 1_000 }
@@ -40,7 +40,7 @@
     bed: &mut Bed,
     count: usize,
     gap_ms: u64,
-    mut key: impl FnMut(&mut Bed, usize) -> Once,
+    mut key: impl FnMut(&mut Bed, usize) -> Deduplication,
     mut fault: impl FnMut(&mut Bed, usize),
 ) {
     let mut actions = Vec::new();
--- a/crates/sedgepath-core/tests/once_support/mod.rs
+++ b/crates/sedgepath-core/tests/once_support/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use sedgepath_core::hash::Digest;
-use sedgepath_core::request::{Once, Outcome, RequestHead};
+use sedgepath_core::request::{Deduplication, Outcome, RequestHead};
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
 use sedgepath_test_support::bed::{Bed, CallIndex, Seen, guest_request};
 use sedgepath_test_support::records::{self, UpstreamSpec};
@@ -32,7 +32,7 @@
 }
 
 /// Returns a request; its digest is that of the action alone, as in a repeat.
-pub fn head(bed: &Bed, once: Once, attempt: u32) -> RequestHead {
+pub fn head(bed: &Bed, once: Deduplication, attempt: u32) -> RequestHead {
     RequestHead {
         deduplication: once,
         attempt,
--- a/crates/sedgepath-core/tests/right.rs
+++ b/crates/sedgepath-core/tests/right.rs
@@ -8,7 +8,7 @@
 
 use sedgepath_core::hash::Digest;
 use sedgepath_core::identity::NodeSettings;
-use sedgepath_core::request::{Once, RequestHead};
+use sedgepath_core::request::{Deduplication, RequestHead};
 use sedgepath_test_support::bed::faults::Place;
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
 use sedgepath_test_support::bed::{Bed, NodeIndex};
@@ -66,7 +66,7 @@
                 source: IpAddr::V4(Ipv4Addr::LOCALHOST),
                 key_digest: Some(records::key_digest("key")),
                 deadline_at_ms: bed.now_ms() + LONGEST_DEADLINE_MS,
-                deduplication: Once::Repeatable,
+                deduplication: Deduplication::Repeatable,
                 idempotent: false,
                 digest: Digest::of(&[b"GET /"]),
                 revision_seen: 0,
--- a/crates/sedgepath-core/tests/tickets.rs
+++ b/crates/sedgepath-core/tests/tickets.rs
@@ -8,23 +8,23 @@
 use once_support::{Verdict, assert_holds, bed, head, is_not_run, judge, settle};
 use sedgepath_core::deduplication::tickets::{MAX_LIVE, VALID_MS};
 use sedgepath_core::hash::Digest;
-use sedgepath_core::request::{Once, Outcome, RejectionReason};
+use sedgepath_core::request::{Deduplication, Outcome, RejectionReason};
 use sedgepath_test_support::bed::{Bed, NodeIndex, Seen};
 
-fn ticket(bed: &mut Bed, node: NodeIndex) -> Once {
+fn ticket(bed: &mut Bed, node: NodeIndex) -> Deduplication {
     let tickets = bed.mint(node, "deposit", 1);
-    Once::Ticket(*tickets.first().expect("a ticket"))
+    Deduplication::Ticket(*tickets.first().expect("a ticket"))
 }
 
 /// Mints at the nodes in turn; one that is down or has just started gives none.
-fn ticket_of(bed: &mut Bed, number: usize) -> Once {
+fn ticket_of(bed: &mut Bed, number: usize) -> Deduplication {
     let nodes = bed.node_count();
     let mut minted =
         (1..=nodes).flat_map(|step| bed.mint((number / 2 + step) % nodes, "deposit", 1));
-    Once::Ticket(minted.next().expect("a node that mints"))
+    Deduplication::Ticket(minted.next().expect("a node that mints"))
 }
 
-fn seen_of(bed: &mut Bed, node: NodeIndex, once: Once, attempt: u32) -> Seen {
+fn seen_of(bed: &mut Bed, node: NodeIndex, once: Deduplication, attempt: u32) -> Seen {
     let head = head(bed, once, attempt);
     let call = bed.call(node, head);
     bed.run_for(500);
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -23,7 +23,7 @@
 use sedgepath_core::node::Node;
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::request::{
-    AnswerHead, CallEnd, Dispatch, HopEnd, Once, Outcome, RequestHead, Ticket,
+    AnswerHead, CallEnd, Deduplication, Dispatch, HopEnd, Outcome, RequestHead, Ticket,
 };
 use sedgepath_core::steering::{HeadroomPolicy, SteeringPolicy};
 use sedgepath_core::table::{TableRequest, TableResult};
@@ -231,7 +231,7 @@
         source: IpAddr::V4(Ipv4Addr::LOCALHOST),
         key_digest: None,
         deadline_at_ms,
-        deduplication: Once::Repeatable,
+        deduplication: Deduplication::Repeatable,
         attempt: 0,
         idempotent: true,
         digest: Digest::of(&[b"GET /"]),
@@ -454,7 +454,7 @@
             source: IpAddr::V4(Ipv4Addr::LOCALHOST),
             key_digest: None,
             deadline_at_ms: self.now_ms + 2_000,
-            deduplication: Once::Repeatable,
+            deduplication: Deduplication::Repeatable,
             attempt: 0,
             idempotent: true,
             digest: Digest::of(&[b"GET /"]),
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -4,7 +4,7 @@
 
 use sedgepath_core::event::{Action, Event};
 use sedgepath_core::key::{DomainKey, ExchangeKey, RequestKey, UpstreamKey, VmKey};
-use sedgepath_core::request::{AnswerHead, CallEnd, Dispatch, HopEnd, Once, StoredAnswer};
+use sedgepath_core::request::{AnswerHead, CallEnd, Deduplication, Dispatch, HopEnd, StoredAnswer};
 
 use super::faults::Place;
 use super::upstreams::{self, Started};
@@ -152,7 +152,7 @@
         if let Some(upstream) = self.upstreams.answered(call) {
             self.see(call, Seen::Answered { upstream });
         }
-        let once = self.calls[call].head.deduplication != Once::Repeatable;
+        let once = self.calls[call].head.deduplication != Deduplication::Repeatable;
         let stored = once.then(|| StoredAnswer {
             status: 200,
             content_type: None,
--- a/crates/sedgepath-test-support/src/bed/upstreams.rs
+++ b/crates/sedgepath-test-support/src/bed/upstreams.rs
@@ -5,7 +5,7 @@
 
 use sedgepath_core::event::UpstreamReport;
 use sedgepath_core::key::{ExchangeKey, UpstreamKey};
-use sedgepath_core::request::{CallEnd, Once, Rejection, RejectionReason, RequestHead};
+use sedgepath_core::request::{CallEnd, Deduplication, Rejection, RejectionReason, RequestHead};
 
 use super::{CallIndex, NodeIndex};
 
@@ -19,7 +19,7 @@
     /// The caller's request.
     pub call: Option<CallIndex>,
     /// How the request is kept from running twice.
-    pub once: Option<Once>,
+    pub once: Option<Deduplication>,
     /// When it started, in milliseconds of the bed's clock.
     pub started_at_ms: u64,
 }
@@ -154,7 +154,7 @@
     pub fn runs_by_key(&self) -> BTreeMap<String, u32> {
         let mut runs = BTreeMap::new();
         for run in self.upstreams.values().flat_map(|upstream| &upstream.runs) {
-            if let Some(once @ (Once::Key(_) | Once::Ticket(_))) = run.once {
+            if let Some(once @ (Deduplication::Key(_) | Deduplication::Ticket(_))) = run.once {
                 *runs.entry(format!("{once:?}")).or_insert(0) += 1;
             }
         }
--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -4,7 +4,7 @@
 
 use sedgepath_core::hash::Digest;
 use sedgepath_core::identity::NodeSettings;
-use sedgepath_core::request::{Class, Once, Outcome, RequestHead};
+use sedgepath_core::request::{Class, Deduplication, Outcome, RequestHead};
 
 use crate::bed::upstreams::FakeUpstream;
 use crate::bed::{Bed, Call, Seen};
@@ -109,7 +109,7 @@
         source: IpAddr::V4(Ipv4Addr::LOCALHOST),
         key_digest: key.map(records::key_digest),
         deadline_at_ms: bed.now_ms() + deadline_ms,
-        deduplication: Once::Repeatable,
+        deduplication: Deduplication::Repeatable,
         attempt: 0,
         idempotent: true,
         digest: Digest::of(&[b"GET /"]),
--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -89,7 +89,7 @@
     /// The time left until the caller's deadline, in milliseconds.
     pub remaining_ms: u64,
     /// How the request is kept from running twice.
-    pub deduplication: sedgepath_core::request::Once,
+    pub deduplication: sedgepath_core::request::Deduplication,
     /// The number of the attempt.
     pub attempt: u32,
     /// The digest of the request.
--- a/crates/sedgepathd/src/callers/once.rs
+++ b/crates/sedgepathd/src/callers/once.rs
@@ -3,7 +3,7 @@
 use hyper::HeaderMap;
 use sedgepath_core::deduplication::key_digest;
 use sedgepath_core::hash::Digest;
-use sedgepath_core::request::Once;
+use sedgepath_core::request::Deduplication;
 use sedgepath_wire::key::SharedKey;
 use sedgepath_wire::ticket;
 
@@ -52,21 +52,21 @@
     service: &str,
     organisation: Option<Digest>,
     ticket_key: &SharedKey,
-) -> Result<Once, OnceError> {
+) -> Result<Deduplication, OnceError> {
     let count = |name: &str| headers.get_all(name).iter().count();
     match (count(IDEMPOTENCY_KEY), count(TICKET)) {
-        (0, 0) => Ok(Once::Repeatable),
+        (0, 0) => Ok(Deduplication::Repeatable),
         (1, 0) => {
             let key = headers[IDEMPOTENCY_KEY].as_bytes();
             if key.is_empty() || key.len() > MAX_KEY_BYTES {
                 return Err(OnceError::Key);
             }
-            Ok(Once::Key(key_digest(service, organisation, key)))
+            Ok(Deduplication::Key(key_digest(service, organisation, key)))
         }
         (0, 1) => {
             let text = headers[TICKET].to_str().ok();
             let ticket = text.and_then(|text| ticket::parse(ticket_key, text).ok());
-            ticket.map(Once::Ticket).ok_or(OnceError::Ticket)
+            ticket.map(Deduplication::Ticket).ok_or(OnceError::Ticket)
         }
         (_, 0) => Err(OnceError::Key),
         (0, _) => Err(OnceError::Ticket),
--- a/crates/sedgepathd/src/callers/serving.rs
+++ b/crates/sedgepathd/src/callers/serving.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use sedgepath_core::event::{Action, Event};
 use sedgepath_core::key::RequestKey;
-use sedgepath_core::request::{HopEnd, Once, Outcome, RequestHead};
+use sedgepath_core::request::{Deduplication, HopEnd, Outcome, RequestHead};
 use sedgepath_wire::frame::{ExchangeId, Field, HomeRequest, HttpRequestHead, Purpose};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
@@ -101,7 +101,7 @@
     /// A once-only request goes on when its caller has gone: what became of it has to be learnt and
     /// kept for the repeat, which would end *unknown* otherwise.
     pub(super) async fn serve(self) -> Served {
-        if self.head.deduplication == Once::Repeatable {
+        if self.head.deduplication == Deduplication::Repeatable {
             return self.run().await;
         }
         tokio::spawn(self.run()).await.unwrap_or(Served::Stopping)
@@ -137,7 +137,7 @@
     async fn answered(mut self, answer: Answer) -> Served {
         self.concluded = true;
         let request = self.request;
-        if self.head.deduplication == Once::Repeatable {
+        if self.head.deduplication == Deduplication::Repeatable {
             return Served::Answer { answer: Box::new(answer), request, is_ended: false };
         }
         let ended = |whole, stored| Event::RelayEnded { request, whole, stored };
