--- a/crates/sedgepath-core/src/egress.rs
+++ b/crates/sedgepath-core/src/egress.rs
@@ -18,7 +18,7 @@
 use crate::key::{ExchangeKey, ServiceKey, UpstreamKey};
 use crate::message::{LeavingUpstreams, ServiceLoad};
 use crate::outbox::Outbox;
-use crate::request::{CallEnd, Dispatch, Rejection, RejectionReason};
+use crate::request::{CallOutcome, Dispatch, Rejection, RejectionReason};
 use crate::timeline::Topic;
 
 mod connections;
@@ -118,7 +118,7 @@
     pub fn call_ended(
         &mut self,
         exchange: ExchangeKey,
-        end: CallEnd,
+        end: CallOutcome,
         scope: Scope<'_>,
         out: &mut Outbox,
     ) {
@@ -131,7 +131,7 @@
         if change == Change::Paused {
             log_upstream(Topic::Admission, "upstream_paused", call.upstream, scope, out);
         }
-        if end == CallEnd::Completed {
+        if end == CallOutcome::Completed {
             let took_ms = now_ms.saturating_sub(call.sent_at_ms);
             self.services.entry(call.service).or_default().time.note(took_ms);
         }
--- a/crates/sedgepath-core/src/egress/upstream.rs
+++ b/crates/sedgepath-core/src/egress/upstream.rs
@@ -7,7 +7,7 @@
 use crate::allowance::Allowance;
 use crate::catalogue::UpstreamEntry;
 use crate::event::UpstreamReport;
-use crate::request::{CallEnd, Class};
+use crate::request::{CallOutcome, Class};
 
 /// How much later than a loss a report must have been made to tell whether the call still runs, in
 /// milliseconds. A request that was on its way when its connection broke may start shortly after.
@@ -141,30 +141,30 @@
     }
 
     /// Takes in the end of a call.
-    pub fn end(&mut self, sent: Sent, end: CallEnd, now_ms: u64) -> Change {
+    pub fn end(&mut self, sent: Sent, end: CallOutcome, now_ms: u64) -> Change {
         let in_flight = self.in_flight();
         self.recent.note(in_flight, now_ms);
         self.running -= 1;
         self.running_paying -= u32::from(sent.class == Class::Paying);
         // Without a permission or past the time to send, nothing was tried.
-        let unreachable = end == CallEnd::NotSent && sent.may_open && now_ms <= sent.send_by_ms;
+        let unreachable = end == CallOutcome::NotSent && sent.may_open && now_ms <= sent.send_by_ms;
         self.connections.end(sent.may_open, unreachable, now_ms);
         let paused = match end {
-            CallEnd::Completed | CallEnd::Cancelled => {
+            CallOutcome::Completed | CallOutcome::Cancelled => {
                 self.ramp.used(now_ms);
                 self.health.answered();
                 false
             }
-            CallEnd::Refused => self.health.refused(in_flight, now_ms),
-            CallEnd::NotSent if unreachable => {
+            CallOutcome::Refused => self.health.refused(in_flight, now_ms),
+            CallOutcome::NotSent if unreachable => {
                 self.ramp.restart();
                 self.health.failed(now_ms)
             }
-            CallEnd::NotSent => {
+            CallOutcome::NotSent => {
                 self.health.ended();
                 false
             }
-            CallEnd::Lost => {
+            CallOutcome::Lost => {
                 self.health.ended();
                 self.keep_slot(sent, now_ms);
                 false
--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -14,7 +14,7 @@
 };
 use crate::message::Envelope;
 use crate::request::{
-    AnswerHead, CallEnd, Dispatch, EntryVm, HopEnd, Outcome, RequestHead, StoredAnswer, Ticket,
+    AnswerHead, CallOutcome, Dispatch, EntryVm, HopEnd, Outcome, RequestHead, StoredAnswer, Ticket,
 };
 use crate::table::{TableRequest, TableResult};
 use crate::timeline::Entry;
@@ -139,7 +139,7 @@
         /// The dispatch.
         exchange: ExchangeKey,
         /// How it ended.
-        end: CallEnd,
+        end: CallOutcome,
         /// The time that the upstream took, in milliseconds.
         took_ms: u64,
     },
--- a/crates/sedgepath-core/src/request.rs
+++ b/crates/sedgepath-core/src/request.rs
@@ -228,7 +228,7 @@
 
 /// How an attempt at an upstream ended, as the owner learnt it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// The whole answer arrived.
     Completed,
     /// The upstream said that it did not start the request.
--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -2,7 +2,7 @@
 
 use sedgepath_core::key::{ExchangeKey, UpstreamKey};
 use sedgepath_core::record::RawRecord;
-use sedgepath_core::request::{CallEnd, Class, RejectionReason};
+use sedgepath_core::request::{CallOutcome, Class, RejectionReason};
 use sedgepath_test_support::bed::Seen;
 use sedgepath_test_support::load::{self, Load};
 use sedgepath_test_support::owner::{Decision, Owner};
@@ -73,7 +73,7 @@
     let sent = owner.dispatch_many(4, Class::Paying, 2_000);
     owner.pass_ms(10);
     for exchange in &sent {
-        owner.end(*exchange, CallEnd::Lost);
+        owner.end(*exchange, CallOutcome::Lost);
     }
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 4);
     assert!(owner.dispatch_many(4, Class::Paying, 1_500).is_empty());
@@ -92,7 +92,7 @@
     let sent = owner.dispatch_many(3, Class::Paying, 4_000);
     owner.pass_ms(10);
     for exchange in &sent {
-        owner.end(*exchange, CallEnd::Lost);
+        owner.end(*exchange, CallOutcome::Lost);
     }
     owner.report("u", 0, 4, false);
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 3);
@@ -110,10 +110,10 @@
     owner.allowances[0].slots = 3;
     for exchange in &sent[..3] {
         assert!(owner.dispatch_many(1, Class::Paying, 4_000).is_empty());
-        owner.end(*exchange, CallEnd::Completed);
+        owner.end(*exchange, CallOutcome::Completed);
     }
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 3);
-    owner.end(sent[3], CallEnd::Completed);
+    owner.end(sent[3], CallOutcome::Completed);
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 3);
 }
 
@@ -156,9 +156,9 @@
 fn refusal_lowers_the_slots_for_a_while() {
     let mut owner = owner(8, &json!({}));
     let sent = owner.dispatch_many(8, Class::Paying, 1_000);
-    owner.end(sent[0], CallEnd::Refused);
+    owner.end(sent[0], CallOutcome::Refused);
     for exchange in &sent[1..] {
-        owner.end(*exchange, CallEnd::Completed);
+        owner.end(*exchange, CallOutcome::Completed);
     }
     assert_eq!(owner.fits(Class::Paying), 4);
     owner.pass_ms(10_000);
@@ -174,7 +174,7 @@
     while owner.now_ms() < 1_060_000 {
         for exchange in owner.dispatch_and_take_sent(2, Class::Paying, 400) {
             tries.push(owner.now_ms());
-            owner.end(exchange, CallEnd::NotSent);
+            owner.end(exchange, CallOutcome::NotSent);
         }
         owner.pass_ms(20);
     }
@@ -182,7 +182,7 @@
     owner.pass_ms(30_000);
     let probe = owner.dispatch_many(4, Class::Paying, 400);
     assert_eq!(probe.len(), 1);
-    owner.end(probe[0], CallEnd::Completed);
+    owner.end(probe[0], CallOutcome::Completed);
     owner.dispatch_many(4, Class::Paying, 400);
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 4);
 }
@@ -219,7 +219,7 @@
                 self.opened_at_ms.push(owner.now_ms());
                 owner.connections("u", self.open);
             } else {
-                owner.end(exchange, CallEnd::NotSent);
+                owner.end(exchange, CallOutcome::NotSent);
                 continue;
             }
             self.running.push((exchange, owner.now_ms() + 50));
@@ -234,7 +234,7 @@
                 self.open -= 1;
                 owner.connections("u", self.open);
             }
-            owner.end(exchange, CallEnd::Completed);
+            owner.end(exchange, CallOutcome::Completed);
         }
     }
 
@@ -330,7 +330,7 @@
                 0..8 => owner.allowances[0].slots = random.u32(0..=6),
                 8..10 => owner.allowances[0].send_by_ms = owner.now_ms() + random.u64(0..20_000),
                 10..14 => report(&mut owner, &running, random.u32(3..9)),
-                14 => end_one(&mut owner, &mut running, CallEnd::Refused, &mut random),
+                14 => end_one(&mut owner, &mut running, CallOutcome::Refused, &mut random),
                 _ => {
                     let class = Class::ALL[random.usize(0..3)];
                     asked.push(owner.dispatch("s", class, random.u64(0..3_000)));
@@ -378,10 +378,12 @@
     let is_over = |truth: &Truth| truth.ends_at_ms <= now_ms;
     for truth in running.clone() {
         match truth.lost_at_ms {
-            Some(lost_at_ms) if lost_at_ms <= now_ms => owner.end(truth.exchange, CallEnd::Lost),
+            Some(lost_at_ms) if lost_at_ms <= now_ms => {
+                owner.end(truth.exchange, CallOutcome::Lost)
+            }
             None if is_over(&truth) => {
                 running.retain(|other| other.exchange != truth.exchange);
-                owner.end(truth.exchange, CallEnd::Completed);
+                owner.end(truth.exchange, CallOutcome::Completed);
             }
             _ => {}
         }
@@ -389,7 +391,12 @@
     running.retain(|truth| !is_over(truth));
 }
 
-fn end_one(owner: &mut Owner, running: &mut Vec<Truth>, end: CallEnd, random: &mut fastrand::Rng) {
+fn end_one(
+    owner: &mut Owner,
+    running: &mut Vec<Truth>,
+    end: CallOutcome,
+    random: &mut fastrand::Rng,
+) {
     let Some(place) = (!running.is_empty()).then(|| random.usize(0..running.len())) else { return };
     if running[place].lost_at_ms.is_none() {
         let truth = running.remove(place);
--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -2,7 +2,7 @@
 
 use sedgepath_core::key::{OriginKey, ServiceKey, UpstreamKey};
 use sedgepath_core::record::RawRecord;
-use sedgepath_core::request::{CallEnd, Class, Dispatch, RejectionReason};
+use sedgepath_core::request::{CallOutcome, Class, Dispatch, RejectionReason};
 use sedgepath_test_support::load::{self, Load, LoadSeen};
 use sedgepath_test_support::owner::{Decision, Owner};
 use sedgepath_test_support::records;
@@ -24,7 +24,7 @@
     for _ in 0..20 {
         for exchange in owner.dispatch_many(1, Class::Paying, 5_000) {
             owner.pass_ms(100);
-            owner.end(exchange, CallEnd::Completed);
+            owner.end(exchange, CallOutcome::Completed);
         }
     }
     owner.dispatch_many(2, Class::Paying, 5_000);
@@ -90,7 +90,7 @@
     for (held, left) in [(2, 4), (4, 3), (6, 3)] {
         let paying = owner.dispatch_many(held, Class::Paying, 1_000);
         for exchange in paying {
-            owner.end(exchange, CallEnd::Completed);
+            owner.end(exchange, CallOutcome::Completed);
         }
         assert_eq!(owner.fits(Class::Trial), left);
     }
@@ -109,10 +109,10 @@
     let trial = owner.dispatch("s", Class::Trial, 2_000);
     let late = owner.dispatch("s", Class::Paying, 4_000);
     let soon = owner.dispatch("s", Class::Paying, 3_000);
-    owner.end(running[0], CallEnd::Completed);
+    owner.end(running[0], CallOutcome::Completed);
     let sent: Vec<_> = [soon, late, trial].map(|exchange| owner.is_sent(exchange)).into();
     assert_eq!(sent, [true, false, false]);
-    owner.end(running[1], CallEnd::Completed);
+    owner.end(running[1], CallOutcome::Completed);
     assert!(owner.is_sent(late));
     assert!(!owner.is_sent(trial));
 }
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -2,7 +2,7 @@
 
 use sedgepath_core::key::{UpstreamKey, VmKey};
 use sedgepath_core::rendezvous;
-use sedgepath_core::request::{CallEnd, Class, RejectionReason};
+use sedgepath_core::request::{CallOutcome, Class, RejectionReason};
 use sedgepath_test_support::bed::faults::Place;
 use sedgepath_test_support::bed::{Bed, NodeIndex, Seen};
 use sedgepath_test_support::load;
@@ -190,7 +190,7 @@
     );
     assert!(owner.cancelled().is_empty());
     for exchange in running {
-        owner.end(exchange, CallEnd::Completed);
+        owner.end(exchange, CallOutcome::Completed);
     }
     assert!(owner.dispatch_many(1, Class::Paying, 2_000).is_empty());
 }
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -23,7 +23,7 @@
 use sedgepath_core::node::Node;
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::request::{
-    AnswerHead, CallEnd, Deduplication, Dispatch, HopEnd, Outcome, RequestHead, Ticket,
+    AnswerHead, CallOutcome, Deduplication, Dispatch, HopEnd, Outcome, RequestHead, Ticket,
 };
 use sedgepath_core::steering::{HeadroomPolicy, SteeringPolicy};
 use sedgepath_core::table::{TableRequest, TableResult};
@@ -185,7 +185,7 @@
     Dispatch(Dispatch, Exchange),
     HopAnswered(RequestKey, u32, AnswerHead),
     HopEnded(RequestKey, u32, HopEnd),
-    CallEnded(ExchangeKey, CallEnd, u64),
+    CallEnded(ExchangeKey, CallOutcome, u64),
     Report(UpstreamKey, UpstreamReport),
     Fetched(OperationKey, Option<Page>),
     HandOverEnded(OperationKey, bool),
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -4,7 +4,9 @@
 
 use sedgepath_core::event::{Action, Event};
 use sedgepath_core::key::{DomainKey, ExchangeKey, RequestKey, UpstreamKey, VmKey};
-use sedgepath_core::request::{AnswerHead, CallEnd, Deduplication, Dispatch, HopEnd, StoredAnswer};
+use sedgepath_core::request::{
+    AnswerHead, CallOutcome, Deduplication, Dispatch, HopEnd, StoredAnswer,
+};
 
 use super::faults::Place;
 use super::upstreams::{self, Started};
@@ -172,7 +174,7 @@
         let delay_ms = self.faults.pause_before_send_ms;
         let sent_at_ms = self.local_ms(index) + delay_ms;
         if sent_at_ms > send_by_ms || !self.reaches_upstream(index, upstream) {
-            let event = BedEvent::CallEnded(exchange, CallEnd::NotSent, 0);
+            let event = BedEvent::CallEnded(exchange, CallOutcome::NotSent, 0);
             if let Some(entry) = self.nodes[index].exchanges.get(&exchange).cloned() {
                 self.reply(&entry, BedReply::Ended(HopEnd::NotSent), index);
             }
@@ -221,26 +223,26 @@
         boot: u64,
         exchange: ExchangeKey,
         upstream: UpstreamKey,
-        end: CallEnd,
+        end: CallOutcome,
         took_ms: u64,
     ) {
         if !self.is_boot(owner, boot) {
             return;
         }
-        let end = if self.reaches_upstream(owner, upstream) { end } else { CallEnd::Lost };
+        let end = if self.reaches_upstream(owner, upstream) { end } else { CallOutcome::Lost };
         let report = self.upstreams.report(upstream, self.local_ms(owner));
-        if let Some(report) = report.filter(|_| end != CallEnd::Lost) {
+        if let Some(report) = report.filter(|_| end != CallOutcome::Lost) {
             self.deliver_later(owner, 0, BedEvent::Report(upstream, report));
         }
         if let Some(entry) = self.nodes[owner].exchanges.get(&exchange).cloned() {
             let domain = DomainKey::of(&self.nodes[owner].domain);
             let reply = match end {
-                CallEnd::Completed => {
+                CallOutcome::Completed => {
                     BedReply::Answered(AnswerHead { status: 200, upstream, domain })
                 }
-                CallEnd::Refused => BedReply::Ended(HopEnd::Refused(upstreams::REFUSAL)),
-                CallEnd::NotSent | CallEnd::Cancelled => BedReply::Ended(HopEnd::NotSent),
-                CallEnd::Lost => BedReply::Ended(HopEnd::Lost),
+                CallOutcome::Refused => BedReply::Ended(HopEnd::Refused(upstreams::REFUSAL)),
+                CallOutcome::NotSent | CallOutcome::Cancelled => BedReply::Ended(HopEnd::NotSent),
+                CallOutcome::Lost => BedReply::Ended(HopEnd::Lost),
             };
             self.reply(&entry, reply, owner);
         }
--- a/crates/sedgepath-test-support/src/bed/upstreams.rs
+++ b/crates/sedgepath-test-support/src/bed/upstreams.rs
@@ -5,7 +5,9 @@
 
 use sedgepath_core::event::UpstreamReport;
 use sedgepath_core::key::{ExchangeKey, UpstreamKey};
-use sedgepath_core::request::{CallEnd, Deduplication, Rejection, RejectionReason, RequestHead};
+use sedgepath_core::request::{
+    CallOutcome, Deduplication, Rejection, RejectionReason, RequestHead,
+};
 
 use super::{CallIndex, NodeIndex};
 
@@ -178,11 +180,11 @@
         started: Started,
         head: Option<&RequestHead>,
         random: &mut fastrand::Rng,
-    ) -> Result<u64, CallEnd> {
+    ) -> Result<u64, CallOutcome> {
         let upstream = self.upstreams.get_mut(&started.upstream).filter(|upstream| !upstream.dead);
-        let upstream = upstream.ok_or(CallEnd::NotSent)?;
+        let upstream = upstream.ok_or(CallOutcome::NotSent)?;
         if upstream.refuses {
-            return Err(CallEnd::Refused);
+            return Err(CallOutcome::Refused);
         }
         upstream.in_flight += 1;
         upstream.peak_in_flight = upstream.peak_in_flight.max(upstream.in_flight);
@@ -200,18 +202,18 @@
     }
 
     /// Ends a request and returns how the call ended.
-    pub(super) fn finish(&mut self, started: &Started) -> CallEnd {
+    pub(super) fn finish(&mut self, started: &Started) -> CallOutcome {
         let Some(upstream) = self.upstreams.get_mut(&started.upstream) else {
-            return CallEnd::Lost;
+            return CallOutcome::Lost;
         };
         upstream.in_flight -= 1;
         if upstream.dead || upstream.loses_answers {
-            return CallEnd::Lost;
+            return CallOutcome::Lost;
         }
         if let Some(call) = started.call {
             self.answers.insert(call, started.upstream);
         }
-        CallEnd::Completed
+        CallOutcome::Completed
     }
 
     /// Returns an upstream's word on its load, if it gives one.
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -14,7 +14,7 @@
 use sedgepath_core::message::MemberDescriptor;
 use sedgepath_core::outbox::Outbox;
 use sedgepath_core::record::RawRecord;
-use sedgepath_core::request::{CallEnd, Class, Dispatch, Rejection};
+use sedgepath_core::request::{CallOutcome, Class, Dispatch, Rejection};
 
 /// The time between two ticks, in milliseconds.
 const TICK_EVERY_MS: u64 = 20;
@@ -182,7 +182,7 @@
                 return fits;
             }
             for exchange in sent {
-                self.end(exchange, CallEnd::Completed);
+                self.end(exchange, CallOutcome::Completed);
             }
         }
     }
@@ -216,7 +216,7 @@
     }
 
     /// Ends a call.
-    pub fn end(&mut self, exchange: ExchangeKey, end: CallEnd) {
+    pub fn end(&mut self, exchange: ExchangeKey, end: CallOutcome) {
         self.step(|egress, scope, out| egress.call_ended(exchange, end, scope, out));
     }
 
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -10,7 +10,7 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use sedgepath_core::event::{Action, Event, UpstreamReport};
 use sedgepath_core::key::{BootId, DomainKey, ExchangeKey, VmKey};
-use sedgepath_core::request::{AnswerHead, CallEnd, Dispatch, Rejection, RejectionReason};
+use sedgepath_core::request::{AnswerHead, CallOutcome, Dispatch, Rejection, RejectionReason};
 use sedgepath_wire::frame::{Field, HttpAnswerHead, HttpRequestHead};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
@@ -171,18 +171,18 @@
                     retry_after_ms: RETRY_AFTER_MS,
                 };
                 let _gone = reply.send(Reply::Refused(refusal));
-                self.ended(CallEnd::Cancelled);
+                self.ended(CallOutcome::Cancelled);
             }
             Err(CallError::Lost) => {
                 let _gone = reply.send(Reply::Lost);
-                self.ended(CallEnd::Lost);
+                self.ended(CallOutcome::Lost);
             }
         }
     }
 
     fn not_sent(&self, reply: oneshot::Sender<Reply>) {
         let _gone = reply.send(Reply::NotSent);
-        self.ended(CallEnd::NotSent);
+        self.ended(CallOutcome::NotSent);
     }
 
     /// Asks the upstream to cancel the call; true only if it confirms that it will never run.
@@ -242,12 +242,12 @@
             };
             let _gone = reply.send(Reply::Refused(refusal));
             self.drain(call, incoming, connection).await;
-            self.ended(CallEnd::Refused);
+            self.ended(CallOutcome::Refused);
             return;
         }
         if !has_end(parts.status, &parts.headers, &incoming) {
             let _gone = reply.send(Reply::Lost);
-            self.ended(CallEnd::Lost);
+            self.ended(CallOutcome::Lost);
             return;
         }
         let mut fields = passed_on(&parts.headers);
@@ -266,7 +266,7 @@
         if whole {
             self.upstreams.give_back(call.upstream, connection);
         }
-        self.ended(if whole { CallEnd::Completed } else { CallEnd::Lost });
+        self.ended(if whole { CallOutcome::Completed } else { CallOutcome::Lost });
         if !whole {
             let _gone = sender.send(Err(BodyBroken)).await;
         }
@@ -279,7 +279,7 @@
         }
     }
 
-    fn ended(&self, end: CallEnd) {
+    fn ended(&self, end: CallOutcome) {
         let took_ms = self.started.elapsed().as_millis() as u64;
         self.handle.event(Event::CallEnded { exchange: self.exchange, end, took_ms });
     }
