--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -11,7 +11,8 @@
 use crate::membership::Membership;
 use crate::outbox::Outbox;
 use crate::request::{
-    Deduplication, HopEnd, Outcome, Rejection, RejectionReason, RequestHead, StoredAnswer, Ticket,
+    Deduplication, HopFailure, Outcome, Rejection, RejectionReason, RequestHead, StoredAnswer,
+    Ticket,
 };
 use crate::table::TableResult;
 
@@ -159,7 +160,7 @@
     pub fn handle_hop_failure(
         &mut self,
         request: RequestKey,
-        end: HopEnd,
+        end: HopFailure,
         membership: &Membership,
         out: &mut Outbox,
     ) -> bool {
--- a/crates/sedgepath-core/src/deduplication/visitors.rs
+++ b/crates/sedgepath-core/src/deduplication/visitors.rs
@@ -10,7 +10,7 @@
 use crate::membership::Membership;
 use crate::outbox::Outbox;
 use crate::rendezvous;
-use crate::request::{HopEnd, Outcome, RejectionReason, RequestHead, Ticket};
+use crate::request::{HopFailure, Outcome, RejectionReason, RequestHead, Ticket};
 use crate::table::Row;
 
 use super::batch::{Batcher, Job, Reply};
@@ -108,7 +108,7 @@
     pub fn hop_ended(
         &mut self,
         request: RequestKey,
-        end: HopEnd,
+        end: HopFailure,
         membership: &Membership,
         batcher: &mut Batcher,
         out: &mut Outbox,
@@ -118,13 +118,13 @@
         };
         match (visitor.step, end) {
             // The home has had it and may be running it.
-            (Step::AtHome, HopEnd::Lost) => {
+            (Step::AtHome, HopFailure::Lost) => {
                 self.conclude(request, Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS }, out);
             }
-            (Step::AtHome, HopEnd::Refused(refusal)) => {
+            (Step::AtHome, HopFailure::Refused(refusal)) => {
                 self.conclude(request, Outcome::NotRun { refusal, others: Vec::new() }, out);
             }
-            (Step::AtHome, HopEnd::NotSent) => {
+            (Step::AtHome, HopFailure::NotSent) => {
                 self.ask_successor(request, membership, batcher, out);
             }
             (Step::AtSuccessor, _) => self.read(request, batcher),
--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -14,7 +14,8 @@
 };
 use crate::message::Envelope;
 use crate::request::{
-    AnswerHead, CallOutcome, Dispatch, EntryVm, HopEnd, Outcome, RequestHead, StoredAnswer, Ticket,
+    AnswerHead, CallOutcome, Dispatch, EntryVm, HopFailure, Outcome, RequestHead, StoredAnswer,
+    Ticket,
 };
 use crate::table::{TableRequest, TableResult};
 use crate::timeline::Entry;
@@ -109,7 +110,7 @@
         /// The attempt that ended.
         attempt: u32,
         /// How.
-        end: HopEnd,
+        end: HopFailure,
     },
     /// The answer has been relayed to the caller to its end, or has broken off.
     RelayEnded {
--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -16,7 +16,7 @@
 use crate::look_up::LookUpCache;
 use crate::outbox::Outbox;
 use crate::request::{
-    Class, Deduplication, Dispatch, HopEnd, Outcome, Rejection, RejectionReason, RequestHead,
+    Class, Deduplication, Dispatch, HopFailure, Outcome, Rejection, RejectionReason, RequestHead,
 };
 use crate::retry::RetryBudgets;
 use crate::shift::ShiftKey;
@@ -131,7 +131,7 @@
         &mut self,
         request: RequestKey,
         attempt: u32,
-        end: HopEnd,
+        end: HopFailure,
         means: Means<'_>,
         out: &mut Outbox,
     ) -> Option<Conclusion> {
--- a/crates/sedgepath-core/src/ingress/pending.rs
+++ b/crates/sedgepath-core/src/ingress/pending.rs
@@ -3,8 +3,8 @@
 use std::net::IpAddr;
 
 use super::{
-    Class, Deduplication, Dispatch, HopEnd, Rejection, RejectionReason, RequestHead, ServiceEntry,
-    SystemView, UpstreamOwner,
+    Class, Deduplication, Dispatch, HopFailure, Rejection, RejectionReason, RequestHead,
+    ServiceEntry, SystemView, UpstreamOwner,
 };
 use crate::event::Action;
 use crate::key::{OriginKey, RequestKey, ServiceKey, VmKey};
@@ -159,15 +159,15 @@
     }
 
     /// Notes what the end of an attempt has shown.
-    pub(super) fn note_end(&mut self, attempt: Attempt, end: HopEnd) {
+    pub(super) fn note_end(&mut self, attempt: Attempt, end: HopFailure) {
         self.failed.push(attempt.vm);
         match end {
-            HopEnd::Refused(refusal) => self.note_refusal(refusal),
-            HopEnd::NotSent => self.note_refusal(Rejection {
+            HopFailure::Refused(refusal) => self.note_refusal(refusal),
+            HopFailure::NotSent => self.note_refusal(Rejection {
                 reason: RejectionReason::PeerUnreachable,
                 retry_after_ms: super::RETRY_AFTER_MS,
             }),
-            HopEnd::Lost => self.lost = true,
+            HopFailure::Lost => self.lost = true,
         }
     }
 
@@ -190,7 +190,7 @@
     pub(super) fn give_up_all(&mut self, request: RequestKey, out: &mut Outbox) {
         for attempt in std::mem::take(&mut self.attempts) {
             out.push(Action::CancelAttempt { request, attempt: attempt.number });
-            self.note_end(attempt, HopEnd::Lost);
+            self.note_end(attempt, HopFailure::Lost);
         }
     }
 
@@ -209,7 +209,7 @@
         self.attempts = kept;
         for attempt in gone {
             out.push(Action::CancelAttempt { request, attempt: attempt.number });
-            self.note_end(attempt, HopEnd::Lost);
+            self.note_end(attempt, HopFailure::Lost);
         }
     }
 
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -21,7 +21,7 @@
 use crate::membership::{LocalState, Membership};
 use crate::message::{Baseline, Envelope, Heartbeat, Message, ServiceLoad};
 use crate::outbox::Outbox;
-use crate::request::{Deduplication, HopEnd, RequestHead, Ticket};
+use crate::request::{Deduplication, HopFailure, RequestHead, Ticket};
 use crate::steering::{HeadroomPolicy, SteeringPolicy};
 use crate::stop::{self, PlannedStop};
 use crate::timeline::Topic;
@@ -224,7 +224,7 @@
         self.conclude(conclusion);
     }
 
-    fn hop_ended(&mut self, request: RequestKey, attempt: u32, end: HopEnd) {
+    fn hop_ended(&mut self, request: RequestKey, attempt: u32, end: HopFailure) {
         if self.once.handle_hop_failure(request, end, &self.membership, &mut self.out) {
             return;
         }
--- a/crates/sedgepath-core/src/request.rs
+++ b/crates/sedgepath-core/src/request.rs
@@ -243,7 +243,7 @@
 
 /// How the hop to the owner ended, as the ingress learnt it, when it brought no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HopEnd {
+pub enum HopFailure {
     /// The owner refused: the request was not run.
     Refused(Rejection),
     /// No connection could be made, so nothing was sent.
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -23,7 +23,7 @@
 use sedgepath_core::node::Node;
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::request::{
-    AnswerHead, CallOutcome, Deduplication, Dispatch, HopEnd, Outcome, RequestHead, Ticket,
+    AnswerHead, CallOutcome, Deduplication, Dispatch, HopFailure, Outcome, RequestHead, Ticket,
 };
 use sedgepath_core::steering::{HeadroomPolicy, SteeringPolicy};
 use sedgepath_core::table::{TableRequest, TableResult};
@@ -184,7 +184,7 @@
     Table(OperationKey, TableResult),
     Dispatch(Dispatch, Exchange),
     HopAnswered(RequestKey, u32, AnswerHead),
-    HopEnded(RequestKey, u32, HopEnd),
+    HopEnded(RequestKey, u32, HopFailure),
     CallEnded(ExchangeKey, CallOutcome, u64),
     Report(UpstreamKey, UpstreamReport),
     Fetched(OperationKey, Option<Page>),
@@ -395,7 +395,7 @@
         }
         // What the node had taken over may run on at an upstream; its ingress sees the hop break.
         for exchange in dispatched.into_values() {
-            self.reply(&exchange, BedReply::Ended(HopEnd::Lost), index);
+            self.reply(&exchange, BedReply::Ended(HopFailure::Lost), index);
         }
     }
 
@@ -617,5 +617,5 @@
 /// The reply to a dispatch.
 enum BedReply {
     Answered(AnswerHead),
-    Ended(HopEnd),
+    Ended(HopFailure),
 }
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -5,7 +5,7 @@
 use sedgepath_core::event::{Action, Event};
 use sedgepath_core::key::{DomainKey, ExchangeKey, RequestKey, UpstreamKey, VmKey};
 use sedgepath_core::request::{
-    AnswerHead, CallOutcome, Deduplication, Dispatch, HopEnd, StoredAnswer,
+    AnswerHead, CallOutcome, Deduplication, Dispatch, HopFailure, StoredAnswer,
 };
 
 use super::faults::Place;
@@ -50,7 +50,7 @@
             }
             Action::RejectDispatch { exchange, refusal } => {
                 if let Some(entry) = self.nodes[index].exchanges.remove(&exchange) {
-                    self.reply(&entry, BedReply::Ended(HopEnd::Refused(refusal)), index);
+                    self.reply(&entry, BedReply::Ended(HopFailure::Refused(refusal)), index);
                 }
             }
             Action::Table { operation, request } => self.table_request(index, operation, request),
@@ -117,7 +117,7 @@
                 let event = Box::new(BedEvent::Dispatch(dispatch, exchange));
                 self.schedule(delay_ms, Item::Deliver { node: target, boot, event });
             }
-            _ => self.reply(&exchange, BedReply::Ended(HopEnd::NotSent), index),
+            _ => self.reply(&exchange, BedReply::Ended(HopFailure::NotSent), index),
         }
     }
 
@@ -134,7 +134,7 @@
         };
         let target = self.nodes.iter().position(|slot| VmKey::of(&slot.name) == to);
         let Some(target) = target.filter(|target| self.connects(index, *target)) else {
-            self.handle(index, Event::HopEnded { request, attempt, end: HopEnd::NotSent });
+            self.handle(index, Event::HopEnded { request, attempt, end: HopFailure::NotSent });
             return;
         };
         self.nodes[index].requests.remove(&request);
@@ -176,7 +176,7 @@
         if sent_at_ms > send_by_ms || !self.reaches_upstream(index, upstream) {
             let event = BedEvent::CallEnded(exchange, CallOutcome::NotSent, 0);
             if let Some(entry) = self.nodes[index].exchanges.get(&exchange).cloned() {
-                self.reply(&entry, BedReply::Ended(HopEnd::NotSent), index);
+                self.reply(&entry, BedReply::Ended(HopFailure::NotSent), index);
             }
             self.deliver_later(index, 0, event);
             return;
@@ -240,9 +240,11 @@
                 CallOutcome::Completed => {
                     BedReply::Answered(AnswerHead { status: 200, upstream, domain })
                 }
-                CallOutcome::Refused => BedReply::Ended(HopEnd::Refused(upstreams::REFUSAL)),
-                CallOutcome::NotSent | CallOutcome::Cancelled => BedReply::Ended(HopEnd::NotSent),
-                CallOutcome::Lost => BedReply::Ended(HopEnd::Lost),
+                CallOutcome::Refused => BedReply::Ended(HopFailure::Refused(upstreams::REFUSAL)),
+                CallOutcome::NotSent | CallOutcome::Cancelled => {
+                    BedReply::Ended(HopFailure::NotSent)
+                }
+                CallOutcome::Lost => BedReply::Ended(HopFailure::Lost),
             };
             self.reply(&entry, reply, owner);
         }
@@ -255,7 +257,7 @@
         let cut = !self.faults.reaches(Place::Node(from), Place::Node(ingress));
         let Exchange { request, attempt, .. } = *exchange;
         let event = match reply {
-            _ if cut => BedEvent::HopEnded(request, attempt, HopEnd::Lost),
+            _ if cut => BedEvent::HopEnded(request, attempt, HopFailure::Lost),
             BedReply::Answered(head) => BedEvent::HopAnswered(request, attempt, head),
             BedReply::Ended(end) => BedEvent::HopEnded(request, attempt, end),
         };
--- a/crates/sedgepath-test-support/src/bed/delivery.rs
+++ b/crates/sedgepath-test-support/src/bed/delivery.rs
@@ -2,7 +2,7 @@
 
 use sedgepath_core::event::{Event, ListedVm};
 use sedgepath_core::key::{ExchangeKey, VmKey};
-use sedgepath_core::request::HopEnd;
+use sedgepath_core::request::HopFailure;
 use sedgepath_core::table::TableService;
 
 use super::faults::Place;
@@ -87,7 +87,7 @@
     pub(super) fn deliver(&mut self, index: NodeIndex, boot: Option<u64>, event: BedEvent) {
         if boot.is_some_and(|boot| !self.is_boot(index, boot)) || self.nodes[index].node.is_none() {
             if let BedEvent::Dispatch(_, exchange) = event {
-                self.reply(&exchange, BedReply::Ended(HopEnd::NotSent), index);
+                self.reply(&exchange, BedReply::Ended(HopFailure::NotSent), index);
             }
             return;
         }
--- a/crates/sedgepathd/src/callers/serving.rs
+++ b/crates/sedgepathd/src/callers/serving.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use sedgepath_core::event::{Action, Event};
 use sedgepath_core::key::RequestKey;
-use sedgepath_core::request::{Deduplication, HopEnd, Outcome, RequestHead};
+use sedgepath_core::request::{Deduplication, HopFailure, Outcome, RequestHead};
 use sedgepath_wire::frame::{ExchangeId, Field, HomeRequest, HttpRequestHead, Purpose};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
@@ -209,9 +209,9 @@
                 self.callers.handle.event(Event::HopAnswered { request, attempt, head });
                 return;
             }
-            Reply::Refused(refusal) => HopEnd::Refused(refusal),
-            Reply::NotSent => HopEnd::NotSent,
-            Reply::Lost | Reply::Concluded { .. } => HopEnd::Lost,
+            Reply::Refused(refusal) => HopFailure::Refused(refusal),
+            Reply::NotSent => HopFailure::NotSent,
+            Reply::Lost | Reply::Concluded { .. } => HopFailure::Lost,
         };
         self.callers.handle.event(Event::HopEnded { request, attempt, end });
     }
