--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -18,7 +18,7 @@
     Ticket,
 };
 use crate::table::{TableRequest, TableResult};
-use crate::timeline::Entry;
+use crate::timeline::TimelineEntry;
 
 /// A caller's question which entry VMs to use.
 #[derive(Debug, Clone)]
@@ -354,7 +354,7 @@
         tickets: HandedOver,
     },
     /// Logs an entry of the time line.
-    Log(Entry),
+    Log(TimelineEntry),
     /// The node has handed over or finished all of its work; the process may end.
     Stopped,
 }
--- a/crates/sedgepath-core/src/outbox.rs
+++ b/crates/sedgepath-core/src/outbox.rs
@@ -10,7 +10,7 @@
 use crate::key::OperationKey;
 use crate::message::{Envelope, Message};
 use crate::table::TableRequest;
-use crate::timeline::{Entry, Timeline, Topic};
+use crate::timeline::{Timeline, TimelineEntry, Topic};
 
 /// Collects what the node asks its shell to do.
 #[derive(Debug)]
@@ -97,7 +97,7 @@
 
     /// Logs an event and keeps it in the time line.
     pub fn log(&mut self, topic: Topic, event: &str, fields: &[(&str, &dyn std::fmt::Display)]) {
-        let entry = Entry {
+        let entry = TimelineEntry {
             stamp: self.clock.tick(self.now_ms),
             topic,
             event: event.into(),
--- a/crates/sedgepath-core/src/timeline.rs
+++ b/crates/sedgepath-core/src/timeline.rs
@@ -52,7 +52,7 @@
 
 /// One entry of the time line.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct TimelineEntry {
     /// When, in the order of all nodes.
     pub stamp: HybridTimestamp,
     /// What it is about.
@@ -63,7 +63,7 @@
     pub fields: Vec<(Box<str>, Box<str>)>,
 }
 
-impl Entry {
+impl TimelineEntry {
     /// Writes the entry as one line of `key=value` pairs.
     pub fn line(&self, node: &str) -> String {
         let mut line = format!(
@@ -96,12 +96,12 @@
 /// The latest entries of a node.
 #[derive(Debug, Default)]
 pub struct Timeline {
-    entries: VecDeque<Entry>,
+    entries: VecDeque<TimelineEntry>,
 }
 
 impl Timeline {
     /// Adds an entry.
-    pub fn push(&mut self, entry: Entry) {
+    pub fn push(&mut self, entry: TimelineEntry) {
         if self.entries.len() == KEPT_ENTRIES {
             self.entries.pop_front();
         }
@@ -109,7 +109,7 @@
     }
 
     /// Returns the entries after a stamp, oldest first.
-    pub fn since(&self, after: HybridTimestamp) -> Vec<Entry> {
+    pub fn since(&self, after: HybridTimestamp) -> Vec<TimelineEntry> {
         let start = self.entries.partition_point(|entry| entry.stamp <= after);
         self.entries.range(start..).cloned().collect()
     }
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -210,7 +210,7 @@
     calls: Vec<Call>,
     changes: BTreeMap<ReplyKey, ChangeOutcome>,
     next_number: u64,
-    log: Vec<(NodeIndex, sedgepath_core::timeline::Entry)>,
+    log: Vec<(NodeIndex, sedgepath_core::timeline::TimelineEntry)>,
     minted: Vec<Ticket>,
     /// The transactions that have reached the table.
     pub table_commits: u64,
@@ -362,7 +362,7 @@
     }
 
     /// Returns what the nodes have logged.
-    pub fn log(&self) -> &[(NodeIndex, sedgepath_core::timeline::Entry)] {
+    pub fn log(&self) -> &[(NodeIndex, sedgepath_core::timeline::TimelineEntry)] {
         &self.log
     }
 
--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -8,7 +8,7 @@
 use sedgepath_core::configuration::store::{Page, Position};
 use sedgepath_core::explain::{Explanation, Question};
 use sedgepath_core::key::DomainKey;
-use sedgepath_core::timeline::Entry;
+use sedgepath_core::timeline::TimelineEntry;
 use serde::{Deserialize, Serialize};
 
 use crate::signed_call::Proved;
@@ -23,7 +23,7 @@
     /// The node's name.
     pub node: Box<str>,
     /// The entries, oldest first.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<TimelineEntry>,
 }
 
 /// What a node says of itself.
--- a/crates/sedgepath/src/operations/timeline.rs
+++ b/crates/sedgepath/src/operations/timeline.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use sedgepath_core::clock::HybridTimestamp;
-use sedgepath_core::timeline::Entry;
+use sedgepath_core::timeline::TimelineEntry;
 use serde::Serialize;
 
 use crate::client::Client;
@@ -16,7 +16,7 @@
     /// The node's name.
     pub node: Box<str>,
     /// The entry of its time line.
-    pub entry: Entry,
+    pub entry: TimelineEntry,
 }
 
 /// A node that did not answer.
--- a/crates/sedgepathd/src/logging.rs
+++ b/crates/sedgepathd/src/logging.rs
@@ -1,6 +1,6 @@
 //! Logs: one line of `key=value` pairs for each event, on standard error.
 
-use sedgepath_core::timeline::Entry;
+use sedgepath_core::timeline::TimelineEntry;
 
 /// Starts logging at a level such as `info`.
 ///
@@ -21,6 +21,6 @@
 }
 
 /// Logs an entry of the time line.
-pub fn entry(node: &str, entry: &Entry) {
+pub fn entry(node: &str, entry: &TimelineEntry) {
     log::info!("{}", entry.line(node));
 }
