--- a/crates/sedgepath-core/src/configuration/change/progress.rs
+++ b/crates/sedgepath-core/src/configuration/change/progress.rs
@@ -11,8 +11,7 @@
 use crate::outbox::Outbox;
 use crate::record::check;
 use crate::table::{
-    Change as RowChange, Condition, Row, RowVersion, RowWrite, TableRequest, TableResult,
-    Transaction,
+    Condition, Row, RowChange, RowVersion, RowWrite, TableRequest, TableResult, Transaction,
 };
 
 /// How long a change is worked on before its outcome is given, in milliseconds.
--- a/crates/sedgepath-core/src/deduplication/batch.rs
+++ b/crates/sedgepath-core/src/deduplication/batch.rs
@@ -12,7 +12,7 @@
 use crate::hash::{Map, Set};
 use crate::key::{OperationKey, RequestKey};
 use crate::outbox::Outbox;
-use crate::table::{Change, Row, RowWrite, TableRequest, TableResult, Transaction};
+use crate::table::{Row, RowChange, RowWrite, TableRequest, TableResult, Transaction};
 
 /// The least time between two transactions of a node, in milliseconds: ten nodes under load then make
 /// 250 a second.
@@ -183,7 +183,7 @@
 fn size_bytes(write: &RowWrite) -> usize {
     write.key.len()
         + match &write.change {
-            Change::Put(value) => value.len(),
-            Change::Check | Change::Delete => 0,
+            RowChange::Put(value) => value.len(),
+            RowChange::Check | RowChange::Delete => 0,
         }
 }
--- a/crates/sedgepath-core/src/table.rs
+++ b/crates/sedgepath-core/src/table.rs
@@ -25,7 +25,7 @@
 
 /// What a transaction does to a row once all of its conditions hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Change {
+pub enum RowChange {
     /// The row is only checked.
     Check,
     /// The row is created or replaced.
@@ -42,7 +42,7 @@
     /// What must hold of the row.
     pub condition: Condition,
     /// What becomes of the row.
-    pub change: Change,
+    pub change: RowChange,
 }
 
 /// Rows that are written all together or not at all.
--- a/crates/sedgepath-test-support/src/table.rs
+++ b/crates/sedgepath-test-support/src/table.rs
@@ -5,7 +5,7 @@
 
 use sedgepath_core::table::TableService;
 use sedgepath_core::table::{
-    Change, Condition, Row, RowVersion, RowWrite, TableRequest, TableResult, Transaction,
+    Condition, Row, RowChange, RowVersion, RowWrite, TableRequest, TableResult, Transaction,
 };
 
 use crate::store::MAX_ENTRIES;
@@ -54,7 +54,7 @@
     fn commit(&mut self, transaction: &Transaction) -> TableResult {
         let entries = |write: &RowWrite| {
             usize::from(write.condition != Condition::Any)
-                + usize::from(write.change != Change::Check)
+                + usize::from(write.change != RowChange::Check)
         };
         if transaction.writes.iter().map(entries).sum::<usize>() > MAX_ENTRIES {
             return TableResult::Unavailable;
@@ -83,13 +83,13 @@
 
     fn apply(&mut self, write: &RowWrite) {
         match &write.change {
-            Change::Check => {}
-            Change::Put(value) => {
+            RowChange::Check => {}
+            RowChange::Put(value) => {
                 let row =
                     Row { key: write.key.clone(), version: self.version, value: value.clone() };
                 self.by_key.insert(write.key.clone(), row);
             }
-            Change::Delete => {
+            RowChange::Delete => {
                 self.by_key.remove(&write.key);
             }
         }
--- a/crates/sedgepath-test-support/tests/table.rs
+++ b/crates/sedgepath-test-support/tests/table.rs
@@ -1,7 +1,7 @@
 //! The version rules of the table and what a caller sees of each fault.
 
 use sedgepath_core::table::{
-    Change, Condition, Row, RowWrite, TableRequest, TableResult, TableService, Transaction,
+    Condition, Row, RowChange, RowWrite, TableRequest, TableResult, TableService, Transaction,
 };
 use sedgepath_test_support::store::{Mode, StoreClient, StoreCounts, StoreStandIn};
 use sedgepath_test_support::table::MemoryTable;
@@ -13,7 +13,7 @@
 }
 
 fn put(key: &str, condition: Condition, value: &str) -> RowWrite {
-    RowWrite { key: key.into(), condition, change: Change::Put(value.into()) }
+    RowWrite { key: key.into(), condition, change: RowChange::Put(value.into()) }
 }
 
 fn commit(writes: impl Into<Vec<RowWrite>>) -> TableRequest {
@@ -62,7 +62,7 @@
     let remove = RowWrite {
         key: "claim".into(),
         condition: Condition::Version(first.version),
-        change: Change::Delete,
+        change: RowChange::Delete,
     };
     assert_eq!(table.execute(&commit([remove])), TableResult::Committed);
     assert_eq!(read(&table, "claim"), None);
