--- a/crates/sedgepath-core/src/configuration/change/progress.rs
+++ b/crates/sedgepath-core/src/configuration/change/progress.rs
@@ -11,7 +11,7 @@
 use crate::outbox::Outbox;
 use crate::record::check;
 use crate::table::{
-    Condition, Row, RowChange, RowVersion, RowWrite, TableRequest, TableResult, Transaction,
+    Row, RowChange, RowCondition, RowVersion, RowWrite, TableRequest, TableResult, Transaction,
 };
 
 /// How long a change is worked on before its outcome is given, in milliseconds.
@@ -265,8 +265,8 @@
 
     fn commit(&mut self, head: Head, out: &mut Outbox) {
         let revision = head.revision + 1;
-        let condition = head.version.map_or(Condition::Absent, Condition::Version);
-        let put = |key: Box<str>, condition: Condition, value: String| RowWrite {
+        let condition = head.version.map_or(RowCondition::Absent, RowCondition::Version);
+        let put = |key: Box<str>, condition: RowCondition, value: String| RowWrite {
             key,
             condition,
             change: RowChange::Put(value.into()),
@@ -281,16 +281,16 @@
         };
         let mut writes = vec![
             put(HEAD_KEY.into(), condition, revision.to_string()),
-            put(log_key(revision), Condition::Any, json(&logged)),
+            put(log_key(revision), RowCondition::Any, json(&logged)),
         ];
         for record in &self.request.records {
             let row = RecordRow { revision, record: record.clone() };
-            writes.push(put(record_key(record), Condition::Any, json(&row)));
+            writes.push(put(record_key(record), RowCondition::Any, json(&row)));
         }
         if let Some(outdated) = revision.checked_sub(KEPT_CHANGES) {
             writes.push(RowWrite {
                 key: log_key(outdated),
-                condition: Condition::Any,
+                condition: RowCondition::Any,
                 change: RowChange::Delete,
             });
         }
--- a/crates/sedgepath-core/src/deduplication/claim.rs
+++ b/crates/sedgepath-core/src/deduplication/claim.rs
@@ -2,7 +2,7 @@
 
 use crate::hash::Digest;
 use crate::request::{Outcome, RequestHead, StoredAnswer};
-use crate::table::Condition;
+use crate::table::RowCondition;
 
 use super::row::{ClaimRow, ClaimState, Holder};
 
@@ -26,7 +26,7 @@
     /// The first reading of a repeat, or the reading after a lost answer.
     Reading,
     /// The write of the claim under this condition.
-    Claiming(Condition),
+    Claiming(RowCondition),
     /// The node to start the request.
     Granted,
     /// The end of the request.
@@ -49,7 +49,7 @@
     /// What it waits for.
     pub step: Step,
     /// The condition of a write of the claim whose answer was lost, so that it may still land.
-    pub may_land: Option<Condition>,
+    pub may_land: Option<RowCondition>,
     /// When the wait for the claim ends, in milliseconds.
     pub give_up_at_ms: u64,
     /// An outcome that waits for the release of the claim, and until when.
--- a/crates/sedgepath-core/src/deduplication/claims.rs
+++ b/crates/sedgepath-core/src/deduplication/claims.rs
@@ -31,7 +31,7 @@
 use crate::key::RequestKey;
 use crate::outbox::Outbox;
 use crate::request::{Outcome, RejectionReason, RequestHead, StoredAnswer};
-use crate::table::{Condition, Row};
+use crate::table::{Row, RowCondition};
 
 use super::batch::{Batcher, Job, Reply};
 use super::claim::{Claim, End, Step};
@@ -91,7 +91,7 @@
         if head.attempt > 1 {
             batcher.read(Job::Claim(request), vec![ClaimRow::key(key)]);
         } else {
-            self.claim(request, Condition::Absent, batcher, out);
+            self.claim(request, RowCondition::Absent, batcher, out);
         }
         false
     }
@@ -246,7 +246,7 @@
     fn claim(
         &mut self,
         request: RequestKey,
-        condition: Condition,
+        condition: RowCondition,
         batcher: &mut Batcher,
         out: &Outbox,
     ) {
@@ -289,7 +289,7 @@
             // Nothing stands there, though an own insert may still land; a second one of the same
             // holder is as good, and only one of them can.
             if self.by_request.get(&request).is_some_and(|claim| claim.head.is_some()) {
-                self.claim(request, Condition::Absent, batcher, out);
+                self.claim(request, RowCondition::Absent, batcher, out);
             } else {
                 self.abandon(request, batcher);
             }
@@ -318,11 +318,11 @@
                 not_run(RejectionReason::Claim)
             }
             ClaimState::NotRun => {
-                self.claim(request, Condition::Version(row.version), batcher, out);
+                self.claim(request, RowCondition::Version(row.version), batcher, out);
                 return;
             }
             ClaimState::Held if self.is_given_up(known.holder, out) => {
-                self.claim(request, Condition::Version(row.version), batcher, out);
+                self.claim(request, RowCondition::Version(row.version), batcher, out);
                 return;
             }
             ClaimState::Held | ClaimState::Answered(None) => {
--- a/crates/sedgepath-core/src/deduplication/claims/ending.rs
+++ b/crates/sedgepath-core/src/deduplication/claims/ending.rs
@@ -6,7 +6,7 @@
 use crate::event::Action;
 use crate::key::RequestKey;
 use crate::outbox::Outbox;
-use crate::table::{Condition, Row};
+use crate::table::{Row, RowCondition};
 
 use super::{Claims, holder};
 
@@ -34,7 +34,7 @@
         let own = holder(request, out);
         let known = row.and_then(|row| serde_json::from_str::<ClaimRow>(&row.value).ok());
         let is_own = known.as_ref().is_some_and(|known| known.holder == own);
-        let condition = row.map_or(Condition::Absent, |row| Condition::Version(row.version));
+        let condition = row.map_or(RowCondition::Absent, |row| RowCondition::Version(row.version));
         let state = match end {
             End::Swept if is_own => {
                 batcher.write(Job::Claim(request), row::delete(claim.key, condition));
--- a/crates/sedgepath-core/src/deduplication/row.rs
+++ b/crates/sedgepath-core/src/deduplication/row.rs
@@ -5,7 +5,7 @@
 use crate::hash::Digest;
 use crate::key::{BootId, RequestKey, VmKey};
 use crate::request::StoredAnswer;
-use crate::table::{Condition, RowChange, RowWrite};
+use crate::table::{RowChange, RowCondition, RowWrite};
 
 /// Who holds a claim: one request at one boot of one VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,7 +52,7 @@
     }
 
     /// Writes the row under a condition.
-    pub fn write(&self, key: Digest, condition: Condition) -> RowWrite {
+    pub fn write(&self, key: Digest, condition: RowCondition) -> RowWrite {
         RowWrite { key: Self::key(key), condition, change: RowChange::Put(to_json(self)) }
     }
 }
@@ -67,7 +67,7 @@
 }
 
 /// Removes the row of a caller's key under a condition.
-pub fn delete(key: Digest, condition: Condition) -> RowWrite {
+pub fn delete(key: Digest, condition: RowCondition) -> RowWrite {
     RowWrite { key: ClaimRow::key(key), condition, change: RowChange::Delete }
 }
 
@@ -132,5 +132,5 @@
 
 /// Writes a row whatever stands there; for rows that no other process ever writes.
 pub fn put(key: Box<str>, value: &impl Serialize) -> RowWrite {
-    RowWrite { key, condition: Condition::Any, change: RowChange::Put(to_json(value)) }
+    RowWrite { key, condition: RowCondition::Any, change: RowChange::Put(to_json(value)) }
 }
--- a/crates/sedgepath-core/src/table.rs
+++ b/crates/sedgepath-core/src/table.rs
@@ -14,7 +14,7 @@
 
 /// What must hold of a row for a transaction to be committed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Condition {
+pub enum RowCondition {
     /// The row may be in any state.
     Any,
     /// The row must not exist.
@@ -40,7 +40,7 @@
     /// The row's key, for example `claim/<digest>`.
     pub key: Box<str>,
     /// What must hold of the row.
-    pub condition: Condition,
+    pub condition: RowCondition,
     /// What becomes of the row.
     pub change: RowChange,
 }
--- a/crates/sedgepath-test-support/src/system.rs
+++ b/crates/sedgepath-test-support/src/system.rs
@@ -7,7 +7,7 @@
 use sedgepath_core::configuration::rows::{LoggedChange, log_key};
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::table::{
-    Condition, RECORD_TABLE, RowChange, RowWrite, TableRequest, TableResult, TableService,
+    RECORD_TABLE, RowChange, RowCondition, RowWrite, TableRequest, TableResult, TableService,
     Transaction,
 };
 use thiserror::Error;
@@ -201,7 +201,7 @@
     let revision = head + 1;
     let put = |key: String, value: String| RowWrite {
         key: key.into(),
-        condition: Condition::Any,
+        condition: RowCondition::Any,
         change: RowChange::Put(value.into()),
     };
     let mut writes = vec![put("head".into(), revision.to_string())];
--- a/crates/sedgepath-test-support/src/table.rs
+++ b/crates/sedgepath-test-support/src/table.rs
@@ -5,7 +5,7 @@
 
 use sedgepath_core::table::TableService;
 use sedgepath_core::table::{
-    Condition, Row, RowChange, RowVersion, RowWrite, TableRequest, TableResult, Transaction,
+    Row, RowChange, RowCondition, RowVersion, RowWrite, TableRequest, TableResult, Transaction,
 };
 
 use crate::store::MAX_ENTRIES;
@@ -53,7 +53,7 @@
 impl Rows {
     fn commit(&mut self, transaction: &Transaction) -> TableResult {
         let entries = |write: &RowWrite| {
-            usize::from(write.condition != Condition::Any)
+            usize::from(write.condition != RowCondition::Any)
                 + usize::from(write.change != RowChange::Check)
         };
         if transaction.writes.iter().map(entries).sum::<usize>() > MAX_ENTRIES {
@@ -75,9 +75,9 @@
     fn holds(&self, write: &RowWrite) -> bool {
         let current = self.by_key.get(&write.key).map(|row| row.version);
         match write.condition {
-            Condition::Any => true,
-            Condition::Absent => current.is_none(),
-            Condition::Version(version) => current == Some(version),
+            RowCondition::Any => true,
+            RowCondition::Absent => current.is_none(),
+            RowCondition::Version(version) => current == Some(version),
         }
     }
 
--- a/crates/sedgepath-test-support/tests/table.rs
+++ b/crates/sedgepath-test-support/tests/table.rs
@@ -1,7 +1,7 @@
 //! The version rules of the table and what a caller sees of each fault.
 
 use sedgepath_core::table::{
-    Condition, Row, RowChange, RowWrite, TableRequest, TableResult, TableService, Transaction,
+    Row, RowChange, RowCondition, RowWrite, TableRequest, TableResult, TableService, Transaction,
 };
 use sedgepath_test_support::store::{Mode, StoreClient, StoreCounts, StoreStandIn};
 use sedgepath_test_support::table::MemoryTable;
@@ -12,7 +12,7 @@
     StoreClient::new(store.address, TABLE).expect("a client")
 }
 
-fn put(key: &str, condition: Condition, value: &str) -> RowWrite {
+fn put(key: &str, condition: RowCondition, value: &str) -> RowWrite {
     RowWrite { key: key.into(), condition, change: RowChange::Put(value.into()) }
 }
 
@@ -37,12 +37,12 @@
     // The caller sees the first key that failed and the row that stands there; no row is written,
     // not even the one before it, because conditions are checked before any write.
     let table = MemoryTable::new();
-    let head = || put("head", Condition::Absent, "1");
+    let head = || put("head", RowCondition::Absent, "1");
     assert_eq!(table.execute(&commit([head()])), TableResult::Committed);
     let current = read(&table, "head").expect("the head was written");
     let racing = commit([
-        put("log/1", Condition::Absent, "x"),
-        put("head", Condition::Version(current.version + 1), "2"),
+        put("log/1", RowCondition::Absent, "x"),
+        put("head", RowCondition::Version(current.version + 1), "2"),
         head(),
     ]);
     let expected = TableResult::Conflict { key: "head".into(), current: Some(current.clone()) };
@@ -56,18 +56,18 @@
     // The first node's write, conditional on the version that it knew, must conflict: were versions
     // to start again with the row, it would pass and overwrite the other node's claim.
     let table = MemoryTable::new();
-    let insert = commit([put("claim", Condition::Absent, "a")]);
+    let insert = commit([put("claim", RowCondition::Absent, "a")]);
     assert_eq!(table.execute(&insert), TableResult::Committed);
     let first = read(&table, "claim").expect("the claim was written");
     let remove = RowWrite {
         key: "claim".into(),
-        condition: Condition::Version(first.version),
+        condition: RowCondition::Version(first.version),
         change: RowChange::Delete,
     };
     assert_eq!(table.execute(&commit([remove])), TableResult::Committed);
     assert_eq!(read(&table, "claim"), None);
     assert_eq!(table.execute(&insert), TableResult::Committed);
-    let stale = commit([put("claim", Condition::Version(first.version), "b")]);
+    let stale = commit([put("claim", RowCondition::Version(first.version), "b")]);
     let result = table.execute(&stale);
     assert!(
         matches!(result, TableResult::Conflict { current: Some(row), .. } if &*row.value == "a")
@@ -80,7 +80,7 @@
     // It sees each row once, in order, and an empty page at the end.
     let table = MemoryTable::new();
     let keys = ["a", "log/1", "log/2", "log/3", "m"];
-    let all: Vec<_> = keys.map(|key| put(key, Condition::Any, key)).into();
+    let all: Vec<_> = keys.map(|key| put(key, RowCondition::Any, key)).into();
     assert_eq!(table.execute(&commit(all)), TableResult::Committed);
     let page = |after: &str| match table.execute(&scan("log/", after, 2)) {
         TableResult::Rows(rows) => rows.into_iter().map(|row| row.key).collect::<Vec<_>>(),
@@ -100,7 +100,7 @@
     for part in 0..40 {
         let rows = (0..50).map(|number| {
             let key = format!("log/{:04}", 50 * part + number);
-            put(&key, Condition::Absent, "a change of a record")
+            put(&key, RowCondition::Absent, "a change of a record")
         });
         assert_eq!(client.execute(&commit(rows.collect::<Vec<_>>())), TableResult::Committed);
     }
@@ -141,7 +141,7 @@
     let store = StoreStandIn::new().expect("the stand-in starts");
     let client = client(&store);
     let rows = |count: usize| {
-        let row = |number| put(&format!("claim/{number}"), Condition::Absent, "mine");
+        let row = |number| put(&format!("claim/{number}"), RowCondition::Absent, "mine");
         commit((0..count).map(row).collect::<Vec<_>>())
     };
     assert_eq!(client.execute(&rows(51)), TableResult::Unavailable);
@@ -156,7 +156,7 @@
     let store = StoreStandIn::new().expect("the stand-in starts");
     let client = client(&store);
     store.drop_next_answers(1);
-    let insert = commit([put("claim/1", Condition::Absent, "mine")]);
+    let insert = commit([put("claim/1", RowCondition::Absent, "mine")]);
     assert_eq!(client.execute(&insert), TableResult::Unknown);
     let row = read(&client, "claim/1");
     assert_eq!(row.as_ref().map(|row| &*row.value), Some("mine"));
@@ -173,10 +173,10 @@
     let store = StoreStandIn::new().expect("the stand-in starts");
     let client = client(&store);
     store.hold_next_writes(1);
-    let insert = commit([put("claim/1", Condition::Absent, "mine")]);
+    let insert = commit([put("claim/1", RowCondition::Absent, "mine")]);
     assert_eq!(client.execute(&insert), TableResult::Unknown);
     assert_eq!(read(&client, "claim/1"), None);
-    let tombstone = commit([put("claim/1", Condition::Absent, "not run")]);
+    let tombstone = commit([put("claim/1", RowCondition::Absent, "not run")]);
     assert_eq!(client.execute(&tombstone), TableResult::Committed);
     assert_eq!(store.apply_held_writes(), [false]);
     let row = read(&client, "claim/1").expect("the tombstone stands");
@@ -190,7 +190,7 @@
     // sent and nothing came back. A read is "unavailable" each time. The table stays empty.
     let store = StoreStandIn::new().expect("the stand-in starts");
     let client = client(&store);
-    let insert = commit([put("a", Condition::Absent, "1")]);
+    let insert = commit([put("a", RowCondition::Absent, "1")]);
     let lookup = TableRequest::Read(vec!["a".into()]);
     store.set_mode(Mode::Refusing);
     assert_eq!(client.execute(&insert), TableResult::Unavailable);
