--- a/crates/sedgepath-core/src/drain.rs
+++ b/crates/sedgepath-core/src/drain.rs
@@ -36,7 +36,7 @@
 
 /// What a drain takes out of service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Target {
+pub enum DrainTarget {
     /// One upstream.
     Upstream(UpstreamKey),
     /// All upstreams of a failure domain.
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct DrainPlan {
     /// What is drained.
-    pub target: Target,
+    pub target: DrainTarget,
     /// The services and origin groups in the order of their keys.
     pub groups: Vec<GroupDrain>,
     /// When the last request in flight has ended, in milliseconds.
@@ -152,7 +152,7 @@
     /// then.
     pub fn new(
         catalogue: &Catalogue,
-        target: Target,
+        target: DrainTarget,
         now_ms: u64,
         finish_by_ms: u64,
     ) -> Result<Self, DrainError> {
@@ -180,15 +180,15 @@
     }
 }
 
-fn is_known(catalogue: &Catalogue, target: Target) -> bool {
+fn is_known(catalogue: &Catalogue, target: DrainTarget) -> bool {
     match target {
-        Target::Upstream(upstream) => catalogue.upstreams.contains_key(&upstream),
-        Target::Domain(domain) => catalogue.domains.contains_key(&domain),
+        DrainTarget::Upstream(upstream) => catalogue.upstreams.contains_key(&upstream),
+        DrainTarget::Domain(domain) => catalogue.domains.contains_key(&domain),
     }
 }
 
 /// Returns the services with upstreams at the target, in the order of their keys.
-fn services_at(catalogue: &Catalogue, target: Target) -> Vec<(ServiceKey, &ServiceEntry)> {
+fn services_at(catalogue: &Catalogue, target: DrainTarget) -> Vec<(ServiceKey, &ServiceEntry)> {
     let is_at = |entry: &ServiceEntry| {
         entry.upstreams.iter().any(|upstream| is_part(catalogue, target, *upstream))
     };
@@ -198,10 +198,10 @@
     services
 }
 
-fn is_part(catalogue: &Catalogue, target: Target, upstream: UpstreamKey) -> bool {
+fn is_part(catalogue: &Catalogue, target: DrainTarget, upstream: UpstreamKey) -> bool {
     match target {
-        Target::Upstream(drained) => upstream == drained,
-        Target::Domain(domain) => {
+        DrainTarget::Upstream(drained) => upstream == drained,
+        DrainTarget::Domain(domain) => {
             catalogue.upstreams.get(&upstream).is_some_and(|entry| entry.domain == domain)
         }
     }
@@ -219,7 +219,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Group<'a> {
     catalogue: &'a Catalogue,
-    target: Target,
+    target: DrainTarget,
     service: ServiceKey,
     entry: &'a ServiceEntry,
     origin: OriginKey,
@@ -285,8 +285,8 @@
     /// Returns the share that has to leave the failure domain.
     fn share(self) -> Result<f64, Obstacle> {
         let domain = match self.target {
-            Target::Domain(domain) => domain,
-            Target::Upstream(upstream) => self.catalogue.upstreams[&upstream].domain,
+            DrainTarget::Domain(domain) => domain,
+            DrainTarget::Upstream(upstream) => self.catalogue.upstreams[&upstream].domain,
         };
         let shares = self.catalogue.shares(self.service, self.origin).unwrap_or_default();
         let declared =
--- a/crates/sedgepath-core/tests/drain.rs
+++ b/crates/sedgepath-core/tests/drain.rs
@@ -2,7 +2,7 @@
 
 use expect_test::{Expect, expect};
 use sedgepath_core::catalogue::Catalogue;
-use sedgepath_core::drain::{DrainPlan, Target};
+use sedgepath_core::drain::{DrainPlan, DrainTarget};
 use sedgepath_core::key::{DomainKey, UpstreamKey};
 use sedgepath_core::record::RawRecord;
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
@@ -34,7 +34,7 @@
     ]
 }
 
-fn check(records: &[RawRecord], target: Target, given_ms: u64, expected: &Expect) {
+fn check(records: &[RawRecord], target: DrainTarget, given_ms: u64, expected: &Expect) {
     let catalogue = Catalogue::new(records);
     let text = match DrainPlan::new(&catalogue, target, NOW_MS, NOW_MS + given_ms) {
         Ok(plan) => {
@@ -53,7 +53,7 @@
 #[test]
 fn domain_ends_after_its_windows_and_the_longest_deadline() {
     let records = records(&[("north", 1.0), ("south", 1.0)], 20.0);
-    let north = Target::Domain(DomainKey::of("north"));
+    let north = DrainTarget::Domain(DomainKey::of("north"));
     check(
         &records,
         north,
@@ -69,7 +69,7 @@
 #[test]
 fn drain_that_cannot_finish_is_refused_with_the_reason() {
     let halves = [("north", 1.0), ("south", 1.0)];
-    let north = Target::Domain(DomainKey::of("north"));
+    let north = DrainTarget::Domain(DomainKey::of("north"));
     check(
         &records(&halves, 20.0),
         north,
@@ -103,7 +103,7 @@
     let records = records(&[("north", 1.0), ("south", 1.0)], 20.0);
     check(
         &records,
-        Target::Domain(DomainKey::of("south")),
+        DrainTarget::Domain(DomainKey::of("south")),
         70_000,
         &expect![
             "the drain cannot finish in time: service guides: no other upstream may take callers of group any"
@@ -111,7 +111,7 @@
     );
     check(
         &records,
-        Target::Upstream(UpstreamKey::of("g1")),
+        DrainTarget::Upstream(UpstreamKey::of("g1")),
         30_000,
         &expect![
             "the drain cannot finish in time: service guides: no other upstream may take callers of group any"
@@ -125,7 +125,7 @@
     let mut records = records(&[("north", 1.0), ("south", 1.0)], 20.0);
     let body = json!({ "target": "domain", "active": true });
     records.push(records::record(1, "drain", "south", &body));
-    let north = Target::Domain(DomainKey::of("north"));
+    let north = DrainTarget::Domain(DomainKey::of("north"));
     check(
         &records,
         north,
@@ -151,7 +151,7 @@
     let halves = records(&[("north", 1.0), ("south", 1.0)], 20.0);
     check(
         &halves,
-        Target::Upstream(UpstreamKey::of("b1")),
+        DrainTarget::Upstream(UpstreamKey::of("b1")),
         60_000,
         &expect![
             "0 ms 0.38, 3000 ms 0.22, 13000 ms 0.22, 23000 ms 0.05, 32000 ms 0.00; ends after 37000 ms"
@@ -160,19 +160,19 @@
     let north = records(&[("north", 1.0)], 20.0);
     check(
         &north,
-        Target::Upstream(UpstreamKey::of("b1")),
+        DrainTarget::Upstream(UpstreamKey::of("b1")),
         60_000,
         &expect!["0 ms 0.00; ends after 5000 ms"],
     );
     check(
         &north,
-        Target::Upstream(UpstreamKey::of("b3")),
+        DrainTarget::Upstream(UpstreamKey::of("b3")),
         60_000,
         &expect!["0 ms 0.00; ends after 5000 ms"],
     );
     check(
         &north,
-        Target::Upstream(UpstreamKey::of("b9")),
+        DrainTarget::Upstream(UpstreamKey::of("b9")),
         60_000,
         &expect!["the records know no such upstream or failure domain"],
     );
@@ -191,7 +191,7 @@
         run_load(&mut bed, 20_000);
         let body = json!({ "target": "domain", "active": true });
         all.push(records::record(1, "drain", "north", &body));
-        let north = Target::Domain(DomainKey::of("north"));
+        let north = DrainTarget::Domain(DomainKey::of("north"));
         let (from_ms, by_ms) = (bed.now_ms(), bed.now_ms() + 60_000);
         let plan = DrainPlan::new(&Catalogue::new(&all), north, from_ms, by_ms);
         let plan = plan.expect("there is time enough");
--- a/crates/sedgepath/src/operations/drain.rs
+++ b/crates/sedgepath/src/operations/drain.rs
@@ -1,7 +1,7 @@
 //! Plans drains and puts them in force.
 
 use sedgepath_core::catalogue::Catalogue;
-use sedgepath_core::drain::{DrainPlan, DrainStep, Target};
+use sedgepath_core::drain::{DrainPlan, DrainStep, DrainTarget};
 use sedgepath_core::key::{DomainKey, UpstreamKey};
 use sedgepath_core::record::{Drain, DrainTargetKind, RawRecord};
 use serde::Serialize;
@@ -65,8 +65,8 @@
 pub fn plan(in_force: &InForce, options: &DrainOptions) -> Result<DrainReport, CliError> {
     let catalogue = Catalogue::new(in_force.rows.iter().map(|row| &row.record));
     let target = match kind(&catalogue, options)? {
-        DrainTargetKind::Upstream => Target::Upstream(UpstreamKey::of(&options.target)),
-        DrainTargetKind::Domain => Target::Domain(DomainKey::of(&options.target)),
+        DrainTargetKind::Upstream => DrainTarget::Upstream(UpstreamKey::of(&options.target)),
+        DrainTargetKind::Domain => DrainTarget::Domain(DomainKey::of(&options.target)),
     };
     let plan = DrainPlan::new(&catalogue, target, options.now_ms, options.finish_by_ms)?;
     let step = |step: &DrainStep| ReportedStep { at_ms: step.at_ms, share: step.share };
