--- a/crates/sedgepath-core/src/drain.rs
+++ b/crates/sedgepath-core/src/drain.rs
@@ -78,7 +78,7 @@
 
 /// Why a drain can't be carried out.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum Obstacle {
+pub enum DrainObstacle {
     /// No other upstream may take the callers.
     #[error("service {service}: no other upstream may take callers of group {origin}")]
     NoCapacity {
@@ -136,10 +136,10 @@
     UnknownTarget,
     /// The drain can't be carried out by the time asked for; all reasons are given.
     #[error("the drain cannot finish in time: {}", list(.0))]
-    Refused(Vec<Obstacle>),
+    Refused(Vec<DrainObstacle>),
 }
 
-fn list(obstacles: &[Obstacle]) -> String {
+fn list(obstacles: &[DrainObstacle]) -> String {
     obstacles.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
@@ -226,20 +226,20 @@
 }
 
 impl Group<'_> {
-    fn drain(self, now_ms: u64, given_ms: u64) -> Result<GroupDrain, Obstacle> {
+    fn drain(self, now_ms: u64, given_ms: u64) -> Result<GroupDrain, DrainObstacle> {
         let longest_deadline_ms = self.entry.longest_deadline_ms;
         let service = self.entry.name.clone();
         let share = self.share()?;
         let steps = self.steps(share, now_ms)?;
         if longest_deadline_ms > given_ms {
-            return Err(Obstacle::LongRequests { service, longest_deadline_ms, given_ms });
+            return Err(DrainObstacle::LongRequests { service, longest_deadline_ms, given_ms });
         }
         let moved_at_ms = steps.last().map_or(now_ms, |step| step.at_ms);
         let predicted_end_ms = moved_at_ms + longest_deadline_ms;
         let needed_ms = predicted_end_ms - now_ms;
         if needed_ms > given_ms {
             let cap = self.cap();
-            return Err(Obstacle::CapTooSmall {
+            return Err(DrainObstacle::CapTooSmall {
                 service,
                 origin: self.origin_name(),
                 share_percent: share * 100.0,
@@ -253,7 +253,7 @@
     }
 
     /// Returns how the share falls: once a window, and when it is gone.
-    fn steps(self, share: f64, now_ms: u64) -> Result<Vec<DrainStep>, Obstacle> {
+    fn steps(self, share: f64, now_ms: u64) -> Result<Vec<DrainStep>, DrainObstacle> {
         let mut steps = vec![DrainStep { at_ms: now_ms, share }];
         if share <= NO_SHARE {
             return Ok(steps);
@@ -279,11 +279,11 @@
             }
         }
         let origin = self.origin_name();
-        Err(Obstacle::NoCap { service: self.entry.name.clone(), origin })
+        Err(DrainObstacle::NoCap { service: self.entry.name.clone(), origin })
     }
 
     /// Returns the share that has to leave the failure domain.
-    fn share(self) -> Result<f64, Obstacle> {
+    fn share(self) -> Result<f64, DrainObstacle> {
         let domain = match self.target {
             DrainTarget::Domain(domain) => domain,
             DrainTarget::Upstream(upstream) => self.catalogue.upstreams[&upstream].domain,
@@ -305,7 +305,10 @@
         if stays > 0 {
             return Ok(0.0);
         }
-        Err(Obstacle::NoCapacity { service: self.entry.name.clone(), origin: self.origin_name() })
+        Err(DrainObstacle::NoCapacity {
+            service: self.entry.name.clone(),
+            origin: self.origin_name(),
+        })
     }
 
     fn cap(self) -> Cap {
