--- a/crates/sedgepath-core/src/explain.rs
+++ b/crates/sedgepath-core/src/explain.rs
@@ -14,7 +14,7 @@
 
 /// What is to be explained.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct ExplainRequest {
     /// The name of the service.
     pub service: Box<str>,
     /// The caller's address.
@@ -102,7 +102,7 @@
     /// `standing` is where the traffic of the caller's group stands, as far as known.
     pub fn explain(
         &self,
-        question: &Question,
+        question: &ExplainRequest,
         policy: &dyn SteeringPolicy,
         standing: Option<&[(DomainKey, f64)]>,
     ) -> Explanation {
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -13,7 +13,7 @@
 use crate::deduplication::{self, OnceSystem};
 use crate::egress::{Egress, Scope};
 use crate::event::{Action, Event, ListedVm, LookUp, LookUpAnswer, LookUpError};
-use crate::explain::{Explanation, Question};
+use crate::explain::{ExplainRequest, Explanation};
 use crate::identity::{Identity, NodeSettings};
 use crate::ingress::{self, Conclusion, Ingress, Means};
 use crate::key::{RequestKey, ServiceKey, UpstreamKey, VmKey};
@@ -293,7 +293,7 @@
     }
 
     /// Explains where a request would go.
-    pub fn explain(&self, question: &Question) -> Explanation {
+    pub fn explain(&self, question: &ExplainRequest) -> Explanation {
         let identity = self.out.shared_identity();
         let means = means!(self, identity);
         let origin = means.view.catalogue.origin_of_address(question.source);
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -5,7 +5,7 @@
 
 use std::net::{IpAddr, Ipv4Addr};
 
-use sedgepath_core::explain::Question;
+use sedgepath_core::explain::ExplainRequest;
 use sedgepath_core::key::UpstreamKey;
 use sedgepath_test_support::bed::faults::Place;
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
@@ -122,8 +122,11 @@
 
     /// Returns where a node says that the traffic of a caller's group stands.
     fn stands_at(&self, node: NodeIndex, source: Ipv4Addr) -> Vec<f64> {
-        let question =
-            Question { service: "browse".into(), source: IpAddr::V4(source), key_digest: None };
+        let question = ExplainRequest {
+            service: "browse".into(),
+            source: IpAddr::V4(source),
+            key_digest: None,
+        };
         let node = self.bed.node(node).expect("a running node");
         let candidates = node.explain(&question).candidates;
         let share_of = |domain: &&str| {
--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -6,7 +6,7 @@
 use sedgepath_core::configuration::change::{ChangeOutcome, ChangeRequest};
 use sedgepath_core::configuration::rows::LoggedChange;
 use sedgepath_core::configuration::store::{Page, Position};
-use sedgepath_core::explain::{Explanation, Question};
+use sedgepath_core::explain::{ExplainRequest, Explanation};
 use sedgepath_core::key::DomainKey;
 use sedgepath_core::timeline::TimelineEntry;
 use serde::{Deserialize, Serialize};
@@ -123,7 +123,7 @@
 
     /// Explains where a request of a caller would go, by what the node knows.
     #[method(name = "explain")]
-    async fn explain(&self, question: Proved<Question>) -> RpcResult<Explanation>;
+    async fn explain(&self, question: Proved<ExplainRequest>) -> RpcResult<Explanation>;
 
     /// Returns the entries of the node's time line after a stamp.
     #[method(name = "timeline")]
--- a/crates/sedgepath-wire/src/rpc/caller.rs
+++ b/crates/sedgepath-wire/src/rpc/caller.rs
@@ -6,7 +6,7 @@
 use sedgepath_core::configuration::change::{ChangeOutcome, ChangeRequest};
 use sedgepath_core::configuration::rows::LoggedChange;
 use sedgepath_core::configuration::store::{Page, Position};
-use sedgepath_core::explain::{Explanation, Question};
+use sedgepath_core::explain::{ExplainRequest, Explanation};
 use serde::Serialize;
 
 use super::{OperatorsClient, Status, TimelinePart, UNTIMELY_CODE, method};
@@ -84,7 +84,7 @@
     /// # Errors
     ///
     /// Fails if the node gives no answer, or an error.
-    pub async fn explain(&self, question: Question) -> Result<Explanation, Error> {
+    pub async fn explain(&self, question: ExplainRequest) -> Result<Explanation, Error> {
         proved!(self.explain(method::EXPLAIN, question))
     }
 
--- a/crates/sedgepath/src/commands/explain.rs
+++ b/crates/sedgepath/src/commands/explain.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use getopts::Options;
-use sedgepath_core::explain::{Entrance, Explanation, Question};
+use sedgepath_core::explain::{Entrance, ExplainRequest, Explanation};
 use sedgepath_core::hash::Digest;
 use sedgepath_core::request::Class;
 
@@ -64,7 +64,7 @@
                 context.usage("the digest should be as `sedgepath key` prints it")
             })?),
         };
-    let question = Question { service, source, key_digest };
+    let question = ExplainRequest { service, source, key_digest };
     let answer = context.client()?.ask(|client| {
         let question = question.clone();
         async move { client.explain(question).await }
@@ -76,7 +76,11 @@
     Ok(())
 }
 
-fn write(out: &mut dyn Write, question: &Question, told: &Explanation) -> std::io::Result<()> {
+fn write(
+    out: &mut dyn Write,
+    question: &ExplainRequest,
+    told: &Explanation,
+) -> std::io::Result<()> {
     let entrance = match told.entrance {
         Entrance::Open => "lets it in",
         Entrance::NotReady => "refuses it: it has no configuration to serve by yet",
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -12,7 +12,7 @@
 use sedgepath_core::configuration::rows::{LOG_PREFIX, LoggedChange, log_key};
 use sedgepath_core::configuration::store::{Page, Position};
 use sedgepath_core::event::Event;
-use sedgepath_core::explain::{Explanation, Question};
+use sedgepath_core::explain::{ExplainRequest, Explanation};
 use sedgepath_core::key::OperationKey;
 use sedgepath_core::node::Node;
 use sedgepath_core::table::{TableRequest, TableResult, TableService};
@@ -118,7 +118,7 @@
         self.ask(move |node| status(node, now_ms)).await
     }
 
-    async fn explain(&self, question: Proved<Question>) -> RpcResult<Explanation> {
+    async fn explain(&self, question: Proved<ExplainRequest>) -> RpcResult<Explanation> {
         let question = self.open(method::EXPLAIN, question)?;
         self.ask(move |node| node.explain(&question)).await
     }
