--- a/crates/sedgepath-core/src/explain.rs
+++ b/crates/sedgepath-core/src/explain.rs
@@ -26,7 +26,7 @@
 /// Whether the node would let the request in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Entrance {
+pub enum AdmissionCheck {
     /// It would.
     Open,
     /// It has no configuration to serve by yet.
@@ -75,7 +75,7 @@
     /// The configuration revision that it decides by.
     pub revision: u64,
     /// Whether it would let the request in.
-    pub entrance: Entrance,
+    pub entrance: AdmissionCheck,
     /// The origin group of the caller's address.
     pub origin: Box<str>,
     /// Whether a block of clients holds the address; else the group is `any`.
@@ -143,17 +143,17 @@
         }
     }
 
-    fn entrance(&self, service: ServiceKey, class: Option<Class>) -> Entrance {
+    fn entrance(&self, service: ServiceKey, class: Option<Class>) -> AdmissionCheck {
         if !self.configuration_ready {
-            return Entrance::NotReady;
+            return AdmissionCheck::NotReady;
         }
         if self.catalogue.rejected_services.contains(&service) {
-            return Entrance::Refused;
+            return AdmissionCheck::Refused;
         }
         if !self.catalogue.services.contains_key(&service) {
-            return Entrance::NoService;
+            return AdmissionCheck::NoService;
         }
-        if class.is_none() { Entrance::UnknownOrganisation } else { Entrance::Open }
+        if class.is_none() { AdmissionCheck::UnknownOrganisation } else { AdmissionCheck::Open }
     }
 
     fn origin_name(&self, origin: OriginKey) -> Box<str> {
--- a/crates/sedgepath/src/commands/explain.rs
+++ b/crates/sedgepath/src/commands/explain.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use getopts::Options;
-use sedgepath_core::explain::{Entrance, ExplainRequest, Explanation};
+use sedgepath_core::explain::{AdmissionCheck, ExplainRequest, Explanation};
 use sedgepath_core::hash::Digest;
 use sedgepath_core::request::Class;
 
@@ -82,11 +82,11 @@
     told: &Explanation,
 ) -> std::io::Result<()> {
     let entrance = match told.entrance {
-        Entrance::Open => "lets it in",
-        Entrance::NotReady => "refuses it: it has no configuration to serve by yet",
-        Entrance::Refused => "refuses it: it can't read the service's records",
-        Entrance::NoService => "refuses it: there is no such service",
-        Entrance::UnknownOrganisation => "refuses it: the organisation's key is unknown",
+        AdmissionCheck::Open => "lets it in",
+        AdmissionCheck::NotReady => "refuses it: it has no configuration to serve by yet",
+        AdmissionCheck::Refused => "refuses it: it can't read the service's records",
+        AdmissionCheck::NoService => "refuses it: there is no such service",
+        AdmissionCheck::UnknownOrganisation => "refuses it: the organisation's key is unknown",
     };
     writeln!(out, "{} {entrance}; it decides by revision {}", told.node, told.revision)?;
     let by = if told.origin_by_block { "a block of clients" } else { "no block of clients" };
