--- a/crates/sedgepath-core/src/egress.rs
+++ b/crates/sedgepath-core/src/egress.rs
@@ -37,7 +37,7 @@
 
 pub use leaving::Notice;
 use queue::Waiting;
-pub use scope::Scope;
+pub use scope::AdmissionContext;
 use service::{Outlook, Service};
 use settings::{AdmissionSettings, Queueing};
 use upstream::{Change, Sent};
@@ -86,7 +86,7 @@
         &mut self,
         exchange: ExchangeKey,
         dispatch: &Dispatch,
-        scope: Scope<'_>,
+        scope: AdmissionContext<'_>,
         out: &mut Outbox,
     ) {
         let now_ms = out.now_ms();
@@ -119,7 +119,7 @@
         &mut self,
         exchange: ExchangeKey,
         end: CallOutcome,
-        scope: Scope<'_>,
+        scope: AdmissionContext<'_>,
         out: &mut Outbox,
     ) {
         let Some(call) = self.calls.remove(&exchange) else {
@@ -167,7 +167,7 @@
         &mut self,
         upstream: UpstreamKey,
         report: UpstreamReport,
-        scope: Scope<'_>,
+        scope: AdmissionContext<'_>,
         out: &mut Outbox,
     ) {
         if report.leaving {
@@ -186,7 +186,12 @@
 
     /// Takes in first-hand that an upstream leaves: it gets nothing new from now on, and
     /// [`Self::leaving_notice`] tells the peers.
-    pub fn mark_leaving(&mut self, upstream: UpstreamKey, scope: Scope<'_>, out: &mut Outbox) {
+    pub fn mark_leaving(
+        &mut self,
+        upstream: UpstreamKey,
+        scope: AdmissionContext<'_>,
+        out: &mut Outbox,
+    ) {
         // All nodes have the record; the answers of what is still in flight are no news.
         if scope.catalogue.has_own_drain(upstream) {
             return;
@@ -197,7 +202,12 @@
     }
 
     /// Takes in what a peer has heard of upstreams that leave.
-    pub fn take_leaving(&mut self, leaving: &LeavingUpstreams, scope: Scope<'_>, out: &mut Outbox) {
+    pub fn take_leaving(
+        &mut self,
+        leaving: &LeavingUpstreams,
+        scope: AdmissionContext<'_>,
+        out: &mut Outbox,
+    ) {
         for told in &leaving.upstreams {
             if self.upstreams.leaving.take(*told, out.now_ms()) {
                 log_upstream(Topic::Drain, "upstream_leaving_told", told.upstream, scope, out);
@@ -216,7 +226,7 @@
     }
 
     /// Gives up what time has ended, refuses what can no longer be served and sends what can.
-    pub fn tick(&mut self, scope: Scope<'_>, out: &mut Outbox) {
+    pub fn tick(&mut self, scope: AdmissionContext<'_>, out: &mut Outbox) {
         let now_ms = out.now_ms();
         self.upstreams.tick(scope, now_ms);
         let mut services: Vec<_> = self.services.keys().copied().collect();
@@ -234,7 +244,7 @@
 
     /// Returns the load of the upstreams that this node may use, by service. Those that leave are left
     /// out; a service of which all leave has no slots.
-    pub fn loads(&self, scope: Scope<'_>, now_ms: u64) -> Vec<ServiceLoad> {
+    pub fn loads(&self, scope: AdmissionContext<'_>, now_ms: u64) -> Vec<ServiceLoad> {
         self.upstreams.loads(scope, now_ms)
     }
 
@@ -244,7 +254,7 @@
     }
 
     /// Sends what waits for a service and can be sent, and refuses what can no longer be served.
-    fn serve(&mut self, key: ServiceKey, scope: Scope<'_>, out: &mut Outbox) {
+    fn serve(&mut self, key: ServiceKey, scope: AdmissionContext<'_>, out: &mut Outbox) {
         let now_ms = out.now_ms();
         self.refuse_overdue(key, out);
         let mut place = 0;
@@ -279,7 +289,13 @@
     }
 
     /// Returns the free slots that a group of classes may take.
-    fn free_for(&self, pays: bool, key: ServiceKey, scope: Scope<'_>, now_ms: u64) -> u32 {
+    fn free_for(
+        &self,
+        pays: bool,
+        key: ServiceKey,
+        scope: AdmissionContext<'_>,
+        now_ms: u64,
+    ) -> u32 {
         let capacity = self.upstreams.capacity(key, scope, now_ms);
         if pays {
             return capacity.free;
@@ -322,7 +338,7 @@
     }
 
     /// Refuses the waiting requests that the settings and the time left do not let wait.
-    fn refuse(&mut self, key: ServiceKey, scope: Scope<'_>, out: &mut Outbox) {
+    fn refuse(&mut self, key: ServiceKey, scope: AdmissionContext<'_>, out: &mut Outbox) {
         let now_ms = out.now_ms();
         let capacity = self.upstreams.capacity(key, scope, now_ms);
         let settings = self.settings;
@@ -385,7 +401,7 @@
     Rejection { reason, retry_after_ms }
 }
 
-fn longest_deadline_ms(service: ServiceKey, scope: Scope<'_>) -> u64 {
+fn longest_deadline_ms(service: ServiceKey, scope: AdmissionContext<'_>) -> u64 {
     scope.catalogue.services.get(&service).map_or(0, |entry| entry.longest_deadline_ms)
 }
 
@@ -393,7 +409,7 @@
     topic: Topic,
     event: &str,
     upstream: UpstreamKey,
-    scope: Scope<'_>,
+    scope: AdmissionContext<'_>,
     out: &mut Outbox,
 ) {
     if let Some(entry) = scope.catalogue.upstreams.get(&upstream) {
--- a/crates/sedgepath-core/src/egress/scope.rs
+++ b/crates/sedgepath-core/src/egress/scope.rs
@@ -6,14 +6,14 @@
 
 /// What an owner decides by, besides its own state.
 #[derive(Debug, Clone, Copy)]
-pub struct Scope<'a> {
+pub struct AdmissionContext<'a> {
     /// What the node may use.
     pub allowances: &'a [Allowance],
     /// The configuration in force.
     pub catalogue: &'a Catalogue,
 }
 
-impl<'a> Scope<'a> {
+impl<'a> AdmissionContext<'a> {
     /// Returns the upstreams that the node may use.
     pub fn upstreams(self) -> impl Iterator<Item = (&'a Allowance, &'a UpstreamEntry)> {
         self.allowances.iter().filter_map(move |allowance| {
--- a/crates/sedgepath-core/src/egress/upstreams.rs
+++ b/crates/sedgepath-core/src/egress/upstreams.rs
@@ -1,7 +1,7 @@
 //! The upstreams that an owner may use, in a table, and the choice among them.
 
 use super::leaving::Leaving;
-use super::scope::Scope;
+use super::scope::AdmissionContext;
 use super::upstream::Upstream;
 use crate::allowance::Allowance;
 use crate::catalogue::UpstreamEntry;
@@ -61,7 +61,7 @@
     }
 
     /// Gives up what time has ended.
-    pub fn tick(&mut self, scope: Scope<'_>, now_ms: u64) {
+    pub fn tick(&mut self, scope: AdmissionContext<'_>, now_ms: u64) {
         self.leaving.expire(scope.catalogue, now_ms);
         for upstream in self.table.values_mut() {
             upstream.expire(now_ms);
@@ -74,7 +74,7 @@
 
     /// Returns the load of the upstreams that this node may use, by service. Those that leave are left
     /// out; a service of which all leave has no slots.
-    pub fn loads(&self, scope: Scope<'_>, now_ms: u64) -> Vec<ServiceLoad> {
+    pub fn loads(&self, scope: AdmissionContext<'_>, now_ms: u64) -> Vec<ServiceLoad> {
         let mut loads: Vec<ServiceLoad> = Vec::new();
         for (allowance, entry) in scope.upstreams() {
             let (slots, in_flight) = if self.leaves(allowance.upstream, scope) {
@@ -98,7 +98,7 @@
         &self,
         service: ServiceKey,
         avoid: Option<UpstreamKey>,
-        scope: Scope<'_>,
+        scope: AdmissionContext<'_>,
         now_ms: u64,
     ) -> bool {
         scope
@@ -117,7 +117,12 @@
     }
 
     /// Sums up what a service's upstreams offer.
-    pub fn capacity(&self, service: ServiceKey, scope: Scope<'_>, now_ms: u64) -> Capacity {
+    pub fn capacity(
+        &self,
+        service: ServiceKey,
+        scope: AdmissionContext<'_>,
+        now_ms: u64,
+    ) -> Capacity {
         let mut capacity = Capacity::default();
         for (allowance, entry) in scope.of(service) {
             capacity.owned |= now_ms <= allowance.send_by_ms;
@@ -142,7 +147,7 @@
         &self,
         service: ServiceKey,
         avoid: Option<UpstreamKey>,
-        scope: Scope<'a>,
+        scope: AdmissionContext<'a>,
         now_ms: u64,
     ) -> Option<Choice<'a>> {
         scope
@@ -166,7 +171,7 @@
             .map(|(_, choice)| choice)
     }
 
-    fn leaves(&self, upstream: UpstreamKey, scope: Scope<'_>) -> bool {
+    fn leaves(&self, upstream: UpstreamKey, scope: AdmissionContext<'_>) -> bool {
         self.leaving.contains(upstream) || scope.catalogue.has_own_drain(upstream)
     }
 }
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -11,7 +11,7 @@
 use crate::configuration::store::{Page, Position};
 use crate::deduplication::tickets::MintError;
 use crate::deduplication::{self, OnceSystem};
-use crate::egress::{Egress, Scope};
+use crate::egress::{AdmissionContext, Egress};
 use crate::event::{Action, Event, ListedVm, LookUp, LookUpAnswer, LookUpError};
 use crate::explain::{ExplainRequest, Explanation};
 use crate::identity::{Identity, NodeSettings};
@@ -353,12 +353,16 @@
     }
 
     /// Runs a step of admission by the allowances in force.
-    fn admit<T>(&mut self, step: impl FnOnce(&mut Egress, Scope<'_>, &mut Outbox) -> T) -> T {
+    fn admit<T>(
+        &mut self,
+        step: impl FnOnce(&mut Egress, AdmissionContext<'_>, &mut Outbox) -> T,
+    ) -> T {
         let allowances = match self.allowances.take() {
             Some(allowances) => allowances,
             None => self.allowances(),
         };
-        let scope = Scope { allowances: &allowances, catalogue: self.configuration.catalogue() };
+        let scope =
+            AdmissionContext { allowances: &allowances, catalogue: self.configuration.catalogue() };
         let result = step(&mut self.egress, scope, &mut self.out);
         self.allowances = Some(allowances);
         result
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -7,7 +7,7 @@
 
 use sedgepath_core::allowance::Allowance;
 use sedgepath_core::catalogue::Catalogue;
-use sedgepath_core::egress::{Egress, Scope};
+use sedgepath_core::egress::{AdmissionContext, Egress};
 use sedgepath_core::event::{Action, UpstreamReport};
 use sedgepath_core::identity::Identity;
 use sedgepath_core::key::{BootId, DomainKey, ExchangeKey, OriginKey, ServiceKey, UpstreamKey};
@@ -245,13 +245,13 @@
 
     /// Returns the slots and those taken that the owner reports, over all services.
     pub fn load(&self) -> (u32, u32) {
-        let scope = Scope { allowances: &self.allowances, catalogue: &self.catalogue };
+        let scope = AdmissionContext { allowances: &self.allowances, catalogue: &self.catalogue };
         let loads = self.egress.loads(scope, self.now_ms);
         loads.iter().fold((0, 0), |sum, load| (sum.0 + load.slots, sum.1 + load.in_flight))
     }
 
-    fn step(&mut self, step: impl FnOnce(&mut Egress, Scope<'_>, &mut Outbox)) {
-        let scope = Scope { allowances: &self.allowances, catalogue: &self.catalogue };
+    fn step(&mut self, step: impl FnOnce(&mut Egress, AdmissionContext<'_>, &mut Outbox)) {
+        let scope = AdmissionContext { allowances: &self.allowances, catalogue: &self.catalogue };
         step(&mut self.egress, scope, &mut self.out);
         self.take_actions();
     }
