--- a/crates/sedgepath-core/src/catalogue.rs
+++ b/crates/sedgepath-core/src/catalogue.rs
@@ -89,7 +89,7 @@
 
 /// A record that this version can't read.
 #[derive(Debug, Clone)]
-pub struct Unread {
+pub struct UnreadableRecord {
     /// The record's kind.
     pub kind: Box<str>,
     /// The record's name.
@@ -116,7 +116,7 @@
     /// Services that a record of an unknown schema concerns; they are refused on this node.
     pub rejected_services: Set<ServiceKey>,
     /// The records that could not be read.
-    pub unreadable_records: Vec<Unread>,
+    pub unreadable_records: Vec<UnreadableRecord>,
     keys: Map<Digest, OrganisationKey>,
     blocks: Arc<BlockTable>,
 }
@@ -328,7 +328,7 @@
         if matches!(&*raw.kind, "service" | "steering") {
             self.rejected_services.insert(ServiceKey::of(&raw.name));
         }
-        self.unreadable_records.push(Unread {
+        self.unreadable_records.push(UnreadableRecord {
             kind: raw.kind.clone(),
             name: raw.name.clone(),
             error: Arc::new(error),
