--- a/crates/sedgepath-core/src/configuration/spread.rs
+++ b/crates/sedgepath-core/src/configuration/spread.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 
 use super::rows::RecordRow;
-use super::store::{Changes, Page, Position};
+use super::store::{Changes, Page, RecordPosition};
 use crate::hash::Map;
 use crate::identity::NodeSettings;
 use crate::key::{OperationKey, VmKey};
@@ -127,7 +127,7 @@
             .collect();
         peers.sort_unstable();
         let Some((vm, from)) = random.choice(peers) else { return };
-        let operation = out.fetch_page(from, Position::after_revision(revision));
+        let operation = out.fetch_page(from, RecordPosition::after_revision(revision));
         self.fetching =
             Some(Fetching { operation, vm, from, after: revision, records: Vec::new() });
     }
@@ -155,7 +155,7 @@
             });
         }
         let Some(last) = fetching.records.last() else { return Fetched::NoPeer };
-        fetching.operation = out.fetch_page(fetching.from, Position::of_row(last));
+        fetching.operation = out.fetch_page(fetching.from, RecordPosition::of_row(last));
         self.fetching = Some(fetching);
         Fetched::Pending
     }
--- a/crates/sedgepath-core/src/configuration/store.rs
+++ b/crates/sedgepath-core/src/configuration/store.rs
@@ -14,7 +14,7 @@
 
 /// A place in the order of writing: records are ordered by revision, kind and name.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Position {
+pub struct RecordPosition {
     /// The revision that wrote the record.
     pub revision: u64,
     /// The record's kind; empty before the first record of a revision.
@@ -23,7 +23,7 @@
     pub name: Box<str>,
 }
 
-impl Position {
+impl RecordPosition {
     /// Whether this is the place before all records, at which a node begins after its start.
     pub fn precedes_all_records(&self) -> bool {
         self.revision <= 1 && self.kind.is_empty()
@@ -128,11 +128,11 @@
     }
 
     /// Returns the next page of records after a position.
-    pub fn page(&self, after: &Position) -> Page {
+    pub fn page(&self, after: &RecordPosition) -> Page {
         let mut rows: Vec<_> = self
             .records
             .values()
-            .map(|row| (Position::of_row(row), row))
+            .map(|row| (RecordPosition::of_row(row), row))
             .filter(|(position, _)| position > after)
             .collect();
         rows.sort_unstable_by(|a, b| a.0.cmp(&b.0));
--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::configuration::change::{ChangeOutcome, ChangeRequest};
-use crate::configuration::store::{Page, Position};
+use crate::configuration::store::{Page, RecordPosition};
 use crate::deduplication::row::HandedOver;
 use crate::deduplication::tickets::MintError;
 use crate::key::{
@@ -333,7 +333,7 @@
         /// Where the peer takes remote calls.
         from: SocketAddr,
         /// The place behind which the page begins.
-        after: Position,
+        after: RecordPosition,
     },
     /// Tells an operator what became of a change.
     AnswerChange {
--- a/crates/sedgepath-core/src/outbox.rs
+++ b/crates/sedgepath-core/src/outbox.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::clock::HybridLogicalClock;
-use crate::configuration::store::Position;
+use crate::configuration::store::RecordPosition;
 use crate::event::Action;
 use crate::identity::Identity;
 use crate::key::OperationKey;
@@ -89,7 +89,7 @@
     }
 
     /// Fetches a page of a peer's records and returns the request's key.
-    pub fn fetch_page(&mut self, from: SocketAddr, after: Position) -> OperationKey {
+    pub fn fetch_page(&mut self, from: SocketAddr, after: RecordPosition) -> OperationKey {
         let operation = self.next_operation();
         self.actions.push(Action::FetchPage { operation, from, after });
         operation
--- a/crates/sedgepath-core/tests/configuration.rs
+++ b/crates/sedgepath-core/tests/configuration.rs
@@ -5,7 +5,7 @@
 use std::net::{IpAddr, Ipv4Addr};
 
 use sedgepath_core::configuration::rows::RecordRow;
-use sedgepath_core::configuration::store::{Changes, Position, Store};
+use sedgepath_core::configuration::store::{Changes, RecordPosition, Store};
 use sedgepath_core::event::LookUp;
 use sedgepath_test_support::bed::Bed;
 use sedgepath_test_support::bed::faults::Place;
@@ -150,12 +150,12 @@
     let mut store = Store::default();
     let newest = Changes { revision: 7, after: 0, records: vec![row(7, 7.0)] };
     assert!(store.apply(newest));
-    let before = store.page(&Position::default());
+    let before = store.page(&RecordPosition::default());
     let late = Changes { revision: 5, after: 0, records: vec![row(5, 5.0)] };
     assert!(!store.apply(late));
     let unconnected = Changes { revision: 10, after: 9, records: vec![row(10, 10.0)] };
     assert!(!store.apply(unconnected));
-    assert_eq!(store.page(&Position::default()), before);
+    assert_eq!(store.page(&RecordPosition::default()), before);
 }
 
 /// A change of two records is accepted while a node that starts turns the pages of all records: it
@@ -178,7 +178,7 @@
                 bed.write_records(&[service(0, 2_000), service(199, 2_000)]);
             }
             bed.run_for(20);
-            let page = bed.node(0).expect("the node runs").page(&Position::default());
+            let page = bed.node(0).expect("the node runs").page(&RecordPosition::default());
             let changed = page.records.iter().filter(|row| row.record.body.contains("2000"));
             last = changed.map(|row| row.record.name.clone()).collect();
             mixed += usize::from(last.len() == 1);
--- a/crates/sedgepath-core/tests/configuration_change.rs
+++ b/crates/sedgepath-core/tests/configuration_change.rs
@@ -5,7 +5,7 @@
 
 use sedgepath_core::configuration::change::{ChangeOutcome, ChangeRefusal, ChangeRequest};
 use sedgepath_core::configuration::rows::LoggedChange;
-use sedgepath_core::configuration::store::Position;
+use sedgepath_core::configuration::store::RecordPosition;
 use sedgepath_core::event::{LookUp, LookUpAnswer, LookUpError};
 use sedgepath_core::key::ReplyKey;
 use sedgepath_core::record::RawRecord;
@@ -253,7 +253,7 @@
     for node in 0..6 {
         assert_eq!(look_up(&mut bed, node, "browse"), Err(LookUpError::Configuration));
         assert_eq!(look_up(&mut bed, node, "guides").map(|answer| answer.revision), Ok(2));
-        let page = bed.node(node).map(|node| node.configuration().page(&Position::default()));
+        let page = bed.node(node).map(|node| node.configuration().page(&RecordPosition::default()));
         let kept = page.expect("the node runs").records;
         assert!(kept.iter().any(|row| row.record == newer), "node {node}: {kept:?}");
     }
--- a/crates/sedgepath-test-support/src/bed/platform.rs
+++ b/crates/sedgepath-test-support/src/bed/platform.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use sedgepath_core::configuration::store::Position;
+use sedgepath_core::configuration::store::RecordPosition;
 use sedgepath_core::deduplication::row::HandedOver;
 use sedgepath_core::event::Event;
 use sedgepath_core::key::{OperationKey, VmKey};
@@ -76,7 +76,7 @@
         index: NodeIndex,
         operation: OperationKey,
         from: SocketAddr,
-        after: &Position,
+        after: &RecordPosition,
     ) {
         let target = self.nodes.iter().position(|slot| slot.card.operator_address == from);
         let reached = target.filter(|target| self.connects(index, *target) && self.runs(*target));
--- a/crates/sedgepath/src/client.rs
+++ b/crates/sedgepath/src/client.rs
@@ -6,7 +6,7 @@
 use jsonrpsee::core::client::Error as RpcError;
 use jsonrpsee::http_client::HttpClientBuilder;
 use sedgepath_core::configuration::rows::RecordRow;
-use sedgepath_core::configuration::store::Position;
+use sedgepath_core::configuration::store::RecordPosition;
 use sedgepath_wire::key::SharedKey;
 use sedgepath_wire::rpc::{Caller, STOPPING_CODE, UNAVAILABLE_CODE, UNPROVED_CODE, UNTIMELY_CODE};
 use tokio::runtime::Runtime;
@@ -140,12 +140,12 @@
     /// Fails if no node answers.
     pub fn in_force(&self) -> Result<InForce, CliError> {
         let answer = self.ask(|client| async move {
-            let mut after = Position::default();
+            let mut after = RecordPosition::default();
             let mut rows = Vec::new();
             loop {
                 let page = client.page(after).await?;
                 rows.extend(page.records);
-                match rows.last().map(Position::of_row) {
+                match rows.last().map(RecordPosition::of_row) {
                     Some(last) if !page.complete => after = last,
                     _ => return Ok(InForce { revision: page.revision, rows }),
                 }
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -10,7 +10,7 @@
 use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::configuration::change::{ChangeOutcome, ChangeRequest};
 use sedgepath_core::configuration::rows::{LOG_PREFIX, LoggedChange, log_key};
-use sedgepath_core::configuration::store::{Page, Position};
+use sedgepath_core::configuration::store::{Page, RecordPosition};
 use sedgepath_core::event::Event;
 use sedgepath_core::explain::{ExplainRequest, Explanation};
 use sedgepath_core::key::OperationKey;
@@ -44,7 +44,7 @@
     /// Where the peer takes remote calls.
     pub from: SocketAddr,
     /// The place behind which the page begins.
-    pub after: Position,
+    pub after: RecordPosition,
 }
 
 /// Serves remote calls.
@@ -90,7 +90,7 @@
 
 #[async_trait]
 impl OperatorsServer for Operators {
-    async fn page(&self, after: Proved<Position>) -> RpcResult<Page> {
+    async fn page(&self, after: Proved<RecordPosition>) -> RpcResult<Page> {
         let after = self.open(method::PAGE, after)?;
         self.ask(move |node| node.page(&after)).await
     }
@@ -193,7 +193,7 @@
     }
 }
 
-async fn fetch(from: SocketAddr, key: SharedKey, after: Position) -> Option<Page> {
+async fn fetch(from: SocketAddr, key: SharedKey, after: RecordPosition) -> Option<Page> {
     let client = HttpClientBuilder::default()
         .request_timeout(CALL_TIMEOUT)
         .build(format!("http://{from}"))
