--- a/crates/sedgepath-core/src/configuration/change/progress.rs
+++ b/crates/sedgepath-core/src/configuration/change/progress.rs
@@ -4,7 +4,7 @@
 
 use super::{ChangeOutcome, ChangeRefusal, ChangeRequest, Concluded};
 use crate::configuration::rows::{
-    HEAD_KEY, KEPT_CHANGES, LOG_PREFIX, LoggedChange, RecordRow, log_key, record_key,
+    HEAD_KEY, KEPT_CHANGES, LOG_KEY_PREFIX, LoggedChange, RecordRow, log_key, record_key,
 };
 use crate::configuration::store::{Changes, Store};
 use crate::key::{OperationKey, ReplyKey};
@@ -198,7 +198,7 @@
             version: row.map(|row| row.version),
         };
         let request = TableRequest::Scan {
-            prefix: LOG_PREFIX.into(),
+            prefix: LOG_KEY_PREFIX.into(),
             after: log_key(head.revision.saturating_sub(REMEMBERED_CHANGES)),
             limit: REMEMBERED_CHANGES as u32,
         };
@@ -337,7 +337,7 @@
 }
 
 fn logged(row: &Row) -> Option<LoggedChange> {
-    row.key.starts_with(LOG_PREFIX).then(|| serde_json::from_str(&row.value).ok()).flatten()
+    row.key.starts_with(LOG_KEY_PREFIX).then(|| serde_json::from_str(&row.value).ok()).flatten()
 }
 
 fn json<T: Serialize>(row: &T) -> String {
--- a/crates/sedgepath-core/src/configuration/rows.rs
+++ b/crates/sedgepath-core/src/configuration/rows.rs
@@ -20,7 +20,7 @@
 pub const RECORD_PREFIX: &str = "record/";
 
 /// The start of the keys of changes.
-pub const LOG_PREFIX: &str = "log/";
+pub const LOG_KEY_PREFIX: &str = "log/";
 
 /// The changes that the table keeps in its log; older ones are removed as new ones come.
 pub const KEPT_CHANGES: u64 = 10_000;
@@ -58,5 +58,5 @@
 
 /// Returns the key of a change's row; keys sort as their revisions do.
 pub fn log_key(revision: u64) -> Box<str> {
-    format!("{LOG_PREFIX}{revision:020}").into()
+    format!("{LOG_KEY_PREFIX}{revision:020}").into()
 }
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -9,7 +9,7 @@
 use jsonrpsee::types::ErrorObjectOwned;
 use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::configuration::change::{ChangeOutcome, ChangeRequest};
-use sedgepath_core::configuration::rows::{LOG_PREFIX, LoggedChange, log_key};
+use sedgepath_core::configuration::rows::{LOG_KEY_PREFIX, LoggedChange, log_key};
 use sedgepath_core::configuration::store::{Page, RecordPosition};
 use sedgepath_core::event::Event;
 use sedgepath_core::explain::{ExplainRequest, Explanation};
@@ -140,7 +140,7 @@
 /// Reads the newest changes up to a little beyond a revision, the newest first.
 fn read_history(table: &dyn TableService, revision: u64, limit: u32) -> Option<Vec<LoggedChange>> {
     let request = TableRequest::Scan {
-        prefix: LOG_PREFIX.into(),
+        prefix: LOG_KEY_PREFIX.into(),
         after: log_key(revision.saturating_sub(u64::from(limit))),
         limit: limit + HISTORY_AHEAD,
     };
