--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -1,6 +1,6 @@
 //! Requests that must run at most once.
 //!
-//! [`OnceSystem`] stands between the arrival of a request and its first attempt, and hears of its
+//! [`DeduplicationSystem`] stands between the arrival of a request and its first attempt, and hears of its
 //! end. There are two paths, and a key never passes from one to the other: [`claims`] for keys that
 //! callers choose, over the platform's table; [`tickets`] for keys that a node mints, over the memory
 //! of its boot alone, so that they work while the platform is down.
@@ -37,7 +37,7 @@
 
 /// The once-only requests of a node.
 #[derive(Debug, Default)]
-pub struct OnceSystem {
+pub struct DeduplicationSystem {
     batcher: Batcher,
     claims: Claims,
     tickets: Tickets,
@@ -45,7 +45,7 @@
     poll_handover: Option<HandOver>,
 }
 
-impl OnceSystem {
+impl DeduplicationSystem {
     /// Takes a request; returns true if it may be started now. Otherwise it gets its outcome, or
     /// comes back from [`Self::take_granted`].
     pub fn admit(
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -10,7 +10,7 @@
 use crate::configuration::Configuration;
 use crate::configuration::store::{Page, RecordPosition};
 use crate::deduplication::tickets::MintError;
-use crate::deduplication::{self, OnceSystem};
+use crate::deduplication::{self, DeduplicationSystem};
 use crate::egress::{AdmissionContext, Egress};
 use crate::event::{Action, Event, ListedVm, LookUp, LookUpAnswer, LookUpError};
 use crate::explain::{ExplainRequest, Explanation};
@@ -57,7 +57,7 @@
     policy: Box<dyn SteeringPolicy>,
     ingress: Ingress,
     egress: Egress,
-    once: OnceSystem,
+    once: DeduplicationSystem,
     /// What the node may use; none when it has to be worked out anew.
     allowances: Option<Vec<Allowance>>,
     stop: PlannedStop,
@@ -75,7 +75,7 @@
             policy: Box::new(HeadroomPolicy::new()),
             ingress: Ingress::new(settings.seed),
             egress: Egress::new(settings.admission),
-            once: OnceSystem::default(),
+            once: DeduplicationSystem::default(),
             allowances: None,
             stop: PlannedStop::default(),
             own_loads: Vec::new(),
