--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -28,7 +28,7 @@
 use batch::{Batcher, Job, Reply};
 use claims::Claims;
 use handover::HandOver;
-use row::HandedOver;
+use row::TicketHandover;
 use tickets::{MintError, Tickets};
 use visitors::Visitors;
 
@@ -170,7 +170,7 @@
     }
 
     /// Keeps the tickets that a peer has handed over.
-    pub fn store_handover(&mut self, tickets: HandedOver) {
+    pub fn store_handover(&mut self, tickets: TicketHandover) {
         self.visitors.keep(tickets);
     }
 
--- a/crates/sedgepath-core/src/deduplication/handover.rs
+++ b/crates/sedgepath-core/src/deduplication/handover.rs
@@ -12,7 +12,7 @@
 use crate::timeline::Topic;
 
 use super::batch::{Batcher, Job, Reply};
-use super::row::{HandOverRow, HandedOver, TicketRow, put};
+use super::row::{HandOverRow, TicketHandover, TicketRow, put};
 use super::visitors::successors;
 
 /// The time until a part that failed is tried again, in milliseconds.
@@ -34,7 +34,7 @@
 /// A hand-over.
 #[derive(Debug)]
 pub struct HandOver {
-    tickets: Option<HandedOver>,
+    tickets: Option<TicketHandover>,
     rows: Vec<RowWrite>,
     unwritten: usize,
     retries: Vec<usize>,
@@ -46,7 +46,7 @@
 impl HandOver {
     /// Begins the hand-over of tickets; there may be none.
     pub fn new(
-        tickets: Option<HandedOver>,
+        tickets: Option<TicketHandover>,
         membership: &Membership,
         batcher: &mut Batcher,
         out: &mut Outbox,
@@ -139,8 +139,8 @@
     }
 }
 
-fn rows(tickets: &HandedOver) -> Vec<RowWrite> {
-    let HandedOver { vm, boot, next_number, handed_over_at_ms, ref used } = *tickets;
+fn rows(tickets: &TicketHandover) -> Vec<RowWrite> {
+    let TicketHandover { vm, boot, next_number, handed_over_at_ms, ref used } = *tickets;
     let ticket = |ticket: &super::row::HandedTicket| {
         put(TicketRow::key(vm, boot, ticket.number), &ticket.row)
     };
--- a/crates/sedgepath-core/src/deduplication/row.rs
+++ b/crates/sedgepath-core/src/deduplication/row.rs
@@ -93,7 +93,7 @@
 
 /// The tickets of a boot that has stopped as planned, in the order of their numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandedOver {
+pub struct TicketHandover {
     /// The VM.
     pub vm: VmKey,
     /// Its boot.
--- a/crates/sedgepath-core/src/deduplication/tickets.rs
+++ b/crates/sedgepath-core/src/deduplication/tickets.rs
@@ -29,7 +29,7 @@
 use crate::outbox::Outbox;
 use crate::request::{Outcome, RejectionReason, RequestHead, StoredAnswer, Ticket};
 
-use super::row::{ClaimState, HandedOver, HandedTicket, TicketRow};
+use super::row::{ClaimState, HandedTicket, TicketHandover, TicketRow};
 use super::{RETRY_AFTER_MS, conclude, is_denied, not_run};
 
 /// How long a ticket is valid, in milliseconds.
@@ -255,7 +255,7 @@
     }
 
     /// Returns what a successor has to know to answer for the tickets of this boot.
-    pub fn handed_over(&self, out: &Outbox) -> Option<HandedOver> {
+    pub fn handed_over(&self, out: &Outbox) -> Option<TicketHandover> {
         if self.live == 0 && self.used.is_empty() {
             return None;
         }
@@ -263,7 +263,7 @@
             |(number, row): (&u64, &TicketRow)| HandedTicket { number: *number, row: row.clone() };
         let mut used: Vec<_> = self.used.iter().map(ticket).collect();
         used.sort_unstable_by_key(|ticket| ticket.number);
-        Some(HandedOver {
+        Some(TicketHandover {
             vm: out.identity().vm,
             boot: out.identity().boot,
             next_number: self.next_number,
@@ -314,7 +314,7 @@
 
 impl Left {
     /// Finds a ticket among those handed over.
-    pub fn of(tickets: &HandedOver, number: u64) -> Self {
+    pub fn of(tickets: &TicketHandover, number: u64) -> Self {
         let found = tickets.used.binary_search_by_key(&number, |ticket| ticket.number);
         Self {
             next_number: tickets.next_number,
--- a/crates/sedgepath-core/src/deduplication/visitors.rs
+++ b/crates/sedgepath-core/src/deduplication/visitors.rs
@@ -14,7 +14,7 @@
 use crate::table::Row;
 
 use super::batch::{Batcher, Job, Reply};
-use super::row::{HandOverRow, HandedOver, TicketRow};
+use super::row::{HandOverRow, TicketHandover, TicketRow};
 use super::tickets::{Left, answer_for};
 use super::{RETRY_AFTER_MS, conclude, unsettled};
 
@@ -48,7 +48,7 @@
 #[derive(Debug, Default)]
 pub struct Visitors {
     visitors: Map<RequestKey, Visitor>,
-    kept: Vec<HandedOver>,
+    kept: Vec<TicketHandover>,
 }
 
 impl Visitors {
@@ -87,7 +87,7 @@
     }
 
     /// Keeps what another home has handed over.
-    pub fn keep(&mut self, tickets: HandedOver) {
+    pub fn keep(&mut self, tickets: TicketHandover) {
         self.kept.retain(|kept| (kept.vm, kept.boot) != (tickets.vm, tickets.boot));
         if self.kept.len() == MAX_KEPT {
             self.kept.remove(0);
--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -7,7 +7,7 @@
 
 use crate::configuration::change::{ChangeOutcome, ChangeRequest};
 use crate::configuration::store::{Page, RecordPosition};
-use crate::deduplication::row::HandedOver;
+use crate::deduplication::row::TicketHandover;
 use crate::deduplication::tickets::MintError;
 use crate::key::{
     BootId, DomainKey, ExchangeKey, OperationKey, ReplyKey, RequestKey, UpstreamKey, VmKey,
@@ -189,7 +189,7 @@
         request: ChangeRequest,
     },
     /// A peer that stops has handed its tickets over.
-    TicketsReceived(HandedOver),
+    TicketsReceived(TicketHandover),
     /// A peer has taken this node's tickets over, or could not be reached.
     TicketHandoverEnded {
         /// The call's key.
@@ -351,7 +351,7 @@
         /// Where it takes frames.
         address: SocketAddr,
         /// The tickets.
-        tickets: HandedOver,
+        tickets: TicketHandover,
     },
     /// Logs an entry of the time line.
     Log(TimelineEntry),
--- a/crates/sedgepath-test-support/src/bed/platform.rs
+++ b/crates/sedgepath-test-support/src/bed/platform.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use sedgepath_core::configuration::store::RecordPosition;
-use sedgepath_core::deduplication::row::HandedOver;
+use sedgepath_core::deduplication::row::TicketHandover;
 use sedgepath_core::event::Event;
 use sedgepath_core::key::{OperationKey, VmKey};
 use sedgepath_core::table::TableService;
@@ -93,7 +93,7 @@
         index: NodeIndex,
         operation: OperationKey,
         to: VmKey,
-        tickets: HandedOver,
+        tickets: TicketHandover,
     ) {
         let target = self.nodes.iter().position(|slot| VmKey::of(&slot.name) == to);
         let target = target.filter(|target| self.connects(index, *target) && self.runs(*target));
--- a/crates/sedgepathd/src/homes.rs
+++ b/crates/sedgepathd/src/homes.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use sedgepath_core::deduplication::row::HandedOver;
+use sedgepath_core::deduplication::row::TicketHandover;
 use sedgepath_core::event::Event;
 use sedgepath_core::key::{BootId, OperationKey, RequestKey, VmKey};
 use sedgepath_wire::frame::{ExchangeId, FrameError, HttpRequestHead, Purpose};
@@ -30,7 +30,7 @@
     /// Where it takes frames.
     pub address: SocketAddr,
     /// The tickets.
-    pub tickets: HandedOver,
+    pub tickets: TicketHandover,
 }
 
 /// Carries out hand-overs until the process ends.
