--- a/crates/sedgepath-core/src/deduplication/tickets.rs
+++ b/crates/sedgepath-core/src/deduplication/tickets.rs
@@ -33,7 +33,7 @@
 use super::{RETRY_AFTER_MS, conclude, is_denied, not_run};
 
 /// How long a ticket is valid, in milliseconds.
-pub const VALID_MS: u64 = 600_000;
+pub const TICKET_VALIDITY_MS: u64 = 600_000;
 
 /// How long a used ticket is remembered after it has lapsed, in milliseconds.
 pub const GRACE_MS: u64 = 60_000;
@@ -125,7 +125,7 @@
         if self.live + count as usize > MAX_LIVE {
             return Err(MintError::TooManyValidTickets);
         }
-        let expires_at_ms = out.now_ms() + VALID_MS;
+        let expires_at_ms = out.now_ms() + TICKET_VALIDITY_MS;
         self.live += count as usize;
         self.minted.push_back(Minted { expires_at_ms, count: count as usize });
         let first = self.next_number;
--- a/crates/sedgepath-core/tests/tickets.rs
+++ b/crates/sedgepath-core/tests/tickets.rs
@@ -6,7 +6,7 @@
 
 use once_callers::{kill_in_turn, pause_two, run_actions};
 use once_support::{Verdict, assert_holds, bed, head, is_not_run, judge, settle};
-use sedgepath_core::deduplication::tickets::{MAX_LIVE, VALID_MS};
+use sedgepath_core::deduplication::tickets::{MAX_LIVE, TICKET_VALIDITY_MS};
 use sedgepath_core::hash::Digest;
 use sedgepath_core::request::{Deduplication, Outcome, RejectionReason};
 use sedgepath_test_support::bed::{Bed, NodeIndex, Seen};
@@ -172,7 +172,7 @@
     let unused = ticket(&mut bed, 0);
     let used = ticket(&mut bed, 0);
     assert!(matches!(seen_of(&mut bed, 0, used, 1), Seen::Answered { .. }));
-    bed.run_for(VALID_MS);
+    bed.run_for(TICKET_VALIDITY_MS);
     assert!(is_refused(&seen_of(&mut bed, 3, unused, 1), RejectionReason::TicketVoid));
     let repeat = seen_of(&mut bed, 3, used, 2);
     assert!(matches!(repeat, Seen::Concluded(Outcome::Repeated(_))), "{repeat:?}");
@@ -186,7 +186,7 @@
     let mut bed = bed(8);
     let minted: usize = (0..300).map(|_| bed.mint(0, "deposit", 100).len()).sum();
     assert_eq!(minted, MAX_LIVE);
-    bed.run_for(VALID_MS);
+    bed.run_for(TICKET_VALIDITY_MS);
     assert_eq!(bed.mint(0, "deposit", 100).len(), 100);
     assert!(bed.mint(0, "deposit", 101).is_empty());
     assert!(bed.mint(0, "no such service", 1).is_empty());
--- a/crates/sedgepathd/src/callers/tickets.rs
+++ b/crates/sedgepathd/src/callers/tickets.rs
@@ -3,7 +3,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CACHE_CONTROL, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
-use sedgepath_core::deduplication::tickets::{MintError, VALID_MS};
+use sedgepath_core::deduplication::tickets::{MintError, TICKET_VALIDITY_MS};
 use sedgepath_core::request::Ticket;
 use sedgepath_wire::ticket;
 use serde_json::json;
@@ -45,7 +45,7 @@
         let body = json!({
             "tickets": texts,
             "expires_at_ms": tickets.first().map(|ticket| ticket.expires_at_ms),
-            "expires_after_ms": VALID_MS,
+            "expires_after_ms": TICKET_VALIDITY_MS,
         });
         json_response(StatusCode::OK, &body)
     }
