--- a/crates/sedgepath-core/src/catalogue.rs
+++ b/crates/sedgepath-core/src/catalogue.rs
@@ -6,7 +6,7 @@
 use crate::blocks::{BlockTable, Cidr};
 use crate::hash::{Digest, Map, Set};
 use crate::key::{DomainKey, OrganisationKey, OriginKey, RegionKey, ServiceKey, UpstreamKey};
-use crate::record::{self, Cap, DrainTargetKind, Plan, RawRecord, RecordBody, RecordError};
+use crate::record::{self, DrainTargetKind, Plan, RawRecord, RecordBody, RecordError, TrafficCap};
 use crate::request::Class;
 
 /// The origin group whose shares hold for callers of all groups that have none of their own.
@@ -56,9 +56,9 @@
     /// The weights by origin group, adding up to one, in the order of the domains' keys.
     pub shares: Map<OriginKey, Vec<(DomainKey, f64)>>,
     /// The most that a shift may move.
-    pub cap: Cap,
+    pub cap: TrafficCap,
     /// The most that a failover may move.
-    pub failover_cap: Cap,
+    pub failover_cap: TrafficCap,
     /// After which time in milliseconds an idempotent request may be hedged; none is yet.
     pub hedge_after_ms: Option<u64>,
 }
--- a/crates/sedgepath-core/src/drain.rs
+++ b/crates/sedgepath-core/src/drain.rs
@@ -17,7 +17,7 @@
 
 use crate::catalogue::{Catalogue, ServiceEntry};
 use crate::key::{DomainKey, OriginKey, ServiceKey, UpstreamKey};
-use crate::record::Cap;
+use crate::record::TrafficCap;
 use crate::shift::traffic_split::TrafficSplit;
 
 /// A share below which nothing is left to move; shares are sums of floating-point numbers.
@@ -311,8 +311,8 @@
         })
     }
 
-    fn cap(self) -> Cap {
-        let none = Cap { percent: 0.0, window_ms: 0 };
+    fn cap(self) -> TrafficCap {
+        let none = TrafficCap { percent: 0.0, window_ms: 0 };
         self.entry.steering.as_ref().map_or(none, |steering| steering.cap)
     }
 
--- a/crates/sedgepath-core/src/explain.rs
+++ b/crates/sedgepath-core/src/explain.rs
@@ -7,7 +7,7 @@
 use crate::catalogue::ANY_ORIGIN;
 use crate::hash::Digest;
 use crate::key::{DomainKey, OriginKey, ServiceKey};
-use crate::record::Cap;
+use crate::record::TrafficCap;
 use crate::request::Class;
 use crate::steering::{CandidateDomain, SteeringPolicy};
 use crate::view::SystemView;
@@ -89,7 +89,7 @@
     /// The schema of the steering record.
     pub schema: Option<u32>,
     /// The most that a shift may move.
-    pub cap: Option<Cap>,
+    pub cap: Option<TrafficCap>,
     /// The name of the policy that ranks the failure domains.
     pub policy: Box<str>,
     /// The failure domains that the shares name.
--- a/crates/sedgepath-core/src/ingress/places.rs
+++ b/crates/sedgepath-core/src/ingress/places.rs
@@ -8,7 +8,7 @@
 use crate::key::{DomainKey, ServiceKey, VmKey};
 use crate::message::Baseline;
 use crate::outbox::Outbox;
-use crate::record::Cap;
+use crate::record::TrafficCap;
 use crate::request::{Rejection, RejectionReason};
 use crate::shift::baseline::BaselineFetch;
 use crate::shift::{self, ShiftKey, ShiftLedger};
@@ -151,7 +151,7 @@
         &mut self,
         key: ShiftKey,
         means: &Means<'_>,
-    ) -> Option<(Cap, Arc<[CandidateDomain]>)> {
+    ) -> Option<(TrafficCap, Arc<[CandidateDomain]>)> {
         let view = &means.view;
         self.ledger.apply_revision(view.revision, view.catalogue, view.now_ms);
         let entry = view.catalogue.services.get(&key.service)?.steering.as_ref()?;
--- a/crates/sedgepath-core/src/record.rs
+++ b/crates/sedgepath-core/src/record.rs
@@ -172,10 +172,10 @@
     /// The shares by origin group; callers of other groups follow the group `any`.
     pub groups: Vec<Group>,
     /// The most traffic that a shift may move.
-    pub cap: Cap,
+    pub cap: TrafficCap,
     /// The most that a failover may move; `cap` holds where it is absent. Since schema 2.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub failover_cap: Option<Cap>,
+    pub failover_cap: Option<TrafficCap>,
     /// After which time in milliseconds an idempotent request may also be sent to a second upstream.
     /// Since schema 2. No request is: in the experiment of policies it made nothing better.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -205,7 +205,7 @@
 /// In any window, at most a share of the traffic moves.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Cap {
+pub struct TrafficCap {
     /// The most traffic that moves, in percent.
     pub percent: f64,
     /// The length of the window in milliseconds.
--- a/crates/sedgepath-core/src/shift.rs
+++ b/crates/sedgepath-core/src/shift.rs
@@ -53,7 +53,7 @@
 use crate::hash::Map;
 use crate::key::{DomainKey, OriginKey, ServiceKey};
 use crate::message::GroupShares;
-use crate::record::Cap;
+use crate::record::TrafficCap;
 use crate::steering::CandidateDomain;
 
 pub mod baseline;
@@ -141,7 +141,7 @@
     }
 
     /// Gives a request its home; see [`TrafficSplit::assign_home`].
-    pub fn assign_home(&mut self, key: ShiftKey, cap: Cap, now_ms: u64) -> Option<usize> {
+    pub fn assign_home(&mut self, key: ShiftKey, cap: TrafficCap, now_ms: u64) -> Option<usize> {
         self.traffic_split(key, now_ms)?.home(cap)
     }
 
@@ -199,7 +199,7 @@
     entry: &SteeringEntry,
     candidates: &[CandidateDomain],
     shares: &[(DomainKey, f64)],
-) -> Cap {
+) -> TrafficCap {
     let holds = |domain| shares.iter().any(|share| share.0 == domain && share.1 > 0.0);
     let failover =
         candidates.iter().any(|candidate| candidate.has_failed() && holds(candidate.domain));
--- a/crates/sedgepath-core/src/shift/traffic_split.rs
+++ b/crates/sedgepath-core/src/shift/traffic_split.rs
@@ -4,7 +4,7 @@
 use super::{NO_CAP, STANDING_PART, TOKEN_PART};
 use crate::key::{DomainKey, OriginKey, ServiceKey};
 use crate::message::{DomainShare, GroupShares};
-use crate::record::Cap;
+use crate::record::TrafficCap;
 
 /// How far shares must be from the record's to be handed on to peers.
 const HANDED_ON_FROM: f64 = 0.001;
@@ -128,7 +128,7 @@
     /// The step is the longest on the straight way to the target after which no pair of windows (see
     /// the history's `pairs`) moves more than [`STANDING_PART`] of the cap, if up to twice as many
     /// requests come as in the busiest part before.
-    pub fn begin_bucket(&mut self, target: &[f64], cap: Cap, now_ms: u64) {
+    pub fn begin_bucket(&mut self, target: &[f64], cap: TrafficCap, now_ms: u64) {
         let part_ms = (cap.window_ms / PARTS as u64).max(1);
         let begun = now_ms.saturating_sub(self.bucket_ends_at_ms) / part_ms;
         for _ in 0..begun.min(3 * PARTS as u64) {
@@ -202,7 +202,7 @@
     }
 
     /// Gives a request its home: the domain whose count lags its share the most.
-    pub fn home(&mut self, cap: Cap) -> Option<usize> {
+    pub fn home(&mut self, cap: TrafficCap) -> Option<usize> {
         if self.capped && self.history.current_requests() >= self.expected {
             self.take_burst();
         }
