--- a/crates/sedgepath-core/src/record/check.rs
+++ b/crates/sedgepath-core/src/record/check.rs
@@ -200,7 +200,7 @@
         return found;
     }
     let Some(fields) = fields::of_kind(&record.kind) else {
-        let known = fields::KINDS.iter().map(|kind| kind.name);
+        let known = fields::RECORD_KINDS.iter().map(|kind| kind.name);
         let error = CheckError::Kind { kind: record.kind.clone(), known: list(known) };
         found.push((Path::field("kind"), error));
         return found;
--- a/crates/sedgepath-core/src/record/fields.rs
+++ b/crates/sedgepath-core/src/record/fields.rs
@@ -20,7 +20,7 @@
 }
 
 /// All kinds that this version reads.
-pub const KINDS: &[Kind] = &[
+pub const RECORD_KINDS: &[Kind] = &[
     Kind { name: "places", description: "The regions and their failure domains.", fields: PLACES },
     Kind {
         name: "service",
@@ -51,7 +51,7 @@
 
 /// Returns the fields of a kind, unless this version does not know it.
 pub fn of_kind(kind: &str) -> Option<&'static [Field]> {
-    KINDS.iter().find(|known| known.name == kind).map(|known| known.fields)
+    RECORD_KINDS.iter().find(|known| known.name == kind).map(|known| known.fields)
 }
 
 const fn since_2(
--- a/crates/sedgepathd/tests/operating_page.rs
+++ b/crates/sedgepathd/tests/operating_page.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use sedgepath_core::record::fields::KINDS;
+use sedgepath_core::record::fields::RECORD_KINDS;
 use sedgepath_core::schema::{Field, Shape};
 use sedgepathd::settings::FIELDS;
 
@@ -52,7 +52,7 @@
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/OPERATING.md");
     let page = std::fs::read_to_string(page).expect("the operators' page");
     let mut expected = rows("", FIELDS);
-    for kind in KINDS {
+    for kind in RECORD_KINDS {
         expected.push(format!("### `{}`", kind.name));
         expected.push(kind.description.into());
         expected.extend(rows("", kind.fields));
