--- a/crates/sedgepath-core/src/schema.rs
+++ b/crates/sedgepath-core/src/schema.rs
@@ -253,7 +253,7 @@
 
 /// A fault and where it is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Placed<F> {
+pub struct LocatedFault<F> {
     /// The way to the value.
     pub path: Path,
     /// What is wrong.
@@ -261,7 +261,7 @@
 }
 
 /// Finds everything that is wrong with a document that follows a schema of its kind.
-pub fn check(document: &Value, fields: &'static [Field], schema: u32) -> Vec<Placed<Fault>> {
+pub fn check(document: &Value, fields: &'static [Field], schema: u32) -> Vec<LocatedFault<Fault>> {
     let mut walk = Walk { schema, faults: Vec::new() };
     walk.value(document, &Shape::Object(fields), &Path::default());
     walk.faults
@@ -276,12 +276,12 @@
 #[derive(Debug)]
 struct Walk {
     schema: u32,
-    faults: Vec<Placed<Fault>>,
+    faults: Vec<LocatedFault<Fault>>,
 }
 
 impl Walk {
     fn fault(&mut self, path: &Path, fault: Fault) {
-        self.faults.push(Placed { path: path.clone(), fault });
+        self.faults.push(LocatedFault { path: path.clone(), fault });
     }
 
     fn wrong_type(&mut self, value: &Value, expected: &str, path: &Path) {
--- a/crates/sedgepath-yaml/src/mistakes.rs
+++ b/crates/sedgepath-yaml/src/mistakes.rs
@@ -5,7 +5,7 @@
 
 use miette::{Diagnostic, LabeledSpan, NamedSource, SourceCode};
 
-use sedgepath_core::schema::{Fault, Path, Placed};
+use sedgepath_core::schema::{Fault, LocatedFault, Path};
 
 use crate::tree::{ReadError, Span, Tree};
 
@@ -20,7 +20,7 @@
 
 impl Mistake {
     /// Creates the mistake of a fault that was found in a document.
-    pub fn from_fault(document: &Tree, placed: &Placed<Fault>) -> Self {
+    pub fn from_fault(document: &Tree, placed: &LocatedFault<Fault>) -> Self {
         Self::of_field(document, &placed.path, &placed.fault)
     }
 
--- a/crates/sedgepath/src/records.rs
+++ b/crates/sedgepath/src/records.rs
@@ -7,7 +7,7 @@
 
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::record::check::{CheckError, Problem};
-use sedgepath_core::schema::{self, Fault, Field, Path, Placed, Shape};
+use sedgepath_core::schema::{self, Fault, Field, LocatedFault, Path, Shape};
 use sedgepath_yaml::{Content, Mistake, Mistakes, Span, Tree};
 use serde_json::{Map, Value};
 
@@ -157,7 +157,7 @@
             Mistake { span, message: fault.to_string().into() }
         }
         CheckError::Fault { fault } => {
-            let fault = Placed { path: problem.path.clone(), fault: fault.clone() };
+            let fault = LocatedFault { path: problem.path.clone(), fault: fault.clone() };
             Mistake::from_fault(document, &fault)
         }
         error => {
