--- a/crates/sedgepath-core/src/record/check.rs
+++ b/crates/sedgepath-core/src/record/check.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 use super::{NEWEST_SCHEMA, RawRecord, fields};
-use crate::schema::{self, Path};
+use crate::schema::{self, ValuePath};
 
 mod whole;
 
@@ -122,7 +122,7 @@
     /// change would break.
     pub index: Option<usize>,
     /// The way to the value in the record's body.
-    pub path: Path,
+    pub path: ValuePath,
     /// What is wrong.
     pub error: CheckError,
 }
@@ -147,7 +147,7 @@
         problems.extend(found.map(|(path, error)| problem(record, Some(index), path, error)));
         let repeated = records[..index].iter().any(|earlier| same(earlier, record));
         if repeated {
-            problems.push(problem(record, Some(index), Path::default(), CheckError::Repeated));
+            problems.push(problem(record, Some(index), ValuePath::default(), CheckError::Repeated));
         }
     }
     problems
@@ -180,29 +180,34 @@
     a.kind == b.kind && a.name == b.name
 }
 
-fn problem(record: &RawRecord, index: Option<usize>, path: Path, error: CheckError) -> Problem {
+fn problem(
+    record: &RawRecord,
+    index: Option<usize>,
+    path: ValuePath,
+    error: CheckError,
+) -> Problem {
     Problem { kind: record.kind.clone(), name: record.name.clone(), index, path, error }
 }
 
 /// Checks a record by itself.
-fn alone(record: &RawRecord) -> Vec<(Path, CheckError)> {
+fn alone(record: &RawRecord) -> Vec<(ValuePath, CheckError)> {
     let mut found = Vec::new();
     if !schema::is_name(&record.name) {
-        found.push((Path::field("name"), CheckError::Name { name: record.name.clone() }));
+        found.push((ValuePath::field("name"), CheckError::Name { name: record.name.clone() }));
     }
     if record.body.len() > MAX_BODY_BYTES {
         let error = CheckError::Long { bytes: record.body.len(), most: MAX_BODY_BYTES };
-        found.push((Path::default(), error));
+        found.push((ValuePath::default(), error));
     }
     if !(1..=NEWEST_SCHEMA).contains(&record.schema) {
         let error = CheckError::Schema { schema: record.schema, newest: NEWEST_SCHEMA };
-        found.push((Path::field("schema"), error));
+        found.push((ValuePath::field("schema"), error));
         return found;
     }
     let Some(fields) = fields::of_kind(&record.kind) else {
         let known = fields::RECORD_KINDS.iter().map(|kind| kind.name);
         let error = CheckError::Kind { kind: record.kind.clone(), known: list(known) };
-        found.push((Path::field("kind"), error));
+        found.push((ValuePath::field("kind"), error));
         return found;
     };
     match serde_json::from_str::<Value>(&record.body) {
@@ -214,7 +219,7 @@
         }
         Err(error) => {
             let error = CheckError::Body { reason: error.to_string().into() };
-            found.push((Path::default(), error));
+            found.push((ValuePath::default(), error));
         }
     }
     found
--- a/crates/sedgepath-core/src/record/check/whole.rs
+++ b/crates/sedgepath-core/src/record/check/whole.rs
@@ -8,7 +8,7 @@
 use crate::record::{
     Drain, DrainTargetKind, Organisations, Places, RawRecord, RecordBody, Service, Steering,
 };
-use crate::schema::Path;
+use crate::schema::ValuePath;
 
 /// What a name names, for messages and to tell names apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -83,7 +83,7 @@
         self.problems
     }
 
-    fn report(&mut self, record: Numbered<'a>, path: Path, error: CheckError) {
+    fn report(&mut self, record: Numbered<'a>, path: ValuePath, error: CheckError) {
         self.problems.push(problem(record.1, record.0, path, error));
     }
 
@@ -94,13 +94,13 @@
             RecordBody::Organisations(body) => self.define_organisations(record, body),
             RecordBody::Steering(steering) => {
                 for (index, group) in steering.groups.iter().enumerate() {
-                    let path = Path::field("groups").with_item(index).with_field("origin");
+                    let path = ValuePath::field("groups").with_item(index).with_field("origin");
                     self.key(record, path, What::Origin, &group.origin);
                 }
             }
             RecordBody::Clients(clients) => {
                 for (index, block) in clients.blocks.iter().enumerate() {
-                    let path = Path::field("blocks").with_item(index).with_field("origin");
+                    let path = ValuePath::field("blocks").with_item(index).with_field("origin");
                     self.key(record, path, What::Origin, &block.origin);
                 }
             }
@@ -109,7 +109,7 @@
     }
 
     /// Takes in a name that may stand once only.
-    fn name(&mut self, record: Numbered<'a>, path: Path, what: What, name: &str) {
+    fn name(&mut self, record: Numbered<'a>, path: ValuePath, what: What, name: &str) {
         if let Some(other) = self.names.insert((what, name.into()), record.1) {
             let error = CheckError::Duplicate {
                 what: what.word().into(),
@@ -126,7 +126,7 @@
     ///
     /// Messages carry keys in place of names; with two names of one key, traffic of the one would
     /// go where the other's record says.
-    fn key(&mut self, record: Numbered<'a>, path: Path, what: What, name: &str) {
+    fn key(&mut self, record: Numbered<'a>, path: ValuePath, what: What, name: &str) {
         let known = self.keys.entry((what, what.key(name))).or_insert_with(|| name.into());
         if &**known != name {
             let error = CheckError::Collision {
@@ -140,7 +140,7 @@
 
     fn define_places(&mut self, record: Numbered<'a>, places: &Places) {
         for (index, region) in places.regions.iter().enumerate() {
-            let path = Path::field("regions").with_item(index);
+            let path = ValuePath::field("regions").with_item(index);
             self.name(record, path.with_field("name"), What::Region, &region.name);
             for (item, domain) in region.domains.iter().enumerate() {
                 let path = path.with_field("domains").with_item(item);
@@ -150,9 +150,9 @@
     }
 
     fn define_service(&mut self, record: Numbered<'a>, service: &Service) {
-        self.name(record, Path::field("name"), What::Service, &record.1.name);
+        self.name(record, ValuePath::field("name"), What::Service, &record.1.name);
         for (index, upstream) in service.upstreams.iter().enumerate() {
-            let path = Path::field("upstreams").with_item(index);
+            let path = ValuePath::field("upstreams").with_item(index);
             self.name(record, path.with_field("name"), What::Upstream, &upstream.name);
             if let Some(cold) = upstream.cold_slots.filter(|cold| *cold > upstream.slots) {
                 let error = CheckError::ColdSlots { cold, slots: upstream.slots };
@@ -164,7 +164,7 @@
     fn define_organisations(&mut self, record: Numbered<'a>, body: &Organisations) {
         let mut digests: BTreeMap<Digest, &str> = BTreeMap::new();
         for (index, organisation) in body.organisations.iter().enumerate() {
-            let path = Path::field("organisations").with_item(index);
+            let path = ValuePath::field("organisations").with_item(index);
             self.name(record, path.with_field("name"), What::Organisation, &organisation.name);
             for (item, hex) in organisation.key_digests.iter().enumerate() {
                 let Some(digest) = Digest::from_hex(hex) else { continue };
@@ -185,7 +185,7 @@
         match body {
             RecordBody::Service(service) => {
                 for (index, upstream) in service.upstreams.iter().enumerate() {
-                    let path = Path::field("upstreams").with_item(index).with_field("domain");
+                    let path = ValuePath::field("upstreams").with_item(index).with_field("domain");
                     self.known(record, path, What::Domain, &upstream.domain);
                 }
             }
@@ -195,7 +195,7 @@
         }
     }
 
-    fn known(&mut self, record: Numbered<'a>, path: Path, what: What, name: &str) {
+    fn known(&mut self, record: Numbered<'a>, path: ValuePath, what: What, name: &str) {
         if self.names.contains_key(&(what, name.into())) {
             return;
         }
@@ -206,10 +206,10 @@
     }
 
     fn refer_steering(&mut self, record: Numbered<'a>, steering: &Steering) {
-        self.known(record, Path::field("name"), What::Service, &record.1.name);
+        self.known(record, ValuePath::field("name"), What::Service, &record.1.name);
         let mut origins = BTreeSet::new();
         for (index, group) in steering.groups.iter().enumerate() {
-            let path = Path::field("groups").with_item(index);
+            let path = ValuePath::field("groups").with_item(index);
             if !origins.insert(&group.origin) {
                 self.twice(record, path.with_field("origin"), What::Origin, &group.origin);
             }
@@ -229,7 +229,7 @@
         }
     }
 
-    fn twice(&mut self, record: Numbered<'a>, path: Path, what: What, name: &str) {
+    fn twice(&mut self, record: Numbered<'a>, path: ValuePath, what: What, name: &str) {
         let error = CheckError::Duplicate {
             what: what.word().into(),
             name: name.into(),
@@ -245,7 +245,7 @@
         };
         // A drain that has ended may outlive its target.
         if drain.active {
-            self.known(record, Path::field("name"), what, &record.1.name);
+            self.known(record, ValuePath::field("name"), what, &record.1.name);
         }
     }
 }
--- a/crates/sedgepath-core/src/schema.rs
+++ b/crates/sedgepath-core/src/schema.rs
@@ -107,9 +107,9 @@
 
 /// The way from a document to a part of it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Path(pub Vec<Segment>);
+pub struct ValuePath(pub Vec<Segment>);
 
-impl Path {
+impl ValuePath {
     /// Returns the path of a field of the document.
     pub fn field(name: &str) -> Self {
         Self::default().with_field(name)
@@ -132,7 +132,7 @@
     }
 }
 
-impl fmt::Display for Path {
+impl fmt::Display for ValuePath {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, segment) in self.0.iter().enumerate() {
             match segment {
@@ -255,7 +255,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LocatedFault<F> {
     /// The way to the value.
-    pub path: Path,
+    pub path: ValuePath,
     /// What is wrong.
     pub fault: F,
 }
@@ -263,7 +263,7 @@
 /// Finds everything that is wrong with a document that follows a schema of its kind.
 pub fn check(document: &Value, fields: &'static [Field], schema: u32) -> Vec<LocatedFault<Fault>> {
     let mut walk = Walk { schema, faults: Vec::new() };
-    walk.value(document, &Shape::Object(fields), &Path::default());
+    walk.value(document, &Shape::Object(fields), &ValuePath::default());
     walk.faults
 }
 
@@ -280,11 +280,11 @@
 }
 
 impl Walk {
-    fn fault(&mut self, path: &Path, fault: Fault) {
+    fn fault(&mut self, path: &ValuePath, fault: Fault) {
         self.faults.push(LocatedFault { path: path.clone(), fault });
     }
 
-    fn wrong_type(&mut self, value: &Value, expected: &str, path: &Path) {
+    fn wrong_type(&mut self, value: &Value, expected: &str, path: &ValuePath) {
         let found = match value {
             Value::Null => "empty",
             Value::Bool(_) => "true or false",
@@ -296,7 +296,7 @@
         self.fault(path, Fault::Type { found: found.into(), expected: expected.into() });
     }
 
-    fn value(&mut self, value: &Value, shape: &Shape, path: &Path) {
+    fn value(&mut self, value: &Value, shape: &Shape, path: &ValuePath) {
         match shape {
             Shape::Integer { least, most } => self.integer(value, *least, *most, path),
             Shape::Number { least, most } => self.number(value, *least, *most, path),
@@ -317,7 +317,7 @@
         }
     }
 
-    fn text(&mut self, text: &str, shape: &Shape, path: &Path) {
+    fn text(&mut self, text: &str, shape: &Shape, path: &ValuePath) {
         let found = || text.into();
         let fault = match shape {
             Shape::Name if !is_name(text) => Fault::Name { found: found() },
@@ -341,7 +341,7 @@
         self.fault(path, fault);
     }
 
-    fn integer(&mut self, value: &Value, least: u64, most: u64, path: &Path) {
+    fn integer(&mut self, value: &Value, least: u64, most: u64, path: &ValuePath) {
         match value {
             Value::Number(number) => match number.as_u64() {
                 Some(integer) if (least..=most).contains(&integer) => {}
@@ -351,7 +351,7 @@
         }
     }
 
-    fn number(&mut self, value: &Value, least: f64, most: f64, path: &Path) {
+    fn number(&mut self, value: &Value, least: f64, most: f64, path: &ValuePath) {
         match value {
             Value::Number(number) => match number.as_f64() {
                 Some(float) if (least..=most).contains(&float) => {}
@@ -366,7 +366,7 @@
         found: &serde_json::Number,
         least: impl fmt::Display,
         most: impl fmt::Display,
-        path: &Path,
+        path: &ValuePath,
     ) {
         let fault = Fault::Range {
             found: found.to_string().into(),
@@ -376,7 +376,7 @@
         self.fault(path, fault);
     }
 
-    fn list(&mut self, items: &[Value], of: &Shape, least: usize, path: &Path) {
+    fn list(&mut self, items: &[Value], of: &Shape, least: usize, path: &ValuePath) {
         if items.len() < least {
             self.fault(path, Fault::Items { found: items.len(), least });
         }
@@ -385,7 +385,7 @@
         }
     }
 
-    fn object(&mut self, object: &Map<String, Value>, fields: &'static [Field], path: &Path) {
+    fn object(&mut self, object: &Map<String, Value>, fields: &'static [Field], path: &ValuePath) {
         for field in fields {
             let at = path.with_field(field.name);
             match object.get(field.name) {
--- a/crates/sedgepath-yaml/src/mistakes.rs
+++ b/crates/sedgepath-yaml/src/mistakes.rs
@@ -5,7 +5,7 @@
 
 use miette::{Diagnostic, LabeledSpan, NamedSource, SourceCode};
 
-use sedgepath_core::schema::{Fault, LocatedFault, Path};
+use sedgepath_core::schema::{Fault, LocatedFault, ValuePath};
 
 use crate::tree::{ReadError, Span, Tree};
 
@@ -26,7 +26,7 @@
 
     /// Creates the mistake of a fault at a path; a field that should not be there is shown by its
     /// key, all else by the value.
-    pub fn of_field(document: &Tree, path: &Path, fault: &Fault) -> Self {
+    pub fn of_field(document: &Tree, path: &ValuePath, fault: &Fault) -> Self {
         let by_key = matches!(fault, Fault::UnknownField { .. } | Fault::TooNew { .. });
         let key = by_key.then(|| document.key_place(path)).flatten();
         let span = key.unwrap_or_else(|| document.span_of(path));
--- a/crates/sedgepath-yaml/src/tree.rs
+++ b/crates/sedgepath-yaml/src/tree.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use sedgepath_core::schema::{Path, Segment};
+use sedgepath_core::schema::{Segment, ValuePath};
 use serde::de::{Deserialize, Deserializer, Error as _, MapAccess, SeqAccess, Visitor};
 use serde_json::{Number, Value};
 use serde_saphyr::{Location, Spanned};
@@ -129,7 +129,7 @@
     }
 
     /// Returns the place of the key that a path ends with, if it ends with one.
-    pub fn key_place(&self, path: &Path) -> Option<Span> {
+    pub fn key_place(&self, path: &ValuePath) -> Option<Span> {
         let (Segment::Field(name), parent) = path.0.split_last()? else { return None };
         let parent = parent.iter().try_fold(self, |tree, segment| tree.step(segment))?;
         parent.entry(name).map(|entry| entry.key_span)
@@ -145,7 +145,7 @@
 
     /// Returns the place to show for a path: that of the value if it fits one line, else of the key
     /// that leads to it. Of a path that ends nowhere, the last part that is there is shown.
-    pub fn span_of(&self, path: &Path) -> Span {
+    pub fn span_of(&self, path: &ValuePath) -> Span {
         let mut tree = self;
         let mut key_span = None;
         for segment in &path.0 {
--- a/crates/sedgepath-yaml/tests/tree.rs
+++ b/crates/sedgepath-yaml/tests/tree.rs
@@ -1,6 +1,6 @@
 //! Parts of YAML documents and the places that are shown for them.
 
-use sedgepath_core::schema::Path;
+use sedgepath_core::schema::ValuePath;
 use sedgepath_yaml::read;
 
 const TEXT: &str = "# two documents\nname: é one\nlist:\n  - weight: 1.5\n    flag: true\n---\n\
@@ -11,18 +11,18 @@
 #[test]
 fn a_path_leads_to_its_place() {
     let documents = read(TEXT).expect("YAML");
-    let shown = |document: usize, path: &Path| {
+    let shown = |document: usize, path: &ValuePath| {
         let span = documents[document].span_of(path);
         &TEXT[span.offset..span.offset + span.bytes]
     };
-    let item = Path::field("list").with_item(0);
-    assert_eq!(shown(0, &Path::field("name")), "é one");
-    assert_eq!(shown(0, &Path::field("list")), "list");
+    let item = ValuePath::field("list").with_item(0);
+    assert_eq!(shown(0, &ValuePath::field("name")), "é one");
+    assert_eq!(shown(0, &ValuePath::field("list")), "list");
     assert_eq!(shown(0, &item.with_field("weight")), "1.5");
     assert_eq!(shown(0, &item.with_field("missing")), "weight");
     assert_eq!(shown(0, &item), "weight");
-    assert_eq!(shown(1, &Path::field("name")), "\"2\"");
-    assert_eq!(shown(1, &Path::field("empty")), "empty");
+    assert_eq!(shown(1, &ValuePath::field("name")), "\"2\"");
+    assert_eq!(shown(1, &ValuePath::field("empty")), "empty");
 }
 
 /// Text in quotes stays text, and a number that is not becomes one.
--- a/crates/sedgepath/src/records.rs
+++ b/crates/sedgepath/src/records.rs
@@ -7,7 +7,7 @@
 
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::record::check::{CheckError, Problem};
-use sedgepath_core::schema::{self, Fault, Field, LocatedFault, Path, Shape};
+use sedgepath_core::schema::{self, Fault, Field, LocatedFault, Shape, ValuePath};
 use sedgepath_yaml::{Content, Mistake, Mistakes, Span, Tree};
 use serde_json::{Map, Value};
 
@@ -153,7 +153,7 @@
     match &problem.error {
         CheckError::Fault { fault: fault @ Fault::Missing { .. } } if problem.path.0.is_empty() => {
             // The mapping that lacks the field is the whole record; its name is shown.
-            let span = document.span_of(&Path::field("name"));
+            let span = document.span_of(&ValuePath::field("name"));
             Mistake { span, message: fault.to_string().into() }
         }
         CheckError::Fault { fault } => {
@@ -163,7 +163,7 @@
         error => {
             let whole = problem.path.0.is_empty();
             let span: Span = if whole {
-                document.span_of(&Path::field("name"))
+                document.span_of(&ValuePath::field("name"))
             } else {
                 document.span_of(&problem.path)
             };
--- a/crates/sedgepathd/src/settings.rs
+++ b/crates/sedgepathd/src/settings.rs
@@ -5,7 +5,7 @@
 use std::path::Path as FilePath;
 
 use sedgepath_core::identity::NodeSettings;
-use sedgepath_core::schema::{self, Path};
+use sedgepath_core::schema::{self, ValuePath};
 use sedgepath_yaml::{Mistake, Mistakes, Span, Tree};
 use serde::{Deserialize, Serialize};
 
@@ -196,7 +196,7 @@
     /// Finds fields that are right by themselves but not together.
     fn contradictions(&self, document: &Tree) -> Vec<Mistake> {
         let mut mistakes = Vec::new();
-        let mut wrong = |path: Path, message: String| {
+        let mut wrong = |path: ValuePath, message: String| {
             mistakes.push(mistake(document, &path, message));
         };
         let addresses = [
@@ -207,13 +207,16 @@
         ];
         for (index, (name, address)) in addresses.iter().enumerate() {
             for (other, _) in addresses[..index].iter().filter(|(_, other)| other == address) {
-                wrong(Path::field(name), format!("`{name}` is the address of `{other}` too"));
+                wrong(ValuePath::field(name), format!("`{name}` is the address of `{other}` too"));
             }
             if address.port() == 0 {
-                wrong(Path::field(name), format!("`{name}` needs a port that others can know"));
+                wrong(
+                    ValuePath::field(name),
+                    format!("`{name}` needs a port that others can know"),
+                );
             }
         }
-        let timing = |name: &str| Path::field("timing").with_field(name);
+        let timing = |name: &str| ValuePath::field("timing").with_field(name);
         let Timing { heartbeat_every_ms, suspect_after_ms, head_every_ms, head_stale_ms, .. } =
             self.timing;
         // Two heartbeats may be lost before a member is suspected.
@@ -231,6 +234,6 @@
     }
 }
 
-fn mistake(document: &Tree, path: &Path, message: String) -> Mistake {
+fn mistake(document: &Tree, path: &ValuePath, message: String) -> Mistake {
     Mistake { span: document.span_of(path), message: message.into() }
 }
