--- a/crates/sedgepath-core/src/schema.rs
+++ b/crates/sedgepath-core/src/schema.rs
@@ -98,7 +98,7 @@
 /// A step from a document to a part of it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Segment {
+pub enum PathSegment {
     /// Into a field of a mapping.
     Field(Box<str>),
     /// To an item of a list, counted from 0.
@@ -107,7 +107,7 @@
 
 /// The way from a document to a part of it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct ValuePath(pub Vec<Segment>);
+pub struct ValuePath(pub Vec<PathSegment>);
 
 impl ValuePath {
     /// Returns the path of a field of the document.
@@ -117,15 +117,15 @@
 
     /// Goes on into a field.
     pub fn with_field(&self, name: &str) -> Self {
-        self.with(Segment::Field(name.into()))
+        self.with(PathSegment::Field(name.into()))
     }
 
     /// Goes on to an item.
     pub fn with_item(&self, index: usize) -> Self {
-        self.with(Segment::Item(index))
+        self.with(PathSegment::Item(index))
     }
 
-    fn with(&self, segment: Segment) -> Self {
+    fn with(&self, segment: PathSegment) -> Self {
         let mut segments = self.0.clone();
         segments.push(segment);
         Self(segments)
@@ -136,9 +136,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, segment) in self.0.iter().enumerate() {
             match segment {
-                Segment::Field(name) if index == 0 => f.write_str(name)?,
-                Segment::Field(name) => write!(f, ".{name}")?,
-                Segment::Item(item) => write!(f, "[{item}]")?,
+                PathSegment::Field(name) if index == 0 => f.write_str(name)?,
+                PathSegment::Field(name) => write!(f, ".{name}")?,
+                PathSegment::Item(item) => write!(f, "[{item}]")?,
             }
         }
         Ok(())
--- a/crates/sedgepath-yaml/src/tree.rs
+++ b/crates/sedgepath-yaml/src/tree.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use sedgepath_core::schema::{Segment, ValuePath};
+use sedgepath_core::schema::{PathSegment, ValuePath};
 use serde::de::{Deserialize, Deserializer, Error as _, MapAccess, SeqAccess, Visitor};
 use serde_json::{Number, Value};
 use serde_saphyr::{Location, Spanned};
@@ -130,16 +130,16 @@
 
     /// Returns the place of the key that a path ends with, if it ends with one.
     pub fn key_place(&self, path: &ValuePath) -> Option<Span> {
-        let (Segment::Field(name), parent) = path.0.split_last()? else { return None };
+        let (PathSegment::Field(name), parent) = path.0.split_last()? else { return None };
         let parent = parent.iter().try_fold(self, |tree, segment| tree.step(segment))?;
         parent.entry(name).map(|entry| entry.key_span)
     }
 
-    fn step(&self, segment: &Segment) -> Option<&Self> {
+    fn step(&self, segment: &PathSegment) -> Option<&Self> {
         match (segment, &self.content) {
-            (Segment::Field(name), _) => self.field(name),
-            (Segment::Item(index), Content::List(items)) => items.get(*index),
-            (Segment::Item(_), _) => None,
+            (PathSegment::Field(name), _) => self.field(name),
+            (PathSegment::Item(index), Content::List(items)) => items.get(*index),
+            (PathSegment::Item(_), _) => None,
         }
     }
 
@@ -151,8 +151,8 @@
         for segment in &path.0 {
             let Some(next) = tree.step(segment) else { break };
             key_span = match segment {
-                Segment::Field(name) => tree.entry(name).map(|entry| entry.key_span),
-                Segment::Item(_) => None,
+                PathSegment::Field(name) => tree.entry(name).map(|entry| entry.key_span),
+                PathSegment::Item(_) => None,
             };
             tree = next;
         }
