--- a/crates/sedgepath-wire/src/datagram.rs
+++ b/crates/sedgepath-wire/src/datagram.rs
@@ -67,7 +67,7 @@
 
 /// Reads datagrams and drops repeated ones.
 #[derive(Debug)]
-pub struct Opener {
+pub struct DatagramDecoder {
     key: SharedKey,
     windows: HashMap<(VmKey, BootId), Window>,
 }
@@ -78,7 +78,7 @@
     seen: u64,
 }
 
-impl Opener {
+impl DatagramDecoder {
     /// Creates an opener that has seen nothing yet.
     pub fn new(key: SharedKey) -> Self {
         Self { key, windows: HashMap::new() }
--- a/crates/sedgepathd/examples/slopes/datagrams.rs
+++ b/crates/sedgepathd/examples/slopes/datagrams.rs
@@ -13,7 +13,7 @@
     Message, ServiceLoad,
 };
 use sedgepath_core::node::Node;
-use sedgepath_wire::datagram::{Opener, seal};
+use sedgepath_wire::datagram::{DatagramDecoder, seal};
 use sedgepath_wire::key::SharedKey;
 
 /// The members of a failure domain at full size, this node not among them.
@@ -26,7 +26,7 @@
 pub fn measure() {
     let key = SharedKey::new("a secret for measurements", "datagrams");
     let mut node = Node::new(Identity::new(card(0), BootId(1)), NodeSettings::default());
-    let mut opener = Opener::new(key.clone());
+    let mut opener = DatagramDecoder::new(key.clone());
     let (mut bytes, mut now_ms) = (0, 1_000_000);
     let started = Instant::now();
     for number in 0..HEARTBEATS {
--- a/crates/sedgepathd/src/datagrams.rs
+++ b/crates/sedgepathd/src/datagrams.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use sedgepath_core::event::Event;
-use sedgepath_wire::datagram::{MAX_DATAGRAM_BYTES, Opener};
+use sedgepath_wire::datagram::{DatagramDecoder, MAX_DATAGRAM_BYTES};
 use sedgepath_wire::key::SharedKey;
 
 use crate::driver::Handle;
@@ -13,7 +13,7 @@
 /// Starts the thread; it ends with the process.
 pub fn start(socket: UdpSocket, key: SharedKey, handle: Handle, metrics: Arc<Metrics>) {
     std::thread::spawn(move || {
-        let mut opener = Opener::new(key);
+        let mut opener = DatagramDecoder::new(key);
         // One byte more than the largest datagram shows an oversize one, which the system cuts off.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
