--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -21,7 +21,7 @@
 pub const MAX_FRAME_BYTES: usize = 128 * 1024;
 
 /// The bytes of a body that one frame carries at most.
-pub const CHUNK_BYTES: usize = 64 * 1024;
+pub const MAX_CHUNK_BYTES: usize = 64 * 1024;
 
 /// The first bytes of a connection, before the opener's number.
 const MAGIC: [u8; 8] = *b"sedgep01";
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -7,7 +7,7 @@
 use sedgepath_core::hash::Map;
 use sedgepath_core::key::VmKey;
 use sedgepath_wire::frame::{
-    CHUNK_BYTES, ExchangeId, Frame, FrameError, FrameStream, HttpRequestHead, Purpose,
+    ExchangeId, Frame, FrameError, FrameStream, HttpRequestHead, MAX_CHUNK_BYTES, Purpose,
 };
 use sedgepath_wire::key::SharedKey;
 use tokio::net::TcpStream;
@@ -125,7 +125,7 @@
         let id = request.id;
         let start = Frame::Request { id, purpose: request.purpose, head: request.head };
         stream.send(&start).await?;
-        for chunk in request.body.chunks(CHUNK_BYTES) {
+        for chunk in request.body.chunks(MAX_CHUNK_BYTES) {
             stream.send(&Frame::BodyChunk(chunk.to_vec())).await?;
         }
         stream.send(&Frame::BodyEnd).await?;
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Bytes, BytesMut};
 use sedgepath_wire::frame::{
-    CHUNK_BYTES, ExchangeId, Frame, FrameError, FrameStream, HttpRequestHead, Purpose,
+    ExchangeId, Frame, FrameError, FrameStream, HttpRequestHead, MAX_CHUNK_BYTES, Purpose,
 };
 use sedgepath_wire::key::SharedKey;
 use tokio::net::{TcpListener, TcpStream};
@@ -141,7 +141,7 @@
         let Ok(bytes) = part else {
             return stream.send(&Frame::BodyAborted).await;
         };
-        for chunk in bytes.chunks(CHUNK_BYTES) {
+        for chunk in bytes.chunks(MAX_CHUNK_BYTES) {
             stream.send(&Frame::BodyChunk(chunk.to_vec())).await?;
         }
     }
