--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -27,7 +27,7 @@
 const MAGIC: [u8; 8] = *b"sedgep01";
 
 /// A header field of HTTP.
-pub type Field = (Box<str>, Vec<u8>);
+pub type HeaderField = (Box<str>, Vec<u8>);
 
 /// The head of an HTTP request as passed on to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
     /// Path and query.
     pub target: Box<str>,
     /// The header without hop-by-hop fields.
-    pub fields: Vec<Field>,
+    pub fields: Vec<HeaderField>,
     /// The length of the body in bytes.
     pub body_bytes: u64,
 }
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HttpAnswerHead {
     /// The header without hop-by-hop fields.
-    pub fields: Vec<Field>,
+    pub fields: Vec<HeaderField>,
     /// The length of the body in bytes if the upstream declared it.
     pub body_bytes: Option<u64>,
 }
@@ -142,7 +142,7 @@
         /// The HTTP status.
         status: u16,
         /// The header.
-        fields: Vec<Field>,
+        fields: Vec<HeaderField>,
         /// The body.
         body: Vec<u8>,
     },
--- a/crates/sedgepathd/src/callers/answers.rs
+++ b/crates/sedgepathd/src/callers/answers.rs
@@ -6,7 +6,7 @@
 use hyper::header::{CONTENT_TYPE, HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use sedgepath_core::request::Outcome;
-use sedgepath_wire::frame::Field;
+use sedgepath_wire::frame::HeaderField;
 use serde_json::json;
 
 use super::collect::body_of;
@@ -88,7 +88,7 @@
 }
 
 /// Adds header fields to an answer.
-pub(super) fn append(response: &mut Response<ResponseBody>, fields: &[Field]) {
+pub(super) fn append(response: &mut Response<ResponseBody>, fields: &[HeaderField]) {
     for (name, value) in fields {
         let name = HeaderName::from_bytes(name.as_bytes());
         if let (Ok(name), Ok(value)) = (name, HeaderValue::from_bytes(value)) {
--- a/crates/sedgepathd/src/callers/serving.rs
+++ b/crates/sedgepathd/src/callers/serving.rs
@@ -7,7 +7,7 @@
 use sedgepath_core::event::{Action, Event};
 use sedgepath_core::key::RequestKey;
 use sedgepath_core::request::{Deduplication, HopFailure, Outcome, RequestHead};
-use sedgepath_wire::frame::{ExchangeId, Field, HomeRequest, HttpRequestHead, Purpose};
+use sedgepath_wire::frame::{ExchangeId, HeaderField, HomeRequest, HttpRequestHead, Purpose};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
@@ -37,7 +37,7 @@
         /// The HTTP status.
         status: u16,
         /// The header.
-        fields: Vec<Field>,
+        fields: Vec<HeaderField>,
         /// The body.
         body: Bytes,
     },
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -11,7 +11,7 @@
 use sedgepath_core::event::{Action, Event, UpstreamReport};
 use sedgepath_core::key::{BootId, DomainKey, ExchangeKey, VmKey};
 use sedgepath_core::request::{AnswerHead, CallOutcome, Dispatch, Rejection, RejectionReason};
-use sedgepath_wire::frame::{Field, HttpAnswerHead, HttpRequestHead};
+use sedgepath_wire::frame::{HeaderField, HttpAnswerHead, HttpRequestHead};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
@@ -312,7 +312,7 @@
 ];
 
 /// Returns the header fields that are passed on to the next hop.
-pub fn passed_on(headers: &HeaderMap) -> Vec<Field> {
+pub fn passed_on(headers: &HeaderMap) -> Vec<HeaderField> {
     let named: Vec<String> = headers
         .get_all(hyper::header::CONNECTION)
         .iter()
--- a/crates/sedgepathd/src/reply.rs
+++ b/crates/sedgepathd/src/reply.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use sedgepath_core::request::{AnswerHead, Rejection};
-use sedgepath_wire::frame::{Field, HttpAnswerHead};
+use sedgepath_wire::frame::{HeaderField, HttpAnswerHead};
 use tokio::sync::mpsc;
 
 /// The parts of a body that may wait for a slow reader.
@@ -52,7 +52,7 @@
         /// The HTTP status.
         status: u16,
         /// The header.
-        fields: Vec<Field>,
+        fields: Vec<HeaderField>,
         /// The body.
         body: Bytes,
     },
