--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -44,7 +44,7 @@
 
 /// The head of an HTTP answer as passed on to a caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HttpAnswerHead {
+pub struct HttpResponseHead {
     /// The header without hop-by-hop fields.
     pub fields: Vec<HeaderField>,
     /// The length of the body in bytes if the upstream declared it.
@@ -121,7 +121,7 @@
         /// What the ingress decides by.
         head: AnswerHead,
         /// What the caller gets.
-        http: HttpAnswerHead,
+        http: HttpResponseHead,
     },
     /// The request was not run.
     Refused {
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -11,7 +11,7 @@
 use sedgepath_core::event::{Action, Event, UpstreamReport};
 use sedgepath_core::key::{BootId, DomainKey, ExchangeKey, VmKey};
 use sedgepath_core::request::{AnswerHead, CallOutcome, Dispatch, Rejection, RejectionReason};
-use sedgepath_wire::frame::{HeaderField, HttpAnswerHead, HttpRequestHead};
+use sedgepath_wire::frame::{HeaderField, HttpRequestHead, HttpResponseHead};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
@@ -258,7 +258,7 @@
         let (sender, receiver) = body();
         let answer = Answer {
             head: AnswerHead { status: parts.status.as_u16(), upstream: call.upstream, domain },
-            http: HttpAnswerHead { fields, body_bytes: incoming.size_hint().exact() },
+            http: HttpResponseHead { fields, body_bytes: incoming.size_hint().exact() },
             body: receiver,
         };
         let _gone = reply.send(Reply::Answer(Box::new(answer)));
--- a/crates/sedgepathd/src/reply.rs
+++ b/crates/sedgepathd/src/reply.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use sedgepath_core::request::{AnswerHead, Rejection};
-use sedgepath_wire::frame::{HeaderField, HttpAnswerHead};
+use sedgepath_wire::frame::{HeaderField, HttpResponseHead};
 use tokio::sync::mpsc;
 
 /// The parts of a body that may wait for a slow reader.
@@ -31,7 +31,7 @@
     /// What the ingress decides by.
     pub head: AnswerHead,
     /// What the caller gets.
-    pub http: HttpAnswerHead,
+    pub http: HttpResponseHead,
     /// The body.
     pub body: BodyReceiver,
 }
