--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -66,7 +66,7 @@
 
 /// What an exchange asks of the peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Purpose {
+pub enum PeerOperation {
     /// To run the request at an upstream that the peer owns.
     Run(Dispatch),
     /// To take the request over as the home of its ticket.
@@ -104,7 +104,7 @@
         /// Names it.
         id: ExchangeId,
         /// What is asked.
-        purpose: Purpose,
+        purpose: PeerOperation,
         /// The request.
         head: HttpRequestHead,
     },
--- a/crates/sedgepathd/src/callers/serving.rs
+++ b/crates/sedgepathd/src/callers/serving.rs
@@ -7,7 +7,7 @@
 use sedgepath_core::event::{Action, Event};
 use sedgepath_core::key::RequestKey;
 use sedgepath_core::request::{Deduplication, HopFailure, Outcome, RequestHead};
-use sedgepath_wire::frame::{ExchangeId, HeaderField, HomeRequest, HttpRequestHead, Purpose};
+use sedgepath_wire::frame::{ExchangeId, HeaderField, HomeRequest, HttpRequestHead, PeerOperation};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
@@ -158,7 +158,7 @@
         match action {
             Action::Forward { attempt, to, address, dispatch, deadline_at_ms, .. } => {
                 let target = HopTarget { vm: to, address, deadline_at_ms };
-                self.attempt(attempt, target, Purpose::Run(dispatch));
+                self.attempt(attempt, target, PeerOperation::Run(dispatch));
             }
             Action::ForwardHome { attempt, to, boot, address, deadline_at_ms, .. } => {
                 let target = HopTarget { vm: to, address, deadline_at_ms };
@@ -173,7 +173,7 @@
                     attempt: self.head.attempt,
                     digest: self.head.digest,
                 };
-                self.attempt(attempt, target, Purpose::ServeAsHome(home));
+                self.attempt(attempt, target, PeerOperation::ServeAsHome(home));
             }
             Action::CancelAttempt { attempt, .. } => {
                 if let Some(task) = self.running.remove(&attempt) {
@@ -185,7 +185,7 @@
         }
     }
 
-    fn attempt(&mut self, attempt: u32, target: HopTarget, purpose: Purpose) {
+    fn attempt(&mut self, attempt: u32, target: HopTarget, purpose: PeerOperation) {
         let callers = &self.callers;
         let id =
             ExchangeId { ingress: callers.vm, boot: callers.boot, request: self.request, attempt };
--- a/crates/sedgepathd/src/homes.rs
+++ b/crates/sedgepathd/src/homes.rs
@@ -7,7 +7,7 @@
 use sedgepath_core::deduplication::row::TicketHandover;
 use sedgepath_core::event::Event;
 use sedgepath_core::key::{BootId, OperationKey, RequestKey, VmKey};
-use sedgepath_wire::frame::{ExchangeId, FrameError, HttpRequestHead, Purpose};
+use sedgepath_wire::frame::{ExchangeId, FrameError, HttpRequestHead, PeerOperation};
 use tokio::sync::mpsc;
 
 use crate::driver::Handle;
@@ -63,7 +63,7 @@
         fields: Vec::new(),
         body_bytes: body.len() as u64,
     };
-    let request = HopRequest { id, purpose: Purpose::StoreTickets, head, body: body.into() };
+    let request = HopRequest { id, purpose: PeerOperation::StoreTickets, head, body: body.into() };
     let target = HopTarget { vm: job.to, address: job.address, deadline_at_ms };
     matches!(hops.send(target, request).await, Reply::Concluded { status: KEPT, .. })
 }
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -7,7 +7,7 @@
 use sedgepath_core::hash::Map;
 use sedgepath_core::key::VmKey;
 use sedgepath_wire::frame::{
-    ExchangeId, Frame, FrameError, FrameStream, HttpRequestHead, MAX_CHUNK_BYTES, Purpose,
+    ExchangeId, Frame, FrameError, FrameStream, HttpRequestHead, MAX_CHUNK_BYTES, PeerOperation,
 };
 use sedgepath_wire::key::SharedKey;
 use tokio::net::TcpStream;
@@ -44,7 +44,7 @@
     /// Names the exchange.
     pub id: ExchangeId,
     /// What is asked of the peer.
-    pub purpose: Purpose,
+    pub purpose: PeerOperation,
     /// The request's head.
     pub head: HttpRequestHead,
     /// The request's body.
@@ -95,7 +95,7 @@
     }
 
     async fn send_to_self(&self, request: HopRequest) -> Reply {
-        let Purpose::Run(dispatch) = request.purpose else {
+        let PeerOperation::Run(dispatch) = request.purpose else {
             return Reply::NotSent;
         };
         let reply = self.exchanges.start(self.own, dispatch, request.head, request.body);
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Bytes, BytesMut};
 use sedgepath_wire::frame::{
-    ExchangeId, Frame, FrameError, FrameStream, HttpRequestHead, MAX_CHUNK_BYTES, Purpose,
+    ExchangeId, Frame, FrameError, FrameStream, HttpRequestHead, MAX_CHUNK_BYTES, PeerOperation,
 };
 use sedgepath_wire::key::SharedKey;
 use tokio::net::{TcpListener, TcpStream};
@@ -86,20 +86,20 @@
         &self,
         stream: &mut FrameStream<TcpStream>,
         id: ExchangeId,
-        purpose: Purpose,
+        purpose: PeerOperation,
         head: HttpRequestHead,
         body: Bytes,
     ) -> Result<(), FrameError> {
         let reply = async {
             match purpose {
-                Purpose::Run(dispatch) => {
+                PeerOperation::Run(dispatch) => {
                     let reply = self.exchanges.start(id.ingress, dispatch, head, body);
                     Ok(reply.await.unwrap_or(Reply::Lost))
                 }
-                Purpose::ServeAsHome(home) => {
+                PeerOperation::ServeAsHome(home) => {
                     Ok(self.callers.take_home(id.ingress, home, head, body).await)
                 }
-                Purpose::StoreTickets => homes::keep(self.callers.handle(), &body),
+                PeerOperation::StoreTickets => homes::keep(self.callers.handle(), &body),
             }
         };
         let reply = tokio::select! {
