--- a/crates/sedgepath-wire/src/signed_call.rs
+++ b/crates/sedgepath-wire/src/signed_call.rs
@@ -4,7 +4,7 @@
 //! node takes it if it knows the key, the time is near its own, and it has not seen the number. It
 //! remembers numbers as long as their time is near, so that a repeat is refused for as long as it would
 //! be taken; a node that starts again has forgotten them, which lets a recorded call be repeated for
-//! [`MAX_AGE_MS`] after it was made. A repeated change is found by its number and made once all the
+//! [`MAX_CLOCK_SKEW_MS`] after it was made. A repeated change is found by its number and made once all the
 //! same; all other calls only read.
 //!
 //! Several keys may be in force, so that one can be replaced: the new one is added to all nodes, then
@@ -18,7 +18,7 @@
 
 /// How far the time of a call may be from the node's, in milliseconds: clocks of VMs are set apart by
 /// some seconds, and an operator's call takes up to twelve.
-pub const MAX_AGE_MS: u64 = 30_000;
+pub const MAX_CLOCK_SKEW_MS: u64 = 30_000;
 
 /// The most numbers that are remembered. Strangers add none; operators ask a few times a second.
 const MAX_SEEN: usize = 65_536;
@@ -111,7 +111,7 @@
             return Err(ProofError::InvalidSignature);
         }
         let apart_ms = now_ms.abs_diff(at_ms);
-        if apart_ms > MAX_AGE_MS {
+        if apart_ms > MAX_CLOCK_SKEW_MS {
             return Err(ProofError::ClockSkew { apart_ms });
         }
         self.forget(now_ms);
@@ -119,7 +119,7 @@
             return Err(ProofError::Replayed);
         }
         // A call that is ahead of the node's clock is timely for longer.
-        self.order.push_back((at_ms.max(now_ms) + MAX_AGE_MS, number));
+        self.order.push_back((at_ms.max(now_ms) + MAX_CLOCK_SKEW_MS, number));
         Ok(call.of)
     }
 
--- a/crates/sedgepath-wire/tests/proof.rs
+++ b/crates/sedgepath-wire/tests/proof.rs
@@ -1,6 +1,6 @@
 //! Which remote calls a node takes.
 
-use sedgepath_wire::signed_call::{Guard, MAX_AGE_MS, ProofError, Proved, key};
+use sedgepath_wire::signed_call::{Guard, MAX_CLOCK_SKEW_MS, ProofError, Proved, key};
 
 const KEY: &str = "a key of operators";
 const NOW_MS: u64 = 1_000_000;
@@ -32,17 +32,17 @@
 /// the node's clock; before and after that its time refuses it.
 #[test]
 fn a_recorded_call_never_comes_in_again() {
-    for ahead_ms in [0, MAX_AGE_MS] {
+    for ahead_ms in [0, MAX_CLOCK_SKEW_MS] {
         let mut guard = Guard::new([KEY]);
         let at_ms = NOW_MS + ahead_ms;
         assert_eq!(guard.verify("change", call(KEY, at_ms, 1), NOW_MS), Ok(vec![1, 2]));
-        for now_ms in (NOW_MS..NOW_MS + 4 * MAX_AGE_MS).step_by(1_000) {
+        for now_ms in (NOW_MS..NOW_MS + 4 * MAX_CLOCK_SKEW_MS).step_by(1_000) {
             // Other calls make the node forget what it may.
             let other = call(KEY, now_ms, now_ms);
             assert_eq!(guard.verify("change", other, now_ms), Ok(vec![1, 2]));
             let again = guard.verify("change", call(KEY, at_ms, 1), now_ms);
             let apart_ms = now_ms.abs_diff(at_ms);
-            let expected = if apart_ms > MAX_AGE_MS {
+            let expected = if apart_ms > MAX_CLOCK_SKEW_MS {
                 ProofError::ClockSkew { apart_ms }
             } else {
                 ProofError::Replayed
