--- a/crates/sedgepath-wire/src/signed_call.rs
+++ b/crates/sedgepath-wire/src/signed_call.rs
@@ -25,7 +25,7 @@
 
 /// What proves a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Proof {
+pub struct CallSignature {
     /// When it was made, in milliseconds since the Unix epoch by the caller's clock.
     pub at_ms: u64,
     /// A number drawn at random.
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proved<T> {
     /// The proof.
-    pub proof: Proof,
+    pub proof: CallSignature,
     /// The parameters.
     pub of: T,
 }
@@ -71,7 +71,7 @@
         // Parameters that can't be written are proved by nothing, and refused.
         let parts = parts(method, &of, at_ms, number);
         let code = parts.map(|parts| key.code(&[&parts])).unwrap_or_default();
-        Self { proof: Proof { at_ms, number, code }, of }
+        Self { proof: CallSignature { at_ms, number, code }, of }
     }
 }
 
@@ -102,7 +102,7 @@
         call: Proved<T>,
         now_ms: u64,
     ) -> Result<T, ProofError> {
-        let Proof { at_ms, number, code: given } = call.proof;
+        let CallSignature { at_ms, number, code: given } = call.proof;
         let Some(parts) = parts(method, &call.of, at_ms, number) else {
             return Err(ProofError::InvalidSignature);
         };
