--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -11,7 +11,7 @@
 use sedgepath_core::timeline::TimelineEntry;
 use serde::{Deserialize, Serialize};
 
-use crate::signed_call::Proved;
+use crate::signed_call::SignedCall;
 
 mod caller;
 
@@ -107,25 +107,25 @@
 pub trait Operators {
     /// Returns the next page of the records that were written after a position.
     #[method(name = "page")]
-    async fn page(&self, after: Proved<RecordPosition>) -> RpcResult<Page>;
+    async fn page(&self, after: SignedCall<RecordPosition>) -> RpcResult<Page>;
 
     /// Changes the configuration in force everywhere.
     #[method(name = "change")]
-    async fn change(&self, request: Proved<ChangeRequest>) -> RpcResult<ChangeOutcome>;
+    async fn change(&self, request: SignedCall<ChangeRequest>) -> RpcResult<ChangeOutcome>;
 
     /// Returns the newest accepted changes, the newest first.
     #[method(name = "history")]
-    async fn history(&self, limit: Proved<u32>) -> RpcResult<Vec<LoggedChange>>;
+    async fn history(&self, limit: SignedCall<u32>) -> RpcResult<Vec<LoggedChange>>;
 
     /// Returns what the node says of itself and of the members that it knows.
     #[method(name = "status")]
-    async fn status(&self, call: Proved<()>) -> RpcResult<Status>;
+    async fn status(&self, call: SignedCall<()>) -> RpcResult<Status>;
 
     /// Explains where a request of a caller would go, by what the node knows.
     #[method(name = "explain")]
-    async fn explain(&self, question: Proved<ExplainRequest>) -> RpcResult<Explanation>;
+    async fn explain(&self, question: SignedCall<ExplainRequest>) -> RpcResult<Explanation>;
 
     /// Returns the entries of the node's time line after a stamp.
     #[method(name = "timeline")]
-    async fn timeline(&self, after: Proved<HybridTimestamp>) -> RpcResult<TimelinePart>;
+    async fn timeline(&self, after: SignedCall<HybridTimestamp>) -> RpcResult<TimelinePart>;
 }
--- a/crates/sedgepath-wire/src/rpc/caller.rs
+++ b/crates/sedgepath-wire/src/rpc/caller.rs
@@ -11,7 +11,7 @@
 
 use super::{OperatorsClient, Status, TimelinePart, UNTIMELY_CODE, method};
 use crate::key::SharedKey;
-use crate::signed_call::Proved;
+use crate::signed_call::SignedCall;
 use crate::time::unix_ms;
 
 /// Makes a call, and once more by the node's time if that is far from the caller's.
@@ -97,8 +97,8 @@
         proved!(self.timeline(method::TIMELINE, after))
     }
 
-    fn prove<T: Serialize>(&self, method: &str, of: T, at_ms: u64) -> Proved<T> {
-        Proved::new(&self.key, method, of, at_ms, fastrand::u64(..))
+    fn prove<T: Serialize>(&self, method: &str, of: T, at_ms: u64) -> SignedCall<T> {
+        SignedCall::new(&self.key, method, of, at_ms, fastrand::u64(..))
     }
 }
 
--- a/crates/sedgepath-wire/src/signed_call.rs
+++ b/crates/sedgepath-wire/src/signed_call.rs
@@ -36,7 +36,7 @@
 
 /// The parameters of a call with its proof.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Proved<T> {
+pub struct SignedCall<T> {
     /// The proof.
     pub proof: CallSignature,
     /// The parameters.
@@ -65,7 +65,7 @@
     SharedKey::new(text, "remote calls")
 }
 
-impl<T: Serialize> Proved<T> {
+impl<T: Serialize> SignedCall<T> {
     /// Proves a call.
     pub fn new(key: &SharedKey, method: &str, of: T, at_ms: u64, number: u64) -> Self {
         // Parameters that can't be written are proved by nothing, and refused.
@@ -99,7 +99,7 @@
     pub fn verify<T: Serialize>(
         &mut self,
         method: &str,
-        call: Proved<T>,
+        call: SignedCall<T>,
         now_ms: u64,
     ) -> Result<T, ProofError> {
         let CallSignature { at_ms, number, code: given } = call.proof;
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -21,7 +21,7 @@
     Caller, MemberStatus, OperatorsServer, STOPPING_CODE, Status, TimelinePart, UNAVAILABLE_CODE,
     UNPROVED_CODE, UNTIMELY_CODE, UnreadStatus, method,
 };
-use sedgepath_wire::signed_call::{Guard, ProofError, Proved};
+use sedgepath_wire::signed_call::{Guard, ProofError, SignedCall};
 use serde::Serialize;
 use tokio::sync::mpsc;
 
@@ -62,7 +62,7 @@
     }
 
     /// Checks a call's proof and returns its parameters.
-    fn open<T: Serialize>(&self, method: &str, call: Proved<T>) -> RpcResult<T> {
+    fn open<T: Serialize>(&self, method: &str, call: SignedCall<T>) -> RpcResult<T> {
         let now_ms = self.handle.clock().now_ms();
         // No code panics while it holds the lock.
         let mut guard = self.guard.lock().unwrap_or_else(PoisonError::into_inner);
@@ -90,17 +90,17 @@
 
 #[async_trait]
 impl OperatorsServer for Operators {
-    async fn page(&self, after: Proved<RecordPosition>) -> RpcResult<Page> {
+    async fn page(&self, after: SignedCall<RecordPosition>) -> RpcResult<Page> {
         let after = self.open(method::PAGE, after)?;
         self.ask(move |node| node.page(&after)).await
     }
 
-    async fn change(&self, request: Proved<ChangeRequest>) -> RpcResult<ChangeOutcome> {
+    async fn change(&self, request: SignedCall<ChangeRequest>) -> RpcResult<ChangeOutcome> {
         let request = self.open(method::CHANGE, request)?;
         self.handle.change(request).await.ok_or_else(stopping)
     }
 
-    async fn history(&self, limit: Proved<u32>) -> RpcResult<Vec<LoggedChange>> {
+    async fn history(&self, limit: SignedCall<u32>) -> RpcResult<Vec<LoggedChange>> {
         let limit = self.open(method::HISTORY, limit)?.min(MAX_HISTORY);
         let revision = self.ask(|node| node.configuration().revision()).await?;
         let table = Arc::clone(&self.table);
@@ -112,18 +112,18 @@
         })
     }
 
-    async fn status(&self, call: Proved<()>) -> RpcResult<Status> {
+    async fn status(&self, call: SignedCall<()>) -> RpcResult<Status> {
         self.open(method::STATUS, call)?;
         let now_ms = self.handle.clock().now_ms();
         self.ask(move |node| status(node, now_ms)).await
     }
 
-    async fn explain(&self, question: Proved<ExplainRequest>) -> RpcResult<Explanation> {
+    async fn explain(&self, question: SignedCall<ExplainRequest>) -> RpcResult<Explanation> {
         let question = self.open(method::EXPLAIN, question)?;
         self.ask(move |node| node.explain(&question)).await
     }
 
-    async fn timeline(&self, after: Proved<HybridTimestamp>) -> RpcResult<TimelinePart> {
+    async fn timeline(&self, after: SignedCall<HybridTimestamp>) -> RpcResult<TimelinePart> {
         let after = self.open(method::TIMELINE, after)?;
         self.ask(move |node| TimelinePart {
             node: node.outbox().identity().card.name.clone(),
--- a/crates/sedgepathd/tests/operators.rs
+++ b/crates/sedgepathd/tests/operators.rs
@@ -9,7 +9,7 @@
 use sedgepath_test_support::store::Mode;
 use sedgepath_test_support::system::{SECRET, System};
 use sedgepath_wire::rpc::{UNPROVED_CODE, UNTIMELY_CODE, method};
-use sedgepath_wire::signed_call::{self, MAX_CLOCK_SKEW_MS, Proved};
+use sedgepath_wire::signed_call::{self, MAX_CLOCK_SKEW_MS, SignedCall};
 use sedgepath_wire::time::unix_ms;
 use tempfile::TempDir;
 
@@ -254,7 +254,7 @@
 
     let url = format!("http://{}", bench.system.addresses[0].operators);
     let call = |at_ms, number| {
-        let recorded = Proved::new(&signed_call::key(old), method::STATUS, (), at_ms, number);
+        let recorded = SignedCall::new(&signed_call::key(old), method::STATUS, (), at_ms, number);
         let body = serde_json::json!({
             "jsonrpc": "2.0", "id": 1, "method": "sedgepath_status", "params": [recorded],
         });
