--- a/crates/sedgepath-wire/src/signed_call.rs
+++ b/crates/sedgepath-wire/src/signed_call.rs
@@ -77,14 +77,14 @@
 
 /// Checks the proofs of calls.
 #[derive(Debug)]
-pub struct Guard {
+pub struct CallVerifier {
     keys: Vec<SharedKey>,
     /// The numbers of calls whose time is near, oldest first by when they came.
     order: VecDeque<(u64, u64)>,
     seen: HashSet<u64>,
 }
 
-impl Guard {
+impl CallVerifier {
     /// Creates a guard that knows keys by their texts.
     pub fn new<'a>(texts: impl IntoIterator<Item = &'a str>) -> Self {
         let keys = texts.into_iter().map(key).collect();
--- a/crates/sedgepath-wire/tests/proof.rs
+++ b/crates/sedgepath-wire/tests/proof.rs
@@ -1,6 +1,6 @@
 //! Which remote calls a node takes.
 
-use sedgepath_wire::signed_call::{Guard, MAX_CLOCK_SKEW_MS, ProofError, SignedCall, key};
+use sedgepath_wire::signed_call::{CallVerifier, MAX_CLOCK_SKEW_MS, ProofError, SignedCall, key};
 
 const KEY: &str = "a key of operators";
 const NOW_MS: u64 = 1_000_000;
@@ -13,7 +13,7 @@
 /// parameters it is not.
 #[test]
 fn a_call_is_taken_once_and_for_what_it_was_made() {
-    let mut guard = Guard::new(["the key until now", KEY]);
+    let mut guard = CallVerifier::new(["the key until now", KEY]);
     let mut open = |method, call| guard.verify(method, call, NOW_MS);
     assert_eq!(open("change", call(KEY, NOW_MS, 1)), Ok(vec![1, 2]));
     assert_eq!(open("change", call(KEY, NOW_MS, 1)), Err(ProofError::Replayed));
@@ -33,7 +33,7 @@
 #[test]
 fn a_recorded_call_never_comes_in_again() {
     for ahead_ms in [0, MAX_CLOCK_SKEW_MS] {
-        let mut guard = Guard::new([KEY]);
+        let mut guard = CallVerifier::new([KEY]);
         let at_ms = NOW_MS + ahead_ms;
         assert_eq!(guard.verify("change", call(KEY, at_ms, 1), NOW_MS), Ok(vec![1, 2]));
         for now_ms in (NOW_MS..NOW_MS + 4 * MAX_CLOCK_SKEW_MS).step_by(1_000) {
--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -17,7 +17,7 @@
 use sedgepath_core::table::TableService;
 use sedgepath_wire::key::SharedKey;
 use sedgepath_wire::rpc::OperatorsServer;
-use sedgepath_wire::signed_call::{self, Guard};
+use sedgepath_wire::signed_call::{self, CallVerifier};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use tokio::net::TcpListener;
@@ -110,7 +110,7 @@
 
     let call_key = signed_call::key(&settings.secret);
     let operator_keys = settings.operator_keys.iter().map(|key| &**key);
-    let guard = Guard::new(std::iter::once(&*settings.secret).chain(operator_keys));
+    let guard = CallVerifier::new(std::iter::once(&*settings.secret).chain(operator_keys));
 
     let (stop_callers, callers_stop) = watch::channel(false);
     let serving_callers = runtime.block_on(async {
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -21,7 +21,7 @@
     Caller, MemberStatus, OperatorsServer, STOPPING_CODE, Status, TimelinePart, UNAVAILABLE_CODE,
     UNPROVED_CODE, UNTIMELY_CODE, UnreadStatus, method,
 };
-use sedgepath_wire::signed_call::{Guard, ProofError, SignedCall};
+use sedgepath_wire::signed_call::{CallVerifier, ProofError, SignedCall};
 use serde::Serialize;
 use tokio::sync::mpsc;
 
@@ -52,12 +52,12 @@
 pub struct Operators {
     handle: Handle,
     table: Arc<dyn TableService>,
-    guard: Mutex<Guard>,
+    guard: Mutex<CallVerifier>,
 }
 
 impl Operators {
     /// Creates the server's methods.
-    pub fn new(handle: Handle, table: Arc<dyn TableService>, guard: Guard) -> Self {
+    pub fn new(handle: Handle, table: Arc<dyn TableService>, guard: CallVerifier) -> Self {
         Self { handle, table, guard: Mutex::new(guard) }
     }
 
