--- a/crates/sedgepath-wire/src/signed_call.rs
+++ b/crates/sedgepath-wire/src/signed_call.rs
@@ -45,7 +45,7 @@
 
 /// Why a call is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum ProofError {
+pub enum SignatureError {
     /// No key in force made the proof, or not for this call.
     #[error("the call is not proved by a key in force")]
     InvalidSignature,
@@ -101,22 +101,22 @@
         method: &str,
         call: SignedCall<T>,
         now_ms: u64,
-    ) -> Result<T, ProofError> {
+    ) -> Result<T, SignatureError> {
         let CallSignature { at_ms, number, code: given } = call.proof;
         let Some(parts) = parts(method, &call.of, at_ms, number) else {
-            return Err(ProofError::InvalidSignature);
+            return Err(SignatureError::InvalidSignature);
         };
         // All keys are tried, so that the time does not tell which one fits.
         if self.keys.iter().filter(|key| key.verify(&[&parts], &given)).count() == 0 {
-            return Err(ProofError::InvalidSignature);
+            return Err(SignatureError::InvalidSignature);
         }
         let apart_ms = now_ms.abs_diff(at_ms);
         if apart_ms > MAX_CLOCK_SKEW_MS {
-            return Err(ProofError::ClockSkew { apart_ms });
+            return Err(SignatureError::ClockSkew { apart_ms });
         }
         self.forget(now_ms);
         if !self.seen.insert(number) {
-            return Err(ProofError::Replayed);
+            return Err(SignatureError::Replayed);
         }
         // A call that is ahead of the node's clock is timely for longer.
         self.order.push_back((at_ms.max(now_ms) + MAX_CLOCK_SKEW_MS, number));
--- a/crates/sedgepath-wire/tests/proof.rs
+++ b/crates/sedgepath-wire/tests/proof.rs
@@ -1,6 +1,8 @@
 //! Which remote calls a node takes.
 
-use sedgepath_wire::signed_call::{CallVerifier, MAX_CLOCK_SKEW_MS, ProofError, SignedCall, key};
+use sedgepath_wire::signed_call::{
+    CallVerifier, MAX_CLOCK_SKEW_MS, SignatureError, SignedCall, key,
+};
 
 const KEY: &str = "a key of operators";
 const NOW_MS: u64 = 1_000_000;
@@ -16,16 +18,19 @@
     let mut guard = CallVerifier::new(["the key until now", KEY]);
     let mut open = |method, call| guard.verify(method, call, NOW_MS);
     assert_eq!(open("change", call(KEY, NOW_MS, 1)), Ok(vec![1, 2]));
-    assert_eq!(open("change", call(KEY, NOW_MS, 1)), Err(ProofError::Replayed));
+    assert_eq!(open("change", call(KEY, NOW_MS, 1)), Err(SignatureError::Replayed));
     assert_eq!(open("change", call("the key until now", NOW_MS, 2)), Ok(vec![1, 2]));
-    assert_eq!(open("change", call("another key", NOW_MS, 3)), Err(ProofError::InvalidSignature));
-    assert_eq!(open("page", call(KEY, NOW_MS, 4)), Err(ProofError::InvalidSignature));
+    assert_eq!(
+        open("change", call("another key", NOW_MS, 3)),
+        Err(SignatureError::InvalidSignature)
+    );
+    assert_eq!(open("page", call(KEY, NOW_MS, 4)), Err(SignatureError::InvalidSignature));
     let mut forged = call(KEY, NOW_MS, 5);
     forged.of.push(3);
-    assert_eq!(open("change", forged), Err(ProofError::InvalidSignature));
+    assert_eq!(open("change", forged), Err(SignatureError::InvalidSignature));
     let mut renumbered = call(KEY, NOW_MS, 6);
     renumbered.proof.number = 7;
-    assert_eq!(open("change", renumbered), Err(ProofError::InvalidSignature));
+    assert_eq!(open("change", renumbered), Err(SignatureError::InvalidSignature));
 }
 
 /// A call is refused as a repeat for as long as its time would let it in, also one that was ahead of
@@ -43,9 +48,9 @@
             let again = guard.verify("change", call(KEY, at_ms, 1), now_ms);
             let apart_ms = now_ms.abs_diff(at_ms);
             let expected = if apart_ms > MAX_CLOCK_SKEW_MS {
-                ProofError::ClockSkew { apart_ms }
+                SignatureError::ClockSkew { apart_ms }
             } else {
-                ProofError::Replayed
+                SignatureError::Replayed
             };
             assert_eq!(again, Err(expected), "{ahead_ms} {now_ms}");
         }
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -21,7 +21,7 @@
     Caller, MemberStatus, OperatorsServer, STOPPING_CODE, Status, TimelinePart, UNAVAILABLE_CODE,
     UNPROVED_CODE, UNTIMELY_CODE, UnreadStatus, method,
 };
-use sedgepath_wire::signed_call::{CallVerifier, ProofError, SignedCall};
+use sedgepath_wire::signed_call::{CallVerifier, SignatureError, SignedCall};
 use serde::Serialize;
 use tokio::sync::mpsc;
 
@@ -69,10 +69,10 @@
         guard.verify(method, call, now_ms).map_err(|error| {
             log::warn!("event=call_refused method={method} error={:?}", error.to_string());
             match error {
-                ProofError::ClockSkew { .. } => {
+                SignatureError::ClockSkew { .. } => {
                     ErrorObjectOwned::owned(UNTIMELY_CODE, error.to_string(), Some(now_ms))
                 }
-                ProofError::InvalidSignature | ProofError::Replayed => {
+                SignatureError::InvalidSignature | SignatureError::Replayed => {
                     ErrorObjectOwned::owned(UNPROVED_CODE, error.to_string(), None::<()>)
                 }
             }
