--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -19,7 +19,7 @@
 
 /// A node's part of the time line.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TimelinePart {
+pub struct NodeTimeline {
     /// The node's name.
     pub node: Box<str>,
     /// The entries, oldest first.
@@ -127,5 +127,5 @@
 
     /// Returns the entries of the node's time line after a stamp.
     #[method(name = "timeline")]
-    async fn timeline(&self, after: SignedCall<HybridTimestamp>) -> RpcResult<TimelinePart>;
+    async fn timeline(&self, after: SignedCall<HybridTimestamp>) -> RpcResult<NodeTimeline>;
 }
--- a/crates/sedgepath-wire/src/rpc/caller.rs
+++ b/crates/sedgepath-wire/src/rpc/caller.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::explain::{ExplainRequest, Explanation};
 use serde::Serialize;
 
-use super::{OperatorsClient, Status, TimelinePart, UNTIMELY_CODE, method};
+use super::{NodeTimeline, OperatorsClient, Status, UNTIMELY_CODE, method};
 use crate::key::SharedKey;
 use crate::signed_call::SignedCall;
 use crate::time::unix_ms;
@@ -93,7 +93,7 @@
     /// # Errors
     ///
     /// Fails if the node gives no answer, or an error.
-    pub async fn timeline(&self, after: HybridTimestamp) -> Result<TimelinePart, Error> {
+    pub async fn timeline(&self, after: HybridTimestamp) -> Result<NodeTimeline, Error> {
         proved!(self.timeline(method::TIMELINE, after))
     }
 
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -18,7 +18,7 @@
 use sedgepath_core::table::{TableRequest, TableResult, TableService};
 use sedgepath_wire::key::SharedKey;
 use sedgepath_wire::rpc::{
-    Caller, MemberStatus, OperatorsServer, STOPPING_CODE, Status, TimelinePart, UNAVAILABLE_CODE,
+    Caller, MemberStatus, NodeTimeline, OperatorsServer, STOPPING_CODE, Status, UNAVAILABLE_CODE,
     UNPROVED_CODE, UNTIMELY_CODE, UnreadStatus, method,
 };
 use sedgepath_wire::signed_call::{CallVerifier, SignatureError, SignedCall};
@@ -123,9 +123,9 @@
         self.ask(move |node| node.explain(&question)).await
     }
 
-    async fn timeline(&self, after: SignedCall<HybridTimestamp>) -> RpcResult<TimelinePart> {
+    async fn timeline(&self, after: SignedCall<HybridTimestamp>) -> RpcResult<NodeTimeline> {
         let after = self.open(method::TIMELINE, after)?;
-        self.ask(move |node| TimelinePart {
+        self.ask(move |node| NodeTimeline {
             node: node.outbox().identity().card.name.clone(),
             entries: node.outbox().timeline().since(after),
         })
