--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -28,7 +28,7 @@
 
 /// What a node says of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Status {
+pub struct NodeStatus {
     /// The node's name.
     pub node: Box<str>,
     /// Its failure domain, by key.
@@ -119,7 +119,7 @@
 
     /// Returns what the node says of itself and of the members that it knows.
     #[method(name = "status")]
-    async fn status(&self, call: SignedCall<()>) -> RpcResult<Status>;
+    async fn status(&self, call: SignedCall<()>) -> RpcResult<NodeStatus>;
 
     /// Explains where a request of a caller would go, by what the node knows.
     #[method(name = "explain")]
--- a/crates/sedgepath-wire/src/rpc/caller.rs
+++ b/crates/sedgepath-wire/src/rpc/caller.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::explain::{ExplainRequest, Explanation};
 use serde::Serialize;
 
-use super::{NodeTimeline, OperatorsClient, Status, UNTIMELY_CODE, method};
+use super::{NodeStatus, NodeTimeline, OperatorsClient, UNTIMELY_CODE, method};
 use crate::key::SharedKey;
 use crate::signed_call::SignedCall;
 use crate::time::unix_ms;
@@ -75,7 +75,7 @@
     /// # Errors
     ///
     /// Fails if the node gives no answer, or an error.
-    pub async fn status(&self) -> Result<Status, Error> {
+    pub async fn status(&self) -> Result<NodeStatus, Error> {
         proved!(self.status(method::STATUS, ()))
     }
 
--- a/crates/sedgepath/src/commands/status.rs
+++ b/crates/sedgepath/src/commands/status.rs
@@ -2,7 +2,7 @@
 
 use getopts::Options;
 use sedgepath_core::direct::status::VmStatus;
-use sedgepath_wire::rpc::Status;
+use sedgepath_wire::rpc::NodeStatus;
 
 use super::{Command, data_options};
 use crate::cli::Context;
@@ -96,9 +96,10 @@
     Ok(())
 }
 
-fn write(out: &mut dyn Write, status: &Status) -> std::io::Result<()> {
-    let Status { node, revision, head_age_ms, ready, unreadable_records: unread, members, .. } =
-        status;
+fn write(out: &mut dyn Write, status: &NodeStatus) -> std::io::Result<()> {
+    let NodeStatus {
+        node, revision, head_age_ms, ready, unreadable_records: unread, members, ..
+    } = status;
     let ready = if *ready { "serves" } else { "does not serve yet" };
     writeln!(out, "{node} {ready} by revision {revision}; the head was read {head_age_ms} ms ago")?;
     for record in unread {
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -18,8 +18,8 @@
 use sedgepath_core::table::{TableRequest, TableResult, TableService};
 use sedgepath_wire::key::SharedKey;
 use sedgepath_wire::rpc::{
-    Caller, MemberStatus, NodeTimeline, OperatorsServer, STOPPING_CODE, Status, UNAVAILABLE_CODE,
-    UNPROVED_CODE, UNTIMELY_CODE, UnreadStatus, method,
+    Caller, MemberStatus, NodeStatus, NodeTimeline, OperatorsServer, STOPPING_CODE,
+    UNAVAILABLE_CODE, UNPROVED_CODE, UNTIMELY_CODE, UnreadStatus, method,
 };
 use sedgepath_wire::signed_call::{CallVerifier, SignatureError, SignedCall};
 use serde::Serialize;
@@ -112,7 +112,7 @@
         })
     }
 
-    async fn status(&self, call: SignedCall<()>) -> RpcResult<Status> {
+    async fn status(&self, call: SignedCall<()>) -> RpcResult<NodeStatus> {
         self.open(method::STATUS, call)?;
         let now_ms = self.handle.clock().now_ms();
         self.ask(move |node| status(node, now_ms)).await
@@ -151,7 +151,7 @@
     Some(changes.rev().take(limit as usize).collect())
 }
 
-fn status(node: &Node, now_ms: u64) -> Status {
+fn status(node: &Node, now_ms: u64) -> NodeStatus {
     let members = node.membership().members().into_iter().map(|(_, member)| MemberStatus {
         name: member.card.name.clone(),
         operator_address: member.card.operator_address,
@@ -166,7 +166,7 @@
             name: unread.name.clone(),
             reason: unread.error.to_string().into(),
         });
-    Status {
+    NodeStatus {
         node: node.outbox().identity().card.name.clone(),
         domain: node.outbox().identity().card.domain,
         revision: node.configuration().revision(),
