--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -40,14 +40,14 @@
     /// Whether it serves callers.
     pub ready: bool,
     /// The records that it keeps but can't read.
-    pub unreadable_records: Vec<UnreadStatus>,
+    pub unreadable_records: Vec<UnreadableRecordStatus>,
     /// The members that it knows.
     pub members: Vec<MemberStatus>,
 }
 
 /// A record that a node keeps and passes on but can't read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UnreadStatus {
+pub struct UnreadableRecordStatus {
     /// The record's kind.
     pub kind: Box<str>,
     /// The record's name.
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -19,7 +19,7 @@
 use sedgepath_wire::key::SharedKey;
 use sedgepath_wire::rpc::{
     Caller, MemberStatus, NodeStatus, NodeTimeline, OperatorsServer, STOPPING_CODE,
-    UNAVAILABLE_CODE, UNPROVED_CODE, UNTIMELY_CODE, UnreadStatus, method,
+    UNAVAILABLE_CODE, UNPROVED_CODE, UNTIMELY_CODE, UnreadableRecordStatus, method,
 };
 use sedgepath_wire::signed_call::{CallVerifier, SignatureError, SignedCall};
 use serde::Serialize;
@@ -160,12 +160,13 @@
         suspected: member.suspected,
         leaving: member.card.leaving,
     });
-    let unread =
-        node.configuration().catalogue().unreadable_records.iter().map(|unread| UnreadStatus {
+    let unread = node.configuration().catalogue().unreadable_records.iter().map(|unread| {
+        UnreadableRecordStatus {
             kind: unread.kind.clone(),
             name: unread.name.clone(),
             reason: unread.error.to_string().into(),
-        });
+        }
+    });
     NodeStatus {
         node: node.outbox().identity().card.name.clone(),
         domain: node.outbox().identity().card.domain,
