--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -80,7 +80,7 @@
 pub const UNAVAILABLE_CODE: i32 = -32_002;
 
 /// The code of the error of a call that no key in force proves, or that was made before.
-pub const UNPROVED_CODE: i32 = -32_003;
+pub const UNAUTHENTICATED_CODE: i32 = -32_003;
 
 /// The code of the error of a call whose time is far from the node's; its data is the node's time, in
 /// milliseconds since the Unix epoch.
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -19,7 +19,7 @@
 use sedgepath_wire::key::SharedKey;
 use sedgepath_wire::rpc::{
     Caller, MemberStatus, NodeStatus, NodeTimeline, OperatorsServer, STOPPING_CODE,
-    UNAVAILABLE_CODE, UNPROVED_CODE, UNTIMELY_CODE, UnreadableRecordStatus, method,
+    UNAUTHENTICATED_CODE, UNAVAILABLE_CODE, UNTIMELY_CODE, UnreadableRecordStatus, method,
 };
 use sedgepath_wire::signed_call::{CallVerifier, SignatureError, SignedCall};
 use serde::Serialize;
@@ -73,7 +73,7 @@
                     ErrorObjectOwned::owned(UNTIMELY_CODE, error.to_string(), Some(now_ms))
                 }
                 SignatureError::InvalidSignature | SignatureError::Replayed => {
-                    ErrorObjectOwned::owned(UNPROVED_CODE, error.to_string(), None::<()>)
+                    ErrorObjectOwned::owned(UNAUTHENTICATED_CODE, error.to_string(), None::<()>)
                 }
             }
         })
--- a/crates/sedgepathd/tests/operators.rs
+++ b/crates/sedgepathd/tests/operators.rs
@@ -8,7 +8,7 @@
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use sedgepath_test_support::store::Mode;
 use sedgepath_test_support::system::{SECRET, System};
-use sedgepath_wire::rpc::{UNPROVED_CODE, UNTIMELY_CODE, method};
+use sedgepath_wire::rpc::{UNAUTHENTICATED_CODE, UNTIMELY_CODE, method};
 use sedgepath_wire::signed_call::{self, MAX_CLOCK_SKEW_MS, SignedCall};
 use sedgepath_wire::time::unix_ms;
 use tempfile::TempDir;
@@ -265,7 +265,7 @@
     let first = call(now_ms, 7);
     assert_eq!(first["result"]["ready"], true, "{first}");
     let again = call(now_ms, 7);
-    assert_eq!(again["error"]["code"], UNPROVED_CODE, "{again}");
+    assert_eq!(again["error"]["code"], UNAUTHENTICATED_CODE, "{again}");
     assert_eq!(again["error"]["message"], "the call was made before");
     let early = call(now_ms - 10 * MAX_CLOCK_SKEW_MS, 8);
     assert_eq!(early["error"]["code"], UNTIMELY_CODE, "{early}");
