--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -84,7 +84,7 @@
 
 /// The code of the error of a call whose time is far from the node's; its data is the node's time, in
 /// milliseconds since the Unix epoch.
-pub const UNTIMELY_CODE: i32 = -32_004;
+pub const CLOCK_SKEW_CODE: i32 = -32_004;
 
 /// The methods by their names in proofs.
 pub mod method {
--- a/crates/sedgepath-wire/src/rpc/caller.rs
+++ b/crates/sedgepath-wire/src/rpc/caller.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::explain::{ExplainRequest, Explanation};
 use serde::Serialize;
 
-use super::{NodeStatus, NodeTimeline, OperatorsClient, UNTIMELY_CODE, method};
+use super::{CLOCK_SKEW_CODE, NodeStatus, NodeTimeline, OperatorsClient, method};
 use crate::key::SharedKey;
 use crate::signed_call::SignedCall;
 use crate::time::unix_ms;
@@ -105,6 +105,6 @@
 /// Returns the time of a node that refused a call for its time, in milliseconds since the Unix epoch.
 fn nodes_time_ms<R>(result: &Result<R, Error>) -> Option<u64> {
     let Err(Error::Call(refusal)) = result else { return None };
-    let untimely = refusal.code() == UNTIMELY_CODE;
+    let untimely = refusal.code() == CLOCK_SKEW_CODE;
     refusal.data().filter(|_| untimely)?.get().parse().ok()
 }
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -18,8 +18,8 @@
 use sedgepath_core::table::{TableRequest, TableResult, TableService};
 use sedgepath_wire::key::SharedKey;
 use sedgepath_wire::rpc::{
-    Caller, MemberStatus, NodeStatus, NodeTimeline, OperatorsServer, STOPPING_CODE,
-    UNAUTHENTICATED_CODE, UNAVAILABLE_CODE, UNTIMELY_CODE, UnreadableRecordStatus, method,
+    CLOCK_SKEW_CODE, Caller, MemberStatus, NodeStatus, NodeTimeline, OperatorsServer,
+    STOPPING_CODE, UNAUTHENTICATED_CODE, UNAVAILABLE_CODE, UnreadableRecordStatus, method,
 };
 use sedgepath_wire::signed_call::{CallVerifier, SignatureError, SignedCall};
 use serde::Serialize;
@@ -70,7 +70,7 @@
             log::warn!("event=call_refused method={method} error={:?}", error.to_string());
             match error {
                 SignatureError::ClockSkew { .. } => {
-                    ErrorObjectOwned::owned(UNTIMELY_CODE, error.to_string(), Some(now_ms))
+                    ErrorObjectOwned::owned(CLOCK_SKEW_CODE, error.to_string(), Some(now_ms))
                 }
                 SignatureError::InvalidSignature | SignatureError::Replayed => {
                     ErrorObjectOwned::owned(UNAUTHENTICATED_CODE, error.to_string(), None::<()>)
--- a/crates/sedgepathd/tests/operators.rs
+++ b/crates/sedgepathd/tests/operators.rs
@@ -8,7 +8,7 @@
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use sedgepath_test_support::store::Mode;
 use sedgepath_test_support::system::{SECRET, System};
-use sedgepath_wire::rpc::{UNAUTHENTICATED_CODE, UNTIMELY_CODE, method};
+use sedgepath_wire::rpc::{CLOCK_SKEW_CODE, UNAUTHENTICATED_CODE, method};
 use sedgepath_wire::signed_call::{self, MAX_CLOCK_SKEW_MS, SignedCall};
 use sedgepath_wire::time::unix_ms;
 use tempfile::TempDir;
@@ -268,7 +268,7 @@
     assert_eq!(again["error"]["code"], UNAUTHENTICATED_CODE, "{again}");
     assert_eq!(again["error"]["message"], "the call was made before");
     let early = call(now_ms - 10 * MAX_CLOCK_SKEW_MS, 8);
-    assert_eq!(early["error"]["code"], UNTIMELY_CODE, "{early}");
+    assert_eq!(early["error"]["code"], CLOCK_SKEW_CODE, "{early}");
     let nodes_ms = early["error"]["data"].as_u64().expect("the node's time");
     assert_eq!(call(nodes_ms, 9)["result"]["ready"], true, "by the node's own time");
 }
