--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -77,7 +77,7 @@
 pub const STOPPING_CODE: i32 = -32_001;
 
 /// The code of the error of a question that needs the platform while it can't be reached.
-pub const UNAVAILABLE_CODE: i32 = -32_002;
+pub const PLATFORM_UNAVAILABLE_CODE: i32 = -32_002;
 
 /// The code of the error of a call that no key in force proves, or that was made before.
 pub const UNAUTHENTICATED_CODE: i32 = -32_003;
--- a/crates/sedgepath/src/client.rs
+++ b/crates/sedgepath/src/client.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::configuration::store::RecordPosition;
 use sedgepath_wire::key::SharedKey;
 use sedgepath_wire::rpc::{
-    CLOCK_SKEW_CODE, Caller, STOPPING_CODE, UNAUTHENTICATED_CODE, UNAVAILABLE_CODE,
+    CLOCK_SKEW_CODE, Caller, PLATFORM_UNAVAILABLE_CODE, STOPPING_CODE, UNAUTHENTICATED_CODE,
 };
 use tokio::runtime::Runtime;
 
@@ -107,7 +107,7 @@
                 reason: object.message().into(),
                 // A call that is not proved is refused before anything is done for it.
                 sent: ![UNAUTHENTICATED_CODE, CLOCK_SKEW_CODE].contains(&object.code()),
-                try_next: [STOPPING_CODE, UNAVAILABLE_CODE].contains(&object.code()),
+                try_next: [STOPPING_CODE, PLATFORM_UNAVAILABLE_CODE].contains(&object.code()),
             },
             other => Silence { reason: other.to_string().into(), sent: true, try_next: true },
         })
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -19,7 +19,7 @@
 use sedgepath_wire::key::SharedKey;
 use sedgepath_wire::rpc::{
     CLOCK_SKEW_CODE, Caller, MemberStatus, NodeStatus, NodeTimeline, OperatorsServer,
-    STOPPING_CODE, UNAUTHENTICATED_CODE, UNAVAILABLE_CODE, UnreadableRecordStatus, method,
+    PLATFORM_UNAVAILABLE_CODE, STOPPING_CODE, UNAUTHENTICATED_CODE, UnreadableRecordStatus, method,
 };
 use sedgepath_wire::signed_call::{CallVerifier, SignatureError, SignedCall};
 use serde::Serialize;
@@ -108,7 +108,7 @@
         let history = tokio::task::spawn_blocking(read).await.ok().flatten();
         history.ok_or_else(|| {
             let text = "the platform's table can't be reached";
-            ErrorObjectOwned::owned(UNAVAILABLE_CODE, text, None::<()>)
+            ErrorObjectOwned::owned(PLATFORM_UNAVAILABLE_CODE, text, None::<()>)
         })
     }
 
