--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -15,7 +15,7 @@
 
 mod caller;
 
-pub use caller::Caller;
+pub use caller::NodeClient;
 
 /// A node's part of the time line.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/sedgepath-wire/src/rpc/caller.rs
+++ b/crates/sedgepath-wire/src/rpc/caller.rs
@@ -32,12 +32,12 @@
 /// A node whose clock is far from the caller's refuses a call and tells its own time; the call is then
 /// made once more by that time.
 #[derive(Debug)]
-pub struct Caller {
+pub struct NodeClient {
     client: HttpClient,
     key: SharedKey,
 }
 
-impl Caller {
+impl NodeClient {
     /// Creates a caller that proves its calls by a key.
     pub fn new(client: HttpClient, key: SharedKey) -> Self {
         Self { client, key }
--- a/crates/sedgepath/src/client.rs
+++ b/crates/sedgepath/src/client.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::configuration::store::RecordPosition;
 use sedgepath_wire::key::SharedKey;
 use sedgepath_wire::rpc::{
-    CLOCK_SKEW_CODE, Caller, PLATFORM_UNAVAILABLE_CODE, STOPPING_CODE, UNAUTHENTICATED_CODE,
+    CLOCK_SKEW_CODE, NodeClient, PLATFORM_UNAVAILABLE_CODE, STOPPING_CODE, UNAUTHENTICATED_CODE,
 };
 use tokio::runtime::Runtime;
 
@@ -88,7 +88,7 @@
     pub fn ask_one<T, F: Future<Output = Result<T, RpcError>>>(
         &self,
         node: SocketAddr,
-        question: impl Fn(Caller) -> F,
+        question: impl Fn(NodeClient) -> F,
     ) -> Result<T, Silence> {
         let unsent =
             |reason: String| Silence { reason: reason.into(), sent: false, try_next: true };
@@ -101,7 +101,7 @@
             .max_response_size(MAX_ANSWER_BYTES)
             .build(format!("http://{node}"))
             .map_err(|error| unsent(error.to_string()))?;
-        let caller = Caller::new(client, self.key.clone());
+        let caller = NodeClient::new(client, self.key.clone());
         self.runtime.block_on(question(caller)).map_err(|error| match error {
             RpcError::Call(object) => Silence {
                 reason: object.message().into(),
@@ -120,7 +120,7 @@
     /// Fails if none answers, or one answers with an error that others would give too.
     pub fn ask<T, F: Future<Output = Result<T, RpcError>>>(
         &self,
-        question: impl Fn(Caller) -> F,
+        question: impl Fn(NodeClient) -> F,
     ) -> Result<Answer<T>, CliError> {
         let mut tried = Vec::new();
         for &node in &self.nodes {
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -18,7 +18,7 @@
 use sedgepath_core::table::{TableRequest, TableResult, TableService};
 use sedgepath_wire::key::SharedKey;
 use sedgepath_wire::rpc::{
-    CLOCK_SKEW_CODE, Caller, MemberStatus, NodeStatus, NodeTimeline, OperatorsServer,
+    CLOCK_SKEW_CODE, MemberStatus, NodeClient, NodeStatus, NodeTimeline, OperatorsServer,
     PLATFORM_UNAVAILABLE_CODE, STOPPING_CODE, UNAUTHENTICATED_CODE, UnreadableRecordStatus, method,
 };
 use sedgepath_wire::signed_call::{CallVerifier, SignatureError, SignedCall};
@@ -199,5 +199,5 @@
         .request_timeout(CALL_TIMEOUT)
         .build(format!("http://{from}"))
         .ok()?;
-    Caller::new(client, key).page(after).await.ok()
+    NodeClient::new(client, key).page(after).await.ok()
 }
