--- a/crates/sedgepath-yaml/src/mistakes.rs
+++ b/crates/sedgepath-yaml/src/mistakes.rs
@@ -11,14 +11,14 @@
 
 /// A mistake and its place in the file.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Mistake {
+pub struct LocatedError {
     /// Where it is.
     pub span: Span,
     /// What is wrong, and what would be right.
     pub message: Box<str>,
 }
 
-impl Mistake {
+impl LocatedError {
     /// Creates the mistake of a fault that was found in a document.
     pub fn from_fault(document: &Tree, placed: &LocatedFault<Fault>) -> Self {
         Self::of_field(document, &placed.path, &placed.fault)
@@ -39,12 +39,12 @@
 pub struct Mistakes {
     file: Box<str>,
     source: NamedSource<Arc<str>>,
-    list: Vec<Mistake>,
+    list: Vec<LocatedError>,
 }
 
 impl Mistakes {
     /// Creates a report; the mistakes are shown in the order of their places.
-    pub fn new(file: &str, text: &str, mut mistakes: Vec<Mistake>) -> Self {
+    pub fn new(file: &str, text: &str, mut mistakes: Vec<LocatedError>) -> Self {
         mistakes.sort_by_key(|mistake| mistake.span.offset);
         let source = NamedSource::new(file, Arc::from(text)).with_language("yaml");
         Self { file: file.into(), source, list: mistakes }
@@ -52,12 +52,12 @@
 
     /// Creates the report of a file that is no YAML.
     pub fn from_parse_error(file: &str, text: &str, error: &ReadError) -> Self {
-        let mistake = Mistake { span: error.span, message: error.message.clone() };
+        let mistake = LocatedError { span: error.span, message: error.message.clone() };
         Self::new(file, text, vec![mistake])
     }
 
     /// Returns the mistakes in the order of their places.
-    pub fn mistakes(&self) -> &[Mistake] {
+    pub fn mistakes(&self) -> &[LocatedError] {
         &self.list
     }
 }
--- a/crates/sedgepath/src/records.rs
+++ b/crates/sedgepath/src/records.rs
@@ -8,7 +8,7 @@
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::record::check::{CheckError, Problem};
 use sedgepath_core::schema::{self, Fault, Field, LocatedFault, Shape, ValuePath};
-use sedgepath_yaml::{Content, Mistake, Mistakes, Span, Tree};
+use sedgepath_yaml::{Content, LocatedError, Mistakes, Span, Tree};
 use serde_json::{Map, Value};
 
 use crate::error::CliError;
@@ -104,7 +104,7 @@
 
     /// Places problems in the files that the records came from.
     pub fn report(&self, problems: Vec<Problem>) -> CliError {
-        let mut mistakes: Vec<Vec<Mistake>> = self.files.iter().map(|_| Vec::new()).collect();
+        let mut mistakes: Vec<Vec<LocatedError>> = self.files.iter().map(|_| Vec::new()).collect();
         let mut broken = Vec::new();
         for problem in problems {
             match problem.index.and_then(|index| self.places.get(index)) {
@@ -118,10 +118,10 @@
     }
 }
 
-fn record(document: &Tree) -> Result<RawRecord, Vec<Mistake>> {
+fn record(document: &Tree) -> Result<RawRecord, Vec<LocatedError>> {
     let Content::Mapping(entries) = &document.content else {
         let message = "a record is a mapping with `schema`, `kind` and `name`".into();
-        return Err(vec![Mistake { span: document.span, message }]);
+        return Err(vec![LocatedError { span: document.span, message }]);
     };
     let is_heading = |key: &str| HEADING.iter().any(|field| field.name == key);
     let heading: Map<String, Value> = entries
@@ -132,7 +132,7 @@
     let heading = Value::Object(heading);
     let faults = schema::check(&heading, HEADING, 1);
     if !faults.is_empty() {
-        let mistakes = faults.iter().map(|fault| Mistake::from_fault(document, fault));
+        let mistakes = faults.iter().map(|fault| LocatedError::from_fault(document, fault));
         return Err(mistakes.collect());
     }
     let body: Map<String, Value> = entries
@@ -149,16 +149,16 @@
     })
 }
 
-fn placed(document: &Tree, problem: &Problem) -> Mistake {
+fn placed(document: &Tree, problem: &Problem) -> LocatedError {
     match &problem.error {
         CheckError::Fault { fault: fault @ Fault::Missing { .. } } if problem.path.0.is_empty() => {
             // The mapping that lacks the field is the whole record; its name is shown.
             let span = document.span_of(&ValuePath::field("name"));
-            Mistake { span, message: fault.to_string().into() }
+            LocatedError { span, message: fault.to_string().into() }
         }
         CheckError::Fault { fault } => {
             let fault = LocatedFault { path: problem.path.clone(), fault: fault.clone() };
-            Mistake::from_fault(document, &fault)
+            LocatedError::from_fault(document, &fault)
         }
         error => {
             let whole = problem.path.0.is_empty();
@@ -167,7 +167,7 @@
             } else {
                 document.span_of(&problem.path)
             };
-            Mistake { span, message: error.to_string().into() }
+            LocatedError { span, message: error.to_string().into() }
         }
     }
 }
--- a/crates/sedgepathd/src/settings.rs
+++ b/crates/sedgepathd/src/settings.rs
@@ -6,7 +6,7 @@
 
 use sedgepath_core::identity::NodeSettings;
 use sedgepath_core::schema::{self, ValuePath};
-use sedgepath_yaml::{Mistake, Mistakes, Span, Tree};
+use sedgepath_yaml::{LocatedError, Mistakes, Span, Tree};
 use serde::{Deserialize, Serialize};
 
 use crate::limits::Limits;
@@ -169,7 +169,7 @@
     pub fn parse(file: &str, text: &str) -> Result<Self, Mistakes> {
         let documents = sedgepath_yaml::read(text)
             .map_err(|error| Mistakes::from_parse_error(file, text, &error))?;
-        let whole = |message: &str| Mistake { span: Span::default(), message: message.into() };
+        let whole = |message: &str| LocatedError { span: Span::default(), message: message.into() };
         let [document] = &*documents else {
             let message = "a settings file holds one document";
             return Err(Mistakes::new(file, text, vec![whole(message)]));
@@ -177,7 +177,7 @@
         let json = document.to_json();
         let mut mistakes: Vec<_> = schema::check(&json, FIELDS, 1)
             .into_iter()
-            .map(|placed| Mistake::from_fault(document, &placed))
+            .map(|placed| LocatedError::from_fault(document, &placed))
             .collect();
         if mistakes.is_empty() {
             match serde_json::from_value::<Self>(json) {
@@ -194,7 +194,7 @@
     }
 
     /// Finds fields that are right by themselves but not together.
-    fn contradictions(&self, document: &Tree) -> Vec<Mistake> {
+    fn contradictions(&self, document: &Tree) -> Vec<LocatedError> {
         let mut mistakes = Vec::new();
         let mut wrong = |path: ValuePath, message: String| {
             mistakes.push(mistake(document, &path, message));
@@ -234,6 +234,6 @@
     }
 }
 
-fn mistake(document: &Tree, path: &ValuePath, message: String) -> Mistake {
-    Mistake { span: document.span_of(path), message: message.into() }
+fn mistake(document: &Tree, path: &ValuePath, message: String) -> LocatedError {
+    LocatedError { span: document.span_of(path), message: message.into() }
 }
