--- a/crates/sedgepath-yaml/src/lib.rs
+++ b/crates/sedgepath-yaml/src/lib.rs
@@ -6,5 +6,5 @@
 mod mistakes;
 mod tree;
 
-pub use mistakes::{LocatedError, Mistakes};
+pub use mistakes::{ErrorReport, LocatedError};
 pub use tree::{Content, Entry, ReadError, Span, Tree, read};
--- a/crates/sedgepath-yaml/src/mistakes.rs
+++ b/crates/sedgepath-yaml/src/mistakes.rs
@@ -36,13 +36,13 @@
 
 /// All mistakes of a file.
 #[derive(Debug)]
-pub struct Mistakes {
+pub struct ErrorReport {
     file: Box<str>,
     source: NamedSource<Arc<str>>,
     list: Vec<LocatedError>,
 }
 
-impl Mistakes {
+impl ErrorReport {
     /// Creates a report; the mistakes are shown in the order of their places.
     pub fn new(file: &str, text: &str, mut mistakes: Vec<LocatedError>) -> Self {
         mistakes.sort_by_key(|mistake| mistake.span.offset);
@@ -62,7 +62,7 @@
     }
 }
 
-impl fmt::Display for Mistakes {
+impl fmt::Display for ErrorReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.list.len() {
             1 => write!(f, "{} has a mistake", self.file),
@@ -71,9 +71,9 @@
     }
 }
 
-impl std::error::Error for Mistakes {}
+impl std::error::Error for ErrorReport {}
 
-impl Diagnostic for Mistakes {
+impl Diagnostic for ErrorReport {
     fn source_code(&self) -> Option<&dyn SourceCode> {
         Some(&self.source)
     }
--- a/crates/sedgepath/src/error.rs
+++ b/crates/sedgepath/src/error.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::configuration::change::ChangeRefusal;
 use sedgepath_core::configuration::rows::LoggedChange;
 use sedgepath_core::drain::DrainError;
-use sedgepath_yaml::Mistakes;
+use sedgepath_yaml::ErrorReport;
 
 use crate::operations::losses::PlotError;
 use crate::time;
@@ -137,7 +137,7 @@
     Records {
         /// The files that have mistakes.
         #[related]
-        files: Vec<Mistakes>,
+        files: Vec<ErrorReport>,
         /// What else would be out of order, such as records in force that the change would break.
         broken: Vec<Box<str>>,
     },
--- a/crates/sedgepath/src/records.rs
+++ b/crates/sedgepath/src/records.rs
@@ -8,7 +8,7 @@
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::record::check::{CheckError, Problem};
 use sedgepath_core::schema::{self, Fault, Field, LocatedFault, Shape, ValuePath};
-use sedgepath_yaml::{Content, LocatedError, Mistakes, Span, Tree};
+use sedgepath_yaml::{Content, ErrorReport, LocatedError, Span, Tree};
 use serde_json::{Map, Value};
 
 use crate::error::CliError;
@@ -79,9 +79,9 @@
     /// # Errors
     ///
     /// Fails if the text is no YAML or holds documents without a heading.
-    pub fn add(&mut self, file: &str, text: &str) -> Result<(), Mistakes> {
+    pub fn add(&mut self, file: &str, text: &str) -> Result<(), ErrorReport> {
         let documents = sedgepath_yaml::read(text)
-            .map_err(|error| Mistakes::from_parse_error(file, text, &error))?;
+            .map_err(|error| ErrorReport::from_parse_error(file, text, &error))?;
         let number = self.files.len();
         self.files.push(File { name: file.into(), text: text.into() });
         let mut mistakes = Vec::new();
@@ -94,7 +94,7 @@
                 Err(found) => mistakes.extend(found),
             }
         }
-        if mistakes.is_empty() { Ok(()) } else { Err(Mistakes::new(file, text, mistakes)) }
+        if mistakes.is_empty() { Ok(()) } else { Err(ErrorReport::new(file, text, mistakes)) }
     }
 
     /// Returns the records.
@@ -113,7 +113,8 @@
             }
         }
         let found = self.files.iter().zip(mistakes).filter(|(_, mistakes)| !mistakes.is_empty());
-        let files = found.map(|(file, mistakes)| Mistakes::new(&file.name, &file.text, mistakes));
+        let files =
+            found.map(|(file, mistakes)| ErrorReport::new(&file.name, &file.text, mistakes));
         CliError::Records { files: files.collect(), broken }
     }
 }
--- a/crates/sedgepathd/src/settings.rs
+++ b/crates/sedgepathd/src/settings.rs
@@ -6,7 +6,7 @@
 
 use sedgepath_core::identity::NodeSettings;
 use sedgepath_core::schema::{self, ValuePath};
-use sedgepath_yaml::{LocatedError, Mistakes, Span, Tree};
+use sedgepath_yaml::{ErrorReport, LocatedError, Span, Tree};
 use serde::{Deserialize, Serialize};
 
 use crate::limits::Limits;
@@ -145,7 +145,7 @@
     /// The file has mistakes.
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Mistakes(#[from] Mistakes),
+    Mistakes(#[from] ErrorReport),
 }
 
 impl Settings {
@@ -166,13 +166,13 @@
     /// # Errors
     ///
     /// Fails if a field is wrong; all mistakes are shown at their places.
-    pub fn parse(file: &str, text: &str) -> Result<Self, Mistakes> {
+    pub fn parse(file: &str, text: &str) -> Result<Self, ErrorReport> {
         let documents = sedgepath_yaml::read(text)
-            .map_err(|error| Mistakes::from_parse_error(file, text, &error))?;
+            .map_err(|error| ErrorReport::from_parse_error(file, text, &error))?;
         let whole = |message: &str| LocatedError { span: Span::default(), message: message.into() };
         let [document] = &*documents else {
             let message = "a settings file holds one document";
-            return Err(Mistakes::new(file, text, vec![whole(message)]));
+            return Err(ErrorReport::new(file, text, vec![whole(message)]));
         };
         let json = document.to_json();
         let mut mistakes: Vec<_> = schema::check(&json, FIELDS, 1)
@@ -190,7 +190,7 @@
                 Err(error) => mistakes.push(whole(&error.to_string())),
             }
         }
-        Err(Mistakes::new(file, text, mistakes))
+        Err(ErrorReport::new(file, text, mistakes))
     }
 
     /// Finds fields that are right by themselves but not together.
