--- a/crates/sedgepath-yaml/src/mistakes.rs
+++ b/crates/sedgepath-yaml/src/mistakes.rs
@@ -7,7 +7,7 @@
 
 use sedgepath_core::schema::{Fault, LocatedFault, ValuePath};
 
-use crate::tree::{ReadError, Span, Tree};
+use crate::tree::{ReadError, Span, YamlNode};
 
 /// A mistake and its place in the file.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -20,13 +20,13 @@
 
 impl LocatedError {
     /// Creates the mistake of a fault that was found in a document.
-    pub fn from_fault(document: &Tree, placed: &LocatedFault<Fault>) -> Self {
+    pub fn from_fault(document: &YamlNode, placed: &LocatedFault<Fault>) -> Self {
         Self::of_field(document, &placed.path, &placed.fault)
     }
 
     /// Creates the mistake of a fault at a path; a field that should not be there is shown by its
     /// key, all else by the value.
-    pub fn of_field(document: &Tree, path: &ValuePath, fault: &Fault) -> Self {
+    pub fn of_field(document: &YamlNode, path: &ValuePath, fault: &Fault) -> Self {
         let by_key = matches!(fault, Fault::UnknownField { .. } | Fault::TooNew { .. });
         let key = by_key.then(|| document.key_place(path)).flatten();
         let span = key.unwrap_or_else(|| document.span_of(path));
--- a/crates/sedgepath-yaml/src/tree.rs
+++ b/crates/sedgepath-yaml/src/tree.rs
@@ -28,7 +28,7 @@
 
 /// A part of a document.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Tree {
+pub struct YamlNode {
     /// What it holds.
     pub content: Content,
     /// Where it stands.
@@ -47,7 +47,7 @@
     /// A text.
     Text(Box<str>),
     /// A list.
-    List(Vec<Tree>),
+    List(Vec<YamlNode>),
     /// A mapping.
     Mapping(Vec<Entry>),
 }
@@ -60,7 +60,7 @@
     /// Where the key stands.
     pub key_span: Span,
     /// Its value.
-    pub value: Tree,
+    pub value: YamlNode,
 }
 
 /// A file that is no YAML.
@@ -78,8 +78,8 @@
 /// # Errors
 ///
 /// Fails if the text is no YAML, or a mapping has a key twice.
-pub fn read(text: &str) -> Result<Vec<Tree>, ReadError> {
-    let documents: Vec<Tree> = serde_saphyr::from_multiple(text).map_err(|error| {
+pub fn read(text: &str) -> Result<Vec<YamlNode>, ReadError> {
+    let documents: Vec<YamlNode> = serde_saphyr::from_multiple(text).map_err(|error| {
         let plain = error.without_snippet();
         let span = plain.location().map(|location| place_of_error(text, location));
         let span = span.unwrap_or_default();
@@ -101,7 +101,7 @@
     Span { offset: line_offset + column_offset, bytes: 1 }
 }
 
-impl Tree {
+impl YamlNode {
     /// Returns the value of a field of a mapping.
     pub fn field(&self, name: &str) -> Option<&Self> {
         self.entry(name).map(|entry| &entry.value)
@@ -174,7 +174,7 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Tree {
+impl<'de> Deserialize<'de> for YamlNode {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let spanned = Spanned::<Content>::deserialize(deserializer)?;
         Ok(Self { content: spanned.value, span: spanned.referenced.into() })
@@ -239,7 +239,7 @@
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Content, A::Error> {
         let mut entries = Vec::new();
-        while let Some(key) = map.next_key::<Tree>()? {
+        while let Some(key) = map.next_key::<YamlNode>()? {
             let Content::Text(name) = key.content else {
                 return Err(A::Error::custom("a key must be text"));
             };
--- a/crates/sedgepath/src/records.rs
+++ b/crates/sedgepath/src/records.rs
@@ -8,7 +8,7 @@
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::record::check::{CheckError, Problem};
 use sedgepath_core::schema::{self, Fault, Field, LocatedFault, Shape, ValuePath};
-use sedgepath_yaml::{Content, ErrorReport, LocatedError, Span, Tree};
+use sedgepath_yaml::{Content, ErrorReport, LocatedError, Span, YamlNode};
 use serde_json::{Map, Value};
 
 use crate::error::CliError;
@@ -49,7 +49,7 @@
 #[derive(Debug, Default)]
 pub struct FileRecords {
     files: Vec<File>,
-    places: Vec<(usize, Tree)>,
+    places: Vec<(usize, YamlNode)>,
     records: Vec<RawRecord>,
 }
 
@@ -119,7 +119,7 @@
     }
 }
 
-fn record(document: &Tree) -> Result<RawRecord, Vec<LocatedError>> {
+fn record(document: &YamlNode) -> Result<RawRecord, Vec<LocatedError>> {
     let Content::Mapping(entries) = &document.content else {
         let message = "a record is a mapping with `schema`, `kind` and `name`".into();
         return Err(vec![LocatedError { span: document.span, message }]);
@@ -150,7 +150,7 @@
     })
 }
 
-fn placed(document: &Tree, problem: &Problem) -> LocatedError {
+fn placed(document: &YamlNode, problem: &Problem) -> LocatedError {
     match &problem.error {
         CheckError::Fault { fault: fault @ Fault::Missing { .. } } if problem.path.0.is_empty() => {
             // The mapping that lacks the field is the whole record; its name is shown.
--- a/crates/sedgepathd/src/settings.rs
+++ b/crates/sedgepathd/src/settings.rs
@@ -6,7 +6,7 @@
 
 use sedgepath_core::identity::NodeSettings;
 use sedgepath_core::schema::{self, ValuePath};
-use sedgepath_yaml::{ErrorReport, LocatedError, Span, Tree};
+use sedgepath_yaml::{ErrorReport, LocatedError, Span, YamlNode};
 use serde::{Deserialize, Serialize};
 
 use crate::limits::Limits;
@@ -194,7 +194,7 @@
     }
 
     /// Finds fields that are right by themselves but not together.
-    fn contradictions(&self, document: &Tree) -> Vec<LocatedError> {
+    fn contradictions(&self, document: &YamlNode) -> Vec<LocatedError> {
         let mut mistakes = Vec::new();
         let mut wrong = |path: ValuePath, message: String| {
             mistakes.push(mistake(document, &path, message));
@@ -234,6 +234,6 @@
     }
 }
 
-fn mistake(document: &Tree, path: &ValuePath, message: String) -> LocatedError {
+fn mistake(document: &YamlNode, path: &ValuePath, message: String) -> LocatedError {
     LocatedError { span: document.span_of(path), message: message.into() }
 }
