--- a/crates/sedgepath-yaml/src/tree.rs
+++ b/crates/sedgepath-yaml/src/tree.rs
@@ -30,14 +30,14 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct YamlNode {
     /// What it holds.
-    pub content: Content,
+    pub content: YamlValue,
     /// Where it stands.
     pub span: Span,
 }
 
 /// What a part of a document holds.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Content {
+pub enum YamlValue {
     /// Nothing.
     Null,
     /// `true` or `false`.
@@ -85,7 +85,7 @@
         let span = span.unwrap_or_default();
         ReadError { message: plain.to_string().into(), span }
     })?;
-    Ok(documents.into_iter().filter(|document| document.content != Content::Null).collect())
+    Ok(documents.into_iter().filter(|document| document.content != YamlValue::Null).collect())
 }
 
 /// The places of some errors have a line and a column only.
@@ -109,7 +109,7 @@
 
     fn entry(&self, name: &str) -> Option<&Entry> {
         match &self.content {
-            Content::Mapping(entries) => entries.iter().find(|entry| &*entry.key == name),
+            YamlValue::Mapping(entries) => entries.iter().find(|entry| &*entry.key == name),
             _ => None,
         }
     }
@@ -117,12 +117,12 @@
     /// Returns the same as JSON.
     pub fn to_json(&self) -> Value {
         match &self.content {
-            Content::Null => Value::Null,
-            Content::Flag(flag) => Value::Bool(*flag),
-            Content::Number(number) => Value::Number(number.clone()),
-            Content::Text(text) => Value::String(text.to_string()),
-            Content::List(items) => items.iter().map(Self::to_json).collect(),
-            Content::Mapping(entries) => {
+            YamlValue::Null => Value::Null,
+            YamlValue::Flag(flag) => Value::Bool(*flag),
+            YamlValue::Number(number) => Value::Number(number.clone()),
+            YamlValue::Text(text) => Value::String(text.to_string()),
+            YamlValue::List(items) => items.iter().map(Self::to_json).collect(),
+            YamlValue::Mapping(entries) => {
                 entries.iter().map(|entry| (entry.key.to_string(), entry.value.to_json())).collect()
             }
         }
@@ -138,7 +138,7 @@
     fn step(&self, segment: &PathSegment) -> Option<&Self> {
         match (segment, &self.content) {
             (PathSegment::Field(name), _) => self.field(name),
-            (PathSegment::Item(index), Content::List(items)) => items.get(*index),
+            (PathSegment::Item(index), YamlValue::List(items)) => items.get(*index),
             (PathSegment::Item(_), _) => None,
         }
     }
@@ -161,14 +161,14 @@
 
     fn line_span(&self, key_span: Option<Span>) -> Span {
         match &self.content {
-            Content::List(items) => {
+            YamlValue::List(items) => {
                 key_span.or_else(|| items.first().map(|item| item.line_span(None)))
             }
-            Content::Mapping(entries) => {
+            YamlValue::Mapping(entries) => {
                 key_span.or_else(|| entries.first().map(|entry| entry.key_span))
             }
-            Content::Null => key_span,
-            Content::Flag(_) | Content::Number(_) | Content::Text(_) => None,
+            YamlValue::Null => key_span,
+            YamlValue::Flag(_) | YamlValue::Number(_) | YamlValue::Text(_) => None,
         }
         .unwrap_or(self.span)
     }
@@ -176,12 +176,12 @@
 
 impl<'de> Deserialize<'de> for YamlNode {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let spanned = Spanned::<Content>::deserialize(deserializer)?;
+        let spanned = Spanned::<YamlValue>::deserialize(deserializer)?;
         Ok(Self { content: spanned.value, span: spanned.referenced.into() })
     }
 }
 
-impl<'de> Deserialize<'de> for Content {
+impl<'de> Deserialize<'de> for YamlValue {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         deserializer.deserialize_any(ContentVisitor)
     }
@@ -190,61 +190,61 @@
 struct ContentVisitor;
 
 impl<'de> Visitor<'de> for ContentVisitor {
-    type Value = Content;
+    type Value = YamlValue;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("a YAML value")
     }
 
-    fn visit_unit<E>(self) -> Result<Content, E> {
-        Ok(Content::Null)
+    fn visit_unit<E>(self) -> Result<YamlValue, E> {
+        Ok(YamlValue::Null)
     }
 
-    fn visit_none<E>(self) -> Result<Content, E> {
-        Ok(Content::Null)
+    fn visit_none<E>(self) -> Result<YamlValue, E> {
+        Ok(YamlValue::Null)
     }
 
-    fn visit_some<D: Deserializer<'de>>(self, deserializer: D) -> Result<Content, D::Error> {
+    fn visit_some<D: Deserializer<'de>>(self, deserializer: D) -> Result<YamlValue, D::Error> {
         deserializer.deserialize_any(self)
     }
 
-    fn visit_bool<E>(self, v: bool) -> Result<Content, E> {
-        Ok(Content::Flag(v))
+    fn visit_bool<E>(self, v: bool) -> Result<YamlValue, E> {
+        Ok(YamlValue::Flag(v))
     }
 
-    fn visit_u64<E>(self, v: u64) -> Result<Content, E> {
-        Ok(Content::Number(v.into()))
+    fn visit_u64<E>(self, v: u64) -> Result<YamlValue, E> {
+        Ok(YamlValue::Number(v.into()))
     }
 
-    fn visit_i64<E>(self, v: i64) -> Result<Content, E> {
-        Ok(Content::Number(v.into()))
+    fn visit_i64<E>(self, v: i64) -> Result<YamlValue, E> {
+        Ok(YamlValue::Number(v.into()))
     }
 
-    fn visit_f64<E: serde::de::Error>(self, v: f64) -> Result<Content, E> {
+    fn visit_f64<E: serde::de::Error>(self, v: f64) -> Result<YamlValue, E> {
         let finite = Number::from_f64(v);
-        finite.map(Content::Number).ok_or_else(|| E::custom("a number must be finite"))
+        finite.map(YamlValue::Number).ok_or_else(|| E::custom("a number must be finite"))
     }
 
-    fn visit_str<E>(self, v: &str) -> Result<Content, E> {
-        Ok(Content::Text(v.into()))
+    fn visit_str<E>(self, v: &str) -> Result<YamlValue, E> {
+        Ok(YamlValue::Text(v.into()))
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Content, A::Error> {
+    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<YamlValue, A::Error> {
         let mut list = Vec::new();
         while let Some(item) = seq.next_element()? {
             list.push(item);
         }
-        Ok(Content::List(list))
+        Ok(YamlValue::List(list))
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Content, A::Error> {
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<YamlValue, A::Error> {
         let mut entries = Vec::new();
         while let Some(key) = map.next_key::<YamlNode>()? {
-            let Content::Text(name) = key.content else {
+            let YamlValue::Text(name) = key.content else {
                 return Err(A::Error::custom("a key must be text"));
             };
             entries.push(Entry { key: name, key_span: key.span, value: map.next_value()? });
         }
-        Ok(Content::Mapping(entries))
+        Ok(YamlValue::Mapping(entries))
     }
 }
--- a/crates/sedgepath/src/records.rs
+++ b/crates/sedgepath/src/records.rs
@@ -8,7 +8,7 @@
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::record::check::{CheckError, Problem};
 use sedgepath_core::schema::{self, Fault, Field, LocatedFault, Shape, ValuePath};
-use sedgepath_yaml::{Content, ErrorReport, LocatedError, Span, YamlNode};
+use sedgepath_yaml::{ErrorReport, LocatedError, Span, YamlNode, YamlValue};
 use serde_json::{Map, Value};
 
 use crate::error::CliError;
@@ -120,7 +120,7 @@
 }
 
 fn record(document: &YamlNode) -> Result<RawRecord, Vec<LocatedError>> {
-    let Content::Mapping(entries) = &document.content else {
+    let YamlValue::Mapping(entries) = &document.content else {
         let message = "a record is a mapping with `schema`, `kind` and `name`".into();
         return Err(vec![LocatedError { span: document.span, message }]);
     };
