--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sedgepath_adapter::rows::{self, OperatorKey, table_name};
+use sedgepath_adapter::rows::{self, OperatorRowKey, table_name};
 use sedgepath_adapter::store::StoreError;
 use sedgepath_core::direct::Steering;
 use sedgepath_core::direct::replicas::{Table, TableUpdate, VersionedRow};
@@ -174,8 +174,8 @@
     let mut steering = shell.steering.borrow_mut();
     let mut evacuated = steering.evacuated_domains().clone();
     for row in rows {
-        match OperatorKey::parse(&row.key) {
-            OperatorKey::Configuration => {
+        match OperatorRowKey::parse(&row.key) {
+            OperatorRowKey::Configuration => {
                 let Some(value) = &row.value else { continue };
                 match rows::configuration(value) {
                     Ok(configuration) => {
@@ -188,7 +188,7 @@
                     }
                 }
             }
-            OperatorKey::Evacuation(domain) => {
+            OperatorRowKey::Evacuation(domain) => {
                 let emptied = row.value.is_some();
                 log::info!("event=evacuation domain={domain} emptied={emptied}");
                 if emptied {
@@ -197,7 +197,7 @@
                     evacuated.remove(domain);
                 }
             }
-            OperatorKey::Unknown => {}
+            OperatorRowKey::Unknown => {}
         }
     }
     steering.set_evacuated_domains(evacuated, now_ms);
