--- a/crates/sedgepathd/src/direct/ingress.rs
+++ b/crates/sedgepathd/src/direct/ingress.rs
@@ -14,7 +14,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use sedgepath_adapter::headers::RequestFields;
+use sedgepath_adapter::headers::RequestHeaders;
 use sedgepath_core::direct::attempts::{AttemptOutcome, NextStep, RejectionReason};
 use sedgepath_core::direct::steering::{IncomingRequest, Rejection};
 use sedgepath_wire::tcp;
@@ -136,7 +136,7 @@
 async fn handle(shell: &Rc<Shell>, request: Request<Incoming>) -> Response<Body> {
     let now_ms = clock::now_ms();
     let (parts, incoming) = request.into_parts();
-    let fields = RequestFields::parse(&parts.headers, &parts.uri);
+    let fields = RequestHeaders::parse(&parts.headers, &parts.uri);
     let attempt: Box<str> = fields.attempt_id.into();
     if shell.requests.get() > MAX_REQUESTS {
         let refusal =
