--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body as _, Frame, Incoming, SizeHint};
 use hyper::{Request, Response, StatusCode, http};
-use sedgepath_adapter::headers::{self, AnswerFields, AnswerKind};
+use sedgepath_adapter::headers::{self, AnswerKind, ResponseHeaders};
 use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, NextStep, RequestState};
 use sedgepath_core::direct::upstreams::UpstreamKey;
 use tokio::time::timeout_at;
@@ -185,7 +185,7 @@
     response: Response<Incoming>,
     connection: Connection,
 ) -> Ended {
-    let fields = AnswerFields::parse(response.status(), response.headers(), &head.attempt);
+    let fields = ResponseHeaders::parse(response.status(), response.headers(), &head.attempt);
     let (parts, mut incoming) = response.into_parts();
     let deadline = clock::instant(deadline_at_ms);
     let begun = match fields.kind {
@@ -226,7 +226,7 @@
     }
 }
 
-fn answered(status: StatusCode, fields: AnswerFields, body_bytes: u64) -> AttemptOutcome {
+fn answered(status: StatusCode, fields: ResponseHeaders, body_bytes: u64) -> AttemptOutcome {
     AttemptOutcome::Answered { failed: status.is_server_error(), report: fields.load, body_bytes }
 }
 
@@ -240,7 +240,7 @@
 struct Returned {
     upstream: UpstreamKey,
     connection: Connection,
-    fields: AnswerFields,
+    fields: ResponseHeaders,
 }
 
 impl Returned {
