--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body as _, Frame, Incoming, SizeHint};
 use hyper::{Request, Response, StatusCode, http};
-use sedgepath_adapter::headers::{self, AnswerKind, ResponseHeaders};
+use sedgepath_adapter::headers::{self, ResponseHeaders, ResponseKind};
 use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, NextStep, RequestState};
 use sedgepath_core::direct::upstreams::UpstreamKey;
 use tokio::time::timeout_at;
@@ -189,14 +189,14 @@
     let (parts, mut incoming) = response.into_parts();
     let deadline = clock::instant(deadline_at_ms);
     let begun = match fields.kind {
-        AnswerKind::Mismatched => return Ended::without_answer(AttemptOutcome::Failed),
-        AnswerKind::Matching | AnswerKind::NotRun | AnswerKind::Misdirected => {
+        ResponseKind::Mismatched => return Ended::without_answer(AttemptOutcome::Failed),
+        ResponseKind::Matching | ResponseKind::NotRun | ResponseKind::Misdirected => {
             match timeout_at(deadline, hold(shell, &mut incoming)).await {
                 Ok(Ok(begun)) => begun,
-                Ok(Err(_broken)) if fields.kind == AnswerKind::Matching => {
+                Ok(Err(_broken)) if fields.kind == ResponseKind::Matching => {
                     return Ended::without_answer(AttemptOutcome::Failed);
                 }
-                Err(_elapsed) if fields.kind == AnswerKind::Matching => {
+                Err(_elapsed) if fields.kind == ResponseKind::Matching => {
                     return Ended::without_answer(AttemptOutcome::TimedOut);
                 }
                 // The head alone proves that the request was not run.
@@ -207,11 +207,11 @@
     let report = fields.load;
     let returned = Returned { upstream: sending.upstream, connection, fields };
     match (fields.kind, begun) {
-        (AnswerKind::NotRun, _) => {
+        (ResponseKind::NotRun, _) => {
             returned.give_back(shell);
             Ended::without_answer(AttemptOutcome::Refused { report })
         }
-        (AnswerKind::Misdirected, _) => Ended::without_answer(AttemptOutcome::Misdirected),
+        (ResponseKind::Misdirected, _) => Ended::without_answer(AttemptOutcome::Misdirected),
         (_, Held::Whole(bytes)) => {
             returned.give_back(shell);
             let outcome = answered(parts.status, fields, bytes.len() as u64);
