--- a/crates/sedgepathd/src/direct/entry.rs
+++ b/crates/sedgepathd/src/direct/entry.rs
@@ -3,7 +3,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use sedgepath_adapter::entry_vm_query::{self, EntryQuestion};
+use sedgepath_adapter::entry_vm_query::{self, EntryVmQuery};
 
 use super::clock;
 use super::pool::Body;
@@ -19,11 +19,11 @@
 pub fn answer(shell: &Shell, request: &Request<Incoming>) -> Response<Body> {
     let steering = shell.steering.borrow();
     match entry_vm_query::read(request.method(), request.uri()) {
-        Some(EntryQuestion::Readiness) => {
+        Some(EntryVmQuery::Readiness) => {
             let ready = steering.can_serve() && !steering.vms().is_leaving();
             empty(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
         }
-        Some(EntryQuestion::LookUp { domain, region }) => {
+        Some(EntryVmQuery::LookUp { domain, region }) => {
             let named = steering.vms().look_up(&domain, &region, clock::now_ms());
             let body = entry_vm_query::answer(&named, VALID_FOR_MS);
             let mut response = Response::new(held(body.into_bytes().into()));
