--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -8,7 +8,7 @@
 
 use crossbeam::channel::unbounded;
 use jsonrpsee::server::Server;
-use sedgepath_adapter::store::Store;
+use sedgepath_adapter::store::HttpStore;
 use sedgepath_core::event::Event;
 use sedgepath_core::identity::Identity;
 use sedgepath_core::key::{BootId, DomainKey};
@@ -79,7 +79,7 @@
     };
     let (handle, node_thread) = driver::start(node, clock, outlets);
 
-    let store = Arc::new(Store::new(store_address(&settings.platform)?));
+    let store = Arc::new(HttpStore::new(store_address(&settings.platform)?));
     let table: Arc<dyn TableService> =
         Arc::new(StoreTable::new(Arc::clone(&store), runtime.handle().clone()));
     table::start_workers(&table, &table_jobs, &handle);
--- a/crates/sedgepathd/src/direct/shell.rs
+++ b/crates/sedgepathd/src/direct/shell.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sedgepath_adapter::settings::Settings;
-use sedgepath_adapter::store::Store;
+use sedgepath_adapter::store::HttpStore;
 use sedgepath_core::direct::Steering;
 use sedgepath_core::direct::replicas::{Table, TableReplicas};
 use sedgepath_core::direct::vms::StoreHealth;
@@ -28,7 +28,7 @@
     /// Copies of the store's tables.
     pub copies: RefCell<TableReplicas>,
     /// The store.
-    pub store: Store,
+    pub store: HttpStore,
     /// How this VM's own calls of the store end.
     pub store_calls: Cell<StoreCalls>,
     /// The datagrams between VMs.
@@ -109,7 +109,7 @@
         Rc::new(Self {
             line_clock,
             metrics,
-            store: Store::new(settings.store.address),
+            store: HttpStore::new(settings.store.address),
             copies: RefCell::default(),
             store_calls: Cell::default(),
             peers,
--- a/crates/sedgepathd/src/store.rs
+++ b/crates/sedgepathd/src/store.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crossbeam::channel::bounded;
-use sedgepath_adapter::store::Store;
+use sedgepath_adapter::store::HttpStore;
 use sedgepath_core::direct::replicas::VersionedRow;
 use sedgepath_core::event::{Event, ListedVm};
 use sedgepath_core::table::{RECORD_TABLE, TableRequest, TableResult, TableService};
@@ -25,13 +25,13 @@
 /// The table of records, claims and tickets, for threads that wait for its answers.
 #[derive(Debug)]
 pub struct StoreTable {
-    store: Arc<Store>,
+    store: Arc<HttpStore>,
     runtime: Runtime,
 }
 
 impl StoreTable {
     /// Creates a table whose calls are made by a runtime; only threads outside it may wait for them.
-    pub fn new(store: Arc<Store>, runtime: Runtime) -> Self {
+    pub fn new(store: Arc<HttpStore>, runtime: Runtime) -> Self {
         Self { store, runtime }
     }
 }
@@ -64,7 +64,7 @@
 /// A planned stop takes the row away. It stays after a VM that ends in any other way: whether a silent VM is gone or cut off is not known here, and a VM taken
 /// for gone while it serves would have its upstreams owned twice.
 pub async fn follow_list(
-    store: Arc<Store>,
+    store: Arc<HttpStore>,
     name: Box<str>,
     row: Vec<u8>,
     handle: Handle,
