--- a/crates/sedgepath-test-support/src/system.rs
+++ b/crates/sedgepath-test-support/src/system.rs
@@ -14,7 +14,7 @@
 
 use crate::daemon::{DaemonError, DaemonProcess};
 use crate::port::free_ports;
-use crate::store::{StoreClient, StoreStandIn};
+use crate::store::{BlockingTableClient, StoreStandIn};
 
 /// The secret that the daemons share.
 pub const SECRET: &str = "a secret for tests only";
@@ -125,7 +125,7 @@
     ///
     /// Fails if the table does not take them.
     pub fn write_records(&self, records: &[RawRecord]) -> Result<u64, SystemError> {
-        write_records(&StoreClient::new(self.store.address, RECORD_TABLE)?, records)
+        write_records(&BlockingTableClient::new(self.store.address, RECORD_TABLE)?, records)
     }
 
     /// Adds a VM and starts a daemon on it; returns its number.
--- a/crates/sedgepath-test-support/tests/table.rs
+++ b/crates/sedgepath-test-support/tests/table.rs
@@ -3,13 +3,13 @@
 use sedgepath_core::table::{
     Row, RowChange, RowCondition, RowWrite, TableRequest, TableResult, TableService, Transaction,
 };
-use sedgepath_test_support::store::{Mode, StoreClient, StoreCounts, StoreStandIn};
+use sedgepath_test_support::store::{BlockingTableClient, Mode, StoreCounts, StoreStandIn};
 use sedgepath_test_support::table::MemoryTable;
 
 const TABLE: &str = "table";
 
-fn client(store: &StoreStandIn) -> StoreClient {
-    StoreClient::new(store.address, TABLE).expect("a client")
+fn client(store: &StoreStandIn) -> BlockingTableClient {
+    BlockingTableClient::new(store.address, TABLE).expect("a client")
 }
 
 fn put(key: &str, condition: RowCondition, value: &str) -> RowWrite {
--- a/crates/sedgepathd/tests/store_answers.rs
+++ b/crates/sedgepathd/tests/store_answers.rs
@@ -7,7 +7,7 @@
 use std::thread::{self, JoinHandle};
 
 use sedgepath_core::table::{Row, TableRequest, TableResult, TableService, Transaction};
-use sedgepath_test_support::store::StoreClient;
+use sedgepath_test_support::store::BlockingTableClient;
 
 /// What a canned server does with one connection after it has read the request.
 enum Step {
@@ -16,7 +16,7 @@
 }
 
 /// Serves one connection for each step and returns the requests it read.
-fn serve(steps: Vec<Step>) -> (StoreClient, JoinHandle<Vec<String>>) {
+fn serve(steps: Vec<Step>) -> (BlockingTableClient, JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("an address");
     let server = thread::spawn(move || {
@@ -36,8 +36,8 @@
     (client(addr), server)
 }
 
-fn client(addr: SocketAddr) -> StoreClient {
-    StoreClient::new(addr, "table").expect("a client")
+fn client(addr: SocketAddr) -> BlockingTableClient {
+    BlockingTableClient::new(addr, "table").expect("a client")
 }
 
 /// Reads a request whose body, if any, ends with a closing brace or bracket.
