--- a/crates/sedgepath-test-support/tests/table.rs
+++ b/crates/sedgepath-test-support/tests/table.rs
@@ -3,7 +3,7 @@
 use sedgepath_core::table::{
     Row, RowChange, RowCondition, RowWrite, TableRequest, TableResult, TableService, Transaction,
 };
-use sedgepath_test_support::store::{BlockingTableClient, Mode, StoreCounts, StoreStandIn};
+use sedgepath_test_support::store::{BlockingTableClient, CallCounts, Mode, StoreStandIn};
 use sedgepath_test_support::table::MemoryTable;
 
 const TABLE: &str = "table";
@@ -131,7 +131,7 @@
     let rows: Vec<_> = rows.iter().map(|row| (&*row.key, &*row.value)).collect();
     assert_eq!(rows, [("handover/a", "done"), ("ticket/a/1", "ran")]);
     assert_eq!(store.rows(TABLE), before);
-    assert_eq!(store.counts(), StoreCounts { reads: 0, writes: 1 });
+    assert_eq!(store.counts(), CallCounts { reads: 0, writes: 1 });
 }
 
 #[test]
@@ -162,7 +162,7 @@
     assert_eq!(row.as_ref().map(|row| &*row.value), Some("mine"));
     let expected = TableResult::Conflict { key: "claim/1".into(), current: row };
     assert_eq!(client.execute(&insert), expected);
-    assert_eq!(store.counts(), StoreCounts { reads: 1, writes: 2 });
+    assert_eq!(store.counts(), CallCounts { reads: 1, writes: 2 });
 }
 
 #[test]
