--- a/crates/sedgepath-test-support/tests/table.rs
+++ b/crates/sedgepath-test-support/tests/table.rs
@@ -3,7 +3,7 @@
 use sedgepath_core::table::{
     Row, RowChange, RowCondition, RowWrite, TableRequest, TableResult, TableService, Transaction,
 };
-use sedgepath_test_support::store::{BlockingTableClient, CallCounts, Mode, StoreStandIn};
+use sedgepath_test_support::store::{BlockingTableClient, CallCounts, StoreMode, StoreStandIn};
 use sedgepath_test_support::table::MemoryTable;
 
 const TABLE: &str = "table";
@@ -192,10 +192,10 @@
     let client = client(&store);
     let insert = commit([put("a", RowCondition::Absent, "1")]);
     let lookup = TableRequest::Read(vec!["a".into()]);
-    store.set_mode(Mode::Refusing);
+    store.set_mode(StoreMode::Refusing);
     assert_eq!(client.execute(&insert), TableResult::Unavailable);
     assert_eq!(client.execute(&lookup), TableResult::Unavailable);
-    store.set_mode(Mode::ClosingConnections);
+    store.set_mode(StoreMode::ClosingConnections);
     assert_eq!(client.execute(&insert), TableResult::Unknown);
     assert_eq!(client.execute(&lookup), TableResult::Unavailable);
     assert_eq!(store.rows(TABLE), []);
--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -9,7 +9,7 @@
 use platform::upstream::{Behaviour, UpstreamStandIn};
 use platform::{Site, Vm, configure, wait_for};
 use sedgepath::cli::{self, Environment};
-use sedgepath_test_support::store::{Mode, StoreStandIn};
+use sedgepath_test_support::store::{StoreMode, StoreStandIn};
 
 const READS: &str = "/reads/1?q=2";
 const CHARGES: &str = "/charges/1";
@@ -317,7 +317,7 @@
 fn a_vm_that_starts_without_the_store_learns_from_another() {
     let served = Served::new(1);
     let second = served.site.start_ready(2, "north-a");
-    served.store.set_mode(Mode::Unresponsive);
+    served.store.set_mode(StoreMode::Unresponsive);
     second.kill();
 
     let second = served.site.start(2, "north-a");
@@ -369,7 +369,7 @@
     UpstreamStandIn::new("u0").register(&store, "north-a", "ready", 1);
     let site = Site::new(store.address);
     let peer = SlowPeer::new(site.peer_address(1), &store);
-    store.set_mode(Mode::Unresponsive);
+    store.set_mode(StoreMode::Unresponsive);
 
     let vm = site.start(2, "north-a");
 
@@ -385,11 +385,11 @@
 #[test]
 fn a_forgotten_history_hides_no_removal() {
     let served = Served::new(2);
-    served.store.set_mode(Mode::Refusing);
+    served.store.set_mode(StoreMode::Refusing);
     std::thread::sleep(Duration::from_millis(300));
     served.store.remove("servers", "u0");
     served.store.drop_history();
-    served.store.set_mode(Mode::Normal);
+    served.store.set_mode(StoreMode::Normal);
 
     wait_for("the removal", || {
         let before = served.upstreams[0].received().len();
@@ -424,7 +424,7 @@
 #[test]
 fn a_request_waits_for_a_vm_that_is_starting() {
     let served = Served::new(1);
-    served.store.set_mode(Mode::DelayedByMs(150));
+    served.store.set_mode(StoreMode::DelayedByMs(150));
     let starting = served.site.start(9, "south-a");
     let mut connection = None;
     wait_for("a listener", || {
--- a/crates/sedgepathd/tests/faults.rs
+++ b/crates/sedgepathd/tests/faults.rs
@@ -12,7 +12,7 @@
 use sedgepath_test_support::daemon::Signal;
 use sedgepath_test_support::link::{Cut, CuttableLink};
 use sedgepath_test_support::records::{self, UpstreamSpec};
-use sedgepath_test_support::store::Mode;
+use sedgepath_test_support::store::StoreMode;
 use sedgepath_test_support::system::System;
 use sedgepath_test_support::upstream::{UpstreamFigures, UpstreamStandIn};
 
@@ -153,9 +153,9 @@
         pass(2_500);
         faulty.system.start_daemon(1).expect("the daemon starts again");
         pass(1_000);
-        faulty.system.store.set_mode(Mode::Refusing);
+        faulty.system.store.set_mode(StoreMode::Refusing);
         pass(3_000);
-        faulty.system.store.set_mode(Mode::Normal);
+        faulty.system.store.set_mode(StoreMode::Normal);
     });
     assert!(told.counts().answered > 200, "{:?}", told.counts());
     faulty.judge(&told);
--- a/crates/sedgepathd/tests/once.rs
+++ b/crates/sedgepathd/tests/once.rs
@@ -7,7 +7,7 @@
 
 use sedgepath_test_support::daemon::Signal;
 use sedgepath_test_support::records::{self, UpstreamSpec};
-use sedgepath_test_support::store::Mode;
+use sedgepath_test_support::store::StoreMode;
 use sedgepath_test_support::system::System;
 use sedgepath_test_support::upstream::{Behaviour, UpstreamFigures, UpstreamStandIn};
 use serde_json::Value;
@@ -193,7 +193,7 @@
 fn tickets_are_served_while_the_platform_is_down() {
     let pair = Pair::new();
     assert_eq!(pair.key(0, "before", "100"), answered("100"));
-    pair.system.store.set_mode(Mode::Refusing);
+    pair.system.store.set_mode(StoreMode::Refusing);
     let first = [("idempotency-key", "first"), ("sedgepath-attempt", "1")];
     let repeat = [("idempotency-key", "before"), ("sedgepath-attempt", "2")];
     let told = pair.post(0, &first, "100");
--- a/crates/sedgepathd/tests/operators.rs
+++ b/crates/sedgepathd/tests/operators.rs
@@ -6,7 +6,7 @@
 use sedgepath::cli::{self, Environment};
 use sedgepath::error::{CliError, Exit};
 use sedgepath_test_support::records::{self, UpstreamSpec};
-use sedgepath_test_support::store::Mode;
+use sedgepath_test_support::store::StoreMode;
 use sedgepath_test_support::system::{SECRET, System};
 use sedgepath_wire::rpc::{CLOCK_SKEW_CODE, UNAUTHENTICATED_CODE, method};
 use sedgepath_wire::signed_call::{self, MAX_CLOCK_SKEW_MS, SignedCall};
@@ -224,13 +224,13 @@
         status.is_ok_and(|status| status.contains(" serves by revision 2;"))
     };
     bench.wait_for(|bench| serves(bench, 0) && serves(bench, 1));
-    bench.system.store.set_mode(Mode::Refusing);
+    bench.system.store.set_mode(StoreMode::Refusing);
     bench.system.daemons[1] = None;
     bench.system.start_daemon(1).expect("daemon");
     bench.wait_for(|bench| serves(bench, 1));
     assert_eq!(exit(bench.run(&["apply", &file])).0, Exit::Failed);
     assert_eq!(exit(bench.run(&["history"])).0, Exit::Unreachable);
-    bench.system.store.set_mode(Mode::Normal);
+    bench.system.store.set_mode(StoreMode::Normal);
     assert_eq!(bench.run(&["apply", &file]).expect("apply"), "revision 3 is accepted\n");
 }
 
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -22,7 +22,7 @@
 use platform::upstream::{Behaviour, UpstreamStandIn};
 use platform::{Site, Vm, wait_for};
 use sedgepath_test_support::link::{Cut, CuttableLink};
-use sedgepath_test_support::store::{Mode, StoreStandIn};
+use sedgepath_test_support::store::{StoreMode, StoreStandIn};
 
 /// The seeds of each CI run.
 const CI_SEEDS: Range<u64> = 1..3;
@@ -132,7 +132,7 @@
                 self.store_links[vm].set_cut(cut);
             }
             8 => {
-                let modes = [Mode::Unresponsive, Mode::Refusing, Mode::Normal];
+                let modes = [StoreMode::Unresponsive, StoreMode::Refusing, StoreMode::Normal];
                 self.store.set_mode(modes[self.random.usize(..3)]);
             }
             9 => self.store.drop_history(),
@@ -194,7 +194,7 @@
             self.signal(number, "-CONT");
             self.store_links[number].set_cut(Cut::None);
         }
-        self.store.set_mode(Mode::Normal);
+        self.store.set_mode(StoreMode::Normal);
         self.store.drop_next_answers(0);
         self.store.hold_next_writes(0);
         self.store.apply_held_writes();
