--- a/crates/sedgepath-core/src/configuration.rs
+++ b/crates/sedgepath-core/src/configuration.rs
@@ -35,7 +35,7 @@
 use reader::{ReadResult, Reader};
 use rows::RecordRow;
 use spread::{Fetched, Spread};
-use store::{Changes, Page, RecordPosition, Store};
+use store::{Changes, RecordPage, RecordPosition, Store};
 
 /// The time between two readings for a change that waits for this node to catch up, in
 /// milliseconds.
@@ -105,7 +105,7 @@
     }
 
     /// Returns the next page of the records that were written after a position.
-    pub fn page(&self, after: &RecordPosition) -> Page {
+    pub fn page(&self, after: &RecordPosition) -> RecordPage {
         self.store.page(after)
     }
 
@@ -187,7 +187,7 @@
     pub fn handle_fetched_page(
         &mut self,
         operation: OperationKey,
-        page: Option<Page>,
+        page: Option<RecordPage>,
         out: &mut Outbox,
     ) {
         match self.spread.take_page(operation, page, out) {
--- a/crates/sedgepath-core/src/configuration/spread.rs
+++ b/crates/sedgepath-core/src/configuration/spread.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 
 use super::rows::RecordRow;
-use super::store::{Changes, Page, RecordPosition};
+use super::store::{Changes, RecordPage, RecordPosition};
 use crate::hash::Map;
 use crate::identity::NodeSettings;
 use crate::key::{OperationKey, VmKey};
@@ -136,7 +136,7 @@
     pub fn take_page(
         &mut self,
         operation: OperationKey,
-        page: Option<Page>,
+        page: Option<RecordPage>,
         out: &mut Outbox,
     ) -> Fetched {
         let Some(mut fetching) = self.fetching.take_if(|known| known.operation == operation) else {
--- a/crates/sedgepath-core/src/configuration/store.rs
+++ b/crates/sedgepath-core/src/configuration/store.rs
@@ -46,7 +46,7 @@
 
 /// A part of the records that a node has in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Page {
+pub struct RecordPage {
     /// The revision that the node has in force.
     pub revision: u64,
     /// The records after the position asked for, in the order of writing.
@@ -128,7 +128,7 @@
     }
 
     /// Returns the next page of records after a position.
-    pub fn page(&self, after: &RecordPosition) -> Page {
+    pub fn page(&self, after: &RecordPosition) -> RecordPage {
         let mut rows: Vec<_> = self
             .records
             .values()
@@ -143,7 +143,7 @@
             fits
         });
         let taken = taken.count();
-        Page {
+        RecordPage {
             revision: self.revision,
             records: rows[..taken].iter().map(|(_, row)| (*row).clone()).collect(),
             complete: taken == rows.len(),
--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::configuration::change::{ChangeOutcome, ChangeRequest};
-use crate::configuration::store::{Page, RecordPosition};
+use crate::configuration::store::{RecordPage, RecordPosition};
 use crate::deduplication::row::TicketHandover;
 use crate::deduplication::tickets::MintError;
 use crate::key::{
@@ -179,7 +179,7 @@
         /// The request's key.
         operation: OperationKey,
         /// The page, unless the peer did not answer.
-        page: Option<Page>,
+        page: Option<RecordPage>,
     },
     /// An operator asks for a change of the configuration.
     Change {
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -8,7 +8,7 @@
 
 use crate::allowance::Allowance;
 use crate::configuration::Configuration;
-use crate::configuration::store::{Page, RecordPosition};
+use crate::configuration::store::{RecordPage, RecordPosition};
 use crate::deduplication::tickets::MintError;
 use crate::deduplication::{self, DeduplicationSystem};
 use crate::egress::{AdmissionContext, Egress};
@@ -95,7 +95,7 @@
     }
 
     /// Returns the next page of the records that were written after a position, for a peer.
-    pub fn page(&self, after: &RecordPosition) -> Page {
+    pub fn page(&self, after: &RecordPosition) -> RecordPage {
         let mut page = self.configuration.page(after);
         if after.precedes_all_records() {
             page.listed = self.membership.listed_vms().to_vec();
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -12,7 +12,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use sedgepath_core::configuration::change::{ChangeOutcome, ChangeRequest};
-use sedgepath_core::configuration::store::Page;
+use sedgepath_core::configuration::store::RecordPage;
 use sedgepath_core::event::{Event, ListedVm, LookUp, LookUpAnswer, LookUpError, UpstreamReport};
 use sedgepath_core::hash::Digest;
 use sedgepath_core::identity::{Identity, NodeSettings};
@@ -187,7 +187,7 @@
     HopEnded(RequestKey, u32, HopFailure),
     CallEnded(ExchangeKey, CallOutcome, u64),
     Report(UpstreamKey, UpstreamReport),
-    Fetched(OperationKey, Option<Page>),
+    Fetched(OperationKey, Option<RecordPage>),
     HandOverEnded(OperationKey, bool),
 }
 
--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -5,7 +5,7 @@
 use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::configuration::change::{ChangeOutcome, ChangeRequest};
 use sedgepath_core::configuration::rows::LoggedChange;
-use sedgepath_core::configuration::store::{Page, RecordPosition};
+use sedgepath_core::configuration::store::{RecordPage, RecordPosition};
 use sedgepath_core::explain::{ExplainRequest, Explanation};
 use sedgepath_core::key::DomainKey;
 use sedgepath_core::timeline::TimelineEntry;
@@ -107,7 +107,7 @@
 pub trait Operators {
     /// Returns the next page of the records that were written after a position.
     #[method(name = "page")]
-    async fn page(&self, after: SignedCall<RecordPosition>) -> RpcResult<Page>;
+    async fn page(&self, after: SignedCall<RecordPosition>) -> RpcResult<RecordPage>;
 
     /// Changes the configuration in force everywhere.
     #[method(name = "change")]
--- a/crates/sedgepath-wire/src/rpc/caller.rs
+++ b/crates/sedgepath-wire/src/rpc/caller.rs
@@ -5,7 +5,7 @@
 use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::configuration::change::{ChangeOutcome, ChangeRequest};
 use sedgepath_core::configuration::rows::LoggedChange;
-use sedgepath_core::configuration::store::{Page, RecordPosition};
+use sedgepath_core::configuration::store::{RecordPage, RecordPosition};
 use sedgepath_core::explain::{ExplainRequest, Explanation};
 use serde::Serialize;
 
@@ -48,7 +48,7 @@
     /// # Errors
     ///
     /// Fails if the node gives no answer, or an error.
-    pub async fn page(&self, after: RecordPosition) -> Result<Page, Error> {
+    pub async fn page(&self, after: RecordPosition) -> Result<RecordPage, Error> {
         proved!(self.page(method::PAGE, after))
     }
 
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -10,7 +10,7 @@
 use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::configuration::change::{ChangeOutcome, ChangeRequest};
 use sedgepath_core::configuration::rows::{LOG_KEY_PREFIX, LoggedChange, log_key};
-use sedgepath_core::configuration::store::{Page, RecordPosition};
+use sedgepath_core::configuration::store::{RecordPage, RecordPosition};
 use sedgepath_core::event::Event;
 use sedgepath_core::explain::{ExplainRequest, Explanation};
 use sedgepath_core::key::OperationKey;
@@ -90,7 +90,7 @@
 
 #[async_trait]
 impl OperatorsServer for Operators {
-    async fn page(&self, after: SignedCall<RecordPosition>) -> RpcResult<Page> {
+    async fn page(&self, after: SignedCall<RecordPosition>) -> RpcResult<RecordPage> {
         let after = self.open(method::PAGE, after)?;
         self.ask(move |node| node.page(&after)).await
     }
@@ -194,7 +194,7 @@
     }
 }
 
-async fn fetch(from: SocketAddr, key: SharedKey, after: RecordPosition) -> Option<Page> {
+async fn fetch(from: SocketAddr, key: SharedKey, after: RecordPosition) -> Option<RecordPage> {
     let client = HttpClientBuilder::default()
         .request_timeout(CALL_TIMEOUT)
         .build(format!("http://{from}"))
