--- a/crates/sedgepath-core/src/configuration.rs
+++ b/crates/sedgepath-core/src/configuration.rs
@@ -254,7 +254,7 @@
 fn rank(members: &Membership, out: &Outbox) -> u64 {
     let identity = out.identity();
     let domain = identity.card.domain;
-    let order = |vm: VmKey| (rendezvous::rank(u64::from(domain.0), vm.0), vm);
+    let order = |vm: VmKey| (rendezvous::score(u64::from(domain.0), vm.0), vm);
     let own = order(identity.vm);
     members.serving_vms_in(domain).into_iter().filter(|vm| order(*vm) > own).count() as u64
 }
--- a/crates/sedgepath-core/src/deduplication/visitors.rs
+++ b/crates/sedgepath-core/src/deduplication/visitors.rs
@@ -248,7 +248,7 @@
     let serving = membership.members().into_iter().filter(|(_, member)| member.accepts_work());
     let mut ranked: Vec<_> = serving.map(|(vm, _)| vm).chain(own).collect();
     ranked.retain(|vm| *vm != home);
-    ranked.sort_unstable_by_key(|vm| std::cmp::Reverse((rendezvous::rank(boot.0, vm.0), vm.0)));
+    ranked.sort_unstable_by_key(|vm| std::cmp::Reverse((rendezvous::score(boot.0, vm.0), vm.0)));
     ranked.truncate(SUCCESSORS);
     ranked
 }
--- a/crates/sedgepath-core/src/direct/placement.rs
+++ b/crates/sedgepath-core/src/direct/placement.rs
@@ -274,7 +274,7 @@
 
     /// Returns the upstream's place in the object's order; the least is the first.
     fn order(&self, upstream: &Upstream) -> f64 {
-        let hash = crate::rendezvous::rank(upstream.hash, self.object);
+        let hash = crate::rendezvous::score(upstream.hash, self.object);
         // A number above 0 and up to 1.
         let uniform = ((hash >> 11) as f64 + 1.0) / (1_u64 << 53) as f64;
         -uniform.ln() / self.weight(upstream)
--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -291,7 +291,7 @@
             return false;
         }
         let item = Digest::of(&[domain.as_bytes()]).to_u64();
-        let rank = |key: VmKey| (rendezvous::rank(item, key.0), key.0);
+        let rank = |key: VmKey| (rendezvous::score(item, key.0), key.0);
         let own = rank(self.own.descriptor.key());
         let speaks = |peer: &&Peer| {
             let silent_after_ms = self.timing.speaker_silent_after_ms(peer.state.period_ms);
--- a/crates/sedgepath-core/src/lease.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -435,7 +435,7 @@
             share.ranked.clone_from(&all);
             share
                 .ranked
-                .sort_unstable_by_key(|vm| std::cmp::Reverse((rendezvous::rank(item, vm.0), *vm)));
+                .sort_unstable_by_key(|vm| std::cmp::Reverse((rendezvous::score(item, vm.0), *vm)));
         }
     }
 
--- a/crates/sedgepath-core/src/look_up.rs
+++ b/crates/sedgepath-core/src/look_up.rs
@@ -11,7 +11,7 @@
 use crate::event::{LookUp, LookUpAnswer, LookUpError};
 use crate::hash::Map;
 use crate::key::{DomainKey, OriginKey, ServiceKey, VmKey};
-use crate::rendezvous::rank;
+use crate::rendezvous::score;
 use crate::request::EntryVm;
 use crate::view::SystemView;
 
@@ -107,7 +107,7 @@
         IpAddr::V4(address) => u64::from(address.to_bits()),
         IpAddr::V6(address) => (address.to_bits() >> 64) as u64,
     };
-    rank(bits, 0) % VARIANTS
+    score(bits, 0) % VARIANTS
 }
 
 /// An entry VM that could be named.
@@ -147,7 +147,7 @@
         .map(|named| (domain_order(named.domain, shares, variant, view), named))
         .collect();
     named.sort_by(|(order, a), (other, b)| {
-        let key = |named: &Named| (rank(variant, named.vm.0), named.vm);
+        let key = |named: &Named| (score(variant, named.vm.0), named.vm);
         order.total_cmp(other).then(a.domain.cmp(&b.domain)).then_with(|| key(a).cmp(&key(b)))
     });
     let mut taken: Map<DomainKey, usize> = Map::default();
@@ -172,7 +172,7 @@
 ) -> f64 {
     let share = shares.iter().find(|share| share.0 == domain).map_or(0.0, |share| share.1);
     if share > 0.0 {
-        let uniform = (rank(variant, u64::from(domain.0)) >> 11) as f64 / (1_u64 << 53) as f64;
+        let uniform = (score(variant, u64::from(domain.0)) >> 11) as f64 / (1_u64 << 53) as f64;
         return -uniform.max(f64::MIN_POSITIVE).ln() / share;
     }
     let region = |domain| view.catalogue.domains.get(domain).map(|entry| entry.region);
@@ -196,11 +196,11 @@
 }
 
 fn fingerprint(view: &SystemView<'_>) -> u64 {
-    let own = rank(view.revision, u64::from(view.identity.card.leaving));
+    let own = score(view.revision, u64::from(view.identity.card.leaving));
     // The sum does not depend on the order of the members.
     let members = view.membership.members();
     members
         .iter()
         .filter(|(_, member)| member.accepts_work())
-        .fold(own, |sum, (vm, member)| sum.wrapping_add(rank(vm.0, member.boot.0)))
+        .fold(own, |sum, (vm, member)| sum.wrapping_add(score(vm.0, member.boot.0)))
 }
--- a/crates/sedgepath-core/src/membership/probe.rs
+++ b/crates/sedgepath-core/src/membership/probe.rs
@@ -20,7 +20,7 @@
 /// Asks some of the others about a silent member; which ones changes with time.
 pub(super) fn ask(about: VmKey, mut others: Vec<(VmKey, SocketAddr)>, out: &mut Outbox) {
     let round = about.0 ^ out.now_ms();
-    others.sort_unstable_by_key(|(vm, _)| rendezvous::rank(round, vm.0));
+    others.sort_unstable_by_key(|(vm, _)| rendezvous::score(round, vm.0));
     for (_, address) in others.into_iter().take(ASKED_PEERS) {
         out.send(address, Message::Probe(Probe { member: about }));
     }
--- a/crates/sedgepath-core/src/membership/relay.rs
+++ b/crates/sedgepath-core/src/membership/relay.rs
@@ -166,7 +166,7 @@
         let live = self.members_in(domain).into_iter().filter(|(_, member)| !member.suspected);
         let mut lines: Vec<_> = live.map(|(vm, _)| self.line(vm, with_cards, out)).collect();
         lines.push(own_line(own, with_cards, out));
-        lines.sort_unstable_by_key(|line| rendezvous::rank(u64::from(domain.0), line.vm.0));
+        lines.sort_unstable_by_key(|line| rendezvous::score(u64::from(domain.0), line.vm.0));
         let mut idle = 0;
         lines.retain(|line| {
             idle += usize::from(line.loads.is_empty());
@@ -212,7 +212,7 @@
 
 /// Returns the candidates that rank first for a failure domain.
 fn first_ranked(domain: DomainKey, mut candidates: Vec<VmKey>) -> Vec<VmKey> {
-    candidates.sort_unstable_by_key(|vm| rendezvous::rank(u64::from(domain.0), vm.0));
+    candidates.sort_unstable_by_key(|vm| rendezvous::score(u64::from(domain.0), vm.0));
     candidates.truncate(RELAYS);
     candidates
 }
--- a/crates/sedgepath-core/src/rendezvous.rs
+++ b/crates/sedgepath-core/src/rendezvous.rs
@@ -8,11 +8,11 @@
 
 /// Returns the candidate that ranks first for an item, such as an upstream.
 pub fn owner(item: u64, candidates: &[VmKey]) -> Option<VmKey> {
-    candidates.iter().copied().max_by_key(|vm| (rank(item, vm.0), vm.0))
+    candidates.iter().copied().max_by_key(|vm| (score(item, vm.0), vm.0))
 }
 
 /// Mixes two numbers as the finaliser of `SplitMix64` does (Steele et al., 2014).
-pub fn rank(item: u64, candidate: u64) -> u64 {
+pub fn score(item: u64, candidate: u64) -> u64 {
     let mut mixed = item.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ candidate;
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/sedgepath-core/tests/direct_routing.rs
+++ b/crates/sedgepath-core/tests/direct_routing.rs
@@ -66,7 +66,7 @@
     ];
     let mut splits = WeightedRoundRobin::default();
     let objects: Vec<u64> =
-        (0..60_u64).map(|object| sedgepath_core::rendezvous::rank(object, 3)).collect();
+        (0..60_u64).map(|object| sedgepath_core::rendezvous::score(object, 3)).collect();
     let mut left = 0_i64;
     let mut by_object = vec![[0_u32; 2]; objects.len()];
     for number in 0..3_000_i64 {
