--- a/crates/sedgepath-core/src/ingress/places.rs
+++ b/crates/sedgepath-core/src/ingress/places.rs
@@ -160,7 +160,7 @@
             .candidates
             .entry(key)
             .or_insert_with(|| view.candidates(key.service, key.group, standing.domains()).into());
-        let cap = shift::cap(entry, candidates, &standing.shares());
+        let cap = shift::cap_in_force(entry, candidates, &standing.shares());
         if standing.is_due(view.now_ms) {
             standing.begin_bucket(&means.policy.target_shares(candidates), cap, view.now_ms);
         }
--- a/crates/sedgepath-core/src/shift.rs
+++ b/crates/sedgepath-core/src/shift.rs
@@ -195,7 +195,7 @@
 }
 
 /// Returns the cap in force: the one for failover while a domain that holds traffic can't serve.
-pub fn cap(
+pub fn cap_in_force(
     entry: &SteeringEntry,
     candidates: &[CandidateDomain],
     shares: &[(DomainKey, f64)],
