--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -257,7 +257,7 @@
 
 /// Turns *not run* into *unknown* for a request that was denied before its key was looked at, unless
 /// it is the first with that key.
-pub fn withhold_not_run(head: &RequestHead, outcome: &mut Outcome) {
+pub fn not_run_to_unknown(head: &RequestHead, outcome: &mut Outcome) {
     if matches!(outcome, Outcome::NotRun { .. }) && head.attempt != 1 {
         *outcome = Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS };
     }
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -219,7 +219,7 @@
         }
         let mut conclusion = self.ingress.begin(request, head, means, &mut self.out);
         if let Some(conclusion) = conclusion.as_mut().filter(|_| is_once && !is_known) {
-            deduplication::withhold_not_run(head, &mut conclusion.outcome);
+            deduplication::not_run_to_unknown(head, &mut conclusion.outcome);
         }
         self.conclude(conclusion);
     }
