--- a/crates/sedgepath-core/src/record/check.rs
+++ b/crates/sedgepath-core/src/record/check.rs
@@ -140,7 +140,7 @@
 }
 
 /// Checks the records of a change by themselves.
-pub fn each(records: &[RawRecord]) -> Vec<Problem> {
+pub fn check_records(records: &[RawRecord]) -> Vec<Problem> {
     let mut problems = Vec::new();
     for (index, record) in records.iter().enumerate() {
         let found = alone(record).into_iter();
@@ -160,7 +160,7 @@
     in_force: impl IntoIterator<Item = &'a RawRecord>,
     records: &[RawRecord],
 ) -> Vec<Problem> {
-    let mut problems = each(records);
+    let mut problems = check_records(records);
     let before: Vec<_> = in_force.into_iter().map(|record| (None, record)).collect();
     let mut after: Vec<_> = before
         .iter()
--- a/crates/sedgepath/src/operations.rs
+++ b/crates/sedgepath/src/operations.rs
@@ -31,7 +31,7 @@
         None if records.records().iter().any(|record| &*record.kind == "places") => {
             check::change([], records.records())
         }
-        None => check::each(records.records()),
+        None => check::check_records(records.records()),
     };
     if problems.is_empty() { Ok(()) } else { Err(records.report(problems)) }
 }
