--- a/crates/sedgepath-core/src/configuration/change/progress.rs
+++ b/crates/sedgepath-core/src/configuration/change/progress.rs
@@ -254,7 +254,7 @@
             return None;
         }
         let in_force = store.records().map(|row| &row.record);
-        let problems = check::change(in_force, &self.request.records);
+        let problems = check::check_change(in_force, &self.request.records);
         if !problems.is_empty() {
             let refusal = ChangeRefusal::InvalidRecords { problems };
             return Some(ChangeOutcome::NotAccepted { refusal });
--- a/crates/sedgepath-core/src/record/check.rs
+++ b/crates/sedgepath-core/src/record/check.rs
@@ -156,7 +156,7 @@
 /// Checks the records of a change, together with the records in force.
 ///
 /// A record in force that had the same problem before is not held against the change.
-pub fn change<'a>(
+pub fn check_change<'a>(
     in_force: impl IntoIterator<Item = &'a RawRecord>,
     records: &[RawRecord],
 ) -> Vec<Problem> {
--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -90,7 +90,7 @@
 pub mod method {
     /// Of [`super::OperatorsServer::page`].
     pub const PAGE: &str = "page";
-    /// Of [`super::OperatorsServer::change`].
+    /// Of [`super::OperatorsServer::check_change`].
     pub const CHANGE: &str = "change";
     /// Of [`super::OperatorsServer::history`].
     pub const HISTORY: &str = "history";
--- a/crates/sedgepath/src/operations.rs
+++ b/crates/sedgepath/src/operations.rs
@@ -26,10 +26,10 @@
 pub fn check(records: &FileRecords, in_force: Option<&InForce>) -> Result<(), CliError> {
     let problems = match in_force {
         Some(in_force) => {
-            check::change(in_force.rows.iter().map(|row| &row.record), records.records())
+            check::check_change(in_force.rows.iter().map(|row| &row.record), records.records())
         }
         None if records.records().iter().any(|record| &*record.kind == "places") => {
-            check::change([], records.records())
+            check::check_change([], records.records())
         }
         None => check::check_records(records.records()),
     };
