--- a/crates/sedgepath-wire/src/datagram.rs
+++ b/crates/sedgepath-wire/src/datagram.rs
@@ -55,7 +55,7 @@
 /// # Errors
 ///
 /// Fails with [`DatagramError::Oversize`] if it does not fit one datagram.
-pub fn seal(key: &SharedKey, envelope: &Envelope) -> Result<Vec<u8>, DatagramError> {
+pub fn encode(key: &SharedKey, envelope: &Envelope) -> Result<Vec<u8>, DatagramError> {
     let mut bytes = postcard::to_stdvec(envelope).ok().ok_or(DatagramError::Malformed)?;
     let code = key.code(&[&bytes]);
     bytes.extend_from_slice(&code);
--- a/crates/sedgepathd/examples/slopes/datagrams.rs
+++ b/crates/sedgepathd/examples/slopes/datagrams.rs
@@ -13,7 +13,7 @@
     Message, ServiceLoad,
 };
 use sedgepath_core::node::Node;
-use sedgepath_wire::datagram::{DatagramDecoder, seal};
+use sedgepath_wire::datagram::{DatagramDecoder, encode};
 use sedgepath_wire::key::SharedKey;
 
 /// The members of a failure domain at full size, this node not among them.
@@ -31,7 +31,7 @@
     let started = Instant::now();
     for number in 0..HEARTBEATS {
         let envelope = heartbeat(number, now_ms);
-        let Ok(sealed) = seal(&key, &envelope) else { continue };
+        let Ok(sealed) = encode(&key, &envelope) else { continue };
         bytes += sealed.len();
         if let Ok(opened) = opener.decode(&sealed) {
             node.handle(now_ms, Event::Datagram(opened));
--- a/crates/sedgepathd/src/driver.rs
+++ b/crates/sedgepathd/src/driver.rs
@@ -356,7 +356,7 @@
         to: std::net::SocketAddr,
         envelope: &sedgepath_core::message::Envelope,
     ) {
-        match datagram::seal(&self.outlets.datagram_key, envelope) {
+        match datagram::encode(&self.outlets.datagram_key, envelope) {
             Ok(bytes) => {
                 self.outlets.metrics.sent_datagram(bytes.len());
                 // A datagram may be lost at any point; the protocols repeat what matters.
