--- a/crates/sedgepath-wire/src/tcp.rs
+++ b/crates/sedgepath-wire/src/tcp.rs
@@ -29,7 +29,7 @@
     let stream = timeout(limit, TcpStream::connect(address))
         .await
         .map_err(|_elapsed| io::Error::from(io::ErrorKind::TimedOut))??;
-    watch(&stream)?;
+    detect_dead_peer(&stream)?;
     Ok(stream)
 }
 
@@ -38,7 +38,7 @@
 /// # Errors
 ///
 /// Fails if the system refuses a setting.
-pub fn watch(stream: &TcpStream) -> io::Result<()> {
+pub fn detect_dead_peer(stream: &TcpStream) -> io::Result<()> {
     // Small requests must not wait for the acknowledgement of earlier bytes.
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/crates/sedgepathd/src/direct/ingress.rs
+++ b/crates/sedgepathd/src/direct/ingress.rs
@@ -79,7 +79,7 @@
 }
 
 async fn connection(shell: &Rc<Shell>, stream: TcpStream) {
-    if tcp::watch(&stream).is_err() {
+    if tcp::detect_dead_peer(&stream).is_err() {
         return;
     }
     let limits = shell.steering.borrow().configuration().map(|in_force| in_force.limits);
