--- a/crates/sedgepath-wire/src/signed_call.rs
+++ b/crates/sedgepath-wire/src/signed_call.rs
@@ -61,7 +61,7 @@
 }
 
 /// Returns the key that a text stands for in proofs.
-pub fn key(text: &str) -> SharedKey {
+pub fn derive_call_key(text: &str) -> SharedKey {
     SharedKey::new(text, "remote calls")
 }
 
@@ -87,7 +87,7 @@
 impl CallVerifier {
     /// Creates a guard that knows keys by their texts.
     pub fn new<'a>(texts: impl IntoIterator<Item = &'a str>) -> Self {
-        let keys = texts.into_iter().map(key).collect();
+        let keys = texts.into_iter().map(derive_call_key).collect();
         Self { keys, order: VecDeque::new(), seen: HashSet::new() }
     }
 
--- a/crates/sedgepath-wire/tests/proof.rs
+++ b/crates/sedgepath-wire/tests/proof.rs
@@ -1,14 +1,14 @@
 //! Which remote calls a node takes.
 
 use sedgepath_wire::signed_call::{
-    CallVerifier, MAX_CLOCK_SKEW_MS, SignatureError, SignedCall, key,
+    CallVerifier, MAX_CLOCK_SKEW_MS, SignatureError, SignedCall, derive_call_key,
 };
 
 const KEY: &str = "a key of operators";
 const NOW_MS: u64 = 1_000_000;
 
 fn call(text: &str, at_ms: u64, number: u64) -> SignedCall<Vec<u32>> {
-    SignedCall::new(&key(text), "change", vec![1, 2], at_ms, number)
+    SignedCall::new(&derive_call_key(text), "change", vec![1, 2], at_ms, number)
 }
 
 /// A call by any key in force is taken, once; by another key, for another method or with other
--- a/crates/sedgepath/src/cli.rs
+++ b/crates/sedgepath/src/cli.rs
@@ -174,7 +174,7 @@
             None => self.environment.key.clone(),
         };
         let key = key.ok_or(CliError::NoKey)?;
-        Client::new(nodes, signed_call::key(key.trim()))
+        Client::new(nodes, signed_call::derive_call_key(key.trim()))
     }
 }
 
--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -108,7 +108,7 @@
     );
     let peers = Peers::new(frame_key, exchanges, Arc::clone(&callers), metrics);
 
-    let call_key = signed_call::key(&settings.secret);
+    let call_key = signed_call::derive_call_key(&settings.secret);
     let operator_keys = settings.operator_keys.iter().map(|key| &**key);
     let guard = CallVerifier::new(std::iter::once(&*settings.secret).chain(operator_keys));
 
--- a/crates/sedgepathd/tests/operators.rs
+++ b/crates/sedgepathd/tests/operators.rs
@@ -254,7 +254,8 @@
 
     let url = format!("http://{}", bench.system.addresses[0].operators);
     let call = |at_ms, number| {
-        let recorded = SignedCall::new(&signed_call::key(old), method::STATUS, (), at_ms, number);
+        let recorded =
+            SignedCall::new(&signed_call::derive_call_key(old), method::STATUS, (), at_ms, number);
         let body = serde_json::json!({
             "jsonrpc": "2.0", "id": 1, "method": "sedgepath_status", "params": [recorded],
         });
