--- a/crates/sedgepath-yaml/src/lib.rs
+++ b/crates/sedgepath-yaml/src/lib.rs
@@ -7,4 +7,4 @@
 mod tree;
 
 pub use mistakes::{ErrorReport, LocatedError};
-pub use tree::{Entry, ReadError, Span, YamlNode, YamlValue, read};
+pub use tree::{Entry, ReadError, Span, YamlNode, YamlValue, parse};
--- a/crates/sedgepath-yaml/src/tree.rs
+++ b/crates/sedgepath-yaml/src/tree.rs
@@ -78,7 +78,7 @@
 /// # Errors
 ///
 /// Fails if the text is no YAML, or a mapping has a key twice.
-pub fn read(text: &str) -> Result<Vec<YamlNode>, ReadError> {
+pub fn parse(text: &str) -> Result<Vec<YamlNode>, ReadError> {
     let documents: Vec<YamlNode> = serde_saphyr::from_multiple(text).map_err(|error| {
         let plain = error.without_snippet();
         let span = plain.location().map(|location| place_of_error(text, location));
--- a/crates/sedgepath-yaml/tests/tree.rs
+++ b/crates/sedgepath-yaml/tests/tree.rs
@@ -1,7 +1,7 @@
 //! Parts of YAML documents and the places that are shown for them.
 
 use sedgepath_core::schema::ValuePath;
-use sedgepath_yaml::read;
+use sedgepath_yaml::parse;
 
 const TEXT: &str = "# two documents\nname: é one\nlist:\n  - weight: 1.5\n    flag: true\n---\n\
                     name: \"2\"\nempty:\n";
@@ -10,7 +10,7 @@
 /// by the mapping that lacks it; also behind characters of more than one byte.
 #[test]
 fn a_path_leads_to_its_place() {
-    let documents = read(TEXT).expect("YAML");
+    let documents = parse(TEXT).expect("YAML");
     let shown = |document: usize, path: &ValuePath| {
         let span = documents[document].span_of(path);
         &TEXT[span.offset..span.offset + span.bytes]
@@ -28,7 +28,7 @@
 /// Text in quotes stays text, and a number that is not becomes one.
 #[test]
 fn a_document_becomes_json() {
-    let documents = read(TEXT).expect("YAML");
+    let documents = parse(TEXT).expect("YAML");
     let json: Vec<_> = documents.iter().map(|document| document.to_json().to_string()).collect();
     assert_eq!(json[0], r#"{"list":[{"flag":true,"weight":1.5}],"name":"é one"}"#);
     assert_eq!(json[1], r#"{"empty":null,"name":"2"}"#);
@@ -37,6 +37,6 @@
 /// A key that stands twice is a mistake with a place, not the last one's win.
 #[test]
 fn a_repeated_key_is_refused() {
-    let error = read("name: a\nname: b\n").expect_err("a mistake");
+    let error = parse("name: a\nname: b\n").expect_err("a mistake");
     assert_eq!(error.span.offset, 8, "{error}");
 }
--- a/crates/sedgepath/src/records.rs
+++ b/crates/sedgepath/src/records.rs
@@ -80,7 +80,7 @@
     ///
     /// Fails if the text is no YAML or holds documents without a heading.
     pub fn add(&mut self, file: &str, text: &str) -> Result<(), ErrorReport> {
-        let documents = sedgepath_yaml::read(text)
+        let documents = sedgepath_yaml::parse(text)
             .map_err(|error| ErrorReport::from_parse_error(file, text, &error))?;
         let number = self.files.len();
         self.files.push(File { name: file.into(), text: text.into() });
--- a/crates/sedgepathd/src/direct/entry.rs
+++ b/crates/sedgepathd/src/direct/entry.rs
@@ -18,7 +18,7 @@
 /// Answers a look-up or the platform's question for readiness.
 pub fn answer(shell: &Shell, request: &Request<Incoming>) -> Response<Body> {
     let steering = shell.steering.borrow();
-    match entry_vm_query::read(request.method(), request.uri()) {
+    match entry_vm_query::parse(request.method(), request.uri()) {
         Some(EntryVmQuery::Readiness) => {
             let ready = steering.can_serve() && !steering.vms().is_leaving();
             empty(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
--- a/crates/sedgepathd/src/settings.rs
+++ b/crates/sedgepathd/src/settings.rs
@@ -167,7 +167,7 @@
     ///
     /// Fails if a field is wrong; all mistakes are shown at their places.
     pub fn parse(file: &str, text: &str) -> Result<Self, ErrorReport> {
-        let documents = sedgepath_yaml::read(text)
+        let documents = sedgepath_yaml::parse(text)
             .map_err(|error| ErrorReport::from_parse_error(file, text, &error))?;
         let whole = |message: &str| LocatedError { span: Span::default(), message: message.into() };
         let [document] = &*documents else {
