--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sedgepath_adapter::rows::{self, OperatorRowKey, table_name};
+use sedgepath_adapter::rows::{self, OperatorRowKey, store_table_name};
 use sedgepath_adapter::store::StoreError;
 use sedgepath_core::direct::Steering;
 use sedgepath_core::direct::replicas::{Table, TableUpdate, VersionedRow};
@@ -114,7 +114,7 @@
 }
 
 async fn read(shell: &Shell, table: Table, lost: bool) -> Result<TableUpdate, StoreError> {
-    let name = table_name(table);
+    let name = store_table_name(table);
     let (known, position) = {
         let copies = shell.copies.borrow();
         let copy = copies.get(table);
