--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -209,7 +209,7 @@
         steering.upstreams_mut().remove(&row.key, now_ms);
         return;
     };
-    match rows::upstream(&row.key, value) {
+    match rows::parse_upstream(&row.key, value) {
         Ok(entry) => {
             let region = steering.region_of(&entry.domain);
             let change = steering.upstreams_mut().upsert(entry.clone(), &region, now_ms);
