--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/follow.rs
@@ -177,7 +177,7 @@
         match OperatorRowKey::parse(&row.key) {
             OperatorRowKey::Configuration => {
                 let Some(value) = &row.value else { continue };
-                match rows::configuration(value) {
+                match rows::parse_configuration(value) {
                     Ok(configuration) => {
                         let version = configuration.version;
                         let taken = steering.apply_configuration(Arc::new(configuration));
