--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -152,7 +152,7 @@
             },
         };
         let left_ms = deadline_at_ms.saturating_sub(clock::now_ms());
-        headers::to_upstream(request.headers_mut(), &sending.name, left_ms);
+        headers::prepare_upstream_headers(request.headers_mut(), &sending.name, left_ms);
         match timeout_at(deadline, connection.try_send_request(request)).await {
             Ok(Ok(response)) => {
                 return receive(shell, deadline_at_ms, sending, head, response, connection).await;
