--- a/crates/sedgepathd/src/direct/answers.rs
+++ b/crates/sedgepathd/src/direct/answers.rs
@@ -13,7 +13,7 @@
 /// Answers with a status alone.
 pub fn plain(status: StatusCode, attempt: &str) -> Response<Body> {
     let mut response = empty(status);
-    headers::set_attempt(response.headers_mut(), attempt);
+    headers::set_attempt_id(response.headers_mut(), attempt);
     response
 }
 
