--- a/crates/sedgepathd/src/direct/sending.rs
+++ b/crates/sedgepathd/src/direct/sending.rs
@@ -231,7 +231,7 @@
 }
 
 fn answer(mut parts: http::response::Parts, body: Body) -> Response<Body> {
-    headers::remove_connection_fields(&mut parts.headers);
+    headers::remove_hop_by_hop_headers(&mut parts.headers);
     Response::from_parts(parts, body)
 }
 
