--- a/crates/sedgepathd/src/direct/entry.rs
+++ b/crates/sedgepathd/src/direct/entry.rs
@@ -25,7 +25,7 @@
         }
         Some(EntryVmQuery::LookUp { domain, region }) => {
             let named = steering.vms().look_up(&domain, &region, clock::now_ms());
-            let body = entry_vm_query::answer(&named, VALID_FOR_MS);
+            let body = entry_vm_query::format_addresses(&named, VALID_FOR_MS);
             let mut response = Response::new(held(body.into_bytes().into()));
             let json = HeaderValue::from_static("application/json");
             response.headers_mut().insert(CONTENT_TYPE, json);
