--- a/crates/sedgepath-core/src/direct.rs
+++ b/crates/sedgepath-core/src/direct.rs
@@ -1,31 +1,28 @@
-//! Steering where the ingress sends to upstreams itself.
+//! Load balancing on entry VMs that send requests to upstreams directly.
 //!
-//! # Problem
+//! Upstreams queue requests, refuse what they can't run and report their load, so no slots are
+//! reserved in advance. [`Steering`] decides which upstream runs a request, when the request is
+//! retried and when it is rejected. It performs no I/O.
 //!
-//! Upstreams that queue, refuse with proof and report their load defend themselves, so nothing of the
-//! owner's right ([`crate::lease`]), its grants and its split of slots is needed in front of them:
-//! a queue at an upstream is a smaller fault than a VM that must wait for its right after each
-//! restart. What is left to decide is which upstream runs a request, when a request is sent again
-//! and when it is refused. [`Steering`] decides that, without input or output.
+//! # Modules
 //!
-//! # Parts
+//! - [`routing`]: the services that may run a request, by the active configuration.
+//! - [`upstreams`]: the registered upstreams, with their observed load and health.
+//! - [`placement`]: the choice of one of a service's upstreams for a request.
+//! - [`queueing`]: the longest wait for a slot that a request is sent into.
+//! - [`attempts`]: the state of a request and of its attempts.
+//! - [`budget`]: the retry budget.
+//! - [`replicas`]: replicas of the store's tables, which VMs pass on to each other.
+//! - [`status`]: the state that a VM reports to operators.
+//! - [`vms`]: the entry VMs that serve, for look-ups and for dividing shared limits.
+//! - [`ablation`]: switches that turn single mechanisms off for comparison.
 //!
-//! - [`routing`]: which services a request may go to, by the configuration in force.
-//! - [`upstreams`]: the upstreams as they registered themselves, and what was seen of each.
-//! - [`placing`]: which upstream of a service runs a request.
-//! - [`waiting`]: how long a request may wait there.
-//! - [`attempts`]: what happens after a refusal or a failure.
-//! - [`budget`]: how many requests may be sent more than once.
-//! - [`copies`]: copies of the store's tables, which VMs pass on to each other.
-//! - [`status`]: what a VM says of its state, for operators.
-//! - [`vms`]: which entry VMs serve, for look-ups and for splitting what all of them share.
+//! # Limits shared by all VMs
 //!
-//! # What nodes share
-//!
-//! Two limits hold for all VMs together: the retry budget and the rate to a cold upstream. Each VM
-//! uses its part of the first, by the number of VMs that it knows of; of the second, one VM of the
-//! upstream's failure domain uses all (the same rendezvous hash on every VM). Neither needs a
-//! message, so both hold while VMs can't hear each other.
+//! The retry budget and the request rate to a cold upstream are limits over all VMs. Each VM uses
+//! a share of the retry budget that follows from the number of VMs that it knows. A cold upstream
+//! gets requests from one VM only, which every VM determines by the same rendezvous hash. Neither
+//! limit needs messages between VMs, so both hold during a network partition.
 
 pub mod ablation;
 pub mod attempts;
--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -1,49 +1,46 @@
-//! Mechanisms of a VM that can be left out one by one, to see what each is worth.
-//!
-//! A mechanism whose absence changes nothing that callers or operators notice, over many days and on
-//! unlike systems, is code that nobody needs.
+//! Mechanisms that can be turned off one at a time to measure their effect.
 
 use std::fmt;
 use std::str::FromStr;
 
-use super::queueing::{CALM_TARGET_FACTOR, QueueTolerance};
+use super::queueing::{IDLE_TARGET_FACTOR, QueueTolerance};
 use super::steering::SteeringConfig;
 
-/// A mechanism that can be left out.
+/// A mechanism that can be turned off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
-    /// All requests for an object go by one order of upstreams.
+    /// All requests for an object rank the upstreams in the same order.
     ObjectAffinity,
-    /// An object has a second upstream for when the first is busy.
+    /// Requests for an object spill to a second upstream when the first one is busy.
     SpillUpstream,
-    /// Upstreams of the own region come first for most objects.
+    /// Most objects rank an upstream of the VM's own region first.
     LocalRegionPreference,
-    /// Large answers come from the own failure domain.
+    /// Large responses come from the VM's own failure domain.
     LocalLargeResponses,
-    /// Taking the second upstream costs something by itself.
+    /// Choosing the second upstream has a fixed cost.
     SpillCost,
-    /// It costs more where upstreams forget objects.
+    /// The cost of choosing the second upstream grows where upstreams evict objects.
     EvictionSpillCost,
-    /// Requests wait for a shorter time while queues stand.
+    /// The longest allowed wait shrinks while queues persist.
     ShortQueuesUnderLoad,
-    /// A request is sent a second time beside an upstream that says nothing.
+    /// A second attempt starts beside one at an upstream that doesn't respond.
     Hedging,
 }
 
-/// An error for a mechanism's name that isn't known.
+/// The error for an unknown mechanism name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("no mechanism is named `{name}`; there are {}", known())]
+#[error("unknown mechanism `{name}`; expected one of: {}", mechanism_names())]
 pub struct UnknownMechanism {
-    /// The name that was given.
+    /// The unknown name.
     pub name: Box<str>,
 }
 
-fn known() -> String {
+fn mechanism_names() -> String {
     Mechanism::ALL.map(Mechanism::name).join(", ")
 }
 
 impl Mechanism {
-    /// All mechanisms.
+    /// Every mechanism, in the order of declaration.
     pub const ALL: [Self; 8] = [
         Self::ObjectAffinity,
         Self::SpillUpstream,
@@ -55,7 +52,7 @@
         Self::Hedging,
     ];
 
-    /// Returns the name on command lines and in reports.
+    /// Returns the name used on command lines and in reports.
     pub fn name(self) -> &'static str {
         match self {
             Self::ObjectAffinity => "object-order",
@@ -86,7 +83,7 @@
 }
 
 impl SteeringConfig {
-    /// Leaves a mechanism out.
+    /// Returns the parameters with one mechanism turned off.
     pub fn without(mut self, mechanism: Mechanism) -> Self {
         let weights = &mut self.weights;
         match mechanism {
@@ -94,13 +91,13 @@
             Mechanism::SpillUpstream => weights.candidate_count = 1,
             Mechanism::LocalRegionPreference => weights.own_region_weight = 1.0,
             Mechanism::LocalLargeResponses => {
-                weights.large_response_domain_weight = weights.own_region_weight
+                weights.large_response_domain_weight = weights.own_region_weight;
             }
             Mechanism::SpillCost => weights.spill_cost_ms = 0.0,
             Mechanism::EvictionSpillCost => weights.eviction_spill_factor = 0.0,
             Mechanism::ShortQueuesUnderLoad => {
                 self.queue_tolerance = QueueTolerance {
-                    loaded_target_factor: CALM_TARGET_FACTOR,
+                    loaded_target_factor: IDLE_TARGET_FACTOR,
                     ..self.queue_tolerance
                 };
             }
--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -1,58 +1,58 @@
-//! The attempts to get one request run, and what follows from the end of each.
+//! The state of one request and of its attempts at upstreams.
 //!
-//! A request that is not idempotent is sent again only with proof that it was not run: nothing was
-//! sent, or the upstream refused it. One that is idempotent is sent again after any failure, while
-//! its route's number of attempts and the retry budget last.
+//! A non-idempotent request is retried only if it provably didn't run: nothing was sent, or the
+//! upstream refused it. An idempotent request is retried after any failure, within its route's
+//! attempt limit and the retry budget.
 
 use std::sync::Arc;
 
 use super::routing::Route;
 use super::upstreams::{LoadReport, UpstreamKey};
 
-/// The most upstreams that one request reaches, whether they refuse it or not: where three refuse it
-/// the service is full or failing, and further sendings only take the retry budget of others.
-const MAX_ARRIVALS: u32 = 3;
+/// The most upstreams that one request may reach: after that many refusals the service is full or
+/// failing, and further attempts would only use up the retry budget.
+const MAX_UPSTREAMS_REACHED: u32 = 3;
 
-/// How one sending of a request ended.
+/// How one attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AttemptOutcome {
-    /// The upstream ran it and answered in full.
+    /// The upstream sent a complete response.
     Answered {
-        /// Whether the answer says that the upstream failed at it.
+        /// Whether the response is a server error.
         failed: bool,
         /// The upstream's load.
         report: Option<LoadReport>,
-        /// The size of the answer's body in bytes.
+        /// The size of the response body in bytes.
         body_bytes: u64,
     },
-    /// The upstream says that it did not run it.
+    /// The upstream reported that it didn't run the request.
     Refused {
         /// The upstream's load.
         report: Option<LoadReport>,
     },
-    /// Another upstream has the address now, and did not run it.
+    /// Another upstream has taken over the address and didn't run the request.
     Misdirected,
-    /// No connection could be made, so nothing was sent.
+    /// Connecting failed, so nothing was sent.
     Unreachable,
-    /// It was sent, at least in part, and no whole answer came: it may have run.
+    /// The request was sent at least in part and no complete response came: it may have run.
     Failed,
-    /// The time was up: it may have run.
+    /// The deadline passed: the request may have run.
     TimedOut,
-    /// The caller has left.
+    /// The caller disconnected or was answered by another attempt.
     Canceled,
 }
 
-/// Why a request is sent.
+/// Why an attempt is made.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum AttemptCause {
-    /// It has reached no upstream yet.
+    /// The request has reached no upstream yet.
     #[default]
     First,
-    /// The last upstream refused it, or was another one than expected.
+    /// The last upstream refused the request or wasn't the expected one.
     Refused,
-    /// The last upstream failed at it, or its answer broke off.
+    /// The last attempt failed, or its response was incomplete.
     Failed,
-    /// The upstream that has it answers nobody.
+    /// The upstream of the pending attempt responds to no request.
     Unresponsive,
 }
 
@@ -68,22 +68,22 @@
     }
 }
 
-/// Why a request is answered by the VM itself.
+/// Why the VM answers a request itself, or makes no further attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// No configuration is known yet.
+    /// No configuration has been loaded yet.
     NoConfiguration,
-    /// No route takes the path.
+    /// No route matches the host and path.
     NoRoute,
-    /// No upstream of the service can be used.
+    /// No upstream of the service is usable.
     NoUpstream,
-    /// All upstreams are so busy that the time would be up before the answer.
+    /// The expected wait for a slot exceeds the longest one allowed.
     UpstreamsBusy,
-    /// The time that the caller gave was up on arrival.
+    /// The caller's time limit had expired on arrival.
     DeadlineExceeded,
-    /// The retry budget is spent, or the route's attempts are used up.
+    /// The retry budget or the request's attempts are used up.
     RetriesExhausted,
-    /// The VM holds as many requests as it can.
+    /// The VM holds its maximum number of requests.
     Overloaded,
 }
 
@@ -118,52 +118,53 @@
     }
 }
 
-/// What to do next with a request.
+/// The next step for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NextStep {
-    /// Send it to an upstream.
+    /// Send the request to an upstream.
     Send(Attempt),
-    /// Tell the caller that it was not run, and when to come back.
+    /// Tell the caller that the request didn't run and when to retry.
     Reject {
-        /// Why.
+        /// The reason for the rejection.
         reason: RejectionReason,
-        /// The time to come back after, in milliseconds.
+        /// The delay before the caller's next attempt, in milliseconds.
         retry_after_ms: u64,
     },
-    /// Pass on the last answer, or tell the caller that it may have run.
+    /// Relay the last response, or tell the caller that the request may have run.
     GiveUp {
-        /// Why it isn't sent again.
+        /// Why no further attempt is made.
         reason: RejectionReason,
     },
 }
 
-/// One sending of a request.
+/// An attempt to run a request at an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Attempt {
     /// The upstream.
     pub upstream: UpstreamKey,
-    /// Its address.
+    /// The upstream's address.
     pub address: std::net::SocketAddr,
-    /// The name of its incarnation, which it checks.
+    /// The name of the upstream's incarnation, which the upstream verifies.
     pub name: Box<str>,
-    /// What decided that it goes there.
+    /// The inputs of the choice, for logs.
     pub decision: PlacementDecision,
 }
 
-/// What decided where a request goes, for logs.
+/// The inputs of the choice of an upstream, for logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlacementDecision {
-    /// Why it is sent.
+    /// Why the attempt is made.
     pub cause: AttemptCause,
-    /// The upstream's place in the object's order.
+    /// The upstream's rank for the object, starting at 0.
     pub rank: usize,
-    /// Whether it had lately run a request for the object.
+    /// Whether the upstream recently ran a request for the object.
     pub warm: bool,
-    /// The requests that it had to do, over all VMs, in tenths.
+    /// The upstream's estimated load from all VMs, in tenths of a request.
     pub load_tenths: u64,
-    /// The age of the last load report, in milliseconds.
+    /// The age of the load estimate, in milliseconds.
     pub load_age_ms: u64,
-    /// The time until the answer that was expected, in milliseconds.
+    /// The cost by which the upstream was chosen: the expected response time and penalties, in
+    /// milliseconds.
     pub expected_ms: u64,
 }
 
@@ -177,65 +178,64 @@
     }
 }
 
-/// A request on its way.
+/// The state of a request between its arrival and the caller's response.
 #[derive(Debug)]
 pub struct RequestState {
-    /// Its route.
+    /// The route that matched the request.
     pub route: Arc<Route>,
-    /// The service that runs it.
+    /// The service that runs the request.
     pub service: Box<str>,
-    /// The version of the configuration by which it is served.
+    /// The version of the configuration that matched the request.
     pub version: u64,
-    /// A digest of the object that it concerns.
+    /// A digest of the requested object.
     pub object: Option<u64>,
-    /// When it arrived, in milliseconds.
+    /// When the request arrived, in milliseconds.
     pub arrived_at_ms: u64,
-    /// When it is given up, in milliseconds.
+    /// The deadline, in milliseconds.
     pub deadline_at_ms: u64,
-    /// The upstreams to which it was sent.
+    /// The upstreams that the request was sent to.
     pub tried_upstreams: Vec<UpstreamKey>,
-    /// The sendings that reached an upstream, whether refused or not.
+    /// The finished attempts that reached an upstream, refused ones among them.
     pub delivered: u32,
-    /// The sendings that may have run.
+    /// The finished attempts that may have run.
     pub possible_runs: u32,
-    /// Why it would be sent next.
+    /// Why the next attempt would be made.
     pub cause: AttemptCause,
-    /// The sendings that have not ended.
+    /// The attempts that haven't ended.
     pub in_flight: Vec<InFlightAttempt>,
 }
 
-/// A sending that has not ended.
+/// An attempt that hasn't ended.
 #[derive(Debug, Clone, Copy)]
 pub struct InFlightAttempt {
     /// The upstream.
     pub upstream: UpstreamKey,
-    /// When it was sent, in milliseconds.
+    /// When the request was sent, in milliseconds.
     pub sent_at_ms: u64,
-    /// Whether the upstream had lately run a request for the object.
+    /// Whether the upstream recently ran a request for the object.
     pub warm: bool,
-    /// The wait for a slot that was expected, in milliseconds.
+    /// The expected wait for a slot, in milliseconds.
     pub wait_ms: f64,
-    /// How long it and its answer are on their way, as far as known, in milliseconds.
-    pub way_ms: f64,
-    /// When its answer is overdue, in milliseconds.
+    /// The estimated network round trip, in milliseconds.
+    pub network_ms: f64,
+    /// When the response is overdue, in milliseconds.
     pub overdue_at_ms: u64,
 }
 
 impl InFlightAttempt {
-    /// Returns how long the upstream has had it, in milliseconds: its wait there and its work.
+    /// Returns the time at the upstream, both waiting and running, in milliseconds.
     ///
-    /// With the way counted as work, upstreams of another region look slower than they are, and work
-    /// as long as half a target is judged too long for it.
-    pub fn took_ms(&self, now_ms: u64) -> f64 {
-        ((now_ms - self.sent_at_ms) as f64 - self.way_ms).max(0.0)
+    /// The network time is subtracted so that upstreams of another region don't look slow.
+    pub fn time_at_upstream_ms(&self, now_ms: u64) -> f64 {
+        ((now_ms - self.sent_at_ms) as f64 - self.network_ms).max(0.0)
     }
 }
 
 impl RequestState {
-    /// Whether it may be sent once more, as far as its own attempts go.
-    pub fn may_send(&self) -> bool {
+    /// Returns whether the request's own attempt limits allow another attempt.
+    pub fn allows_attempt(&self) -> bool {
         let under_way = self.in_flight.len() as u32;
-        if self.delivered + under_way >= MAX_ARRIVALS {
+        if self.delivered + under_way >= MAX_UPSTREAMS_REACHED {
             return false;
         }
         let runs = self.possible_runs + under_way;
--- a/crates/sedgepath-core/src/direct/budget.rs
+++ b/crates/sedgepath-core/src/direct/budget.rs
@@ -1,156 +1,143 @@
-//! The retry budget of each service, as this VM's part of one that all VMs share.
+//! The retry budget of each service: this VM's share of a budget for all VMs.
 //!
-//! Without a budget an outage multiplies its own load: each request that fails is sent again, to
-//! upstreams that are full because of the requests that failed.
+//! The budget keeps retries from multiplying the load of an outage. In any window, the retries of
+//! all VMs are at most [`RetryBudgetLimits::ratio`] times the requests of that window or of the
+//! window before it, plus [`RetryBudgetLimits::slack`]. Each service has a token bucket:
 //!
-//! # What is kept
+//! - A request deposits [`DEPOSIT_SHARE`] of the ratio; a retry withdraws one token.
+//! - The balance is at most [`CARRYOVER_SHARE`] of the ratio times the requests of the last window,
+//!   plus this VM's part of [`BALANCE_SLACK_SHARE`] of the slack.
+//! - A process starts with an empty bucket.
+//! - Where that bound is below one token, a VM's fixed random draw rounds it to 0 or 1, so that the
+//!   sum over VMs meets the bound on average.
 //!
-//! In any window, repeats of all VMs are at most [`RetryBudgetLimits::ratio`] times the requests of that
-//! window or of the one before it, and [`RetryBudgetLimits::slack`]. A VM knows neither what others send
-//! nor what its own last process has sent, and doesn't need to: each service has a bucket here, and
-//!
-//! - a request adds [`EARNED_SHARE`] of the ratio to it, a repeat takes one out;
-//! - what is saved is at most [`SAVED_SHARE`] of what the requests of the window before have earned,
-//!   and this VM's part of [`KEPT_SLACK`] of the slack;
-//! - a process starts with nothing saved.
-//!
-//! Where that bound is less than a whole repeat, as among many VMs with few requests each, some VMs may
-//! save a whole one by lot: their sum then keeps to the bound on the mean, not in each case, and the rest
-//! of the slack is for the difference too.
-//!
-//! So in a window each process sends no more than it had saved when the window began and what the
-//! requests of the window earn; both add up over processes, whichever ends or starts when. A process
-//! that counted its own last window in place of that would spend what it has saved in one moment, and
-//! the one that follows it on the same VM, or the same process in the next window of operators, would
-//! spend it once more.
-//!
-//! The rest of the slack is for what a VM can't know: repeats that were on their way when the window
-//! began, and requests that operators don't count, like those that only ask which configuration is
-//! in force.
+//! A process withdraws at most its balance at the start of a window plus the window's deposits, so
+//! the sum over processes stays within the limit even when processes are restarted. The rest of
+//! the slack covers retries in flight when the window began, requests that operators don't count,
+//! and the rounding.
 
 use std::collections::VecDeque;
 
 use crate::hash::{Digest, Map};
 
-/// The part of the ratio that a request adds to what is saved.
-pub const EARNED_SHARE: f64 = 1.0 - SAVED_SHARE;
+/// The share of the ratio that a request deposits.
+pub const DEPOSIT_SHARE: f64 = 1.0 - CARRYOVER_SHARE;
 
-/// The part of what a window's requests may pay that may be saved for the next one: what a short
-/// outage may take at once, such as an upstream that crashes with its requests.
-pub const SAVED_SHARE: f64 = 0.1;
+/// The share of a window's budget that may be carried over, for a burst of failures such as the
+/// crash of an upstream.
+pub const CARRYOVER_SHARE: f64 = 0.1;
 
-/// The part of the slack that all VMs together may save. It adds up to no more if each VM knows of all
-/// others: one that has heard of fewer takes too large a part.
-pub const KEPT_SLACK: f64 = 0.5;
+/// The share of the slack that the balances of all VMs may hold. A VM that knows too few of the
+/// others holds more than its part.
+pub const BALANCE_SLACK_SHARE: f64 = 0.5;
 
-/// The time that one bucket counts, in milliseconds: a tenth of the usual window of 10 s.
-const BUCKET_MS: u64 = 1_000;
+/// The time span of one request counter, in milliseconds.
+const COUNTER_SPAN_MS: u64 = 1_000;
 
-/// How much less than a whole repeat is taken for one: sums of fractions are not exact.
-const ROUNDING: f64 = 1e-6;
+/// The tolerance for floating-point error when comparing a balance with one token.
+const TOKEN_TOLERANCE: f64 = 1e-6;
 
-/// What all VMs together may send beyond the first of each request.
+/// The limits on the retries of all VMs together.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudgetLimits {
-    /// The repeats per request.
+    /// The retries allowed per request.
     pub ratio: f64,
-    /// The repeats allowed beside these, summed over all VMs.
+    /// The additional retries allowed in a window, summed over all VMs.
     pub slack: f64,
-    /// The window in which both are counted, in milliseconds.
+    /// The window in which requests and retries are counted, in milliseconds.
     pub window_ms: u64,
 }
 
 #[derive(Debug, Default)]
 struct Account {
-    /// The repeats that may be sent now.
-    saved: f64,
-    /// The requests of the last window, in order.
-    buckets: VecDeque<Bucket>,
+    /// The retries that may be made now.
+    balance: f64,
+    /// The counters of the last window, oldest first.
+    counters: VecDeque<RequestCounter>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Bucket {
+struct RequestCounter {
     starts_at_ms: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-/// The budgets of all services.
+/// The retry budgets of all services on one VM.
 #[derive(Debug)]
 pub struct RetryBudget {
     limits: RetryBudgetLimits,
-    /// This VM's draw, from 0 to 1: whether it may save a whole repeat where its part is less than one.
-    draw: f64,
+    /// A number in 0..1 derived from the VM's name, which rounds a bound below one token to 0 or 1.
+    rounding_draw: f64,
     services: Map<Box<str>, Account>,
 }
 
 impl RetryBudget {
-    /// Creates the budget of a VM that has just started.
+    /// Creates the budget of a process that has just started, with empty buckets.
     pub fn new(limits: RetryBudgetLimits, vm: &str) -> Self {
         let hash = Digest::of(&[vm.as_bytes()]).to_u64();
         let draw = (hash >> 11) as f64 / (1_u64 << 53) as f64;
-        Self { limits, draw, services: Map::default() }
+        Self { limits, rounding_draw: draw, services: Map::default() }
     }
 
-    /// Counts a request of a caller.
+    /// Counts a caller's request and deposits its share.
     ///
-    /// `vms` is the number of VMs that share the budget, this one among them.
+    /// `vms` is the number of VMs that share the budget, including this one.
     pub fn deposit(&mut self, service: &str, vms: usize, now_ms: u64) {
-        let earned = self.limits.ratio * EARNED_SHARE;
+        let deposit = self.limits.ratio * DEPOSIT_SHARE;
         let account = self.account(service, vms, now_ms);
-        account.saved += earned;
-        if let Some(bucket) = account.buckets.back_mut() {
-            bucket.requests += 1;
+        account.balance += deposit;
+        if let Some(counter) = account.counters.back_mut() {
+            counter.requests += 1;
         }
     }
 
-    /// Takes a repeat out of the budget, if this VM's part of it allows one.
+    /// Withdraws one retry and returns whether the balance allowed it.
     ///
-    /// `vms` is the number of VMs that share the budget, this one among them.
+    /// `vms` is the number of VMs that share the budget, including this one.
     pub fn try_withdraw(&mut self, service: &str, vms: usize, now_ms: u64) -> bool {
         let account = self.account(service, vms, now_ms);
-        let allowed = account.saved >= 1.0 - ROUNDING;
+        let allowed = account.balance >= 1.0 - TOKEN_TOLERANCE;
         if allowed {
-            account.saved -= 1.0;
-            if let Some(bucket) = account.buckets.back_mut() {
-                bucket.repeats += 1;
+            account.balance -= 1.0;
+            if let Some(counter) = account.counters.back_mut() {
+                counter.retries += 1;
             }
         }
         allowed
     }
 
-    /// Returns a service's requests and repeats in the last window.
+    /// Returns a service's requests and retries in the last window.
     pub fn counts(&self, service: &str, now_ms: u64) -> (u32, u32) {
-        let buckets = self.services.get(service).into_iter().flat_map(|account| &account.buckets);
-        buckets
-            .filter(|bucket| now_ms < bucket.starts_at_ms + self.limits.window_ms)
-            .fold((0, 0), |sum, bucket| (sum.0 + bucket.requests, sum.1 + bucket.repeats))
+        let counters = self.services.get(service).into_iter().flat_map(|account| &account.counters);
+        counters
+            .filter(|counter| now_ms < counter.starts_at_ms + self.limits.window_ms)
+            .fold((0, 0), |sum, counter| (sum.0 + counter.requests, sum.1 + counter.retries))
     }
 
-    /// Returns a service's account with a bucket for now, in which no more is saved than may be.
+    /// Returns a service's account with its balance capped and a counter for the current time.
     ///
-    /// What may be saved is worked out before the request or the repeat of this moment is counted: a
-    /// request of a window may earn in it, or let something be saved from before it, not both.
+    /// The cap is computed before the current request is counted: within one window a request either
+    /// deposits or raises the cap, not both.
     fn account(&mut self, service: &str, vms: usize, now_ms: u64) -> &mut Account {
         let RetryBudgetLimits { ratio, slack, window_ms } = self.limits;
         if !self.services.contains_key(service) {
             self.services.insert(service.into(), Account::default());
         }
         let account = self.services.entry(service.into()).or_default();
-        let passed = |bucket: &Bucket| bucket.starts_at_ms + window_ms <= now_ms;
-        while account.buckets.front().is_some_and(passed) {
-            account.buckets.pop_front();
+        let expired = |counter: &RequestCounter| counter.starts_at_ms + window_ms <= now_ms;
+        while account.counters.front().is_some_and(expired) {
+            account.counters.pop_front();
         }
-        let requests: u32 = account.buckets.iter().map(|bucket| bucket.requests).sum();
-        let most =
-            KEPT_SLACK * slack / vms.max(1) as f64 + SAVED_SHARE * ratio * f64::from(requests);
-        // Among many VMs with few requests each, nobody could ever save a whole repeat. As many of them by
-        // lot as their parts add up to may save one, the others none.
-        let most = if most < 1.0 { f64::from(u8::from(self.draw < most)) } else { most };
-        account.saved = account.saved.min(most);
-        let starts_at_ms = now_ms - now_ms % BUCKET_MS;
-        if account.buckets.back().is_none_or(|bucket| bucket.starts_at_ms < starts_at_ms) {
-            account.buckets.push_back(Bucket { starts_at_ms, requests: 0, repeats: 0 });
+        let requests: u32 = account.counters.iter().map(|counter| counter.requests).sum();
+        let cap = BALANCE_SLACK_SHARE * slack / vms.max(1) as f64
+            + CARRYOVER_SHARE * ratio * f64::from(requests);
+        // Without rounding, VMs with few requests each could never hold a whole token.
+        let cap = if cap < 1.0 { f64::from(u8::from(self.rounding_draw < cap)) } else { cap };
+        account.balance = account.balance.min(cap);
+        let starts_at_ms = now_ms - now_ms % COUNTER_SPAN_MS;
+        if account.counters.back().is_none_or(|counter| counter.starts_at_ms < starts_at_ms) {
+            account.counters.push_back(RequestCounter { starts_at_ms, requests: 0, retries: 0 });
         }
         account
     }
--- a/crates/sedgepath-core/src/direct/queueing.rs
+++ b/crates/sedgepath-core/src/direct/queueing.rs
@@ -1,41 +1,42 @@
-//! How long a request may wait for a slot of its upstream before it is better refused.
+//! The longest time that a request may wait for a slot of its upstream.
 
 use crate::hash::Map;
 
 use super::attempts::RequestState;
 use super::placement::Candidate;
 
-/// The part of a request's time that its expected answer may take up; the rest is for the estimate's
-/// error.
-const USABLE_TIME: f64 = 0.9;
+/// The share of a request's remaining time that its expected response time may take up; the rest
+/// covers the error of the estimate.
+const USABLE_TIME_SHARE: f64 = 0.9;
 
-/// How many times its route's target a request may be expected to take and yet be sent, while queues
-/// come and go. A burst is served late rather than refused.
-pub const CALM_TARGET_FACTOR: f64 = 2.0;
+/// The longest expected response time of a request that is sent while queues are short-lived, as a
+/// multiple of its route's target. A burst is served late rather than rejected.
+pub const IDLE_TARGET_FACTOR: f64 = 2.0;
 
-/// The same while the queues stand.
-pub const PRESSED_TARGET_FACTOR: f64 = 0.95;
+/// The longest expected response time of a request that is sent while queues persist, as a multiple
+/// of its route's target.
+pub const LOADED_TARGET_FACTOR: f64 = 0.95;
 
-/// The weight of one request in the share of requests that find a queue: the last fifty or so count.
-const PRESSURE_WEIGHT: f64 = 0.02;
+/// The weight of one request in the moving share of requests that find a queue.
+const PRESSURE_SAMPLE_WEIGHT: f64 = 0.02;
 
-/// The wait for a slot that any request may have, in milliseconds, also one whose work takes longer
-/// than its target by itself.
-const MIN_WAIT_MS: f64 = 100.0;
+/// The wait for a slot that the target always leaves, in milliseconds, even to a request whose work
+/// alone exceeds its target.
+const MIN_TARGET_WAIT_MS: f64 = 100.0;
 
-/// How many times its route's target a request may be expected to take and yet be sent; the figures in
-/// force are the default.
+/// The longest expected response times of requests that are sent, as multiples of their route's
+/// target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueueTolerance {
-    /// See [`CALM_TARGET_FACTOR`].
+    /// See [`IDLE_TARGET_FACTOR`].
     pub idle_target_factor: f64,
-    /// See [`PRESSED_TARGET_FACTOR`].
+    /// See [`LOADED_TARGET_FACTOR`].
     pub loaded_target_factor: f64,
 }
 
 impl Default for QueueTolerance {
     fn default() -> Self {
-        Self { idle_target_factor: CALM_TARGET_FACTOR, loaded_target_factor: PRESSED_TARGET_FACTOR }
+        Self { idle_target_factor: IDLE_TARGET_FACTOR, loaded_target_factor: LOADED_TARGET_FACTOR }
     }
 }
 
@@ -45,42 +46,41 @@
     }
 }
 
-/// Whether the queues of each service stand, or come and go.
+/// The share of each service's recent requests that found a queue.
 #[derive(Debug, Default)]
-pub struct Pressure {
+pub struct QueuePressure {
     shares: Map<Box<str>, f64>,
 }
 
-impl Pressure {
-    /// Counts a request, and returns the share of the service's last ones that found a queue at
+impl QueuePressure {
+    /// Counts a request and returns the share of the service's recent requests that found a queue at
     /// their best upstream.
-    pub fn note(&mut self, service: &str, waits: bool) -> f64 {
+    pub fn record(&mut self, service: &str, waits: bool) -> f64 {
         if !self.shares.contains_key(service) {
             self.shares.insert(service.into(), 0.0);
         }
         let share = self.shares.entry(service.into()).or_default();
-        *share += PRESSURE_WEIGHT * (f64::from(waits) - *share);
+        *share += PRESSURE_SAMPLE_WEIGHT * (f64::from(waits) - *share);
         *share
     }
 }
 
-/// Returns how long a request may wait for a slot.
+/// Returns the longest time that a request may wait for a slot, in milliseconds.
 ///
-/// With more requests than slots a queue that stands only makes all answers late, the first as well as
-/// the last: as many are served with a short one, in time, and the others are told so at once. A queue
-/// that comes and goes is a burst, which is better served late. `pressure`, by [`Pressure::note`],
-/// tells the two apart.
-pub fn most_wait_ms(
-    attempts: &RequestState,
+/// Under overload a long queue delays all responses without raising throughput, so the bound
+/// shrinks; a short-lived queue is a burst, which is served late. `pressure`, from
+/// [`QueuePressure::record`], tells the two apart.
+pub fn max_wait_ms(
+    request: &RequestState,
     candidate: &Candidate,
-    patience: QueueTolerance,
+    tolerance: QueueTolerance,
     pressure: f64,
     now_ms: u64,
 ) -> f64 {
-    let factor = patience.factor(pressure);
+    let factor = tolerance.factor(pressure);
     let work_ms = candidate.expected_ms - candidate.wait_ms;
-    let by_target_ms = attempts.route.target_ms as f64 * factor - work_ms;
-    let left_ms = attempts.deadline_at_ms.saturating_sub(now_ms) as f64;
-    let by_deadline_ms = (left_ms * USABLE_TIME - work_ms).max(0.0);
-    by_target_ms.max(MIN_WAIT_MS).min(by_deadline_ms)
+    let by_target_ms = request.route.target_ms as f64 * factor - work_ms;
+    let left_ms = request.deadline_at_ms.saturating_sub(now_ms) as f64;
+    let by_deadline_ms = (left_ms * USABLE_TIME_SHARE - work_ms).max(0.0);
+    by_target_ms.max(MIN_TARGET_WAIT_MS).min(by_deadline_ms)
 }
--- a/crates/sedgepath-core/src/direct/routing.rs
+++ b/crates/sedgepath-core/src/direct/routing.rs
@@ -1,107 +1,107 @@
-//! The configuration in force: hosts, routes and services.
+//! The active configuration: hosts, routes and services.
 
 use std::sync::Arc;
 
 use crate::hash::Map;
 
-/// Whether a request may run more than once.
+/// How a route's requests may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// Idempotent: may run more than once.
+    /// Requests may run more than once.
     Idempotent,
-    /// Not idempotent: runs at most once for each attempt of the caller.
+    /// Requests run at most once for each attempt of the caller.
     NonIdempotent,
-    /// A large idempotent answer.
+    /// Idempotent requests with large responses.
     Download,
 }
 
 impl RouteKind {
-    /// Whether a request may be sent again after it may have run.
+    /// Returns whether a request that may have run may be sent again.
     pub fn may_repeat(self) -> bool {
         !matches!(self, Self::NonIdempotent)
     }
 }
 
-/// A service among which a route spreads its requests.
+/// A service that runs a share of a route's requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WeightedService {
     /// The service's name.
     pub service: Box<str>,
-    /// Its share of the requests, relative to the other parts.
+    /// The service's share of the requests, relative to the route's other services.
     pub weight: f64,
 }
 
-/// A rule that sends the requests under a path to services.
+/// A rule that maps the requests under a path prefix to services.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
     /// The route's name.
     pub name: Box<str>,
-    /// The beginning of the paths that it takes.
+    /// The path prefix that the route matches.
     pub prefix: Box<str>,
-    /// Whether its requests may run more than once.
+    /// How the route's requests may be retried.
     pub kind: RouteKind,
-    /// The longest that a caller is kept waiting, in milliseconds.
+    /// The longest time until a request's deadline, in milliseconds.
     pub timeout_ms: u64,
-    /// The time within which an answer is worth most, in milliseconds.
+    /// The response time that the service aims for, in milliseconds.
     pub target_ms: u64,
-    /// The rank; 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u32,
-    /// The services that run its requests; at least one.
+    /// The services that run the route's requests; at least one.
     pub weighted_services: Vec<WeightedService>,
-    /// The most upstreams to which one request may be sent.
+    /// The most attempts of an idempotent request that may have run.
     pub max_attempts: u32,
-    /// Whether an upstream that has lately run a request for an object runs the next one faster.
+    /// Whether an upstream that recently ran a request for an object runs the next one faster.
     pub sticky: bool,
-    /// The regions that may run it; empty for all.
+    /// The regions that may run the route's requests; empty if any may.
     pub home_regions: Vec<Box<str>>,
 }
 
-/// A service as configured.
+/// The configured limits of a service's upstreams.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceSettings {
-    /// The most connections that one upstream takes from all VMs together.
+    /// The most connections that one upstream accepts from all VMs together.
     pub max_connections: u32,
-    /// How long an upstream stays cold after its start, in milliseconds.
+    /// The time for which an upstream is cold after its start, in milliseconds.
     pub cold_start_ms: u64,
-    /// The requests a second that a cold upstream bears.
+    /// The most requests per second that a cold upstream may get.
     pub cold_requests_per_s: f64,
 }
 
-/// What callers may send, and how long they may take.
+/// The limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The largest head of a request in bytes.
+    /// The largest request head in bytes.
     pub max_header_bytes: usize,
-    /// The largest body of a request in bytes.
+    /// The largest request body in bytes.
     pub max_body_bytes: u64,
-    /// The longest that a connection may stay idle, in milliseconds.
+    /// The longest time for which a connection may stay idle, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
-/// A configuration in full.
+/// One version of the complete configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Configuration {
-    /// Grows with every accepted configuration.
+    /// The version, which grows with every accepted configuration.
     pub version: u64,
-    /// The services by name.
+    /// The services, by name.
     pub services: Map<Box<str>, ServiceSettings>,
-    /// The routes of each host.
+    /// The routes of each host, by the host's name in lower case.
     pub hosts: Map<Box<str>, Vec<Arc<Route>>>,
-    /// The limits for callers.
+    /// The limits on callers.
     pub limits: CallerLimits,
 }
 
 impl Configuration {
-    /// Returns the route of a host whose prefix is the longest one that begins the path.
+    /// Returns the host's route with the longest prefix of the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let routes = self.hosts.get(host_name(host).as_ref())?;
+        let routes = self.hosts.get(normalize_host(host).as_ref())?;
         let fitting = routes.iter().filter(|route| path.starts_with(&*route.prefix));
         fitting.max_by_key(|route| route.prefix.len())
     }
 }
 
-/// Reduces a `Host` field to the name: no port, in lower case.
-fn host_name(host: &str) -> std::borrow::Cow<'_, str> {
+/// Returns the host name of a `Host` header without its port, in lower case.
+fn normalize_host(host: &str) -> std::borrow::Cow<'_, str> {
     let name = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
         _ => host,
@@ -112,26 +112,23 @@
     name.into()
 }
 
-/// How many requests a part may be ahead of or behind its share for the sake of a warm object.
-///
-/// Three in each VM: of the 30 requests that one of ten VMs counts in a window of 300, a tenth; the
-/// errors of VMs are independent, so their sum stays well below that.
-pub const MAX_LEAD: f64 = 3.0;
+/// The most requests by which a service may run ahead of its share to keep an object warm, on each
+/// VM.
+pub const MAX_LEAD_REQUESTS: f64 = 3.0;
 
-/// Spreads the requests of routes over their parts in proportion to the weights.
+/// Distributes the requests of routes over their services in proportion to the weights.
 ///
-/// Weighted round robin with a bounded lead: each part gains its weight with each request, and the part
-/// taken pays the sum. An object goes to the part that its digest names, so that it is warm at one
-/// service only, unless that part is [`MAX_LEAD`] requests ahead; then the part with the most is
-/// taken. So each part stays within some requests of its share after any number of requests, which
-/// neither a random draw nor the digests alone do.
+/// This is weighted round robin with object affinity: each request adds each service's weight to
+/// its credit and takes the sum of the weights from the chosen one. An object's digest selects its
+/// service, unless that service is [`MAX_LEAD_REQUESTS`] ahead of its share; then the service with
+/// the most credit is chosen. Each service thus stays within a few requests of its share.
 #[derive(Debug, Default)]
 pub struct WeightedRoundRobin {
     credits: Map<Box<str>, Vec<f64>>,
 }
 
 impl WeightedRoundRobin {
-    /// Returns the part that takes the next request of a route, for an object if it has one.
+    /// Returns the service for the next request of a route, by the requested object if there is one.
     pub fn next_service<'a>(
         &mut self,
         route: &'a Route,
@@ -148,22 +145,22 @@
         }
         let most =
             (0..credits.len()).max_by(|one, other| credits[*one].total_cmp(&credits[*other]));
-        let preferred = object.map(|object| preferred(route, object, total));
-        let within = |index: &usize| credits[*index] - total >= -MAX_LEAD * total;
+        let preferred = object.map(|object| preferred_index(route, object, total));
+        let within = |index: &usize| credits[*index] - total >= -MAX_LEAD_REQUESTS * total;
         let taken = preferred.filter(within).or(most).unwrap_or(0);
         credits[taken] -= total;
         &route.weighted_services[taken]
     }
 
-    /// Forgets the counts, since a new configuration may have changed the parts.
+    /// Resets the credits of all routes, since a new configuration may have changed their services.
     pub fn clear(&mut self) {
         self.credits.clear();
     }
 }
 
-/// Returns the part that an object's digest names, parts in proportion to their weights.
-fn preferred(route: &Route, object: u64, total: f64) -> usize {
-    // The digest's upper half, as a number from 0 to 1; its whole ranks upstreams.
+/// Returns the index of the service that an object's digest selects in proportion to the weights.
+fn preferred_index(route: &Route, object: u64, total: f64) -> usize {
+    // The upper half of the digest, scaled to the sum of the weights.
     let mut place = (object >> 32) as f64 / (1_u64 << 32) as f64 * total;
     for (index, part) in route.weighted_services.iter().enumerate() {
         if place < part.weight {
--- a/crates/sedgepath-core/src/direct/status.rs
+++ b/crates/sedgepath-core/src/direct/status.rs
@@ -1,4 +1,4 @@
-//! What a VM that sends to upstreams itself says of its state, for operators.
+//! The state that an entry VM reports to operators.
 
 use std::collections::BTreeMap;
 
@@ -6,73 +6,77 @@
 
 use super::Steering;
 
-/// The state of a VM.
+/// The state of a VM, as reported to operators.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VmStatus {
-    /// Its name.
+    /// The VM's name.
     pub name: Box<str>,
-    /// Its failure domain.
+    /// The VM's failure domain.
     pub domain: Box<str>,
-    /// Its region.
+    /// The VM's region.
     pub region: Box<str>,
-    /// Whether it knows enough to serve.
+    /// Whether the VM knows a configuration and an upstream.
     pub can_serve: bool,
-    /// Whether it is about to stop.
+    /// Whether the VM is about to stop.
     pub leaving: bool,
-    /// The version of the configuration in force; 0 before there is one.
+    /// The version of the active configuration; 0 before there is one.
     pub configuration_version: u64,
-    /// The failure domains that are being emptied, in order.
+    /// The evacuated failure domains, sorted by name.
     pub evacuated: Vec<Box<str>>,
-    /// The VMs among which it splits what holds for all of them, itself among them.
+    /// The number of VMs that the limits for all VMs are divided by, including this one.
+    #[serde(rename = "sharing")]
     pub sharing_vm_count: usize,
-    /// The services by their names.
+    /// The services that have upstreams, by name.
     pub services: BTreeMap<Box<str>, ServiceStatus>,
-    /// The other VMs, in the order of their names.
+    /// The other known VMs, sorted by name.
+    #[serde(rename = "others")]
     pub other_vms: Vec<OtherVmStatus>,
 }
 
-/// What a VM knows of a service.
+/// A VM's view of a service.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServiceStatus {
-    /// Its upstreams.
+    /// The number of upstreams.
     pub upstreams: usize,
-    /// Those that are about to stop.
+    /// The number of upstreams that are about to stop.
     pub leaving: usize,
-    /// Those that are cold.
+    /// The number of cold upstreams.
     pub cold: usize,
-    /// Those that are left out because they failed or can't be reached.
+    /// The number of upstreams ejected after failures or because they are unreachable.
+    #[serde(rename = "left_out")]
     pub ejected: usize,
-    /// The requests that all of them run at a time.
+    /// The sum of the upstreams' slots.
     pub slots: u32,
-    /// The requests of this VM that they have not answered.
+    /// The requests of this VM in flight.
     pub in_flight: u32,
-    /// The load of all of them, by their last reports and what was sent since.
+    /// The estimated load of all upstreams, in requests.
     pub load: f64,
-    /// The callers' requests in the window of the retry budget.
+    /// The callers' requests in the last window of the retry budget.
     pub requests: u32,
-    /// The repeats in that window.
+    /// The retries in the last window of the retry budget.
     pub repeats: u32,
 }
 
-/// What a VM knows of another.
+/// A VM's view of another VM.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OtherVmStatus {
-    /// Its name.
+    /// The other VM's name, or the text of its address if only that is known.
     pub name: Box<str>,
-    /// Its failure domain.
+    /// The other VM's failure domain.
     pub domain: Box<str>,
-    /// The age of its last heartbeat, in milliseconds.
+    /// The age of the last heartbeat, in milliseconds; 0 for a VM known from summaries only.
     pub silent_ms: u64,
-    /// Whether it serves, as it says.
+    /// Whether the VM reports that it accepts new requests.
     pub ready: bool,
-    /// Whether it is about to stop.
+    /// Whether the VM is about to stop.
     pub leaving: bool,
-    /// Whether the store answers it.
+    /// Whether the VM reports that the store responds to it.
+    #[serde(rename = "has_store")]
     pub store_reachable: bool,
 }
 
 impl Steering {
-    /// Returns the VM's state.
+    /// Returns the VM's state for operators.
     pub fn status(&self, now_ms: u64) -> VmStatus {
         let place = self.location();
         let mut evacuated: Vec<_> = self.evacuated_domains().iter().cloned().collect();
--- a/crates/sedgepath-core/src/direct/steering/learning.rs
+++ b/crates/sedgepath-core/src/direct/steering/learning.rs
@@ -1,71 +1,71 @@
-//! What is learnt of upstreams and services from how sendings end.
+//! Updates of the estimates for upstreams and services from the outcomes of attempts.
 
 use super::{SAMPLE_WEIGHT, Steering};
 use crate::direct::attempts::{AttemptCause, AttemptOutcome, InFlightAttempt, RequestState};
 use crate::direct::upstreams::UpstreamKey;
 
 impl Steering {
-    /// Takes in how a sending ended.
+    /// Records the outcome of an attempt.
     pub fn record_outcome(
         &mut self,
-        attempts: &mut RequestState,
+        request: &mut RequestState,
         key: UpstreamKey,
         outcome: AttemptOutcome,
         now_ms: u64,
     ) {
-        let Some(index) = attempts.in_flight.iter().position(|sent| sent.upstream == key) else {
+        let Some(index) = request.in_flight.iter().position(|sent| sent.upstream == key) else {
             return;
         };
-        let current = attempts.in_flight.swap_remove(index);
+        let current = request.in_flight.swap_remove(index);
         match outcome {
             AttemptOutcome::Answered { .. } | AttemptOutcome::Failed | AttemptOutcome::TimedOut => {
-                attempts.delivered += 1;
-                attempts.possible_runs += 1;
-                attempts.cause = AttemptCause::Failed;
+                request.delivered += 1;
+                request.possible_runs += 1;
+                request.cause = AttemptCause::Failed;
             }
             AttemptOutcome::Refused { .. } | AttemptOutcome::Misdirected => {
-                attempts.delivered += 1;
-                attempts.cause = AttemptCause::Refused;
+                request.delivered += 1;
+                request.cause = AttemptCause::Refused;
             }
             AttemptOutcome::Unreachable | AttemptOutcome::Canceled => {}
         }
-        if let Some(service) = self.service(&attempts.service).cloned()
+        if let Some(service) = self.service(&request.service).cloned()
             && !matches!(
                 outcome,
                 AttemptOutcome::Unreachable | AttemptOutcome::Canceled | AttemptOutcome::TimedOut
             )
         {
-            self.upstreams.note_return(key, &service, now_ms);
+            self.upstreams.record_reachable_again(key, &service, now_ms);
         }
-        self.learn(attempts, current, outcome, now_ms);
+        self.record_response(request, current, outcome, now_ms);
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return;
         };
-        upstream.ended();
+        upstream.record_end();
         match outcome {
             AttemptOutcome::Answered { failed: true, .. } | AttemptOutcome::Failed => {
-                upstream.failed(now_ms)
+                upstream.record_failure(now_ms);
             }
             AttemptOutcome::Answered { report, .. } => {
                 let expected_ms = self
                     .times
-                    .get(&attempts.service)
+                    .get(&request.service)
                     .map(|times| times.work_ms(current.warm) + current.wait_ms);
-                let took_ms = current.took_ms(now_ms);
+                let took_ms = current.time_at_upstream_ms(now_ms);
                 let slowness = expected_ms.map(|expected_ms| took_ms / expected_ms.max(1.0));
-                upstream.answered(report, slowness, now_ms);
+                upstream.record_answer(report, slowness, now_ms);
             }
-            AttemptOutcome::Refused { report } => upstream.refused(report, now_ms),
-            AttemptOutcome::Misdirected => self.upstreams.misdirected(key),
-            AttemptOutcome::Unreachable => upstream.unreachable(now_ms),
-            AttemptOutcome::TimedOut => upstream.timed_out(now_ms),
+            AttemptOutcome::Refused { report } => upstream.record_refusal(report, now_ms),
+            AttemptOutcome::Misdirected => self.upstreams.remove_misdirected(key),
+            AttemptOutcome::Unreachable => upstream.record_unreachable(now_ms),
+            AttemptOutcome::TimedOut => upstream.record_timeout(now_ms),
             AttemptOutcome::Canceled => {}
         }
     }
 
-    fn learn(
+    fn record_response(
         &mut self,
-        attempts: &RequestState,
+        request: &RequestState,
         current: InFlightAttempt,
         outcome: AttemptOutcome,
         now_ms: u64,
@@ -74,19 +74,19 @@
             return;
         };
         if current.wait_ms <= 0.0 {
-            let times = self.times.entry(attempts.service.clone()).or_default();
-            times.learn(current.warm, current.took_ms(now_ms));
+            let times = self.times.entry(request.service.clone()).or_default();
+            times.record_time(current.warm, current.time_at_upstream_ms(now_ms));
         }
         let mean =
-            self.answer_bytes.entry(attempts.route.name.clone()).or_insert(body_bytes as f64);
+            self.response_bytes.entry(request.route.name.clone()).or_insert(body_bytes as f64);
         *mean += SAMPLE_WEIGHT * (body_bytes as f64 - *mean);
     }
 
-    /// Takes in the time that a connection to an upstream took.
+    /// Records the time that a connection to an upstream took to open.
     pub fn record_connect_time(&mut self, key: UpstreamKey, took_ms: u64) {
         let far = self.upstreams.get(key).is_some_and(|up| up.region != self.location.region);
         if far {
-            self.far_ms += SAMPLE_WEIGHT * (took_ms as f64 - self.far_ms);
+            self.other_region_rtt_ms += SAMPLE_WEIGHT * (took_ms as f64 - self.other_region_rtt_ms);
         }
     }
 }
--- a/crates/sedgepath-core/src/direct/steering/store.rs
+++ b/crates/sedgepath-core/src/direct/steering/store.rs
@@ -1,45 +1,45 @@
-//! Whether the store is there, as far as this VM and those that it hears can tell.
+//! The availability of the store, as observed by this VM and the VMs that it hears.
 
 use super::Steering;
 use crate::direct::vms::StoreHealth;
 
-/// What is known of the store's being there.
+/// The observed availability of the store.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct StoreContact {
-    /// When this VM or another last had an answer of it, in milliseconds.
-    pub(super) last_at_ms: u64,
-    /// When the last time without an answer began, in milliseconds.
-    pub(super) away_since_ms: Option<u64>,
-    pub(super) away: bool,
+pub(super) struct StoreAvailability {
+    /// When the store last responded to this VM or another one, in milliseconds.
+    pub(super) last_reachable_at_ms: u64,
+    /// When the last outage began, in milliseconds; `None` once removals after it are confirmed.
+    pub(super) outage_since_ms: Option<u64>,
+    pub(super) unavailable: bool,
 }
 
 impl Steering {
-    /// Takes in what this VM can tell of the store.
+    /// Updates the store's availability from this VM's view of it.
     ///
-    /// The store is away only if it fails a VM and answers none that this one hears. If it answered
-    /// another one all the time, only this VM was cut off, and what the store now lacks has not lapsed
-    /// but left.
+    /// The store is unavailable only if it fails a VM and responds to none that this VM hears. If it
+    /// responded to another VM throughout, only this VM was cut off: the entries that are missing now
+    /// were removed rather than lapsed.
     pub fn update_store_health(&mut self, own: StoreHealth, now_ms: u64) {
         let contact_ms = match self.vms.store_health(own, now_ms) {
             StoreHealth::Reachable { for_ms } => for_ms,
             StoreHealth::Unknown => return,
             StoreHealth::Failing => {
-                if !self.store.away {
-                    self.store.away = true;
-                    self.store.away_since_ms = Some(self.store.last_at_ms);
-                    self.upstreams.set_store_away(true, now_ms);
+                if !self.store.unavailable {
+                    self.store.unavailable = true;
+                    self.store.outage_since_ms = Some(self.store.last_reachable_at_ms);
+                    self.upstreams.set_store_unavailable(true, now_ms);
                 }
                 return;
             }
         };
-        self.store.last_at_ms = now_ms;
-        if self.store.away {
-            self.store.away = false;
-            self.upstreams.set_store_away(false, now_ms);
+        self.store.last_reachable_at_ms = now_ms;
+        if self.store.unavailable {
+            self.store.unavailable = false;
+            self.upstreams.set_store_unavailable(false, now_ms);
         }
         let since_ms = now_ms.saturating_sub(contact_ms);
-        if self.store.away_since_ms.is_some_and(|away_since_ms| since_ms <= away_since_ms) {
-            self.store.away_since_ms = None;
+        if self.store.outage_since_ms.is_some_and(|outage_since_ms| since_ms <= outage_since_ms) {
+            self.store.outage_since_ms = None;
             self.upstreams.confirm_removals(now_ms);
         }
     }
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What a VM says of itself, and when its silence counts.
+//! The heartbeat of a VM, and the limits on its silence.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -8,23 +8,24 @@
 use crate::hash::Digest;
 use crate::key::VmKey;
 
-/// How to reach an entry VM.
+/// The identity, location and addresses of an entry VM.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmDescriptor {
-    /// The VM's name; the text of its address where only that is known.
+    /// The VM's name, or the text of its address if only that is known.
     pub name: Box<str>,
-    /// Its failure domain.
+    /// The VM's failure domain.
     pub domain: Box<str>,
-    /// Its region.
+    /// The VM's region.
     pub region: Box<str>,
-    /// Where it takes callers' requests.
+    /// The address for callers' requests.
     pub caller_address: SocketAddr,
-    /// Where it takes other VMs' datagrams.
+    /// The address for other VMs' datagrams.
     pub peer_address: SocketAddr,
 }
 
 impl VmDescriptor {
-    /// Returns its key for rendezvous hashing, the same on all VMs whether or not they know its name.
+    /// Returns the VM's key for rendezvous hashing. It depends on the peer address only, since some VMs
+    /// don't know its name.
     pub fn key(&self) -> VmKey {
         let port = self.peer_address.port().to_le_bytes();
         let digest = match self.peer_address.ip() {
@@ -35,26 +36,26 @@
     }
 }
 
-/// What a VM can tell of the store from its own calls.
+/// A VM's view of the store from its own calls.
 ///
-/// A VM that makes no calls knows nothing of the store. Taken for one that gets no answer, it would make an
-/// outage of each moment in which nobody asks, and lapses of the removals read after it.
+/// A VM that makes no calls has no view. Treating it as failing would turn each pause in the calls
+/// into an outage, and the removals read after it into lapses.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreHealth {
-    /// It makes no calls, or has had the end of none yet.
+    /// The VM makes no calls, or none has finished yet.
     #[default]
     Unknown,
-    /// It has been answered.
+    /// The last call succeeded.
     Reachable {
-        /// For how long without a break, in milliseconds.
+        /// The time for which calls have succeeded without a failure, in milliseconds.
         for_ms: u64,
     },
-    /// Its last call failed.
+    /// The last call failed.
     Failing,
 }
 
 impl StoreHealth {
-    /// Returns for how long the store has answered without a break, in milliseconds.
+    /// Returns the time for which calls have succeeded without a failure, in milliseconds.
     pub fn reachable_for_ms(self) -> Option<u64> {
         match self {
             Self::Reachable { for_ms } => Some(for_ms),
@@ -62,21 +63,22 @@
         }
     }
 
-    /// Whether the store answers.
+    /// Returns whether the last call succeeded.
     pub fn is_reachable(self) -> bool {
         matches!(self, Self::Reachable { .. })
     }
 
-    /// Returns what it tells after some more time.
-    pub(super) fn aged(self, age_ms: u64) -> Self {
+    /// Returns the view extrapolated by some time.
+    pub(super) fn extrapolate(self, age_ms: u64) -> Self {
         match self {
             Self::Reachable { for_ms } => Self::Reachable { for_ms: for_ms.saturating_add(age_ms) },
             view => view,
         }
     }
 
-    /// Returns what two VMs can tell together: the longer contact, else whether the store fails one.
-    pub(super) fn with(self, other: Self) -> Self {
+    /// Combines two VMs' views: the longer time of successful calls, or else whether the store fails
+    /// one of them.
+    pub(super) fn combine(self, other: Self) -> Self {
         match (self, other) {
             (Self::Reachable { for_ms: one }, Self::Reachable { for_ms: two }) => {
                 Self::Reachable { for_ms: one.max(two) }
@@ -88,95 +90,91 @@
     }
 }
 
-/// What changes of a VM, as it says itself.
+/// The variable part of a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmState {
-    /// When it was sent, in the order of events over all VMs.
+    /// The logical time of the sending.
     pub stamp: HybridTimestamp,
-    /// The time until it is sent again, in milliseconds.
+    /// The time until the next heartbeat, in milliseconds.
     pub period_ms: u64,
-    /// When the VM's process started, in milliseconds since the Unix epoch; the later of two counts.
+    /// When the VM's process started, in milliseconds since the Unix epoch; a later process replaces
+    /// an earlier one.
     pub boot_at_ms: u64,
-    /// Whether it takes new requests.
+    /// Whether the VM accepts new requests.
     pub ready: bool,
-    /// Whether it is about to stop.
+    /// Whether the VM is about to stop.
     pub leaving: bool,
-    /// How new its copies of the store's tables are, by the store's versions.
+    /// The newest store version in each of the VM's table replicas.
     pub newest_version: [u64; 2],
-    /// What it can tell of the store.
+    /// The VM's view of the store.
     pub store_health: StoreHealth,
 }
 
-/// All that a VM says of itself: now and then to its failure domain, and to those that don't know it yet.
+/// A full heartbeat, sent regularly to the VM's failure domain and to VMs that may not know it yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmHeartbeat {
-    /// How to reach it.
+    /// The sender's identity and addresses.
     pub descriptor: VmDescriptor,
-    /// What changes of it.
+    /// The variable part.
     pub state: VmState,
-    /// Where others of its failure domain take datagrams: addresses that the receiver may not know yet.
+    /// Peer addresses of other VMs of the sender's failure domain, which the receiver may not know.
     pub known: Vec<SocketAddr>,
 }
 
 impl VmHeartbeat {
-    /// Creates that of a VM that has just started and doesn't take requests yet.
-    pub fn new(card: VmDescriptor, boot: u64, period_ms: u64) -> Self {
+    /// Creates the heartbeat of a process that has just started and isn't ready.
+    pub fn new(descriptor: VmDescriptor, boot_at_ms: u64, period_ms: u64) -> Self {
         let state = VmState {
             stamp: HybridTimestamp::default(),
             period_ms,
-            boot_at_ms: boot,
+            boot_at_ms,
             ready: false,
             leaving: false,
             newest_version: [0; 2],
             store_health: StoreHealth::Unknown,
         };
-        Self { descriptor: card, state, known: Vec::new() }
+        Self { descriptor, state, known: Vec::new() }
     }
 }
 
-/// When a VM counts as silent and as forgotten.
+/// The intervals of heartbeats and the limits on silence.
 #[derive(Debug, Clone, Copy)]
 pub struct VmTiming {
-    /// The time between two heartbeats in milliseconds, while there are few VMs.
+    /// The shortest time between two heartbeats, in milliseconds.
     pub heartbeat_interval_ms: u64,
-    /// The most heartbeats that a VM sends in a second. With more VMs than fit, the time between
-    /// two grows.
+    /// The most heartbeats that a VM sends per second; with more receivers the interval grows.
     pub max_heartbeats_per_s: u64,
-    /// The longest silence after which a VM is no longer named, in milliseconds.
+    /// The upper bound of the silence after which a VM is no longer named, in milliseconds.
     pub max_silence_ms: u64,
-    /// The silence after which a VM no longer shares the limits that hold for all, in milliseconds.
+    /// The silence after which a VM is removed, in milliseconds.
     pub forget_after_ms: u64,
 }
 
-/// The periods of silence after which a VM is no longer named: three heartbeats may be lost.
-const SILENT_PERIODS: f64 = 4.4;
+/// The silence after which a VM is no longer named, in periods: three heartbeats may be lost.
+const MAX_SILENT_PERIODS: f64 = 4.4;
 
-/// The periods of silence after which others stop relying on a VM to follow the store: one heartbeat
-/// may be lost. All that follow it may be suspended at once, and a leaving upstream may get requests
-/// for 2.5 s only; one more VM that reads for a moment costs some calls.
-const READER_SILENT_PERIODS: f64 = 2.6;
+/// The silence after which a VM no longer counts as a store reader, in periods: one heartbeat may be
+/// lost. It is short so that changes are read soon after all readers fail.
+const MAX_READER_SILENT_PERIODS: f64 = 2.6;
 
-/// The periods of silence after which another VM speaks for the failure domain in place of a silent one: early
-/// enough that what it says has been passed on before the silent one's last word lapses. One taken for silent
-/// by mistake costs a few datagrams.
-const SPEAKER_SILENT_PERIODS: f64 = 1.6;
+/// The silence after which another VM sends summaries in a VM's place, in periods: short enough that
+/// the new summary is relayed before the silent VM's last one expires.
+const MAX_SENDER_SILENT_PERIODS: f64 = 1.6;
 
 impl VmTiming {
-    /// Returns the silence after which one that sends each period is no longer named, in
-    /// milliseconds.
+    /// Returns the silence after which a VM is no longer named, in milliseconds.
     pub(super) fn silent_after_ms(&self, period_ms: u64) -> u64 {
-        self.periods_ms(period_ms, SILENT_PERIODS)
+        self.periods_ms(period_ms, MAX_SILENT_PERIODS)
     }
 
-    /// Returns the silence after which others stop relying on a VM to follow the store, in
-    /// milliseconds.
+    /// Returns the silence after which a VM no longer counts as a store reader, in milliseconds.
     pub(super) fn reader_silent_after_ms(&self, period_ms: u64) -> u64 {
-        self.periods_ms(period_ms, READER_SILENT_PERIODS)
+        self.periods_ms(period_ms, MAX_READER_SILENT_PERIODS)
     }
 
-    /// Returns the silence after which another VM speaks in place of a silent one, in milliseconds.
-    pub(super) fn speaker_silent_after_ms(&self, period_ms: u64) -> u64 {
-        self.periods_ms(period_ms, SPEAKER_SILENT_PERIODS)
+    /// Returns the silence after which another VM sends summaries in a VM's place, in milliseconds.
+    pub(super) fn sender_silent_after_ms(&self, period_ms: u64) -> u64 {
+        self.periods_ms(period_ms, MAX_SENDER_SILENT_PERIODS)
     }
 
     fn periods_ms(&self, period_ms: u64, periods: f64) -> u64 {
--- /dev/null
+++ b/crates/sedgepath-core/src/direct/vms/remote_domains.rs
@@ -0,0 +1,172 @@
+//! The VMs of other failure domains, as listed in summaries of these domains.
+//!
+//! Several VMs send summaries of a domain, and may disagree: one that is cut off lists only itself.
+//! A VM therefore counts as running while any recent summary lists it.
+
+use std::net::SocketAddr;
+
+use super::heartbeat::{StoreHealth, VmDescriptor, VmTiming};
+use super::summary::{DomainMember, DomainSummary, SummaryUpdate};
+use crate::clock::HybridTimestamp;
+use crate::hash::{Map, Set};
+
+/// A VM of another failure domain, as listed in a summary.
+#[derive(Debug)]
+pub(super) struct RemoteVm {
+    pub(super) descriptor: VmDescriptor,
+    pub(super) member: DomainMember,
+}
+
+/// Whether a summary differs in content from the last one of its sender.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum SummaryChange {
+    Changed,
+    Unchanged,
+}
+
+#[derive(Debug)]
+struct ReceivedSummary {
+    summary: DomainSummary,
+    digest: u64,
+    vms: Vec<RemoteVm>,
+    heard_at_ms: u64,
+}
+
+/// The last summary from each VM that sends them for another failure domain.
+#[derive(Debug, Default)]
+pub(super) struct RemoteDomains {
+    by_sender: Map<SocketAddr, ReceivedSummary>,
+}
+
+impl RemoteDomains {
+    /// Stores a summary and returns whether its content changed, or `None` if it isn't newer than the
+    /// last one of its sender.
+    pub(super) fn apply_summary(
+        &mut self,
+        summary: DomainSummary,
+        heard_at_ms: u64,
+        timing: &VmTiming,
+        now_ms: u64,
+    ) -> Option<SummaryChange> {
+        let (sender, digest) = (summary.sender(), summary.digest());
+        let mut unchanged = false;
+        if let Some(received) = self.by_sender.get(&sender) {
+            let last = &received.summary;
+            let newer = if summary.boot_at_ms == last.boot_at_ms {
+                summary.stamp > last.stamp
+            } else {
+                // A process whose clock was set back reports an earlier start.
+                summary.boot_at_ms > last.boot_at_ms || now_ms >= received.silent_at_ms(timing)
+            };
+            if !newer {
+                return None;
+            }
+            unchanged = summary.boot_at_ms == last.boot_at_ms && digest == received.digest;
+        }
+        let listed = summary.members.iter();
+        let listed = listed
+            .map(|member| RemoteVm { descriptor: summary.descriptor(member), member: *member });
+        let received = ReceivedSummary { digest, vms: listed.collect(), heard_at_ms, summary };
+        self.by_sender.insert(sender, received);
+        Some(if unchanged { SummaryChange::Unchanged } else { SummaryChange::Changed })
+    }
+
+    /// Renews the last summary of a sender whose content is unchanged, and returns the summary if its
+    /// digest matches.
+    pub(super) fn renew(
+        &mut self,
+        sender: SocketAddr,
+        (boot_at_ms, stamp): (u64, HybridTimestamp),
+        digest: u64,
+        heard_at_ms: u64,
+    ) -> Option<&DomainSummary> {
+        let received = self.by_sender.get_mut(&sender)?;
+        let last = &mut received.summary;
+        let newer = boot_at_ms == last.boot_at_ms && stamp > last.stamp;
+        if !newer || digest != received.digest {
+            return None;
+        }
+        last.store_health =
+            last.store_health.extrapolate(heard_at_ms.saturating_sub(received.heard_at_ms));
+        last.stamp = stamp;
+        received.heard_at_ms = heard_at_ms;
+        Some(&received.summary)
+    }
+
+    /// Returns the last summary of a sender to be relayed, in full or as a digest.
+    pub(super) fn relayed_update(&self, sender: SocketAddr, full: bool) -> Option<SummaryUpdate> {
+        let ReceivedSummary { summary, digest, .. } = self.by_sender.get(&sender)?;
+        Some(if full {
+            SummaryUpdate::Changed(summary.clone())
+        } else {
+            SummaryUpdate::Unchanged {
+                sender,
+                boot_at_ms: summary.boot_at_ms,
+                stamp: summary.stamp,
+                digest: *digest,
+            }
+        })
+    }
+
+    /// Removes the summaries of senders that have been silent for too long.
+    pub(super) fn remove_silent(&mut self, forgotten_after_ms: u64, now_ms: u64) {
+        self.by_sender.retain(|_, received| now_ms < received.heard_at_ms + forgotten_after_ms);
+    }
+
+    /// Returns the VMs listed by senders that aren't silent; a VM may occur several times.
+    pub(super) fn live_vms(
+        &self,
+        timing: VmTiming,
+        now_ms: u64,
+    ) -> impl Iterator<Item = &RemoteVm> {
+        let fresh =
+            self.by_sender.values().filter(move |received| now_ms < received.silent_at_ms(&timing));
+        fresh.flat_map(|received| &received.vms)
+    }
+
+    /// Returns the VMs listed by senders that aren't silent by the shorter limit for store readers.
+    ///
+    /// The limit is extended by one period, since a summary is relayed with its receiver's next
+    /// periodic messages.
+    pub(super) fn reader_candidates(
+        &self,
+        timing: VmTiming,
+        now_ms: u64,
+    ) -> impl Iterator<Item = &RemoteVm> {
+        let until_ms = move |received: &ReceivedSummary| {
+            let period_ms = received.summary.period_ms;
+            let passed_on_ms = period_ms.min(timing.max_silence_ms);
+            received.heard_at_ms + timing.reader_silent_after_ms(period_ms) + passed_on_ms
+        };
+        let fresh = self.by_sender.values().filter(move |received| now_ms < until_ms(received));
+        fresh.flat_map(|received| &received.vms)
+    }
+
+    /// Returns the combined view of the store of the other failure domains.
+    pub(super) fn store(&self, timing: &VmTiming, now_ms: u64) -> StoreHealth {
+        let fresh =
+            self.by_sender.values().filter(|received| now_ms < received.silent_at_ms(timing));
+        let views = fresh.map(|received| {
+            received.summary.store_health.extrapolate(now_ms.saturating_sub(received.heard_at_ms))
+        });
+        views.fold(StoreHealth::Unknown, StoreHealth::combine)
+    }
+
+    /// Returns the addresses of the VMs of a failure domain listed by senders that aren't silent.
+    pub(super) fn domain_addresses(
+        &self,
+        domain: &str,
+        timing: VmTiming,
+        now_ms: u64,
+    ) -> Set<SocketAddr> {
+        let there =
+            self.live_vms(timing, now_ms).filter(|listed| *listed.descriptor.domain == *domain);
+        there.map(|listed| listed.descriptor.peer_address).collect()
+    }
+}
+
+impl ReceivedSummary {
+    fn silent_at_ms(&self, timing: &VmTiming) -> u64 {
+        self.heard_at_ms + timing.silent_after_ms(self.summary.period_ms)
+    }
+}
--- a/crates/sedgepath-core/src/direct/vms/summary.rs
+++ b/crates/sedgepath-core/src/direct/vms/summary.rs
@@ -1,4 +1,4 @@
-//! What a failure domain says of its VMs to other domains.
+//! Summaries of a failure domain's VMs, sent to other domains.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -8,58 +8,58 @@
 use crate::clock::HybridTimestamp;
 use crate::hash::Digest;
 
-/// The most VMs that a summary lists, so that it fits a datagram.
-pub(super) const MAX_LISTED: usize = 150;
+/// The most VMs in a summary, so that it fits in a datagram.
+pub(super) const MAX_MEMBERS: usize = 150;
 
 /// A VM in a summary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Member {
-    /// Its address; its ports are those of the summary's sender.
+pub struct DomainMember {
+    /// The VM's IP address; its ports are those of the summary's sender.
     pub ip: IpAddr,
-    /// Whether it takes new requests.
+    /// Whether the VM accepts new requests.
     pub ready: bool,
-    /// Whether the store answers it.
-    pub has_store: bool,
+    /// Whether the store responds to the VM.
+    pub store_reachable: bool,
 }
 
-/// The VMs of a failure domain that one of them hears, itself among them.
+/// The VMs of a failure domain that one of them hears, including itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DomainSummary {
-    /// When it was sent, in the order of events over all VMs.
+    /// The logical time of the sending.
     pub stamp: HybridTimestamp,
-    /// The time until its sender's next one, in milliseconds.
+    /// The time until the sender's next summary, in milliseconds.
     pub period_ms: u64,
-    /// When its sender's process started, in milliseconds since the Unix epoch.
-    pub boot: u64,
-    /// The failure domain.
+    /// When the sender's process started, in milliseconds since the Unix epoch.
+    pub boot_at_ms: u64,
+    /// The name of the failure domain.
     pub domain: Box<str>,
-    /// Its region.
+    /// The region of the failure domain.
     pub region: Box<str>,
-    /// The sender's address.
+    /// The sender's IP address.
     pub sender: IpAddr,
     /// The port on which the domain's VMs take callers' requests.
     pub callers_port: u16,
-    /// The port on which they take other VMs' datagrams.
+    /// The port on which the domain's VMs take other VMs' datagrams.
     pub peers_port: u16,
-    /// The VMs that are heard and don't leave.
-    pub members: Vec<Member>,
-    /// How new the sender's copies of the store's tables are, by the store's versions.
+    /// The VMs that are heard and aren't leaving.
+    pub members: Vec<DomainMember>,
+    /// The newest store version in each of the sender's table replicas.
     pub changed_at: [u64; 2],
-    /// What the domain can tell of the store.
-    pub store: StoreHealth,
-    /// VMs of the receiver's failure domain that the sender knows of: halves of it that were cut off
-    /// from each other for long, and one that starts without the store, find the others again.
-    pub yours: Vec<IpAddr>,
+    /// The combined view of the store of the domain's VMs.
+    pub store_health: StoreHealth,
+    /// VMs of the receiver's failure domain that the sender knows, so that its VMs find each other
+    /// after a long partition or a start without the store.
+    pub receiver_domain_vms: Vec<IpAddr>,
 }
 
 impl DomainSummary {
-    /// Returns where its sender takes datagrams.
+    /// Returns the sender's address for datagrams.
     pub fn sender(&self) -> SocketAddr {
         SocketAddr::new(self.sender, self.peers_port)
     }
 
-    /// Returns how to reach a VM that it lists.
-    pub(super) fn card(&self, member: &Member) -> VmDescriptor {
+    /// Returns the descriptor of a listed VM, named by its address.
+    pub(super) fn descriptor(&self, member: &DomainMember) -> VmDescriptor {
         VmDescriptor {
             name: member.ip.to_string().into(),
             domain: self.domain.clone(),
@@ -69,11 +69,11 @@
         }
     }
 
-    /// Returns a digest of what it says, without when and to whom.
+    /// Returns a digest of the content, without the times of sending and the receiver's addresses.
     pub(super) fn digest(&self) -> u64 {
         let mut said = Vec::new();
         said.extend(self.period_ms.to_le_bytes());
-        said.push(match self.store {
+        said.push(match self.store_health {
             StoreHealth::Unknown => 0,
             StoreHealth::Reachable { .. } => 1,
             StoreHealth::Failing => 2,
@@ -83,35 +83,35 @@
                 IpAddr::V4(ip) => said.extend(ip.octets()),
                 IpAddr::V6(ip) => said.extend(ip.octets()),
             }
-            said.extend([u8::from(member.ready), u8::from(member.has_store)]);
+            said.extend([u8::from(member.ready), u8::from(member.store_reachable)]);
         }
         Digest::of(&[&said]).to_u64()
     }
 }
 
-/// A summary that a VM has received and passes on to those of its own failure domain.
+/// A summary that a VM relays to the VMs of its own failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayedSummary {
-    /// Since when the VM has had it, in milliseconds.
+    /// The time since the summary was received, in milliseconds.
     pub age_ms: u64,
-    /// The summary.
-    pub news: SummaryUpdate,
+    /// The summary, in full or as a digest.
+    pub update: SummaryUpdate,
 }
 
-/// What a summary says against the last one of its sender.
+/// A relayed summary, compared with the last one of its sender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SummaryUpdate {
-    /// Something else, or the receiver may not have it.
+    /// The full summary: its content changed, or the receiver may lack it.
     Changed(DomainSummary),
-    /// The same.
+    /// The content is unchanged.
     Unchanged {
-        /// Where its sender takes datagrams.
+        /// The sender's address for datagrams.
         sender: SocketAddr,
-        /// When its sender's process started, in milliseconds since the Unix epoch.
-        boot: u64,
-        /// When it was sent, in the order of events over all VMs.
+        /// When the sender's process started, in milliseconds since the Unix epoch.
+        boot_at_ms: u64,
+        /// The logical time of the sending.
         stamp: HybridTimestamp,
-        /// A digest of what it says; one that doesn't have that learns nothing.
+        /// A digest of the content; a receiver whose stored digest differs ignores the message.
         digest: u64,
     },
 }
--- a/crates/sedgepath-core/tests/direct_copies.rs
+++ b/crates/sedgepath-core/tests/direct_copies.rs
@@ -1,4 +1,4 @@
-//! Copies of the store's tables that VMs pass on to each other.
+//! Merging of replicas of the store's tables between VMs.
 
 use std::sync::Arc;
 
@@ -18,11 +18,9 @@
     TableUpdate { rows, position, is_snapshot: true }
 }
 
-/// An upstream leaves; its entry is removed. A VM that was cut off still has the entry and is asked
-/// for its rows by one that has the removal. The removed entry must not come back through it, or
-/// callers' requests would go to an upstream that is gone.
+/// Guards against an older replica restoring the entry of a removed upstream.
 #[test]
-fn a_removed_row_does_not_come_back_through_an_older_copy() {
+fn an_older_replica_does_not_restore_a_removed_row() {
     let mut ahead = TableReplica::default();
     ahead.merge(whole(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
     let mut behind = TableReplica::default();
@@ -32,124 +30,119 @@
     assert_eq!(
         ahead.merge(behind.changes_since(0)),
         vec![],
-        "the older copy changed the newer one"
+        "the older replica changed the newer one"
     );
-    let news = behind.merge(ahead.changes_since(behind.newest_version()));
+    let changes = behind.merge(ahead.changes_since(behind.newest_version()));
 
-    assert_eq!(news, vec![row("b1", 9, None)]);
+    assert_eq!(changes, vec![row("b1", 9, None)]);
 }
 
-/// A VM reads the whole table after the store has dropped its history. Rows that were removed in the
-/// gap are in no feed; they are told by their absence.
+/// Guards against keeping rows whose removal the store's dropped history no longer shows.
 #[test]
-fn rows_missing_from_a_whole_table_are_removed() {
-    let mut copy = TableReplica::default();
-    copy.merge(whole(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
+fn rows_absent_from_a_snapshot_are_removed() {
+    let mut replica = TableReplica::default();
+    replica.merge(whole(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
 
-    let news = copy.merge(whole(20, vec![row("b2", 4, Some("ready"))]));
+    let changes = replica.merge(whole(20, vec![row("b2", 4, Some("ready"))]));
 
-    assert_eq!(news, vec![row("b1", 20, None)]);
-    assert_eq!(copy.merge(whole(20, vec![row("b2", 4, Some("ready"))])), vec![]);
+    assert_eq!(changes, vec![row("b1", 20, None)]);
+    assert_eq!(replica.merge(whole(20, vec![row("b2", 4, Some("ready"))])), vec![]);
 }
 
-/// A whole table that was read before a row was written arrives after the row. The row is newer than
-/// the table's version, so its absence says nothing.
+/// Guards against a delayed snapshot removing a row that was written after it.
 #[test]
-fn a_whole_table_that_arrives_late_removes_nothing_newer() {
-    let mut copy = TableReplica::default();
-    copy.merge(whole(5, vec![]));
-    copy.merge(changes(9, vec![row("b1", 9, Some("ready"))]));
+fn a_delayed_snapshot_keeps_newer_rows() {
+    let mut replica = TableReplica::default();
+    replica.merge(whole(5, vec![]));
+    replica.merge(changes(9, vec![row("b1", 9, Some("ready"))]));
 
-    assert_eq!(copy.merge(whole(7, vec![])), vec![]);
-    assert_eq!(copy.changes_since(8).rows, vec![row("b1", 9, Some("ready"))]);
+    assert_eq!(replica.merge(whole(7, vec![])), vec![]);
+    assert_eq!(replica.changes_since(8).rows, vec![row("b1", 9, Some("ready"))]);
 }
 
-/// A VM restarts and asks the store and a neighbour for the whole table at once. An upstream leaves
-/// meanwhile, and the neighbour's answer, without it, comes first. The store's older one must not bring the
-/// upstream back: nobody would tell of its removal again, and it would get requests for seconds.
+/// Guards against a delayed older snapshot restoring a removed upstream, whose removal isn't sent
+/// again.
 #[test]
-fn an_older_table_that_arrives_late_brings_nothing_back() {
-    let mut copy = TableReplica::default();
-    copy.merge(whole(10, vec![row("b2", 4, Some("ready"))]));
+fn a_delayed_older_snapshot_restores_nothing() {
+    let mut replica = TableReplica::default();
+    replica.merge(whole(10, vec![row("b2", 4, Some("ready"))]));
 
     let older = vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))];
 
-    assert_eq!(copy.merge(whole(8, older)), vec![]);
-    assert_eq!(copy.merge(changes(9, vec![row("b3", 7, Some("ready"))])), vec![]);
-    assert_eq!(copy.changes_since(0).rows, vec![row("b2", 4, Some("ready"))]);
+    assert_eq!(replica.merge(whole(8, older)), vec![]);
+    assert_eq!(replica.merge(changes(9, vec![row("b3", 7, Some("ready"))])), vec![]);
+    assert_eq!(replica.changes_since(0).rows, vec![row("b2", 4, Some("ready"))]);
 }
 
-/// A VM restarts and reads the whole table just after an upstream has left. A neighbour that still has
-/// the upstream asks it what has changed since. The restarted VM has never heard of the removal, so
-/// it must give the whole table: of the changes that it knows the neighbour would believe that they
-/// are all, and go on sending to the upstream that has left.
+/// Guards against an incremental update that lacks a removal, because its sender's replica began
+/// after the removal.
 #[test]
-fn a_copy_begun_after_a_removal_does_not_hide_it() {
+fn a_replica_begun_after_a_removal_sends_a_snapshot() {
     let mut neighbour = TableReplica::default();
     neighbour.merge(whole(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
     let mut restarted = TableReplica::default();
     restarted.merge(whole(10, vec![row("b2", 9, Some("draining"))]));
 
-    let news = neighbour.merge(restarted.changes_since(neighbour.position()));
+    let changes = neighbour.merge(restarted.changes_since(neighbour.position()));
 
-    assert!(news.contains(&row("b1", 10, None)), "the removal is hidden: {news:?}");
-    assert!(news.contains(&row("b2", 9, Some("draining"))), "{news:?}");
+    assert!(changes.contains(&row("b1", 10, None)), "the removal is missing: {changes:?}");
+    assert!(changes.contains(&row("b2", 9, Some("draining"))), "{changes:?}");
 }
 
-/// What is asked after a version holds just what has changed since, unless the copy began later.
+/// Guards against incremental updates with unchanged rows, and against ones that may lack removals.
 #[test]
-fn only_later_changes_are_passed_on() {
-    let mut copy = TableReplica::default();
-    copy.merge(whole(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
-    copy.merge(changes(8, vec![row("b3", 8, Some("ready"))]));
+fn an_incremental_update_holds_only_later_changes() {
+    let mut replica = TableReplica::default();
+    replica.merge(whole(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
+    replica.merge(changes(8, vec![row("b3", 8, Some("ready"))]));
 
-    assert!(copy.changes_since(4).is_snapshot, "what was removed at 5 is not known here");
-    let page = copy.changes_since(5);
+    assert!(replica.changes_since(4).is_snapshot, "removals up to version 5 are unknown");
+    let page = replica.changes_since(5);
 
     assert!(!page.is_snapshot);
     assert_eq!(page.rows, vec![row("b3", 8, Some("ready"))]);
-    assert_eq!((copy.newest_version(), copy.position()), (8, 8));
+    assert_eq!((replica.newest_version(), replica.position()), (8, 8));
 }
 
-/// What happens in the life of some copies of one table.
+/// An event that affects the replicas of one table.
 #[derive(Debug, Clone)]
-enum Happening {
-    /// The store's row of a key gets a value, or is removed.
+enum ReplicaEvent {
+    /// A row of the store is written or removed.
     Change(u8, bool),
-    /// A copy is lost; its VM reads the whole table from the store.
+    /// A VM restarts and reads a snapshot from the store.
     Restart(usize),
-    /// A copy is lost; its VM gets the table from another VM.
+    /// A VM restarts and gets a snapshot from another VM.
     RestartFrom(usize, usize),
-    /// A copy takes what has changed from the store.
+    /// A VM reads the changes from the store.
     Follow(usize),
-    /// A copy takes what has changed from another.
+    /// A VM gets the changes from another VM.
     Fetch(usize, usize),
-    /// A copy is lost; nothing has been read for it yet.
+    /// A VM restarts and has read nothing yet.
     Lose(usize),
-    /// A VM asks the store for what its copy lacks, or for the whole table; the answer is on its way.
+    /// A VM requests the changes or a snapshot from the store; the update is in transit.
     AskStore(usize, bool),
-    /// A VM asks another for what its copy lacks; the answer is on its way.
+    /// A VM requests the changes from another VM; the update is in transit.
     AskVm(usize, usize),
-    /// One of the answers on their way arrives.
+    /// One of the updates in transit arrives.
     Arrive(prop::sample::Index),
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn event() -> impl Strategy<Value = ReplicaEvent> {
     let vm = 0..4_usize;
     prop_oneof![
-        4 => (0..5_u8, any::<bool>()).prop_map(|(key, there)| Happening::Change(key, there)),
-        1 => vm.clone().prop_map(Happening::Restart),
-        1 => (vm.clone(), vm.clone()).prop_map(|(vm, from)| Happening::RestartFrom(vm, from)),
-        2 => vm.clone().prop_map(Happening::Follow),
-        4 => (vm.clone(), vm.clone()).prop_map(|(vm, from)| Happening::Fetch(vm, from)),
-        1 => vm.clone().prop_map(Happening::Lose),
-        2 => (vm.clone(), any::<bool>()).prop_map(|(vm, all)| Happening::AskStore(vm, all)),
-        2 => (vm.clone(), vm).prop_map(|(vm, from)| Happening::AskVm(vm, from)),
-        4 => any::<prop::sample::Index>().prop_map(Happening::Arrive),
+        4 => (0..5_u8, any::<bool>()).prop_map(|(key, there)| ReplicaEvent::Change(key, there)),
+        1 => vm.clone().prop_map(ReplicaEvent::Restart),
+        1 => (vm.clone(), vm.clone()).prop_map(|(vm, from)| ReplicaEvent::RestartFrom(vm, from)),
+        2 => vm.clone().prop_map(ReplicaEvent::Follow),
+        4 => (vm.clone(), vm.clone()).prop_map(|(vm, from)| ReplicaEvent::Fetch(vm, from)),
+        1 => vm.clone().prop_map(ReplicaEvent::Lose),
+        2 => (vm.clone(), any::<bool>()).prop_map(|(vm, all)| ReplicaEvent::AskStore(vm, all)),
+        2 => (vm.clone(), vm).prop_map(|(vm, from)| ReplicaEvent::AskVm(vm, from)),
+        4 => any::<prop::sample::Index>().prop_map(ReplicaEvent::Arrive),
     ]
 }
 
-/// The store's table at each version.
+/// The store's table at every version.
 #[derive(Debug, Default)]
 struct History {
     rows: Vec<VersionedRow>,
@@ -178,8 +171,8 @@
     }
 }
 
-fn sorted_rows(copy: &TableReplica) -> Vec<VersionedRow> {
-    let mut rows = copy.changes_since(0).rows;
+fn sorted_rows(replica: &TableReplica) -> Vec<VersionedRow> {
+    let mut rows = replica.changes_since(0).rows;
     rows.sort_unstable_by(|one, other| one.key.cmp(&other.key));
     rows
 }
@@ -187,63 +180,62 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// VMs restart, follow the store and fetch from each other, in any order; answers overtake each other.
-    /// A copy that says that it has all changes up to a version holds what the store held then: no row too
-    /// many, none too few.
+    /// Guards against a replica that differs from the store's table at the replica's position, after
+    /// restarts and with updates out of order.
     #[test]
-    fn a_copy_holds_what_it_says(happenings in prop::collection::vec(happening(), 1..60)) {
+    fn a_replica_equals_the_store_at_its_position(events in prop::collection::vec(event(), 1..60)) {
         let mut history = History::default();
-        let mut copies: Vec<TableReplica> = (0..4).map(|_| TableReplica::default()).collect();
-        let mut on_their_way: Vec<(usize, TableUpdate)> = Vec::new();
-        for happening in happenings {
+        let mut replicas: Vec<TableReplica> = (0..4).map(|_| TableReplica::default()).collect();
+        let mut in_transit: Vec<(usize, TableUpdate)> = Vec::new();
+        for event in events {
             let newest = history.rows.len() as u64;
-            match happening {
-                Happening::Change(key, there) => history.change(key, there),
-                Happening::Lose(vm) => {
-                    // The answers to the last process find no one.
-                    on_their_way.retain(|(asker, _)| *asker != vm);
-                    copies[vm] = TableReplica::default();
+            match event {
+                ReplicaEvent::Change(key, there) => history.change(key, there),
+                ReplicaEvent::Lose(vm) => {
+                    // The updates requested by the last process are lost.
+                    in_transit.retain(|(asker, _)| *asker != vm);
+                    replicas[vm] = TableReplica::default();
                 }
-                Happening::AskStore(vm, all) => {
-                    let page = if all || !copies[vm].is_complete() {
+                ReplicaEvent::AskStore(vm, all) => {
+                    let page = if all || !replicas[vm].is_complete() {
                         whole(newest, history.at(newest))
                     } else {
-                        history.after(copies[vm].position())
+                        history.after(replicas[vm].position())
                     };
-                    on_their_way.push((vm, page));
+                    in_transit.push((vm, page));
                 }
-                Happening::AskVm(vm, from) if copies[from].is_complete() => {
-                    let page = copies[from].changes_since(copies[vm].position());
-                    on_their_way.push((vm, page));
+                ReplicaEvent::AskVm(vm, from) if replicas[from].is_complete() => {
+                    let page = replicas[from].changes_since(replicas[vm].position());
+                    in_transit.push((vm, page));
                 }
-                Happening::Arrive(index) if !on_their_way.is_empty() => {
-                    let (vm, page) = on_their_way.swap_remove(index.index(on_their_way.len()));
-                    copies[vm].merge(page);
+                ReplicaEvent::Arrive(index) if !in_transit.is_empty() => {
+                    let (vm, page) = in_transit.swap_remove(index.index(in_transit.len()));
+                    replicas[vm].merge(page);
                 }
-                Happening::Restart(vm) => {
-                    on_their_way.retain(|(asker, _)| *asker != vm);
-                    copies[vm] = TableReplica::default();
-                    copies[vm].merge(whole(newest, history.at(newest)));
+                ReplicaEvent::Restart(vm) => {
+                    in_transit.retain(|(asker, _)| *asker != vm);
+                    replicas[vm] = TableReplica::default();
+                    replicas[vm].merge(whole(newest, history.at(newest)));
                 }
-                Happening::RestartFrom(vm, from) if vm != from => {
-                    on_their_way.retain(|(asker, _)| *asker != vm);
-                    copies[vm] = TableReplica::default();
-                    let page = copies[from].changes_since(0);
-                    copies[vm].merge(page);
+                ReplicaEvent::RestartFrom(vm, from) if vm != from => {
+                    in_transit.retain(|(asker, _)| *asker != vm);
+                    replicas[vm] = TableReplica::default();
+                    let page = replicas[from].changes_since(0);
+                    replicas[vm].merge(page);
                 }
-                Happening::Follow(vm) if copies[vm].is_complete() => {
-                    let position = copies[vm].position();
-                    copies[vm].merge(history.after(position));
+                ReplicaEvent::Follow(vm) if replicas[vm].is_complete() => {
+                    let position = replicas[vm].position();
+                    replicas[vm].merge(history.after(position));
                 }
-                Happening::Fetch(vm, from) if copies[from].is_complete() => {
-                    let position = copies[vm].position();
-                    let page = copies[from].changes_since(position);
-                    copies[vm].merge(page);
+                ReplicaEvent::Fetch(vm, from) if replicas[from].is_complete() => {
+                    let position = replicas[vm].position();
+                    let page = replicas[from].changes_since(position);
+                    replicas[vm].merge(page);
                 }
                 _ => {}
             }
-            for copy in copies.iter().filter(|copy| copy.is_complete()) {
-                prop_assert_eq!(sorted_rows(copy), history.at(copy.position()));
+            for replica in replicas.iter().filter(|replica| replica.is_complete()) {
+                prop_assert_eq!(sorted_rows(replica), history.at(replica.position()));
             }
         }
     }
@@ -252,10 +244,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// VMs hear of changes in different orders, in parts and repeatedly. Whatever the order, copies that
-    /// have heard of the same changes hold the same rows.
+    /// Guards against replicas that differ after receiving the same changes in different orders.
     #[test]
-    fn copies_agree_whatever_the_order(
+    fn replicas_converge_in_any_order(
         history in prop::collection::vec((0_u8..4, prop::option::of(0_u8..3)), 1..20),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..40),
     ) {
@@ -267,24 +258,24 @@
                 row(&key.to_string(), index as u64 + 1, value.as_deref())
             })
             .collect();
-        let mut straight = TableReplica::default();
-        straight.merge(whole(0, vec![]));
-        straight.merge(changes(rows.len() as u64, rows.clone()));
+        let mut in_order = TableReplica::default();
+        in_order.merge(whole(0, vec![]));
+        in_order.merge(changes(rows.len() as u64, rows.clone()));
 
-        let mut mixed = TableReplica::default();
-        mixed.merge(whole(0, vec![]));
+        let mut out_of_order = TableReplica::default();
+        out_of_order.merge(whole(0, vec![]));
         for index in &order {
             let picked = index.get(&rows).clone();
-            mixed.merge(changes(0, vec![picked]));
+            out_of_order.merge(changes(0, vec![picked]));
         }
-        mixed.merge(straight.changes_since(0));
-        mixed.merge(changes(0, rows));
+        out_of_order.merge(in_order.changes_since(0));
+        out_of_order.merge(changes(0, rows));
 
-        let sorted = |copy: &TableReplica| {
-            let mut rows = copy.changes_since(0).rows;
+        let sorted = |replica: &TableReplica| {
+            let mut rows = replica.changes_since(0).rows;
             rows.sort_unstable_by(|one, other| one.key.cmp(&other.key));
             rows
         };
-        prop_assert_eq!(sorted(&straight), sorted(&mixed));
+        prop_assert_eq!(sorted(&in_order), sorted(&out_of_order));
     }
 }
--- a/crates/sedgepath-core/tests/direct_overload.rs
+++ b/crates/sedgepath-core/tests/direct_overload.rs
@@ -1,4 +1,4 @@
-//! More requests than slots: what callers get.
+//! The responses to callers when there are more requests than slots.
 
 use std::collections::VecDeque;
 
@@ -12,15 +12,15 @@
 const WORK_MS: u64 = 200;
 const TARGET_MS: u64 = 400;
 
-/// An upstream that runs as many requests at a time as it has slots, and queues some more.
+/// An upstream with a number of slots and a bounded queue.
 #[derive(Debug, Default)]
-struct Emulated {
+struct EmulatedUpstream {
     running: Vec<(u64, usize)>,
     waiting: VecDeque<usize>,
 }
 
-impl Emulated {
-    /// Takes a request, or refuses it if its queue is full.
+impl EmulatedUpstream {
+    /// Accepts a request, or returns false if the queue is full.
     fn take(&mut self, request: usize, now_ms: u64) -> bool {
         if self.running.len() < SLOTS {
             self.running.push((now_ms + WORK_MS, request));
@@ -33,7 +33,7 @@
         room
     }
 
-    /// Returns the requests that have ended, and starts those that waited.
+    /// Returns the requests that have ended, and starts queued ones.
     fn end(&mut self, now_ms: u64) -> Vec<usize> {
         let ended: Vec<_> =
             self.running.iter().filter(|(at_ms, _)| *at_ms <= now_ms).map(|(_, r)| *r).collect();
@@ -52,7 +52,7 @@
     }
 }
 
-/// What became of the requests.
+/// The numbers of requests by result.
 #[derive(Debug, Default)]
 struct Results {
     in_time: usize,
@@ -61,9 +61,9 @@
     longest_refusal_ms: u64,
 }
 
-/// Plays requests at an even rate to two upstreams through one VM.
+/// Runs requests at a constant rate through one VM to two upstreams.
 fn play(vm: &mut Steering, per_s: u64, seconds: u64) -> Results {
-    let mut emulated = [Emulated::default(), Emulated::default()];
+    let mut emulated = [EmulatedUpstream::default(), EmulatedUpstream::default()];
     let mut requests: Vec<RequestState> = Vec::new();
     let mut results = Results::default();
     let keys: Vec<UpstreamKey> = vm.upstreams().of_service("browse").to_vec();
@@ -104,7 +104,7 @@
                     results.longest_refusal_ms = results.longest_refusal_ms.max(held_ms);
                     break;
                 }
-                NextStep::GiveUp { .. } => panic!("given up though nothing has run"),
+                NextStep::GiveUp { .. } => panic!("gave up although the request didn't run"),
             }
         }
     }
@@ -120,23 +120,20 @@
     vm
 }
 
-/// Twice as many requests come as the slots can run. A queue up to the deadline would make every
-/// answer late; a short one serves as many, most of them in time, and tells the others at once.
-/// With the same bound of twice the target for all loads 19 of 594 answers come in time, with the
-/// bound by pressure 570 of 594.
+/// Guards against long queues under overload, which make all responses late.
 #[test]
-fn under_overload_most_answers_come_in_time() {
+fn under_overload_most_responses_meet_the_target() {
     let results = play(&mut two_upstreams(), 50, 20);
     let capacity = 2 * SLOTS * 20 * 1_000 / WORK_MS as usize;
     let served = results.in_time + results.late;
     assert!(served * 100 >= capacity * 90, "{results:?} of {capacity}");
     assert!(results.in_time * 100 >= served * 80, "{results:?}");
-    assert_eq!(results.longest_refusal_ms, 0, "a refused request was held");
+    assert_eq!(results.longest_refusal_ms, 0, "a rejection was delayed");
 }
 
-/// Below the slots' rate nothing is refused.
+/// Guards against rejections while there are free slots.
 #[test]
-fn with_room_nothing_is_refused() {
+fn with_free_slots_nothing_is_rejected() {
     let results = play(&mut two_upstreams(), 20, 20);
     assert_eq!((results.refused, results.late), (0, 0), "{results:?}");
 }
--- a/crates/sedgepath-core/tests/direct_routing.rs
+++ b/crates/sedgepath-core/tests/direct_routing.rs
@@ -1,4 +1,4 @@
-//! Routes, splits and the configuration in force.
+//! Routes, traffic splits and the active configuration.
 
 use sedgepath_core::direct::attempts::RejectionReason;
 use sedgepath_core::direct::routing::{RouteKind, WeightedRoundRobin, WeightedService};
@@ -9,8 +9,7 @@
     IncomingRequest { host: HOST, path, time_left_ms: Some(1_000), object: None }
 }
 
-/// Of two routes that fit, the one with the longer prefix takes the request; a host is compared
-/// without its port and case.
+/// Guards against matching the shorter of two prefixes, and against comparing hosts by port or case.
 #[test]
 fn the_longest_prefix_wins() {
     let mut long = route(RouteKind::NonIdempotent);
@@ -23,21 +22,20 @@
     assert_eq!(name("other.example", "/reads/1"), None);
 }
 
-/// A read that was delayed brings an older configuration. Taken in, a route that callers use already
-/// would be gone again.
+/// Guards against a delayed read of an older configuration removing a route that callers use.
 #[test]
-fn an_older_configuration_is_not_taken() {
+fn an_older_configuration_is_ignored() {
     let mut vm = serving_vm("a1", "north-a", 1, 1);
     assert!(vm.apply_configuration(configuration(7, vec![route(RouteKind::Idempotent)])));
     assert!(!vm.apply_configuration(configuration(6, vec![route(RouteKind::NonIdempotent)])));
-    vm.begin_request(asked("/reads/1"), 0).expect("the new route is not in force");
-    let refusal = vm.begin_request(asked("/charges/1"), 0).expect_err("an old route is in force");
+    vm.begin_request(asked("/reads/1"), 0).expect("the new route is inactive");
+    let refusal = vm.begin_request(asked("/charges/1"), 0).expect_err("an old route is active");
     assert_eq!(refusal.reason, RejectionReason::NoRoute);
 }
 
-/// Before a configuration is known nobody is told that a path does not exist.
+/// Guards against reporting unknown paths before a configuration is loaded.
 #[test]
-fn without_a_configuration_requests_are_refused_as_not_run() {
+fn without_a_configuration_requests_are_rejected_with_a_retry_delay() {
     let mut vm = vm("a1", "north-a", 1);
     let refusal =
         vm.begin_request(asked("/reads/1"), 0).expect_err("served without a configuration");
@@ -45,20 +43,20 @@
     assert!(refusal.retry_after_ms > 0);
 }
 
-/// A request is kept waiting no longer than its route allows, whatever its caller would.
+/// Guards against a caller's time limit that exceeds the route's.
 #[test]
-fn the_routes_timeout_bounds_the_callers() {
+fn the_routes_timeout_bounds_the_callers_time_limit() {
     let mut vm = serving_vm("a1", "north-a", 1, 1);
     let asked = IncomingRequest { time_left_ms: Some(60_000), ..asked("/reads/1") };
-    let attempts = vm.begin_request(asked, 100).expect("refused");
-    assert_eq!(attempts.deadline_at_ms, 3_100);
+    let request = vm.begin_request(asked, 100).expect("refused");
+    assert_eq!(request.deadline_at_ms, 3_100);
     assert_eq!(begin(&mut vm, "/reads/1", "x", 5).deadline_at_ms, 3_005);
 }
 
-/// Two services share a route by weight. After any number of requests each is within some requests of
-/// its share, and most requests of an object meet at one service, where it is warm.
+/// Guards against services that deviate from their weights, and against spreading an object's requests
+/// over services.
 #[test]
-fn splits_keep_shares_and_objects_together() {
+fn splits_keep_weights_and_object_affinity() {
     let mut split = route(RouteKind::Idempotent);
     split.weighted_services = vec![
         WeightedService { service: "left".into(), weight: 70.0 },
@@ -79,5 +77,5 @@
         assert!((left - due).abs() <= 4, "{left} of {} went left", number + 1);
     }
     let together: u32 = by_object.iter().map(|counts| *counts.iter().max().unwrap_or(&0)).sum();
-    assert!(together > 2_400, "{together} of 3000 met at one service");
+    assert!(together > 2_400, "{together} of 3000 went to their object's main service");
 }
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -1,37 +1,37 @@
-//! Upstreams that join, leave, lapse, restart and turn cold, as the store and requests tell.
+//! Upstreams that join, leave, lapse, restart or become cold.
 
 use sedgepath_core::direct::Steering;
 use sedgepath_core::direct::attempts::{AttemptOutcome, NextStep};
-use sedgepath_core::direct::upstreams::{EntryChange, LAPSED_GRACE_MS};
+use sedgepath_core::direct::upstreams::{EntryChange, LAPSED_ENTRY_GRACE_MS};
 use sedgepath_core::direct::vms::StoreHealth;
 use sedgepath_core::hash::Set;
 use sedgepath_test_support::direct::{
     COLD_START_MS, all_kinds, begin, entry, heartbeat, serving_vm, vm,
 };
 
-/// A VM with one upstream, `b0`.
-fn with_one() -> Steering {
+/// Returns a VM with one upstream, `b0`.
+fn vm_with_one_upstream() -> Steering {
     let mut vm = vm("a1", "north-a", 1);
     vm.apply_configuration(all_kinds(1));
     vm.upstreams_mut().upsert(entry("b0", "north-a", 0), "north", 0);
     vm
 }
 
-/// Returns the upstream that a request of an object would be sent to.
-fn goes_to(vm: &mut Steering, object: &str, now_ms: u64) -> Option<Box<str>> {
-    let mut attempts = begin(vm, "/reads/1", object, now_ms);
-    let step = vm.next_step(&mut attempts, 1, now_ms);
-    vm.cancel_request(&mut attempts, now_ms);
+/// Returns the upstream that a request for an object would be sent to.
+fn selected_upstream(vm: &mut Steering, object: &str, now_ms: u64) -> Option<Box<str>> {
+    let mut request = begin(vm, "/reads/1", object, now_ms);
+    let step = vm.next_step(&mut request, 1, now_ms);
+    vm.cancel_request(&mut request, now_ms);
     match step {
         NextStep::Send(to) => Some(to.name),
         NextStep::Reject { .. } | NextStep::GiveUp { .. } => None,
     }
 }
 
-/// An upstream says that it leaves. It gets no new request from then on.
+/// Guards against sending new requests to a leaving upstream.
 #[test]
-fn a_leaving_upstream_gets_nothing_new() {
-    let mut vm = with_one();
+fn a_leaving_upstream_gets_no_new_requests() {
+    let mut vm = vm_with_one_upstream();
     let mut leaving = entry("b0", "north-a", 0);
     leaving.leaving = true;
     leaving.sequence = 2;
@@ -39,14 +39,13 @@
     let change = vm.upstreams_mut().upsert(leaving, "north", 100);
 
     assert!(matches!(change, EntryChange::Leaving(_)));
-    assert_eq!(goes_to(&mut vm, "x", 100), None);
+    assert_eq!(selected_upstream(&mut vm, "x", 100), None);
 }
 
-/// An upstream leaves; a write of its that was delayed on its way reaches the store afterwards and
-/// says that it is ready. Requests sent there would be lost with it.
+/// Guards against a delayed write that makes a leaving upstream usable again.
 #[test]
-fn a_delayed_entry_does_not_bring_back_a_leaving_upstream() {
-    let mut vm = with_one();
+fn a_delayed_entry_does_not_restore_a_leaving_upstream() {
+    let mut vm = vm_with_one_upstream();
     let mut leaving = entry("b0", "north-a", 0);
     leaving.leaving = true;
     leaving.sequence = 9;
@@ -56,11 +55,10 @@
 
     vm.upstreams_mut().upsert(delayed, "north", 200);
 
-    assert_eq!(goes_to(&mut vm, "x", 200), None);
+    assert_eq!(selected_upstream(&mut vm, "x", 200), None);
 }
 
-/// An upstream crashes and starts again under its name: the count of its entries begins anew, and it
-/// knows nothing of before. The new start is taken in and is cold.
+/// Guards against ignoring the restart of an upstream because its sequence numbers start again.
 #[test]
 fn a_restart_under_the_same_name_is_a_new_upstream() {
     let mut vm = vm("a1", "north-a", 1);
@@ -76,32 +74,30 @@
     let change = vm.upstreams_mut().upsert(second, "north", 8_000);
 
     let EntryChange::Joined(key) = change else {
-        panic!("the new start was taken for {change:?}");
+        panic!("the new start was treated as {change:?}");
     };
     assert!(vm.upstreams().get(key).is_some_and(|upstream| upstream.is_cold(8_100)));
 }
 
-/// The store is away for all; entries lapse meanwhile though the upstreams live. All would be gone at
-/// once. They are used for two more seconds, in which living ones register again.
+/// Guards against losing all running upstreams whose entries lapse during a store outage.
 #[test]
-fn entries_that_lapse_with_the_store_away_are_used_until_they_are_due_back() {
-    let mut vm = with_one();
+fn entries_that_lapse_in_a_store_outage_are_used_for_a_grace_period() {
+    let mut vm = vm_with_one_upstream();
     vm.update_store_health(StoreHealth::Reachable { for_ms: 5_000 }, 5_000);
     vm.update_store_health(StoreHealth::Failing, 9_000);
     vm.update_store_health(StoreHealth::Reachable { for_ms: 0 }, 14_000);
     vm.upstreams_mut().remove("b0", 14_010);
 
-    assert_eq!(goes_to(&mut vm, "x", 14_100).as_deref(), Some("b0"));
-    let gone = vm.upstreams_mut().remove_lapsed(14_000 + LAPSED_GRACE_MS);
+    assert_eq!(selected_upstream(&mut vm, "x", 14_100).as_deref(), Some("b0"));
+    let gone = vm.upstreams_mut().remove_lapsed(14_000 + LAPSED_ENTRY_GRACE_MS);
     assert_eq!(gone, vec!["b0".into()]);
-    assert_eq!(goes_to(&mut vm, "x", 16_100), None);
+    assert_eq!(selected_upstream(&mut vm, "x", 16_100), None);
 }
 
-/// This VM alone was cut off, and an upstream left meanwhile. Another VM says that the store has
-/// answered it all the time: the entry has not lapsed, its upstream is gone.
+/// Guards against treating a removal as a lapse when only this VM was cut off from the store.
 #[test]
-fn an_entry_removed_while_others_had_the_store_is_gone_at_once() {
-    let mut vm = with_one();
+fn an_entry_removed_while_others_reached_the_store_is_removed_immediately() {
+    let mut vm = vm_with_one_upstream();
     vm.update_store_health(StoreHealth::Reachable { for_ms: 5_000 }, 5_000);
     vm.update_store_health(StoreHealth::Failing, 9_000);
     vm.update_store_health(StoreHealth::Reachable { for_ms: 0 }, 14_000);
@@ -115,12 +111,11 @@
     assert_eq!(vm.upstreams_mut().remove_lapsed(14_100), vec!["b0".into()]);
 }
 
-/// All VMs that follow the store are suspended at once, and an upstream leaves meanwhile. Others notice
-/// their silence, read for themselves and find the entry removed. The store was there all the time, only
-/// nobody asked it: callers must not be sent to the upstream for two more seconds.
+/// Guards against treating a removal as a lapse when the store was available but all its readers were
+/// suspended.
 #[test]
-fn an_entry_removed_while_nobody_read_the_store_is_gone_at_once() {
-    let mut vm = with_one();
+fn an_entry_removed_while_no_vm_read_the_store_is_removed_immediately() {
+    let mut vm = vm_with_one_upstream();
     let mut reader = heartbeat("a0", "north-a", 2);
     reader.state.store_health = StoreHealth::Reachable { for_ms: 5_000 };
     vm.vms_mut().record_heartbeat(reader, 5_000);
@@ -130,14 +125,13 @@
     vm.update_store_health(StoreHealth::Reachable { for_ms: 0 }, 7_400);
     vm.upstreams_mut().remove("b0", 7_400);
 
-    assert_eq!(goes_to(&mut vm, "x", 7_410), None);
+    assert_eq!(selected_upstream(&mut vm, "x", 7_410), None);
 }
 
-/// The VMs that follow the store say that it fails them, and this one makes no calls itself. What they
-/// read first when it is back has lapsed rather than left, here as well as there.
+/// Guards against treating a lapse as a removal when only other VMs observed the store outage.
 #[test]
-fn an_outage_that_others_tell_of_is_an_outage() {
-    let mut vm = with_one();
+fn an_outage_reported_by_other_vms_counts() {
+    let mut vm = vm_with_one_upstream();
     let mut reader = heartbeat("a0", "north-a", 2);
     reader.state.store_health = StoreHealth::Reachable { for_ms: 5_000 };
     vm.vms_mut().record_heartbeat(reader.clone(), 5_000);
@@ -150,65 +144,70 @@
     vm.vms_mut().record_heartbeat(reader, 9_000);
     vm.upstreams_mut().remove("b0", 9_010);
 
-    assert_eq!(goes_to(&mut vm, "x", 9_020).as_deref(), Some("b0"));
+    assert_eq!(selected_upstream(&mut vm, "x", 9_020).as_deref(), Some("b0"));
 }
 
-/// With the store there, a removed entry is a gone upstream.
+/// Guards against sending requests to an upstream whose entry was removed.
 #[test]
-fn a_removed_upstream_gets_nothing_new() {
-    let mut vm = with_one();
+fn a_removed_upstream_gets_no_new_requests() {
+    let mut vm = vm_with_one_upstream();
     vm.update_store_health(StoreHealth::Reachable { for_ms: 60_000 }, 60_000);
     vm.upstreams_mut().remove("b0", 60_100);
-    assert_eq!(goes_to(&mut vm, "x", 60_100), None);
+    assert_eq!(selected_upstream(&mut vm, "x", 60_100), None);
 }
 
-/// The address of a gone upstream answers for another one. It is never asked again.
+/// Guards against sending requests to an address that another upstream has taken over.
 #[test]
-fn an_address_that_another_upstream_has_taken_is_left() {
-    let mut vm = with_one();
-    let mut attempts = begin(&mut vm, "/charges/1", "x", 0);
-    let NextStep::Send(to) = vm.next_step(&mut attempts, 1, 0) else { panic!("not sent") };
+fn an_upstream_whose_address_was_taken_over_is_removed() {
+    let mut vm = vm_with_one_upstream();
+    let mut request = begin(&mut vm, "/charges/1", "x", 0);
+    let NextStep::Send(to) = vm.next_step(&mut request, 1, 0) else { panic!("not sent") };
 
-    vm.record_outcome(&mut attempts, to.upstream, AttemptOutcome::Misdirected, 10);
+    vm.record_outcome(&mut request, to.upstream, AttemptOutcome::Misdirected, 10);
 
-    assert_eq!(attempts.possible_runs, 0, "a misdirected request counts as run");
-    assert_eq!(goes_to(&mut vm, "x", 20), None);
+    assert_eq!(request.possible_runs, 0, "a misdirected request counts as run");
+    assert_eq!(selected_upstream(&mut vm, "x", 20), None);
 }
 
-/// A failure domain is being emptied: its upstreams get nothing. Afterwards they are cold, so they
-/// are spared at first.
+/// Guards against using an evacuated failure domain, or its cold upstreams right after the evacuation.
 #[test]
-fn an_evacuated_domain_gets_nothing_and_is_cold_afterwards() {
+fn an_evacuated_domain_gets_no_requests_and_is_cold_afterwards() {
     let mut vm = serving_vm("a1", "north-a", 1, 2);
     let emptied: Set<Box<str>> = [Box::from("north-a")].into_iter().collect();
     vm.set_evacuated_domains(emptied, 0);
     let in_domain = |name: Option<Box<str>>| matches!(name.as_deref(), Some("b0" | "b1"));
     for object in 0..50 {
-        assert!(!in_domain(goes_to(&mut vm, &object.to_string(), 100)), "object {object}");
+        assert!(
+            !in_domain(selected_upstream(&mut vm, &object.to_string(), 100)),
+            "object {object}"
+        );
     }
 
     vm.set_evacuated_domains(Set::default(), 1_000);
 
     for object in 0..50 {
-        assert!(!in_domain(goes_to(&mut vm, &object.to_string(), 1_100)), "object {object}");
+        assert!(
+            !in_domain(selected_upstream(&mut vm, &object.to_string(), 1_100)),
+            "object {object}"
+        );
     }
     let later_ms = 1_000 + COLD_START_MS;
-    let again = (0..50).filter(|object| in_domain(goes_to(&mut vm, &object.to_string(), later_ms)));
+    let again = (0..50)
+        .filter(|object| in_domain(selected_upstream(&mut vm, &object.to_string(), later_ms)));
     assert!(again.count() > 0, "the domain is never used again");
 }
 
-/// Connections to an upstream fail, then it answers again: it may have restarted without this VM
-/// having read so, and a cold upstream crashes under the usual rate.
+/// Guards against sending the full rate to an upstream that may have restarted unnoticed.
 #[test]
-fn an_upstream_that_comes_back_is_taken_as_cold() {
-    let mut vm = with_one();
-    let mut attempts = begin(&mut vm, "/reads/1", "x", 0);
-    let NextStep::Send(to) = vm.next_step(&mut attempts, 1, 0) else { panic!("not sent") };
-    vm.record_outcome(&mut attempts, to.upstream, AttemptOutcome::Unreachable, 10);
-    let mut attempts = begin(&mut vm, "/reads/1", "x", 2_000);
-    let NextStep::Send(to) = vm.next_step(&mut attempts, 1, 2_000) else { panic!("not sent") };
+fn an_upstream_that_is_reachable_again_counts_as_cold() {
+    let mut vm = vm_with_one_upstream();
+    let mut request = begin(&mut vm, "/reads/1", "x", 0);
+    let NextStep::Send(to) = vm.next_step(&mut request, 1, 0) else { panic!("not sent") };
+    vm.record_outcome(&mut request, to.upstream, AttemptOutcome::Unreachable, 10);
+    let mut request = begin(&mut vm, "/reads/1", "x", 2_000);
+    let NextStep::Send(to) = vm.next_step(&mut request, 1, 2_000) else { panic!("not sent") };
     let answer = AttemptOutcome::Answered { failed: false, report: None, body_bytes: 1 };
-    vm.record_outcome(&mut attempts, to.upstream, answer, 2_100);
+    vm.record_outcome(&mut request, to.upstream, answer, 2_100);
 
     assert!(vm.upstreams().get(to.upstream).is_some_and(|upstream| upstream.is_cold(2_200)));
 }
--- a/crates/sedgepath-core/tests/direct_vms.rs
+++ b/crates/sedgepath-core/tests/direct_vms.rs
@@ -1,4 +1,4 @@
-//! Which entry VMs look-ups name, and which of them follow the store.
+//! The entry VMs that look-ups name, and those that read the store.
 
 use std::net::SocketAddr;
 
@@ -9,8 +9,8 @@
     SocketAddr::from(([10, 0, 0, number], 80))
 }
 
-/// A VM of `north-a` that hears four others.
-fn five() -> VmTable {
+/// Returns a VM of `north-a` that hears four others.
+fn vm_hearing_four_others() -> VmTable {
     let mut own = vms("a1", "north-a", 1);
     for peer in others() {
         own.record_heartbeat(peer, 0);
@@ -27,25 +27,32 @@
     ]
 }
 
-/// Callers get the VMs of their own failure domain.
+/// Guards against naming VMs of other failure domains without need.
 #[test]
 fn the_callers_own_domain_comes_first() {
-    assert_eq!(five().look_up("south-a", "south", 100), vec![address(4), address(5)]);
-    assert_eq!(five().look_up("north-a", "north", 100), vec![address(1), address(2)]);
+    assert_eq!(
+        vm_hearing_four_others().look_up("south-a", "south", 100),
+        vec![address(4), address(5)]
+    );
+    assert_eq!(
+        vm_hearing_four_others().look_up("north-a", "north", 100),
+        vec![address(1), address(2)]
+    );
 }
 
-/// A failure domain has one VM left. Were it named alone, its end would leave its callers without
-/// any until their answer lapses; the region's others are named with it.
+/// Guards against naming a single VM, whose failure would cut off its callers.
 #[test]
 fn a_lone_vm_is_named_with_others_of_its_region() {
-    assert_eq!(five().look_up("north-b", "north", 100), vec![address(1), address(2), address(3)]);
+    assert_eq!(
+        vm_hearing_four_others().look_up("north-b", "north", 100),
+        vec![address(1), address(2), address(3)]
+    );
 }
 
-/// A VM is killed and says nothing. Callers go on being sent there until its silence shows; it must
-/// not be named for longer, even if others still mention its address.
+/// Guards against naming a silent VM because other VMs still list its address.
 #[test]
 fn a_silent_vm_is_no_longer_named() {
-    let mut own = five();
+    let mut own = vm_hearing_four_others();
     let mut living = heartbeat("c2", "south-a", 5);
     living.known = vec![SocketAddr::from(([10, 0, 0, 4], 7_000))];
     own.record_heartbeat(living, 2_000);
@@ -56,11 +63,10 @@
     assert!(named.contains(&address(5)));
 }
 
-/// A VM says that it leaves; a heartbeat that it sent before arrives later. It must not be named
-/// again, or callers would be sent to a closing listener.
+/// Guards against a delayed heartbeat restoring a leaving VM, and against ignoring its restart.
 #[test]
-fn a_delayed_heartbeat_does_not_bring_back_a_leaving_vm() {
-    let mut own = five();
+fn a_delayed_heartbeat_does_not_restore_a_leaving_vm() {
+    let mut own = vm_hearing_four_others();
     let mut leaving = heartbeat("c1", "south-a", 4);
     leaving.state.leaving = true;
     own.record_heartbeat(leaving, 100);
@@ -74,17 +80,17 @@
     assert!(own.look_up("south-a", "south", 400).contains(&address(4)));
 }
 
-/// A look-up is never answered with nothing.
+/// Guards against an empty answer to a look-up.
 #[test]
-fn a_vm_that_hears_nobody_names_itself() {
+fn a_vm_that_hears_no_other_names_itself() {
     let own = vms("a1", "north-a", 1);
     assert_eq!(own.look_up("south-b", "south", 0), vec![address(1)]);
 }
 
-/// With two regions two VMs of each follow the store.
+/// Guards against too few or too many readers of the store in a region.
 #[test]
-fn the_first_vms_of_a_region_follow_the_store() {
-    let mut first = five();
+fn the_first_vms_of_a_region_read_the_store() {
+    let mut first = vm_hearing_four_others();
     assert!(first.should_read_store(100));
 
     let mut third = vms("b1", "north-b", 3);
@@ -94,25 +100,22 @@
         third.record_heartbeat(peer, 0);
     }
     third.record_heartbeat(heartbeat("a1", "north-a", 1), 0);
-    assert!(!third.should_read_store(100), "a third VM of the region follows the store");
+    assert!(!third.should_read_store(100), "a third VM of the region reads the store");
 }
 
-/// The store turns away just the VMs that follow it, and they say so. Others must step in, or nobody
-/// learns that an upstream leaves.
+/// Guards against no VM reading the store when it rejects its regular readers.
 #[test]
-fn another_vm_steps_in_while_the_readers_have_no_answer() {
+fn another_vm_takes_over_while_the_store_fails_the_readers() {
     let mut third = vms("b1", "north-b", 3);
     for peer in [heartbeat("a1", "north-a", 1), heartbeat("a2", "north-a", 2)] {
         third.record_heartbeat(peer, 0);
     }
     third.record_heartbeat(heartbeat("c1", "south-a", 4), 0);
 
-    assert!(third.should_read_store(100), "the next VM waits although no reader has an answer");
+    assert!(third.should_read_store(100), "the next VM waits although the store fails all readers");
 }
 
-/// The VMs that follow the store are suspended, all at the same moment, just as an upstream leaves. It
-/// may get requests for 2.5 s more: another VM reads the store within a second and a half of that, which
-/// leaves a second for the read, the way to the others and what is already on its way to the upstream.
+/// Guards against changes that stay unknown for too long when all readers of the store are suspended.
 #[test]
 fn suspended_readers_are_replaced_within_a_second_and_a_half() {
     let mut third = vms("b1", "north-b", 3);
@@ -122,16 +125,16 @@
     }
     third.record_heartbeat(heartbeat("c1", "south-a", 4), 10_000);
 
-    assert!(!third.should_read_store(10_500), "it reads beside those that do");
+    assert!(!third.should_read_store(10_500), "it reads the store in addition to the readers");
     assert!(
         third.should_read_store(11_500),
-        "nobody reads the store 1.5 s after its readers fell silent"
+        "no VM reads the store 1.5 s after its readers fell silent"
     );
 }
 
-/// A VM behind a cut hears no other of its region: it follows the store itself.
+/// Guards against a partitioned VM that relies on readers it can't hear.
 #[test]
-fn a_vm_that_hears_nobody_follows_the_store() {
+fn a_vm_that_hears_no_other_of_its_region_reads_the_store() {
     let mut last = vms("z9", "north-b", 3);
     for peer in others() {
         last.record_heartbeat(peer, 0);
@@ -139,10 +142,10 @@
     assert!(last.should_read_store(10_000));
 }
 
-/// Two hundred VMs would each send four hundred heartbeats a second. They send fewer and say so, so
-/// that a VM that hears one only each two seconds is not taken as gone between two.
+/// Guards against too many heartbeats between many VMs, and against VMs with a longer period counting
+/// as silent.
 #[test]
-fn heartbeats_grow_rarer_with_more_vms_and_silence_is_judged_by_them() {
+fn the_heartbeat_period_grows_with_the_vms_and_scales_the_silence_limit() {
     let mut own = vms("a1", "north-a", 1);
     assert_eq!(own.period_ms(), 500);
     for number in 0..200 {
@@ -156,20 +159,20 @@
     assert_eq!(own.look_up("north-a", "north", 5_600), vec![address(1)]);
 }
 
-/// Guards against VMs that are cut off from each other each taking the others' connections to an upstream, which resets them.
+/// Guards against partitioned VMs that each use the others' connections to an upstream.
 #[test]
-fn vms_that_are_taken_for_gone_keep_their_part_of_what_holds_for_all() {
+fn silent_vms_keep_their_share_of_the_limits_for_all_vms() {
     let mut vm = vms("a1", "north-a", 1);
     vm.record_heartbeat(heartbeat("a2", "north-a", 2), 0);
     vm.record_heartbeat(heartbeat("b1", "north-b", 3), 0);
     assert_eq!((vm.sharing_vm_count(0), vm.max_known_vm_count()), (3, 3));
-    assert_eq!(vm.serving_vms(60_000).len(), 1, "the others are not taken for gone");
+    assert_eq!(vm.serving_vms(60_000).len(), 1, "the silent VMs are still named");
     assert_eq!((vm.sharing_vm_count(60_000), vm.max_known_vm_count()), (3, 3));
 }
 
-/// Guards against connections to upstreams being kept for ever for VMs that are gone and whose rows the store still has.
+/// Guards against reserving connections forever for VMs that no longer exist but are still in the store.
 #[test]
-fn vms_that_never_answer_keep_no_connections_to_upstreams() {
+fn vms_that_were_never_heard_keep_no_connections_to_upstreams() {
     let mut vm = vms("a1", "north-a", 1);
     vm.record_heartbeat(heartbeat("a2", "north-a", 2), 0);
     for gone in 10..30 {
@@ -179,14 +182,14 @@
     assert_eq!((vm.sharing_vm_count(60_000), vm.max_known_vm_count()), (2, 22));
 }
 
-/// Guards against a VM that starts and keeps callers waiting for tables from another one, which is gone.
+/// Guards against a starting VM that delays callers by waiting for tables from a VM that is down.
 #[test]
-fn a_vm_with_few_others_reads_the_store_while_its_callers_wait() {
+fn a_starting_vm_with_few_others_soon_reads_the_store() {
     let mut vm = vms("a2", "north-a", 2);
     vm.add_vm(SocketAddr::from(([10, 0, 0, 1], 7_000)), "north-a", "north", 0);
 
-    assert!(!vm.should_read_store_at_start(0, 1.0, 0), "it doesn't let the other one read");
-    assert!(vm.should_read_store_at_start(100, 1.0, 100), "it waits for one that may be gone");
+    assert!(!vm.should_read_store_at_start(0, 1.0, 0), "it doesn't let the other VM read first");
+    assert!(vm.should_read_store_at_start(100, 1.0, 100), "it waits for a VM that may be down");
 }
 
 /// Guards against all VMs of a large domain reading the store when they start together.
@@ -198,7 +201,7 @@
         vm.add_vm(address, "north-a", "north", 0);
     }
     assert!(!vm.should_read_store_at_start(500, 0.0, 500));
-    assert!(vm.should_read_store_at_start(1_200, 1.0, 1_200), "it waits for ever");
+    assert!(vm.should_read_store_at_start(1_200, 1.0, 1_200), "it waits forever");
 
     let mut first = vms("a0", "north-a", 0);
     first.add_vm(SocketAddr::from(([10, 0, 0, 1], 7_000)), "north-a", "north", 0);
--- a/crates/sedgepath-core/tests/fuzz_budget.rs
+++ b/crates/sedgepath-core/tests/fuzz_budget.rs
@@ -1,10 +1,9 @@
-//! Fuzzing of the retry budget over schedules of demand, refusals and what happens to VMs.
+//! Fuzz test of the retry budget over schedules of demand, refusals and faults of VMs.
 //!
-//! Whatever the day, repeats in any ten seconds stay within a fifth of the requests and the slack. VMs are killed,
-//! stopped, suspended, added and cut off in any order, also several times and together. The oracle reads only when
-//! callers asked and when repeats arrived.
+//! In every ten-second window the retries stay within a fifth of the requests plus the slack. The
+//! check uses only the times of callers' requests and of retries that arrive at upstreams.
 //!
-//! CI runs a fixed seed; `FUZZ_CASES` and `FUZZ_SEED` in the environment make long runs.
+//! CI runs a fixed seed; the environment variables `FUZZ_CASES` and `FUZZ_SEED` set longer runs.
 
 mod fuzz_support;
 
@@ -55,8 +54,9 @@
 proptest! {
     #![proptest_config(config(32))]
 
+    /// Guards against a combination of faults that exceeds the retry budget.
     #[test]
-    fn repeats_stay_within_the_budget_whatever_the_day(day in day()) {
+    fn retries_stay_within_the_budget_under_random_faults(day in day()) {
         prop_assert_eq!(day.play().worst_excess(), None);
     }
 }
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -1,6 +1,6 @@
-//! Datagrams that are damaged, forged, repeated or come in any order.
+//! Fuzz test of peer messages that are corrupted, forged, repeated or out of order.
 //!
-//! CI runs a fixed seed; `FUZZ_CASES` and `FUZZ_SEED` in the environment make long runs.
+//! CI runs a fixed seed; the environment variables `FUZZ_CASES` and `FUZZ_SEED` set longer runs.
 
 mod fuzz_support;
 
@@ -11,7 +11,7 @@
 use sedgepath_core::clock::HybridTimestamp;
 use sedgepath_core::direct::vms::gossip::{Heartbeat, PeerMessage};
 use sedgepath_core::direct::vms::{
-    DomainSummary, Member, RelayedSummary, StoreHealth, SummaryUpdate, VmTable,
+    DomainMember, DomainSummary, RelayedSummary, StoreHealth, SummaryUpdate, VmTable,
 };
 use sedgepath_test_support::direct::{heartbeat, vms};
 
@@ -19,11 +19,11 @@
 
 fn summary() -> DomainSummary {
     let ip = |number| IpAddr::V4(Ipv4Addr::new(10, 0, 0, number));
-    let member = |number| Member { ip: ip(number), ready: true, has_store: true };
+    let member = |number| DomainMember { ip: ip(number), ready: true, store_reachable: true };
     DomainSummary {
         stamp: HybridTimestamp { time_ms: 5, count: 0 },
         period_ms: 500,
-        boot: 1,
+        boot_at_ms: 1,
         domain: "south-a".into(),
         region: "south".into(),
         sender: ip(4),
@@ -31,24 +31,24 @@
         peers_port: 7_000,
         members: vec![member(4), member(5)],
         changed_at: [1, 2],
-        store: StoreHealth::Reachable { for_ms: 100 },
-        yours: vec![ip(1), ip(2)],
+        store_health: StoreHealth::Reachable { for_ms: 100 },
+        receiver_domain_vms: vec![ip(1), ip(2)],
     }
 }
 
 fn messages() -> Vec<PeerMessage> {
     let whole = heartbeat("a2", "north-a", 2);
-    let changed = RelayedSummary { age_ms: 10, news: SummaryUpdate::Changed(summary()) };
+    let changed = RelayedSummary { age_ms: 10, update: SummaryUpdate::Changed(summary()) };
     let same = SummaryUpdate::Unchanged {
         sender: summary().sender(),
-        boot: 1,
+        boot_at_ms: 1,
         stamp: HybridTimestamp { time_ms: 6, count: 0 },
         digest: 7,
     };
     vec![
         PeerMessage::Heartbeat(Heartbeat::Full(whole)),
         PeerMessage::Summary(summary()),
-        PeerMessage::RelayedSummary(vec![changed, RelayedSummary { age_ms: 10, news: same }]),
+        PeerMessage::RelayedSummary(vec![changed, RelayedSummary { age_ms: 10, update: same }]),
     ]
 }
 
@@ -62,8 +62,8 @@
         }
         PeerMessage::Summary(summary) => vm.record_summary(summary, NOW_MS),
         PeerMessage::RelayedSummary(summaries) => {
-            for passed_on in summaries {
-                vm.record_relayed_summary(passed_on, NOW_MS);
+            for relayed in summaries {
+                vm.record_relayed_summary(relayed, NOW_MS);
             }
         }
     }
@@ -72,7 +72,7 @@
 proptest! {
     #![proptest_config(config(2_000))]
 
-    /// Guards against a datagram that ends the process, or after which it names nobody.
+    /// Guards against a datagram that panics the process or leaves look-ups without an answer.
     #[test]
     fn no_datagram_stops_a_vm(
         picks in prop::collection::vec((0..3_usize, any::<u16>(), any::<u8>()), 1..8),
@@ -80,7 +80,7 @@
     ) {
         let mut vm = vms("a1", "north-a", 1);
         for (pick, place, byte) in picks {
-            let mut bytes = postcard::to_stdvec(&messages()[pick]).expect("it can be written");
+            let mut bytes = postcard::to_stdvec(&messages()[pick]).expect("the message serializes");
             let place = usize::from(place) % bytes.len();
             bytes[place] = byte;
             if let Ok(message) = postcard::from_bytes(&bytes) {
@@ -95,16 +95,16 @@
     }
 }
 
-/// Guards against times that no VM sends overflowing in one that gets them.
+/// Guards against overflow on extreme times in a message.
 #[test]
-fn absurd_times_are_borne() {
+fn extreme_times_do_not_overflow() {
     let mut vm = vms("a1", "north-a", 1);
-    let mut absurd = summary();
-    absurd.period_ms = u64::MAX;
-    absurd.store = StoreHealth::Reachable { for_ms: u64::MAX };
-    vm.record_summary(absurd.clone(), NOW_MS);
+    let mut extreme = summary();
+    extreme.period_ms = u64::MAX;
+    extreme.store_health = StoreHealth::Reachable { for_ms: u64::MAX };
+    vm.record_summary(extreme.clone(), NOW_MS);
     vm.record_relayed_summary(
-        RelayedSummary { age_ms: u64::MAX, news: SummaryUpdate::Changed(absurd) },
+        RelayedSummary { age_ms: u64::MAX, update: SummaryUpdate::Changed(extreme) },
         NOW_MS,
     );
     let mut near = heartbeat("a2", "north-a", 2);
@@ -113,7 +113,11 @@
     vm.record_heartbeat(near, NOW_MS);
 
     vm.should_read_store(NOW_MS + 1);
-    assert_eq!(vm.serving_vms(NOW_MS + 12_000).len(), 1, "one that says so is named for ever");
+    assert_eq!(
+        vm.serving_vms(NOW_MS + 12_000).len(),
+        1,
+        "a VM with an extreme period never counts as silent"
+    );
     assert!(vm.store_health(StoreHealth::Unknown, NOW_MS + 1).is_reachable());
     vm.periodic_messages(HybridTimestamp::default(), &mut fastrand::Rng::with_seed(1), NOW_MS + 1);
 }
--- a/crates/sedgepath-core/tests/fuzz_support/mod.rs
+++ b/crates/sedgepath-core/tests/fuzz_support/mod.rs
@@ -1,9 +1,9 @@
-//! How long and from which seed the fuzz tests run.
+//! The number of cases and the seed of fuzz tests.
 
 use proptest::test_runner::{Config, RngSeed};
 
-/// Returns the configuration of a fuzz test that runs `cases` in CI, from a fixed seed; the variables
-/// `FUZZ_CASES` and `FUZZ_SEED` ask for other runs.
+/// Returns the configuration of a fuzz test with `cases` cases and a fixed seed, which the environment
+/// variables `FUZZ_CASES` and `FUZZ_SEED` override.
 pub fn config(cases: u32) -> Config {
     Config {
         cases: from_environment("FUZZ_CASES", u64::from(cases)) as u32,
