--- a/crates/sedgepath-core/src/allowance.rs
+++ b/crates/sedgepath-core/src/allowance.rs
@@ -1,21 +1,21 @@
-//! How much of each upstream this node may use.
+//! Limits on this node's use of each upstream.
 //!
-//! The border between the node's right to upstreams and their admission: the one says how much and
-//! until when, the other never sends more or later.
+//! The upstream lease computes the limits and when they expire; admission enforces them.
 
 use crate::key::UpstreamKey;
 
-/// What a node may use of one upstream.
+/// The limits on a node's use of one upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Allowance {
-    /// The upstream.
+    /// The upstream that the limits apply to.
     pub upstream: UpstreamKey,
-    /// The requests that the node may have in flight there.
+    /// The maximum number of requests that the node may have in flight.
     pub slots: u32,
-    /// The connections that it may hold.
+    /// The maximum number of connections that the node may hold.
     pub connections: u32,
-    /// The new connections that it may open in a second.
+    /// The maximum number of connections that the node may open per second.
     pub new_connections_per_s: u32,
-    /// The moment after which it may send nothing there, in milliseconds by its own clock.
+    /// The time after which the node may send nothing to the upstream, in milliseconds by its own
+    /// clock.
     pub send_by_ms: u64,
 }
--- a/crates/sedgepath-core/src/blocks.rs
+++ b/crates/sedgepath-core/src/blocks.rs
@@ -1,57 +1,57 @@
-//! The table of client blocks: which origin group an address belongs to.
+//! Maps client address blocks to origin groups by longest prefix match.
 //!
-//! At full size the table holds 1.1 million blocks on every node, so it is a pair of sorted arrays
-//! per address family: 4 bytes of address (8 for IPv6, whose blocks are at most /64) and 2 bytes of
-//! group for each border. Overlapping blocks are cut into disjoint ranges when the table is built,
-//! the longest prefix winning, so that a look-up is one binary search.
+//! Every node holds the whole table, so memory per block matters. Each address family has a pair of
+//! sorted arrays: range starts (4 bytes for IPv4, 8 for IPv6, whose prefixes have at most 64 bits)
+//! and group indexes (2 bytes). Building the table splits overlapping blocks into disjoint ranges,
+//! so a look-up is one binary search.
 
 use std::net::IpAddr;
 
 use crate::key::OriginKey;
 
-/// A block of addresses in CIDR form.
+/// An address block in CIDR notation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cidr {
-    /// The first address.
+    /// The first address of the block.
     pub address: IpAddr,
-    /// The length of the prefix in bits.
+    /// The prefix length in bits.
     pub prefix_bits: u8,
 }
 
-/// Why a block's text could not be read.
+/// An error from parsing a CIDR block.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CidrError {
     /// The text has no `/`.
-    #[error("a block is written as ADDRESS/PREFIX")]
-    NoPrefix,
-    /// The part before the `/` is no address.
+    #[error("expected a block of the form ADDRESS/PREFIX")]
+    MissingPrefix,
+    /// The part before the `/` is not an IP address.
     #[error("the part before the '/' is not an IP address")]
-    Address,
-    /// The prefix is no number or longer than the family allows.
-    #[error("the prefix is not a number of at most 32 bits for IPv4 or 64 for IPv6")]
-    Prefix,
-    /// The address has bits set behind the prefix.
-    #[error("the address has bits set behind its prefix")]
-    HostBits,
+    InvalidAddress,
+    /// The prefix length is not a number or exceeds the address family's maximum.
+    #[error("the prefix length is not a number of at most 32 for IPv4 or 64 for IPv6")]
+    InvalidPrefix,
+    /// The address has bits set beyond the prefix.
+    #[error("the address has bits set beyond its prefix")]
+    HostBitsSet,
 }
 
 impl Cidr {
-    /// Reads a block such as `192.0.2.0/24`.
+    /// Parses a block such as `192.0.2.0/24`.
     ///
     /// # Errors
     ///
-    /// Fails if the text is not an address of the family's form, a `/` and a prefix that covers all
-    /// bits set.
+    /// Fails if the text is not an IP address and a prefix length separated by `/`, or if the
+    /// address has bits set beyond the prefix.
     pub fn parse(text: &str) -> Result<Self, CidrError> {
-        let (address, prefix) = text.split_once('/').ok_or(CidrError::NoPrefix)?;
-        let address = address.parse::<IpAddr>().ok().ok_or(CidrError::Address)?;
-        let prefix_bits = prefix.parse::<u8>().ok().ok_or(CidrError::Prefix)?;
+        let (address, prefix) = text.split_once('/').ok_or(CidrError::MissingPrefix)?;
+        let address = address.parse::<IpAddr>().ok().ok_or(CidrError::InvalidAddress)?;
+        let prefix_bits = prefix.parse::<u8>().ok().ok_or(CidrError::InvalidPrefix)?;
         let cidr = Self { address, prefix_bits };
         if prefix_bits > cidr.width_bits() {
-            return Err(CidrError::Prefix);
+            return Err(CidrError::InvalidPrefix);
         }
-        if cidr.first() & (cidr.span() - 1) != 0 || cidr.low_bits_set() {
-            return Err(CidrError::HostBits);
+        if cidr.first() & (cidr.span() - 1) != 0 || cidr.has_interface_bits() {
+            return Err(CidrError::HostBitsSet);
         }
         Ok(cidr)
     }
@@ -63,25 +63,26 @@
         }
     }
 
-    fn low_bits_set(&self) -> bool {
+    fn has_interface_bits(&self) -> bool {
         match self.address {
             IpAddr::V4(_) => false,
             IpAddr::V6(address) => address.to_bits() as u64 != 0,
         }
     }
 
-    /// The block's first position in its family's space.
+    /// Returns the block's first position in its family's address space.
     fn first(&self) -> u128 {
         position(self.address)
     }
 
-    /// The number of positions that the block covers.
+    /// Returns the number of positions that the block covers.
     fn span(&self) -> u128 {
         1 << (self.width_bits() - self.prefix_bits)
     }
 }
 
-/// IPv4 addresses are positions of 32 bits, IPv6 ones the upper 64 bits of the address.
+/// Returns an address's position in its family's address space: all 32 bits of an IPv4 address, the
+/// upper 64 bits of an IPv6 address.
 fn position(address: IpAddr) -> u128 {
     match address {
         IpAddr::V4(address) => u128::from(address.to_bits()),
@@ -89,12 +90,12 @@
     }
 }
 
-/// The index of a group in [`BlockTable::groups`]; [`NO_GROUP`] stands for none.
+/// An index into [`BlockTable::groups`], or [`NO_GROUP`].
 type GroupIndex = u16;
 
 const NO_GROUP: GroupIndex = GroupIndex::MAX;
 
-/// Maps addresses to origin groups.
+/// A longest-prefix-match table from addresses to origin groups.
 #[derive(Debug, Clone, Default)]
 pub struct BlockTable {
     groups: Vec<OriginKey>,
@@ -105,11 +106,11 @@
 }
 
 impl BlockTable {
-    /// Builds the table from blocks in any order; of two equal blocks the later one wins.
+    /// Builds the table from blocks in any order; of two equal blocks the later takes precedence.
     ///
     /// # Panics
     ///
-    /// Panics if the blocks name 65,535 groups or more.
+    /// Panics if the blocks refer to 65,535 groups or more.
     pub fn new(blocks: impl IntoIterator<Item = (Cidr, OriginKey)>) -> Self {
         let mut groups = Vec::new();
         let mut index_of = crate::hash::Map::default();
@@ -121,34 +122,34 @@
                 assert!(groups.len() < usize::from(NO_GROUP), "too many origin groups");
                 (groups.len() - 1) as GroupIndex
             });
-            let range = Range { first: cidr.first(), end: cidr.first() + cidr.span(), index };
+            let range = BlockRange { first: cidr.first(), end: cidr.first() + cidr.span(), index };
             match cidr.address {
                 IpAddr::V4(_) => v4.push(range),
                 IpAddr::V6(_) => v6.push(range),
             }
         }
-        let v4 = flatten(v4);
-        let v6 = flatten(v6);
+        let v4 = split_into_disjoint(v4);
+        let v6 = split_into_disjoint(v6);
         Self {
             groups,
-            v4_starts: v4.iter().map(|border| border.0 as u32).collect(),
-            v4_groups: v4.iter().map(|border| border.1).collect(),
-            v6_starts: v6.iter().map(|border| border.0 as u64).collect(),
-            v6_groups: v6.iter().map(|border| border.1).collect(),
+            v4_starts: v4.iter().map(|start| start.0 as u32).collect(),
+            v4_groups: v4.iter().map(|start| start.1).collect(),
+            v6_starts: v6.iter().map(|start| start.0 as u64).collect(),
+            v6_groups: v6.iter().map(|start| start.1).collect(),
         }
     }
 
-    /// Returns the origin group of an address, if a block covers it.
+    /// Returns the origin group of the most specific block that contains an address.
     pub fn origin(&self, address: IpAddr) -> Option<OriginKey> {
         let address = address.to_canonical();
         let index = match address {
-            IpAddr::V4(address) => find(&self.v4_starts, &self.v4_groups, address.to_bits()),
-            IpAddr::V6(_) => find(&self.v6_starts, &self.v6_groups, position(address) as u64),
+            IpAddr::V4(address) => find_group(&self.v4_starts, &self.v4_groups, address.to_bits()),
+            IpAddr::V6(_) => find_group(&self.v6_starts, &self.v6_groups, position(address) as u64),
         };
         self.groups.get(usize::from(index)).copied()
     }
 
-    /// Returns the memory that the table's arrays take, in bytes.
+    /// Returns the memory that the table's arrays occupy, in bytes.
     pub fn size_bytes(&self) -> usize {
         self.v4_starts.capacity() * 4
             + self.v6_starts.capacity() * 8
@@ -156,7 +157,7 @@
     }
 }
 
-fn find<T: Ord + Copy>(starts: &[T], groups: &[GroupIndex], position: T) -> GroupIndex {
+fn find_group<T: Ord + Copy>(starts: &[T], groups: &[GroupIndex], position: T) -> GroupIndex {
     match starts.partition_point(|start| *start <= position) {
         0 => NO_GROUP,
         after => groups[after - 1],
@@ -164,44 +165,44 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Range {
+struct BlockRange {
     first: u128,
     end: u128,
     index: GroupIndex,
 }
 
-/// Cuts nested ranges into borders, each with the group that holds from there on.
+/// Splits nested ranges into sorted range starts, each with the group that applies from there on.
 ///
-/// Blocks are either nested or disjoint, so a stack of the open ones suffices.
-fn flatten(mut ranges: Vec<Range>) -> Vec<(u128, GroupIndex)> {
+/// CIDR blocks are either nested or disjoint, so a stack of the enclosing ranges suffices.
+fn split_into_disjoint(mut ranges: Vec<BlockRange>) -> Vec<(u128, GroupIndex)> {
     ranges.sort_by(|a, b| a.first.cmp(&b.first).then(b.end.cmp(&a.end)));
-    let mut borders = Vec::with_capacity(ranges.len() * 2);
-    let mut open: Vec<Range> = Vec::new();
+    let mut starts = Vec::with_capacity(ranges.len() * 2);
+    let mut open: Vec<BlockRange> = Vec::new();
     for range in ranges {
-        close_until(&mut open, range.first, &mut borders);
-        push_border(&mut borders, range.first, range.index);
+        close_ranges(&mut open, range.first, &mut starts);
+        push_range_start(&mut starts, range.first, range.index);
         open.push(range);
     }
-    close_until(&mut open, u128::MAX, &mut borders);
-    borders
+    close_ranges(&mut open, u128::MAX, &mut starts);
+    starts
 }
 
-fn close_until(open: &mut Vec<Range>, position: u128, borders: &mut Vec<(u128, GroupIndex)>) {
+fn close_ranges(open: &mut Vec<BlockRange>, position: u128, starts: &mut Vec<(u128, GroupIndex)>) {
     while let Some(range) = open.pop_if(|range| range.end <= position) {
         let outer = open.last().map_or(NO_GROUP, |outer| outer.index);
-        push_border(borders, range.end, outer);
+        push_range_start(starts, range.end, outer);
     }
 }
 
-fn push_border(borders: &mut Vec<(u128, GroupIndex)>, position: u128, index: GroupIndex) {
-    if let Some(last) = borders.last_mut()
+fn push_range_start(starts: &mut Vec<(u128, GroupIndex)>, position: u128, index: GroupIndex) {
+    if let Some(last) = starts.last_mut()
         && last.0 == position
     {
         last.1 = index;
         return;
     }
-    if borders.last().is_some_and(|last| last.1 == index) {
+    if starts.last().is_some_and(|last| last.1 == index) {
         return;
     }
-    borders.push((position, index));
+    starts.push((position, index));
 }
--- a/crates/sedgepath-core/src/clock.rs
+++ b/crates/sedgepath-core/src/clock.rs
@@ -1,26 +1,28 @@
-//! Hybrid logical clock: orders the events of all processes in one time line.
+//! A hybrid logical clock, which gives the events of all processes one causal order.
 //!
-//! Kulkarni et al., "Logical Physical Clocks" (2014): a stamp is the largest physical time heard of,
-//! with a counter for events within the same millisecond. A message's stamp is merged on receipt, so
-//! an event never stands before one that it depends on, whatever the skew between the nodes.
+//! See Kulkarni et al., "Logical Physical Clocks" (2014). A timestamp is the largest physical time
+//! seen so far, with a counter for events within the same millisecond. A received message's
+//! timestamp is merged into the clock, so an event never precedes one that it depends on, whatever
+//! the clock skew.
 
 use serde::{Deserialize, Serialize};
 
-/// A point of the time line.
+/// A hybrid logical timestamp.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct HybridTimestamp {
-    /// The largest physical time heard of, in milliseconds since the Unix epoch.
+    /// The largest physical time seen, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// The number of the event within that millisecond.
+    /// The counter that orders events within the millisecond.
     pub count: u32,
 }
 
-/// The furthest that a stamp from elsewhere may lead the own clock, in milliseconds.
+/// The maximum lead of a received timestamp over the local clock, in milliseconds.
 ///
-/// One node with a clock years ahead would otherwise drag the time line of all along for good.
-pub const MAX_LEAD_MS: u64 = 60_000;
+/// Without this bound one node whose clock is years ahead would advance the clocks of all nodes
+/// permanently.
+pub const MAX_CLOCK_LEAD_MS: u64 = 60_000;
 
 /// A node's hybrid logical clock.
 #[derive(Debug, Default)]
@@ -29,7 +31,7 @@
 }
 
 impl HybridLogicalClock {
-    /// Returns the stamp of a local event or of a message about to be sent.
+    /// Advances the clock and returns the timestamp of a local event or an outgoing message.
     pub fn tick(&mut self, now_ms: u64) -> HybridTimestamp {
         self.last = if now_ms > self.last.time_ms {
             HybridTimestamp { time_ms: now_ms, count: 0 }
@@ -39,10 +41,11 @@
         self.last
     }
 
-    /// Merges the stamp of a message received; one that leads by over [`MAX_LEAD_MS`] is ignored.
-    pub fn merge(&mut self, now_ms: u64, heard: HybridTimestamp) {
-        if heard.time_ms <= now_ms.saturating_add(MAX_LEAD_MS) {
-            self.last = self.last.max(heard);
+    /// Merges the timestamp of a received message, unless it leads by more than
+    /// [`MAX_CLOCK_LEAD_MS`].
+    pub fn merge(&mut self, now_ms: u64, received: HybridTimestamp) {
+        if received.time_ms <= now_ms.saturating_add(MAX_CLOCK_LEAD_MS) {
+            self.last = self.last.max(received);
         }
     }
 }
--- a/crates/sedgepath-core/src/hash.rs
+++ b/crates/sedgepath-core/src/hash.rs
@@ -1,10 +1,10 @@
-//! Hash tables with a fast hasher, and digests of what comes from outside.
+//! Hash tables with a fast hasher, and digests of untrusted input.
 
 /// A hash map with a fast, fixed hasher.
 ///
-/// The hasher is not safe against chosen keys, so keys that callers choose are reduced to a
-/// [`Digest`] first; its order of iteration depends on nothing but the insertions, so a run with a
-/// fixed seed repeats itself.
+/// The hasher does not resist collision attacks, so keys that callers choose are hashed to a
+/// [`Digest`] first. Iteration order depends only on the insertions, so runs with a fixed seed are
+/// reproducible.
 pub type Map<K, V> = rustc_hash::FxHashMap<K, V>;
 
 /// A hash set with the hasher of [`Map`].
@@ -17,8 +17,8 @@
 pub struct Digest(pub [u8; 16]);
 
 impl Digest {
-    /// Hashes several parts; each is preceded by its length, so that no two lists of parts collide
-    /// by moving a border.
+    /// Hashes several parts, each prefixed with its length, so that moving bytes between parts
+    /// changes the digest.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in parts {
@@ -37,7 +37,7 @@
         u64::from_le_bytes(bytes)
     }
 
-    /// Writes the digest as 32 hexadecimal digits.
+    /// Formats the digest as 32 hexadecimal digits.
     pub fn to_hex(self) -> String {
         use std::fmt::Write;
         self.0.iter().fold(String::with_capacity(32), |mut hex, byte| {
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Reads 32 hexadecimal digits.
+    /// Parses 32 hexadecimal digits.
     pub fn from_hex(hex: &str) -> Option<Self> {
         if hex.len() != 32 || !hex.is_ascii() {
             return None;
--- a/crates/sedgepath-core/src/identity.rs
+++ b/crates/sedgepath-core/src/identity.rs
@@ -1,54 +1,54 @@
-//! Who a node is, and the times by which it works.
+//! A node's identity and settings.
 
 use crate::egress::settings::AdmissionSettings;
 use crate::key::{BootId, VmKey};
 use crate::message::MemberDescriptor;
 
-/// Who a node is.
+/// The identity of one run of a node's process.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// The VM.
+    /// The key of the VM that the node runs on.
     pub vm: VmKey,
-    /// This run of the process.
+    /// The boot ID of this run of the process.
     pub boot: BootId,
-    /// Name, failure domain and addresses.
+    /// The VM's name, failure domain and addresses.
     pub card: MemberDescriptor,
 }
 
 impl Identity {
-    /// Creates the identity of one run of a process.
+    /// Creates an identity whose VM key is derived from the descriptor's name.
     pub fn new(card: MemberDescriptor, boot: BootId) -> Self {
         Self { vm: VmKey::of(&card.name), boot, card }
     }
 }
 
-/// The times and bounds by which a node works; all nodes of a system have the same.
+/// The timing and limits of a node; all nodes of a system use the same values.
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
-    /// The time between two heartbeats, in milliseconds.
+    /// The interval between heartbeats, in milliseconds.
     pub heartbeat_every_ms: u64,
-    /// After which silence a member is suspected, in milliseconds. The owner's right ends this
-    /// long after the heartbeat that was acknowledged (T in docs/DESIGN.md).
+    /// The silence after which a member is suspected, in milliseconds. An upstream lease expires
+    /// this long after the acknowledged heartbeat was sent (T in docs/DESIGN.md).
     pub suspect_after_ms: u64,
-    /// After which silence a member that the VM list no longer names is forgotten, in milliseconds.
+    /// The silence after which a member missing from the VM list is removed, in milliseconds.
     pub forget_after_ms: u64,
-    /// The time between two summaries from one failure domain to another, in milliseconds.
+    /// The interval between summaries from one failure domain to another, in milliseconds.
     pub relay_every_ms: u64,
-    /// The time between two readings of the platform's head revision, in milliseconds.
+    /// The interval between reads of the platform's head revision, in milliseconds.
     pub head_every_ms: u64,
-    /// The age of the newest reading of the head after which members that are no readers step in,
-    /// in milliseconds.
+    /// The age of the newest known read of the head revision after which members that are not
+    /// readers read it too, in milliseconds.
     pub head_stale_ms: u64,
-    /// The longest random wait before records are fetched from a peer, in milliseconds.
+    /// The maximum random delay before fetching records from a peer, in milliseconds.
     pub fetch_jitter_ms: u64,
-    /// How long a node that can't reach the platform listens for members after its start before it
-    /// serves by what a peer gave it, in milliseconds.
+    /// How long a node that cannot reach the platform listens for members after its start before it
+    /// serves with records from a peer, in milliseconds.
     pub boot_wait_ms: u64,
-    /// How long a look-up's answer may be used, in milliseconds.
+    /// How long callers may cache the answer to a look-up, in milliseconds.
     pub look_up_valid_ms: u64,
-    /// What an experiment switches off in the admission of requests.
+    /// Switches that disable parts of request admission.
     pub admission: AdmissionSettings,
-    /// The seed of the node's random choices.
+    /// The seed of the node's random number generators.
     pub seed: u64,
 }
 
--- a/crates/sedgepath-core/src/key.rs
+++ b/crates/sedgepath-core/src/key.rs
@@ -1,8 +1,8 @@
-//! Small `Copy` keys of the entities that the node keeps in tables.
+//! Small `Copy` keys for the entities that the node keeps in tables.
 //!
-//! Keys of configured entities are hashes of their names: they are the same on every node and in
-//! every revision, so messages carry them without any agreement on numbers. Two names of one kind
-//! whose keys collide are refused when a record is checked.
+//! The key of a configured entity is a hash of its name, so it is the same on every node and in
+//! every revision, and messages can carry it without negotiation. Record validation rejects two
+//! names of one kind whose keys collide.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,7 +17,7 @@
         pub struct $key(pub u32);
 
         impl $key {
-            /// Derives the key of a name.
+            /// Derives the key from a name.
             pub fn of(name: &str) -> Self {
                 Self(Digest::of(&[$kind, name.as_bytes()]).to_u64() as u32)
             }
@@ -26,51 +26,50 @@
 }
 
 name_key!(
-    /// A region: a group of failure domains close to each other.
+    /// The key of a region: a group of failure domains close to each other.
     RegionKey, b"region"
 );
 name_key!(
-    /// A failure domain.
+    /// The key of a failure domain.
     DomainKey, b"domain"
 );
 name_key!(
-    /// A service that callers ask for by name.
+    /// The key of a service, which callers request by name.
     ServiceKey, b"service"
 );
 name_key!(
-    /// An upstream of a service.
+    /// The key of an upstream.
     UpstreamKey, b"upstream"
 );
 name_key!(
-    /// An organisation whose members call.
+    /// The key of an organisation that callers belong to.
     OrganisationKey, b"organisation"
 );
 name_key!(
-    /// A group of callers' addresses that is steered as one.
+    /// The key of an origin group: a set of caller addresses that is steered as a unit.
     OriginKey, b"origin"
 );
 
-/// An entry VM, by its name.
+/// The key of an entry VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VmKey(pub u64);
 
 impl VmKey {
-    /// Derives the key of a VM's name.
+    /// Derives the key from a VM's name.
     pub fn of(name: &str) -> Self {
         Self(Digest::of(&[b"vm", name.as_bytes()]).to_u64())
     }
 }
 
-/// One run of a process on a VM. A later run has a higher number: it is drawn from the time of the
-/// start, see [`BootId::new`].
+/// The ID of one run of a process on a VM. IDs increase with start time; see [`BootId::new`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BootId(pub u64);
 
 impl BootId {
-    /// The bits that are random, to tell apart two boots at the same time.
+    /// The number of low bits that are random, to distinguish boots in the same millisecond.
     const RANDOM_BITS: u32 = 20;
 
-    /// Creates the number of a boot from the time of its start, in milliseconds since the Unix epoch.
+    /// Creates an ID from the start time, in milliseconds since the Unix epoch, and random bits.
     pub fn new(started_at_ms: u64, random: u64) -> Self {
         Self(started_at_ms << Self::RANDOM_BITS | random & ((1 << Self::RANDOM_BITS) - 1))
     }
@@ -87,18 +86,19 @@
 }
 
 number_key!(
-    /// A request that this node serves as ingress, numbered by its shell.
+    /// The key of a request that this node serves as ingress, assigned by the shell.
     RequestKey
 );
 number_key!(
-    /// A dispatch that this node serves as egress, numbered by its shell.
+    /// The key of a dispatch that this node serves as egress, assigned by the shell.
     ExchangeKey
 );
 number_key!(
-    /// A call to the platform or a peer whose result comes back as an event; numbered by the node.
+    /// The key of a call to the platform or a peer whose result arrives as an event, assigned by
+    /// the node.
     OperationKey
 );
 number_key!(
-    /// A question of a caller or an operator that awaits its answer, numbered by the shell.
+    /// The key of a pending reply to a caller or an operator, assigned by the shell.
     ReplyKey
 );
--- a/crates/sedgepath-core/src/lease/promise.rs
+++ b/crates/sedgepath-core/src/lease/promise.rs
@@ -1,15 +1,15 @@
-//! Promises not to touch another member's upstreams.
+//! Promises not to use another member's upstreams.
 
 use crate::hash::Map;
 use crate::key::{BootId, UpstreamKey, VmKey};
 
-/// Whom a promise was made to: one boot of a member. What a later boot says releases nothing, since
-/// it does not know what this one has in flight.
+/// The boot of a member that a promise was made to. A later boot cannot release the promise, since
+/// it does not know what the earlier one has in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) struct Holder {
-    /// The member.
+pub(super) struct LeaseHolder {
+    /// The key of the member.
     pub vm: VmKey,
-    /// Its boot.
+    /// The boot ID of the member's process.
     pub boot: BootId,
 }
 
@@ -23,34 +23,34 @@
 /// The promises that this boot has made.
 #[derive(Debug, Default)]
 pub(super) struct Promises {
-    promises: Map<(UpstreamKey, Holder), Promise>,
+    promises: Map<(UpstreamKey, LeaseHolder), Promise>,
 }
 
 impl Promises {
-    /// Promises a member not to touch an upstream; an earlier promise is only made longer.
-    pub fn make(&mut self, upstream: UpstreamKey, to: Holder, now_ms: u64, until_ms: u64) {
+    /// Promises not to use an upstream; an existing promise is extended, never shortened.
+    pub fn extend(&mut self, upstream: UpstreamKey, to: LeaseHolder, now_ms: u64, until_ms: u64) {
         let promise =
             self.promises.entry((upstream, to)).or_insert(Promise { made_at_ms: 0, until_ms: 0 });
         promise.made_at_ms = now_ms;
         promise.until_ms = promise.until_ms.max(until_ms);
     }
 
-    /// Drops the promises to a boot that has released its right or said farewell.
-    pub fn release(&mut self, to: Holder) {
+    /// Removes the promises to a boot that has released its claim or announced its end.
+    pub fn release(&mut self, to: LeaseHolder) {
         self.promises.retain(|(_, holder), _| *holder != to);
     }
 
-    /// Drops the promises that have run out.
+    /// Removes expired promises.
     pub fn expire(&mut self, now_ms: u64) {
         self.promises.retain(|_, promise| promise.until_ms > now_ms);
     }
 
-    /// Whether a promise binds this node as far as an upstream is concerned.
+    /// Returns whether a promise forbids this node to use an upstream.
     ///
-    /// A promise to a member ends early where that member has granted a heartbeat sent after the
-    /// promise was last made, for which `granted_at_ms` gives the time of sending: by then it had
-    /// taken up the roster by which it no longer owns the upstream.
-    pub fn bind(
+    /// A promise ends early if its holder has granted a heartbeat that this node sent after the
+    /// promise was last made: by then the holder's roster assigned the upstream to another owner.
+    /// `granted_at_ms` returns the sending time of the heartbeat that a member granted last.
+    pub fn forbid(
         &self,
         upstream: UpstreamKey,
         now_ms: u64,
--- a/crates/sedgepath-core/src/lease/roster.rs
+++ b/crates/sedgepath-core/src/lease/roster.rs
@@ -1,9 +1,10 @@
-//! The roster: the members of the failure domain whose consent the owner's right needs.
+//! The roster: the members of the failure domain whose grants a lease requires.
 //!
-//! A member enters when it is heard of, directly or from others, or when the platform lists it. It
-//! leaves when it says farewell, or when the platform's list lacks it and it has been silent for so
-//! long that every promise made to it, and every request that it may have left running, has ended.
-//! Silence alone never removes a member: a dead one can't be told from one that is cut off.
+//! A member is added when a direct or indirect sign of life arrives, or when the platform lists it.
+//! It is removed when it announces its end, or when it is missing from the platform's list and has
+//! been silent for so long that every promise to it and every request of it has ended. Silence
+//! alone never removes a member, since a dead member cannot be distinguished from a partitioned
+//! one.
 
 use std::collections::BTreeMap;
 
@@ -11,85 +12,90 @@
 use crate::key::{BootId, VmKey};
 use crate::membership::Member;
 
-/// A member of the roster.
+/// The state of a roster member.
 #[derive(Debug, Clone)]
-pub(super) struct Entry {
-    /// Its boot; none if it was never heard of.
+pub(super) struct RosterEntry {
+    /// The member's boot ID; `None` before the first sign of life.
     pub boot: Option<BootId>,
-    /// Whether it has begun to leave.
+    /// Whether the member is about to stop.
     pub leaving: bool,
-    /// Whether it has no earlier boot that could have left requests running: it was first heard of
-    /// while this node was established, before any list named it.
+    /// Whether the member has no earlier boot with requests that may still run: its first sign of
+    /// life came while this node was established and before any list contained it.
     pub newcomer: bool,
-    /// When it entered, by this node's clock.
-    pub entered_at_ms: u64,
-    heard_at_ms: u64,
+    /// When the member was added, in milliseconds by this node's clock.
+    pub added_at_ms: u64,
+    last_heard_at_ms: u64,
     unlisted_since_ms: Option<u64>,
     was_listed: bool,
 }
 
-/// The times by which members leave the roster.
+/// The silence after which members missing from the VM list are removed.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Waits {
-    /// How long a member that the list has dropped must have been silent, in milliseconds: 2T + D.
-    pub gone_after_ms: u64,
-    /// The same for one that the list has never named, since the list lags.
+pub(super) struct RemovalDelays {
+    /// The silence required of a member that the list once contained, in milliseconds: 2T + D.
+    pub delisted_ms: u64,
+    /// The silence required of a member that the list never contained, in milliseconds; longer,
+    /// since the list lags.
     pub never_listed_ms: u64,
 }
 
 /// The other members of the own failure domain.
 #[derive(Debug, Default)]
 pub(super) struct Roster {
-    entries: BTreeMap<VmKey, Entry>,
-    /// Those that left, with the time of their last sign of life, so that old hearsay and a lagging
-    /// list don't bring them back.
-    left: Map<VmKey, u64>,
-    list_seen: bool,
+    entries: BTreeMap<VmKey, RosterEntry>,
+    /// Removed members with the time of their last sign of life, so that outdated reports and a
+    /// lagging list don't add them again.
+    departed: Map<VmKey, u64>,
+    has_vm_list: bool,
 }
 
 impl Roster {
-    /// Returns the members in the order of their keys.
-    pub fn iter(&self) -> impl Iterator<Item = (VmKey, &Entry)> {
+    /// Returns the members, sorted by key.
+    pub fn iter(&self) -> impl Iterator<Item = (VmKey, &RosterEntry)> {
         self.entries.iter().map(|(vm, entry)| (*vm, entry))
     }
 
-    /// Returns a member.
-    pub fn get(&self, vm: VmKey) -> Option<&Entry> {
+    /// Returns the state of a member.
+    pub fn get(&self, vm: VmKey) -> Option<&RosterEntry> {
         self.entries.get(&vm)
     }
 
-    /// Whether there is no other member.
+    /// Returns whether there is no other member.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Whether the platform's list was read.
-    pub fn list_seen(&self) -> bool {
-        self.list_seen
+    /// Returns whether a VM list of the platform has been applied.
+    pub fn has_vm_list(&self) -> bool {
+        self.has_vm_list
     }
 
-    /// Takes in the members of the own failure domain that are known.
-    pub fn take_members(&mut self, members: &[(VmKey, &Member)], established: bool, now_ms: u64) {
+    /// Adds or updates the known members of the own failure domain.
+    pub fn update_members(&mut self, members: &[(VmKey, &Member)], established: bool, now_ms: u64) {
         for (vm, member) in members {
-            if self.left.get(vm).is_some_and(|heard_at_ms| member.last_heard_at_ms <= *heard_at_ms)
+            if self
+                .departed
+                .get(vm)
+                .is_some_and(|heard_at_ms| member.last_heard_at_ms <= *heard_at_ms)
             {
                 continue;
             }
-            self.left.remove(vm);
-            let entry = self.entries.entry(*vm).or_insert_with(|| Entry::new(established, now_ms));
+            self.departed.remove(vm);
+            let entry =
+                self.entries.entry(*vm).or_insert_with(|| RosterEntry::new(established, now_ms));
             entry.newcomer &= entry.boot.is_none_or(|boot| boot == member.boot);
             entry.boot = Some(member.boot);
             entry.leaving = member.card.leaving;
-            entry.heard_at_ms = entry.heard_at_ms.max(member.last_heard_at_ms);
+            entry.last_heard_at_ms = entry.last_heard_at_ms.max(member.last_heard_at_ms);
         }
     }
 
-    /// Takes in the other VMs of the own failure domain that the platform lists.
-    pub fn take_list(&mut self, listed: &[VmKey], now_ms: u64, waits: Waits) {
-        self.list_seen = true;
-        self.left.retain(|_, heard_at_ms| *heard_at_ms + waits.never_listed_ms > now_ms);
-        for vm in listed.iter().filter(|vm| !self.left.contains_key(vm)) {
-            let entry = self.entries.entry(*vm).or_insert_with(|| Entry::new(false, now_ms));
+    /// Applies the platform's list of other VMs in the own failure domain.
+    pub fn apply_vm_list(&mut self, listed: &[VmKey], now_ms: u64, delays: RemovalDelays) {
+        self.has_vm_list = true;
+        self.departed.retain(|_, heard_at_ms| *heard_at_ms + delays.never_listed_ms > now_ms);
+        for vm in listed.iter().filter(|vm| !self.departed.contains_key(vm)) {
+            let entry = self.entries.entry(*vm).or_insert_with(|| RosterEntry::new(false, now_ms));
             entry.was_listed = true;
         }
         for (vm, entry) in &mut self.entries {
@@ -101,12 +107,12 @@
         }
     }
 
-    /// Removes the members that are gone and returns them.
-    pub fn remove_gone(&mut self, now_ms: u64, waits: Waits) -> Vec<VmKey> {
+    /// Removes the members that are gone and returns their keys.
+    pub fn remove_gone(&mut self, now_ms: u64, delays: RemovalDelays) -> Vec<VmKey> {
         let gone: Vec<VmKey> = self
             .entries
             .iter()
-            .filter(|(_, entry)| entry.is_gone(now_ms, waits))
+            .filter(|(_, entry)| entry.is_gone(now_ms, delays))
             .map(|(vm, _)| *vm)
             .collect();
         for vm in &gone {
@@ -115,15 +121,15 @@
         gone
     }
 
-    /// Removes a member that has said farewell.
+    /// Removes a member and remembers its last sign of life.
     pub fn remove(&mut self, vm: VmKey) {
         if let Some(entry) = self.entries.remove(&vm) {
-            self.left.insert(vm, entry.heard_at_ms);
+            self.departed.insert(vm, entry.last_heard_at_ms);
         }
     }
 
-    /// Returns a digest of the members, their boots and whether they leave, with those of the node
-    /// itself; equal digests stand for the same roster.
+    /// Returns a digest of all members including this node, with their boots and leaving flags;
+    /// equal digests mean equal rosters.
     pub fn digest(&self, own: VmKey, own_boot: BootId, own_leaving: bool) -> u64 {
         let mut lines: Vec<_> = self
             .entries
@@ -142,27 +148,27 @@
     }
 }
 
-impl Entry {
+impl RosterEntry {
     fn new(newcomer: bool, entered_at_ms: u64) -> Self {
         Self {
             boot: None,
             leaving: false,
             newcomer,
-            entered_at_ms,
-            heard_at_ms: 0,
+            added_at_ms: entered_at_ms,
+            last_heard_at_ms: 0,
             unlisted_since_ms: None,
             was_listed: false,
         }
     }
 
-    fn is_gone(&self, now_ms: u64, waits: Waits) -> bool {
-        let wait_ms = if self.was_listed { waits.gone_after_ms } else { waits.never_listed_ms };
+    fn is_gone(&self, now_ms: u64, delays: RemovalDelays) -> bool {
+        let wait_ms = if self.was_listed { delays.delisted_ms } else { delays.never_listed_ms };
         let Some(unlisted_since_ms) = self.unlisted_since_ms else {
             return false;
         };
-        // One that was never heard of is timed from the list's word alone.
+        // A member without any sign of life counts as silent since the list omitted it.
         let silent_since_ms =
-            if self.boot.is_some() { self.heard_at_ms } else { unlisted_since_ms };
+            if self.boot.is_some() { self.last_heard_at_ms } else { unlisted_since_ms };
         silent_since_ms + wait_ms <= now_ms
     }
 }
--- a/crates/sedgepath-core/src/look_up.rs
+++ b/crates/sedgepath-core/src/look_up.rs
@@ -1,9 +1,9 @@
-//! Look-ups: which entry VMs a caller should use, answered from memory alone.
+//! Look-ups: which entry VMs a caller should use, answered from memory.
 //!
-//! A look-up costs one search for the caller's origin group and one table access: the ordered lists
-//! are kept by service, origin group and variant, and made anew only after the members or the
-//! configuration have changed. Variants spread the callers of a group over the entry VMs, in
-//! proportion to where the group's traffic goes.
+//! A look-up costs one binary search for the caller's origin group and one table access. Ordered
+//! lists are cached by service, origin group and variant, and discarded when the members or the
+//! configuration change. Variants spread the callers of a group over the entry VMs in proportion to
+//! the group's traffic shares.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -15,19 +15,19 @@
 use crate::request::EntryVm;
 use crate::view::SystemView;
 
-/// The most entry VMs that an answer names.
-const MAX_NAMED: usize = 8;
+/// The maximum number of entry VMs in an answer.
+const MAX_ENTRY_VMS: usize = 8;
 
-/// The most entry VMs of one failure domain that an answer names: after these a caller had better
-/// try another domain.
-const MAX_NAMED_PER_DOMAIN: usize = 3;
+/// The maximum number of entry VMs of one failure domain in an answer, so that a caller's retries
+/// reach other domains.
+const MAX_ENTRY_VMS_PER_DOMAIN: usize = 3;
 
-/// The number of different orders that callers of one origin group are given.
-const VARIANTS: u64 = 16;
+/// The number of different orders among the callers of one origin group.
+const VARIANT_COUNT: u64 = 16;
 
 type ListKey = (ServiceKey, OriginKey, u64);
 
-/// The ordered lists of entry VMs.
+/// A cache of ordered entry VM lists.
 #[derive(Debug, Default)]
 pub struct LookUpCache {
     lists: Map<ListKey, Arc<[EntryVm]>>,
@@ -35,7 +35,8 @@
 }
 
 impl LookUpCache {
-    /// Drops the lists if the members that serve, or the configuration, have changed.
+    /// Discards the cached lists if the members that accept work, or the configuration, have
+    /// changed.
     pub fn drop_stale_lists(&mut self, view: &SystemView<'_>) {
         let fingerprint = fingerprint(view);
         if fingerprint != self.fingerprint {
@@ -44,12 +45,12 @@
         }
     }
 
-    /// Answers a look-up; the answer may be used for `valid_ms` milliseconds.
+    /// Answers a look-up; the caller may cache the answer for `valid_ms` milliseconds.
     ///
     /// # Errors
     ///
-    /// Fails if the service is unknown or the node can't answer for it: its records can't be read
-    /// here, or the caller has seen a newer revision than any member that this node could name.
+    /// Fails if the service is unknown, if this node has no usable configuration for it, or if the
+    /// caller has seen a newer revision than this node and every member known here.
     pub fn answer(
         &mut self,
         look_up: &LookUp,
@@ -61,9 +62,9 @@
             return Err(LookUpError::Configuration);
         }
         let entry_vms = if look_up.revision_seen > view.revision {
-            // A node that is behind must not name itself or others that are: the caller would be
-            // steered by records that it has already seen replaced.
-            not_behind(look_up.revision_seen, view)?
+            // A node with an outdated revision must not return itself or others with one: the
+            // caller would be steered by records that it has already seen replaced.
+            up_to_date_entry_vms(look_up.revision_seen, view)?
         } else if view.catalogue.services.contains_key(&service) {
             self.list(service, look_up.source, view)
         } else {
@@ -77,7 +78,7 @@
         })
     }
 
-    /// Returns other entry VMs for a caller whose request is refused here.
+    /// Returns entry VMs other than this one, for a caller whose request is rejected here.
     pub fn alternatives(
         &mut self,
         service: ServiceKey,
@@ -98,7 +99,7 @@
         let origin = view.catalogue.origin_of_address(source);
         let variant = variant(source);
         let list = self.lists.entry((service, origin, variant));
-        Arc::clone(list.or_insert_with(|| ordered(service, origin, variant, view)))
+        Arc::clone(list.or_insert_with(|| ordered_entry_vms(service, origin, variant, view)))
     }
 }
 
@@ -107,19 +108,19 @@
         IpAddr::V4(address) => u64::from(address.to_bits()),
         IpAddr::V6(address) => (address.to_bits() >> 64) as u64,
     };
-    score(bits, 0) % VARIANTS
+    score(bits, 0) % VARIANT_COUNT
 }
 
-/// An entry VM that could be named.
-struct Named {
+/// An entry VM that an answer may contain.
+struct EntryVmCandidate {
     vm: VmKey,
     domain: DomainKey,
     entry_vm: EntryVm,
 }
 
-fn serving(view: &SystemView<'_>) -> Vec<Named> {
-    let card = &view.identity.card;
-    let own = (!card.leaving).then_some((view.identity.vm, card));
+fn entry_vm_candidates(view: &SystemView<'_>) -> Vec<EntryVmCandidate> {
+    let descriptor = &view.identity.card;
+    let own = (!descriptor.leaving).then_some((view.identity.vm, descriptor));
     let members = view.membership.members();
     let others = members
         .iter()
@@ -127,44 +128,44 @@
         .map(|(vm, member)| (*vm, &member.card));
     own.into_iter()
         .chain(others)
-        .map(|(vm, card)| Named {
+        .map(|(vm, descriptor)| EntryVmCandidate {
             vm,
-            domain: card.domain,
-            entry_vm: EntryVm { name: card.name.clone(), address: card.caller_address },
+            domain: descriptor.domain,
+            entry_vm: EntryVm { name: descriptor.name.clone(), address: descriptor.caller_address },
         })
         .collect()
 }
 
-fn ordered(
+fn ordered_entry_vms(
     service: ServiceKey,
     origin: OriginKey,
     variant: u64,
     view: &SystemView<'_>,
 ) -> Arc<[EntryVm]> {
     let shares = view.catalogue.shares(service, origin).unwrap_or_default();
-    let mut named: Vec<_> = serving(view)
+    let mut candidate: Vec<_> = entry_vm_candidates(view)
         .into_iter()
-        .map(|named| (domain_order(named.domain, shares, variant, view), named))
+        .map(|candidate| (domain_sort_key(candidate.domain, shares, variant, view), candidate))
         .collect();
-    named.sort_by(|(order, a), (other, b)| {
-        let key = |named: &Named| (score(variant, named.vm.0), named.vm);
+    candidate.sort_by(|(order, a), (other, b)| {
+        let key = |candidate: &EntryVmCandidate| (score(variant, candidate.vm.0), candidate.vm);
         order.total_cmp(other).then(a.domain.cmp(&b.domain)).then_with(|| key(a).cmp(&key(b)))
     });
-    let mut taken: Map<DomainKey, usize> = Map::default();
-    named.retain(|(_, named)| {
-        let count = taken.entry(named.domain).or_default();
+    let mut count_by_domain: Map<DomainKey, usize> = Map::default();
+    candidate.retain(|(_, candidate)| {
+        let count = count_by_domain.entry(candidate.domain).or_default();
         *count += 1;
-        *count <= MAX_NAMED_PER_DOMAIN
+        *count <= MAX_ENTRY_VMS_PER_DOMAIN
     });
-    named.into_iter().take(MAX_NAMED).map(|(_, named)| named.entry_vm).collect()
+    candidate.into_iter().take(MAX_ENTRY_VMS).map(|(_, candidate)| candidate.entry_vm).collect()
 }
 
-/// Returns the place of a failure domain in a variant's order, the first having the least value.
+/// Returns the sort key of a failure domain in a variant's order.
 ///
-/// Weighted rendezvous hashing: with `u` uniform from the hash, the least of `-ln(u) / share` falls
-/// on each domain with a chance of its share. Domains without a share come last, those of this
-/// node's region first among them.
-fn domain_order(
+/// Weighted rendezvous hashing: with `u` uniform from the hash, each domain has the smallest
+/// `-ln(u) / share` with a probability equal to its share. Domains without a share come last, those
+/// of this node's region first among them.
+fn domain_sort_key(
     domain: DomainKey,
     shares: &[(DomainKey, f64)],
     variant: u64,
@@ -176,28 +177,31 @@
         return -uniform.max(f64::MIN_POSITIVE).ln() / share;
     }
     let region = |domain| view.catalogue.domains.get(domain).map(|entry| entry.region);
-    let near = region(&domain) == region(&view.identity.card.domain);
-    if near { f64::MAX } else { f64::INFINITY }
+    let same_region = region(&domain) == region(&view.identity.card.domain);
+    if same_region { f64::MAX } else { f64::INFINITY }
 }
 
-fn not_behind(revision_seen: u64, view: &SystemView<'_>) -> Result<Arc<[EntryVm]>, LookUpError> {
-    let named: Arc<[EntryVm]> = view
+fn up_to_date_entry_vms(
+    revision_seen: u64,
+    view: &SystemView<'_>,
+) -> Result<Arc<[EntryVm]>, LookUpError> {
+    let candidate: Arc<[EntryVm]> = view
         .membership
         .members()
         .into_iter()
         .filter(|(_, member)| member.accepts_work() && member.revision >= revision_seen)
-        .take(MAX_NAMED)
+        .take(MAX_ENTRY_VMS)
         .map(|(_, member)| EntryVm {
             name: member.card.name.clone(),
             address: member.card.caller_address,
         })
         .collect();
-    if named.is_empty() { Err(LookUpError::Configuration) } else { Ok(named) }
+    if candidate.is_empty() { Err(LookUpError::Configuration) } else { Ok(candidate) }
 }
 
 fn fingerprint(view: &SystemView<'_>) -> u64 {
     let own = score(view.revision, u64::from(view.identity.card.leaving));
-    // The sum does not depend on the order of the members.
+    // Addition is commutative, so the order of the members does not matter.
     let members = view.membership.members();
     members
         .iter()
--- a/crates/sedgepath-core/src/membership/heartbeat.rs
+++ b/crates/sedgepath-core/src/membership/heartbeat.rs
@@ -1,138 +1,147 @@
 //! Heartbeats between all pairs of members of a failure domain.
 //!
-//! Each heartbeat acknowledges the peer's last one. The card goes along until the peer has
-//! acknowledged it, since it is the largest part and changes once in a member's life.
+//! Each heartbeat acknowledges the last one received from the peer. The member descriptor, the
+//! largest part, is included only until the peer has acknowledged it.
 
 use std::net::SocketAddr;
 
 use super::{LocalState, Membership, probe};
 use crate::hash::Map;
 use crate::key::{BootId, DomainKey, VmKey};
-use crate::lease::{HeardBeat, UpstreamLease};
+use crate::lease::{ReceivedHeartbeat, UpstreamLease};
 use crate::message::{Acknowledgement, Envelope, Heartbeat, LeaseClaim, Message, ServiceLoad};
 use crate::outbox::Outbox;
 
-/// The most services whose load a heartbeat tells, so that it fits a datagram; those with the
-/// fewest slots are left out.
-pub(super) const MAX_LOADS: usize = 48;
+/// The maximum number of service loads in a heartbeat, so that it fits in a datagram; services with
+/// the fewest slots are omitted.
+pub(super) const MAX_LOADS_PER_MEMBER: usize = 48;
 
-/// The heartbeats in a row that must name another roster before this node shares its own.
+/// The number of consecutive heartbeats with a different roster before this node sends its own.
 ///
-/// After a join all members hear of the newcomer directly within one period, so rosters differ for a
-/// moment only; they go on differing where a link is cut.
-const SHARE_AFTER_BEATS: u32 = 3;
+/// After a join, rosters differ for about one heartbeat interval; a lasting difference indicates a
+/// broken link.
+const ROSTER_MISMATCHES_BEFORE_SHARING: u32 = 3;
 
-/// What is known of a peer from its own heartbeats.
+/// The state of a peer as reported by its own heartbeats.
 #[derive(Debug)]
-struct Contact {
-    beat: HeardBeat,
+struct PeerState {
+    heartbeat: ReceivedHeartbeat,
     sequence: u64,
-    /// The heartbeats since the peer last named the roster of this node.
-    other_roster_beats: u32,
-    /// What the peer's last acknowledgement says of this node's card, and when it came.
-    card_leaving: Option<bool>,
+    /// The number of heartbeats since the peer last had the same roster as this node.
+    roster_mismatches: u32,
+    /// The leaving flag of this node's descriptor in the peer's last acknowledgement.
+    descriptor_leaving: Option<bool>,
     acknowledged_at_ms: u64,
 }
 
-/// A member as heard of directly.
+/// When, and from which boot, a member's last heartbeat arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Heard {
-    /// Its boot.
+pub(super) struct LastHeartbeat {
+    /// The boot that sent the heartbeat.
     pub boot: BootId,
-    /// When, in milliseconds by this node's clock.
-    pub at_ms: u64,
+    /// The arrival time, in milliseconds by this node's clock.
+    pub received_at_ms: u64,
 }
 
-/// The exchange of heartbeats with the members of the own failure domain.
+/// The state of the heartbeat exchange with the members of the own failure domain.
 #[derive(Debug, Default)]
 pub(super) struct Heartbeats {
-    contacts: Map<VmKey, Contact>,
+    peers: Map<VmKey, PeerState>,
     next_at_ms: u64,
-    told: Option<(bool, LeaseClaim)>,
+    announced: Option<(bool, LeaseClaim)>,
 }
 
 impl Heartbeats {
-    /// Takes in a heartbeat; returns false if a later one has arrived before. One of an earlier boot
-    /// counts only if the later boot has been silent for `valid_ms`.
-    pub fn take(
+    /// Records a heartbeat; returns false if it is stale. A heartbeat from an earlier boot is
+    /// accepted only if the later boot has been silent for `valid_ms`.
+    pub fn record(
         &mut self,
         envelope: &Envelope,
         heartbeat: &Heartbeat,
         valid_ms: u64,
         out: &Outbox,
     ) -> bool {
-        let beat = HeardBeat {
+        let received = ReceivedHeartbeat {
             boot: envelope.boot,
             sent_at_ms: heartbeat.sent_at_ms,
-            heard_at_ms: out.now_ms(),
+            received_at_ms: out.now_ms(),
             claim: heartbeat.claim,
             longest_deadline_ms: heartbeat.longest_deadline_ms,
         };
-        let contact = self.contacts.entry(envelope.from).or_insert(Contact::new(beat));
-        let silent = contact.beat.heard_at_ms + valid_ms <= out.now_ms();
-        if envelope.boot < contact.beat.boot && !silent {
+        let peer = self.peers.entry(envelope.from).or_insert(PeerState::new(received));
+        let silent = peer.heartbeat.received_at_ms + valid_ms <= out.now_ms();
+        if envelope.boot < peer.heartbeat.boot && !silent {
             return false;
         }
-        if contact.beat.boot != envelope.boot {
-            *contact = Contact::new(beat);
+        if peer.heartbeat.boot != envelope.boot {
+            *peer = PeerState::new(received);
         }
-        if envelope.sequence <= contact.sequence {
+        if envelope.sequence <= peer.sequence {
             return false;
         }
-        contact.sequence = envelope.sequence;
-        contact.beat = beat;
+        peer.sequence = envelope.sequence;
+        peer.heartbeat = received;
         let acknowledgement = heartbeat.acknowledgement.as_ref();
         if let Some(acknowledgement) =
             acknowledgement.filter(|entry| entry.boot == out.identity().boot)
         {
-            contact.card_leaving = acknowledgement.descriptor_leaving;
-            contact.acknowledged_at_ms = out.now_ms();
+            peer.descriptor_leaving = acknowledgement.descriptor_leaving;
+            peer.acknowledged_at_ms = out.now_ms();
         }
         true
     }
 
-    /// Returns when a member was last heard of directly.
-    pub fn heard(&self, vm: VmKey) -> Option<Heard> {
-        let contact = self.contacts.get(&vm)?;
-        Some(Heard { boot: contact.beat.boot, at_ms: contact.beat.heard_at_ms })
+    /// Returns when a member's last heartbeat arrived.
+    pub fn last_received(&self, vm: VmKey) -> Option<LastHeartbeat> {
+        let peer = self.peers.get(&vm)?;
+        Some(LastHeartbeat {
+            boot: peer.heartbeat.boot,
+            received_at_ms: peer.heartbeat.received_at_ms,
+        })
     }
 
-    /// Forgets a member.
+    /// Discards the state of a member.
     pub fn forget(&mut self, vm: VmKey) {
-        self.contacts.remove(&vm);
+        self.peers.remove(&vm);
     }
 
-    /// Whether a peer still needs this node's card: it has not acknowledged it as it stands, or not
-    /// for so long that it may have been restarted since.
-    fn needs_card(&self, vm: VmKey, valid_ms: u64, out: &Outbox) -> bool {
-        let Some(contact) = self.contacts.get(&vm) else {
+    /// Returns whether a peer needs this node's descriptor: it has not acknowledged the current
+    /// one, or its acknowledgement is old enough that the peer may have restarted since.
+    fn needs_descriptor(&self, vm: VmKey, valid_ms: u64, out: &Outbox) -> bool {
+        let Some(peer) = self.peers.get(&vm) else {
             return true;
         };
-        let stale = contact.acknowledged_at_ms + valid_ms < out.now_ms();
-        stale || contact.card_leaving != Some(out.identity().card.leaving)
+        let stale = peer.acknowledged_at_ms + valid_ms < out.now_ms();
+        stale || peer.descriptor_leaving != Some(out.identity().card.leaving)
     }
 }
 
-impl Contact {
-    fn new(beat: HeardBeat) -> Self {
-        Self { beat, sequence: 0, other_roster_beats: 0, card_leaving: None, acknowledged_at_ms: 0 }
+impl PeerState {
+    fn new(received: ReceivedHeartbeat) -> Self {
+        Self {
+            heartbeat: received,
+            sequence: 0,
+            roster_mismatches: 0,
+            descriptor_leaving: None,
+            acknowledged_at_ms: 0,
+        }
     }
 }
 
 impl Membership {
-    /// Sends the heartbeats that are due; at once to all if this node has begun to leave or has
-    /// changed its claim.
+    /// Sends heartbeats if they are due, or immediately if this node's leaving flag or claim has
+    /// changed.
     pub(super) fn send_heartbeats(
         &mut self,
         own: LocalState<'_>,
-        right: &mut UpstreamLease,
+        lease: &mut UpstreamLease,
         out: &mut Outbox,
     ) {
-        let news = Some((out.identity().card.leaving, right.claim()));
-        if out.now_ms() < self.heartbeats.next_at_ms && self.heartbeats.told == news {
+        let announcement = Some((out.identity().card.leaving, lease.claim()));
+        if out.now_ms() < self.heartbeats.next_at_ms && self.heartbeats.announced == announcement {
             return;
         }
-        self.heartbeats.told = news;
+        self.heartbeats.announced = announcement;
         self.heartbeats.next_at_ms = out.now_ms() + self.settings.heartbeat_every_ms;
         let domain = out.identity().card.domain;
         let peers: Vec<(VmKey, SocketAddr)> = self
@@ -141,11 +150,11 @@
             .map(|(vm, member)| (vm, member.card.peer_address))
             .collect();
         for (vm, address) in &peers {
-            let heartbeat = self.heartbeat(Some(*vm), own, right, out);
+            let heartbeat = self.heartbeat(Some(*vm), own, lease, out);
             out.send(*address, Message::Heartbeat(Box::new(heartbeat)));
         }
-        for address in self.unheard_addresses(domain, &peers, out) {
-            let heartbeat = self.heartbeat(None, own, right, out);
+        for address in self.listed_only_addresses(domain, &peers, out) {
+            let heartbeat = self.heartbeat(None, own, lease, out);
             out.send(address, Message::Heartbeat(Box::new(heartbeat)));
         }
         self.probe_silent(out);
@@ -155,51 +164,53 @@
         &self,
         to: Option<VmKey>,
         own: LocalState<'_>,
-        right: &mut UpstreamLease,
+        lease: &mut UpstreamLease,
         out: &Outbox,
     ) -> Heartbeat {
         let valid_ms = self.settings.suspect_after_ms;
-        let needs_card = to.is_none_or(|vm| self.heartbeats.needs_card(vm, valid_ms, out));
+        let needs_descriptor =
+            to.is_none_or(|vm| self.heartbeats.needs_descriptor(vm, valid_ms, out));
         Heartbeat {
             sent_at_ms: out.now_ms(),
-            descriptor: needs_card.then(|| out.identity().card.clone()),
+            descriptor: needs_descriptor.then(|| out.identity().card.clone()),
             configuration: own.news,
             loads: largest_loads(own.loads),
-            roster_digest: right.roster_digest(),
-            claim: right.claim(),
-            longest_deadline_ms: right.longest_deadline_ms(),
-            acknowledgement: to.and_then(|vm| self.acknowledgement(vm, right, out)),
+            roster_digest: lease.roster_digest(),
+            claim: lease.claim(),
+            longest_deadline_ms: lease.longest_deadline_ms(),
+            acknowledgement: to.and_then(|vm| self.acknowledgement(vm, lease, out)),
         }
     }
 
     fn acknowledgement(
         &self,
         vm: VmKey,
-        right: &mut UpstreamLease,
+        lease: &mut UpstreamLease,
         out: &Outbox,
     ) -> Option<Acknowledgement> {
-        let beat = self.heartbeats.contacts.get(&vm)?.beat;
-        let member = self.members.get(&vm).filter(|member| member.boot == beat.boot);
-        right.acknowledge(vm, beat, member.map(|member| member.card.leaving), out.now_ms())
+        let received = self.heartbeats.peers.get(&vm)?.heartbeat;
+        let member = self.members.get(&vm).filter(|member| member.boot == received.boot);
+        lease.acknowledge(vm, received, member.map(|member| member.card.leaving), out.now_ms())
     }
 
-    /// Tells a member that goes on naming another roster of the members that this node knows.
+    /// Sends this node's roster to a member whose roster differs persistently.
     ///
-    /// Two members that can't hear each other hear of each other's restarts in this way; else one
-    /// would name an old boot for good, and no member that hears both would have a whole upstream.
-    pub fn reconcile_roster(&mut self, vm: VmKey, named: u64, own: u64, out: &mut Outbox) {
-        let Some(contact) = self.heartbeats.contacts.get_mut(&vm) else {
+    /// This informs two members that cannot reach each other of each other's restarts. Otherwise
+    /// one would keep an outdated boot in its roster, and no member that reaches both could hold a
+    /// lease.
+    pub fn reconcile_roster(&mut self, vm: VmKey, peer_digest: u64, own: u64, out: &mut Outbox) {
+        let Some(peer) = self.heartbeats.peers.get_mut(&vm) else {
             return;
         };
-        contact.other_roster_beats = if named == own { 0 } else { contact.other_roster_beats + 1 };
-        if contact.other_roster_beats >= SHARE_AFTER_BEATS {
-            contact.other_roster_beats = 0;
+        peer.roster_mismatches = if peer_digest == own { 0 } else { peer.roster_mismatches + 1 };
+        if peer.roster_mismatches >= ROSTER_MISMATCHES_BEFORE_SHARING {
+            peer.roster_mismatches = 0;
             self.share_roster(vm, out);
         }
     }
 
-    /// Returns the addresses of the failure domain that only the platform's list names.
-    fn unheard_addresses(
+    /// Returns the addresses in the failure domain that are known only from the platform's VM list.
+    fn listed_only_addresses(
         &self,
         domain: DomainKey,
         peers: &[(VmKey, SocketAddr)],
@@ -214,7 +225,7 @@
         addresses
     }
 
-    /// Asks others about members that are silent but not yet suspected.
+    /// Probes members that are silent but not yet suspected.
     fn probe_silent(&self, out: &mut Outbox) {
         let domain = out.identity().card.domain;
         let silent_after_ms = self.settings.suspect_after_ms / 2;
@@ -226,7 +237,7 @@
                     members.iter().filter(|(other, entry)| other != vm && entry.accepts_work());
                 let others =
                     others.map(|(other, entry)| (*other, entry.card.peer_address)).collect();
-                probe::ask(*vm, others, out);
+                probe::send_probes(*vm, others, out);
             }
         }
     }
@@ -236,7 +247,7 @@
 pub(super) fn largest_loads(loads: &[ServiceLoad]) -> Vec<ServiceLoad> {
     let mut largest = loads.to_vec();
     largest.sort_unstable_by_key(|load| (std::cmp::Reverse(load.slots), load.service));
-    largest.truncate(MAX_LOADS);
+    largest.truncate(MAX_LOADS_PER_MEMBER);
     largest.sort_unstable_by_key(|load| load.service);
     largest
 }
--- a/crates/sedgepath-core/src/membership/relay.rs
+++ b/crates/sedgepath-core/src/membership/relay.rs
@@ -1,26 +1,14 @@
-//! Relays: two members per pair of failure domains exchange summaries and pass them on.
+//! Relays, which exchange member summaries between failure domains.
 //!
-//! # Which nodes relay
-//!
-//! For each other failure domain the two live members that rank first by rendezvous hashing over
-//! that domain's key are its relays, so the work of relaying to 47 domains spreads over all members
-//! of a domain. They take turns: each sends every second round, to one of two receivers in turn.
-//! Any node that receives a summary from another domain passes it on to its own domain, so the two
-//! sides need not agree on who relays, and the death of a relay costs every second round until the
-//! others suspect it.
-//!
-//! # What a summary holds
-//!
-//! All members of a small domain; of a large one those that own upstreams and a few more for
-//! look-ups. Rendezvous hashing over a subset that holds the owner finds the owner, so leaving out
-//! members that own nothing changes no decision. Cards go along every `CARD_EVERY_ROUNDS` rounds;
-//! a new member gets all of them at once from the peer that introduces it.
-//!
-//! # Cost
-//!
-//! Every node receives one summary per other domain and period and, on average, passes on as much:
-//! with `d` domains, `m` members named of each and a period `r`, about `d * (75 + 35 * m) / r` bytes
-//! a second each way. The example `control_slopes` measures it.
+//! - For each other failure domain, the first two serving members by rendezvous hashing over that
+//!   domain's key are the relays. They alternate rounds, each alternating between two receivers.
+//! - Any node that receives a summary from another domain forwards it to its own domain, so the two
+//!   sides need not agree on the relays.
+//! - A summary lists the members that report load and a few others for look-ups. Rendezvous hashing
+//!   over a subset that contains the owner finds the owner, so the omission changes no decision.
+//! - Descriptors are included in the first two of every `DESCRIPTOR_INTERVAL_TURNS` turns of a
+//!   relay, one turn for each receiver.
+//! - A new member receives all descriptors at once from the peer that introduces it.
 
 use std::net::SocketAddr;
 
@@ -31,65 +19,65 @@
 use crate::outbox::Outbox;
 use crate::rendezvous;
 
-/// The relays of a failure domain towards another.
-const RELAYS: usize = 2;
+/// The number of relays from one failure domain to another.
+const RELAYS_PER_DOMAIN: usize = 2;
 
-/// The rounds of summaries between two that carry cards.
-const CARD_EVERY_ROUNDS: u64 = 8;
+/// The turns of a relay in one cycle; the first two turns, one per receiver, include descriptors.
+const DESCRIPTOR_INTERVAL_TURNS: u64 = 8;
 
-/// The members of a failure domain that a summary names although they own nothing.
-const NAMED_WITHOUT_LOAD: usize = 6;
+/// The maximum number of members without load in a summary.
+const MAX_IDLE_MEMBERS: usize = 6;
 
-/// The most bytes of lines in one datagram: 1,432 less the code of 16, an envelope of at most 47 and
-/// a summary's heading of at most 8, with room to spare.
+/// The maximum size of a datagram's summary lines in bytes: 1,432 less a 16-byte authentication
+/// code, an envelope of at most 47 and a summary header of at most 8, with a margin.
 const MAX_LINES_BYTES: usize = 1_300;
 
-/// The state of this node's part in relaying.
+/// The state of this node as a relay.
 #[derive(Debug, Default)]
 pub(super) struct Relay {
     round: u64,
     next_at_ms: u64,
-    told_leaving: bool,
+    announced_leaving: bool,
 }
 
 impl Membership {
     /// Sends the summaries of the own failure domain that are due.
     pub(super) fn send_summaries(&mut self, own: LocalState<'_>, out: &mut Outbox) {
-        self.tell_leaving(own, out);
+        self.announce_leaving(own, out);
         if out.now_ms() < self.relay.next_at_ms {
             return;
         }
         self.relay.next_at_ms = out.now_ms() + self.settings.relay_every_ms;
         self.relay.round += 1;
         for domain in self.other_domains(out) {
-            if let Some(turn) = self.turn(domain, out)
-                && let Some(address) = self.receiver(domain, turn, out)
+            if let Some(turn) = self.relay_turn(domain, out)
+                && let Some(address) = self.summary_receiver(domain, turn, out)
             {
-                let with_cards = turn % CARD_EVERY_ROUNDS < 2;
-                let lines = self.own_lines(own, with_cards, out);
+                let with_descriptors = turn % DESCRIPTOR_INTERVAL_TURNS < 2;
+                let lines = self.own_domain_lines(own, with_descriptors, out);
                 send_lines(address, out.identity().card.domain, true, lines, out);
             }
         }
     }
 
-    /// Tells all other failure domains at once that this node has begun to leave.
+    /// Announces once to all other failure domains that this node is leaving.
     ///
-    /// Without it their look-ups would name this node until its next summary, which matters for a
-    /// process that stops within that time.
-    fn tell_leaving(&mut self, own: LocalState<'_>, out: &mut Outbox) {
-        if !out.identity().card.leaving || self.relay.told_leaving {
+    /// Otherwise their look-ups would return this node until the next summary, by which time the
+    /// process may have stopped.
+    fn announce_leaving(&mut self, own: LocalState<'_>, out: &mut Outbox) {
+        if !out.identity().card.leaving || self.relay.announced_leaving {
             return;
         }
-        self.relay.told_leaving = true;
+        self.relay.announced_leaving = true;
         for domain in self.other_domains(out) {
-            if let Some(address) = self.receiver(domain, self.relay.round, out) {
+            if let Some(address) = self.summary_receiver(domain, self.relay.round, out) {
                 let line = own_line(own, true, out);
                 send_lines(address, out.identity().card.domain, true, vec![line], out);
             }
         }
     }
 
-    /// Tells a new member of the own failure domain of all others.
+    /// Sends the known members of all failure domains to a new member of the own failure domain.
     pub(super) fn introduce(&self, newcomer: VmKey, out: &mut Outbox) {
         let Some(address) = self.members.get(&newcomer).map(|member| member.card.peer_address)
         else {
@@ -97,24 +85,24 @@
         };
         for domain in self.other_domains(out) {
             let live = self.members_in(domain).into_iter().filter(|(_, member)| !member.suspected);
-            let lines: Vec<_> = live.map(|(vm, _)| self.line(vm, true, out)).collect();
+            let lines: Vec<_> = live.map(|(vm, _)| self.member_line(vm, true, out)).collect();
             send_lines(address, domain, false, lines, out);
         }
         self.share_roster(newcomer, out);
     }
 
-    /// Tells a member of the own failure domain of all others there, suspected ones too.
+    /// Sends a member of the own failure domain all other members there, including suspected ones.
     pub(super) fn share_roster(&self, with: VmKey, out: &mut Outbox) {
         let Some(address) = self.members.get(&with).map(|member| member.card.peer_address) else {
             return;
         };
         let domain = out.identity().card.domain;
         let others = self.members_in(domain).into_iter().filter(|(vm, _)| *vm != with);
-        let lines: Vec<_> = others.map(|(vm, _)| self.line(vm, true, out)).collect();
+        let lines: Vec<_> = others.map(|(vm, _)| self.member_line(vm, true, out)).collect();
         send_lines(address, domain, false, lines, out);
     }
 
-    /// Returns the failure domains that this node knows of, without its own.
+    /// Returns the known failure domains other than the node's own.
     fn other_domains(&self, out: &Outbox) -> Vec<DomainKey> {
         let own = out.identity().card.domain;
         let heard = self.members.values().map(|member| member.card.domain);
@@ -125,24 +113,26 @@
         domains
     }
 
-    /// Returns the number of this node's turn as a relay to a failure domain, if it has one now.
-    fn turn(&self, domain: DomainKey, out: &Outbox) -> Option<u64> {
+    /// Returns the number of this node's turn as a relay to a failure domain, if it is its turn
+    /// now.
+    fn relay_turn(&self, domain: DomainKey, out: &Outbox) -> Option<u64> {
         let identity = out.identity();
         let mut candidates = self.serving_vms_in(identity.card.domain);
         if !identity.card.leaving || candidates.is_empty() {
             candidates.push(identity.vm);
         }
-        let relays = first_ranked(domain, candidates);
+        let relays = select_relays(domain, candidates);
         let place = relays.iter().position(|vm| *vm == identity.vm)? as u64;
         let period = relays.len() as u64;
         (self.relay.round % period == place).then(|| self.relay.round / period)
     }
 
-    /// Returns where a failure domain takes the summary of a turn.
+    /// Returns the address in a failure domain that receives the summary of a turn.
     ///
-    /// With no live member known, everything that was ever heard or is listed is tried in turn.
-    fn receiver(&self, domain: DomainKey, turn: u64, out: &Outbox) -> Option<SocketAddr> {
-        let live = first_ranked(out.identity().card.domain, self.serving_vms_in(domain));
+    /// If no serving member is known, suspected members and the VMs of the platform's list are
+    /// tried in turn.
+    fn summary_receiver(&self, domain: DomainKey, turn: u64, out: &Outbox) -> Option<SocketAddr> {
+        let live = select_relays(out.identity().card.domain, self.serving_vms_in(domain));
         let mut addresses: Vec<_> = live
             .iter()
             .filter_map(|vm| self.members.get(vm))
@@ -160,22 +150,28 @@
         addresses.get((turn % count) as usize).copied()
     }
 
-    /// Returns the lines of the own failure domain, this node among them.
-    fn own_lines(&self, own: LocalState<'_>, with_cards: bool, out: &Outbox) -> Vec<MemberSummary> {
+    /// Returns the summary lines of the own failure domain, including this node's.
+    fn own_domain_lines(
+        &self,
+        own: LocalState<'_>,
+        with_descriptors: bool,
+        out: &Outbox,
+    ) -> Vec<MemberSummary> {
         let domain = out.identity().card.domain;
         let live = self.members_in(domain).into_iter().filter(|(_, member)| !member.suspected);
-        let mut lines: Vec<_> = live.map(|(vm, _)| self.line(vm, with_cards, out)).collect();
-        lines.push(own_line(own, with_cards, out));
+        let mut lines: Vec<_> =
+            live.map(|(vm, _)| self.member_line(vm, with_descriptors, out)).collect();
+        lines.push(own_line(own, with_descriptors, out));
         lines.sort_unstable_by_key(|line| rendezvous::score(u64::from(domain.0), line.vm.0));
         let mut idle = 0;
         lines.retain(|line| {
             idle += usize::from(line.loads.is_empty());
-            !line.loads.is_empty() || idle <= NAMED_WITHOUT_LOAD
+            !line.loads.is_empty() || idle <= MAX_IDLE_MEMBERS
         });
         lines
     }
 
-    fn line(&self, vm: VmKey, with_card: bool, out: &Outbox) -> MemberSummary {
+    fn member_line(&self, vm: VmKey, with_descriptor: bool, out: &Outbox) -> MemberSummary {
         let member = &self.members[&vm];
         MemberSummary {
             vm,
@@ -184,20 +180,20 @@
             revision: member.revision,
             leaving: member.card.leaving,
             loads: member.loads.clone(),
-            descriptor: with_card.then(|| member.card.clone()),
+            descriptor: with_descriptor.then(|| member.card.clone()),
         }
     }
 }
 
-/// Passes a summary on to a member of the own failure domain.
-pub(super) fn pass_on(to: SocketAddr, summary: &MembershipSummary, out: &mut Outbox) {
+/// Forwards a summary to a member of the own failure domain.
+pub(super) fn forward(to: SocketAddr, summary: &MembershipSummary, out: &mut Outbox) {
     out.send(
         to,
         Message::Summary(MembershipSummary { forward_in_domain: false, ..summary.clone() }),
     );
 }
 
-fn own_line(own: LocalState<'_>, with_card: bool, out: &Outbox) -> MemberSummary {
+fn own_line(own: LocalState<'_>, with_descriptor: bool, out: &Outbox) -> MemberSummary {
     let identity = out.identity();
     MemberSummary {
         vm: identity.vm,
@@ -206,61 +202,54 @@
         revision: own.news.revision,
         leaving: identity.card.leaving,
         loads: largest_loads(own.loads),
-        descriptor: with_card.then(|| identity.card.clone()),
+        descriptor: with_descriptor.then(|| identity.card.clone()),
     }
 }
 
-/// Returns the candidates that rank first for a failure domain.
-fn first_ranked(domain: DomainKey, mut candidates: Vec<VmKey>) -> Vec<VmKey> {
+/// Returns the relay candidates with the lowest rendezvous scores for a failure domain.
+fn select_relays(domain: DomainKey, mut candidates: Vec<VmKey>) -> Vec<VmKey> {
     candidates.sort_unstable_by_key(|vm| rendezvous::score(u64::from(domain.0), vm.0));
-    candidates.truncate(RELAYS);
+    candidates.truncate(RELAYS_PER_DOMAIN);
     candidates
 }
 
-/// Sends lines in as many datagrams as they need.
+/// Sends summary lines in as many datagrams as needed.
 fn send_lines(
     to: SocketAddr,
     domain: DomainKey,
-    pass_on: bool,
+    forward_in_domain: bool,
     lines: Vec<MemberSummary>,
     out: &mut Outbox,
 ) {
-    let mut part = Vec::new();
-    let mut part_bytes = 0;
+    let mut batch = Vec::new();
+    let mut batch_bytes = 0;
     for line in lines {
-        let line_bytes = most_bytes(&line);
-        if part_bytes + line_bytes > MAX_LINES_BYTES && !part.is_empty() {
-            let lines = std::mem::take(&mut part);
+        let line_bytes = max_encoded_bytes(&line);
+        if batch_bytes + line_bytes > MAX_LINES_BYTES && !batch.is_empty() {
+            let lines = std::mem::take(&mut batch);
             out.send(
                 to,
-                Message::Summary(MembershipSummary {
-                    domain,
-                    forward_in_domain: pass_on,
-                    members: lines,
-                }),
+                Message::Summary(MembershipSummary { domain, forward_in_domain, members: lines }),
             );
-            part_bytes = 0;
+            batch_bytes = 0;
         }
-        part_bytes += line_bytes;
-        part.push(line);
+        batch_bytes += line_bytes;
+        batch.push(line);
     }
-    if !part.is_empty() {
+    if !batch.is_empty() {
         out.send(
             to,
-            Message::Summary(MembershipSummary {
-                domain,
-                forward_in_domain: pass_on,
-                members: part,
-            }),
+            Message::Summary(MembershipSummary { domain, forward_in_domain, members: batch }),
         );
     }
 }
 
-/// Returns the most bytes that a line takes on the wire, by the codec's variable-length integers.
-fn most_bytes(line: &MemberSummary) -> usize {
+/// Returns the maximum encoded size of a line in bytes, given variable-length integers.
+fn max_encoded_bytes(line: &MemberSummary) -> usize {
     const FIXED_BYTES: usize = 40;
     const LOAD_BYTES: usize = 15;
-    const CARD_BYTES: usize = 70;
-    let card_bytes = line.descriptor.as_ref().map_or(0, |card| card.name.len() + CARD_BYTES);
-    FIXED_BYTES + line.loads.len() * LOAD_BYTES + card_bytes
+    const DESCRIPTOR_BYTES: usize = 70;
+    let descriptor_bytes =
+        line.descriptor.as_ref().map_or(0, |descriptor| descriptor.name.len() + DESCRIPTOR_BYTES);
+    FIXED_BYTES + line.loads.len() * LOAD_BYTES + descriptor_bytes
 }
--- a/crates/sedgepath-core/src/shift/baseline.rs
+++ b/crates/sedgepath-core/src/shift/baseline.rs
@@ -1,9 +1,8 @@
-//! How a node that has just started learns where traffic stands.
+//! Fetches the standing shares from a peer after a node's start.
 //!
-//! A new process knows the record's shares, not how far a shift has come. Would it steer by the
-//! record at once, or by its own first measurements, its callers' traffic would jump and, with many
-//! restarts, take the cap with it. So it asks its peers and serves when one has answered. With no
-//! peer to ask it waits for a second and starts from the record's shares.
+//! A new process knows the record's shares but not the progress of a shift. Steering by the record
+//! at once would make its callers' traffic jump past the cap. So the node asks its peers and serves
+//! once one has answered, or with the record's shares after [`MAX_WAIT_MS`].
 
 use crate::key::VmKey;
 use crate::message::{Baseline, Message};
@@ -12,37 +11,37 @@
 
 use super::ShiftLedger;
 
-/// How long a node waits for a peer's answer, in milliseconds.
-const WAIT_MS: u64 = 1_000;
+/// The maximum wait for a peer's answer, in milliseconds.
+const MAX_WAIT_MS: u64 = 1_000;
 
-/// The time between two questions, in milliseconds.
-const ASK_EVERY_MS: u64 = 100;
+/// The interval between requests, in milliseconds.
+const REQUEST_INTERVAL_MS: u64 = 100;
 
-/// The peers that are asked at once.
-const ASKED: usize = 3;
+/// The number of peers that receive each request.
+const PEERS_PER_REQUEST: usize = 3;
 
-/// The node's way to its baseline.
+/// The state of the fetch.
 #[derive(Debug, Default)]
 pub struct BaselineFetch {
     give_up_at_ms: Option<u64>,
     next_ask_at_ms: u64,
-    found: bool,
+    finished: bool,
 }
 
 impl BaselineFetch {
-    /// Whether the node may steer.
+    /// Returns whether the fetch is over, so that the node may steer.
     pub fn is_ready(&self) -> bool {
-        self.found
+        self.finished
     }
 
-    /// Asks peers until one has answered or the wait is over.
+    /// Sends requests to peers until one has answered or the wait is over.
     pub fn tick(&mut self, view: &SystemView<'_>, out: &mut Outbox) {
-        if self.found || view.revision == 0 {
+        if self.finished || view.revision == 0 {
             return;
         }
-        let give_up_at_ms = *self.give_up_at_ms.get_or_insert(view.now_ms + WAIT_MS);
+        let give_up_at_ms = *self.give_up_at_ms.get_or_insert(view.now_ms + MAX_WAIT_MS);
         if give_up_at_ms <= view.now_ms {
-            self.found = true;
+            self.finished = true;
             return;
         }
         if self.next_ask_at_ms > view.now_ms {
@@ -53,39 +52,39 @@
         let own_domain = view.identity.card.domain;
         peers.sort_by_key(|(_, member)| member.card.domain != own_domain);
         if !peers.is_empty() {
-            self.next_ask_at_ms = view.now_ms + ASK_EVERY_MS;
+            self.next_ask_at_ms = view.now_ms + REQUEST_INTERVAL_MS;
         }
-        for (_, member) in peers.into_iter().take(ASKED) {
+        for (_, member) in peers.into_iter().take(PEERS_PER_REQUEST) {
             out.send(member.card.peer_address, Message::BaselineRequest);
         }
     }
 
-    /// Answers a peer's question, unless this node has no baseline itself.
+    /// Answers a peer's request if this node has a baseline.
     pub fn answer(
         &self,
-        asker: VmKey,
+        sender: VmKey,
         ledger: &ShiftLedger,
         view: &SystemView<'_>,
         out: &mut Outbox,
     ) {
-        if let Some(member) = view.membership.member(asker).filter(|_| self.found) {
-            let baseline = Baseline { revision: view.revision, moved: ledger.moved() };
+        if let Some(member) = view.membership.member(sender).filter(|_| self.finished) {
+            let baseline = Baseline { revision: view.revision, moved: ledger.moved_shares() };
             out.send(member.card.peer_address, Message::Baseline(baseline));
         }
     }
 
-    /// Takes in the first answer of a peer that is not behind.
+    /// Applies the first answer from a peer whose revision is not older than this node's.
     pub fn handle_answer(
         &mut self,
         baseline: &Baseline,
         ledger: &mut ShiftLedger,
         view: &SystemView<'_>,
     ) {
-        if self.found || baseline.revision < view.revision {
+        if self.finished || baseline.revision < view.revision {
             return;
         }
         ledger.apply_revision(view.revision, view.catalogue, view.now_ms);
-        ledger.take_baseline(&baseline.moved, view.now_ms);
-        self.found = true;
+        ledger.apply_baseline(&baseline.moved, view.now_ms);
+        self.finished = true;
     }
 }
--- a/crates/sedgepath-core/src/shift/history.rs
+++ b/crates/sedgepath-core/src/shift/history.rs
@@ -1,39 +1,40 @@
-//! What ran where in the last two windows, by tenths of a window.
+//! Requests by domain in the last two windows, in buckets of a tenth of a window.
 
 use std::collections::VecDeque;
 
-/// The parts that a window is divided into.
-pub(super) const PARTS: usize = 10;
+/// The number of buckets in a window.
+pub(super) const BUCKETS_PER_WINDOW: usize = 10;
 
-/// The weight of a part without requests. It keeps the shares that stood in a quiet time, so that a
-/// silence does not make room for a jump.
-const QUIET_WEIGHT: f64 = 0.001;
+/// The weight of a bucket without requests. It preserves the standing shares of idle periods, so
+/// that they don't permit a sudden move.
+const EMPTY_BUCKET_WEIGHT: f64 = 0.001;
 
-/// One part of a window.
+/// A tenth of a window: the number of requests and their shares by domain.
 #[derive(Debug, Clone)]
-struct Part {
+struct Bucket {
     weight: f64,
     sums: Vec<f64>,
 }
 
-impl Part {
+impl Bucket {
     fn new(shares: &[f64]) -> Self {
-        let sums = shares.iter().map(|share| share * QUIET_WEIGHT).collect();
-        Self { weight: QUIET_WEIGHT, sums }
+        let sums = shares.iter().map(|share| share * EMPTY_BUCKET_WEIGHT).collect();
+        Self { weight: EMPTY_BUCKET_WEIGHT, sums }
     }
 }
 
-/// A window that requests of the part about to begin end, and the window before it.
+/// A window that ends in the next bucket, and the window before it.
 #[derive(Debug)]
-pub(super) struct Pair {
+pub(super) struct WindowPair {
     before: Vec<f64>,
     sums: Vec<f64>,
     weight: f64,
 }
 
-impl Pair {
-    /// Returns what moves between the two windows if this many requests come with these shares.
-    pub(super) fn moved(&self, shares: &[f64], requests: f64) -> f64 {
+impl WindowPair {
+    /// Returns the share that moves between the two windows if the given number of requests arrive
+    /// with these shares.
+    pub(super) fn moved_share(&self, shares: &[f64], requests: f64) -> f64 {
         let sums = self.sums.iter().zip(shares).zip(&self.before);
         let later = |sum: &f64, share: &f64| {
             if requests.is_infinite() {
@@ -46,90 +47,87 @@
     }
 }
 
-/// The last two windows and the part that has begun; the oldest part comes first.
+/// The buckets of the last two windows and the current bucket, oldest first.
 #[derive(Debug)]
 pub(super) struct History {
-    parts: VecDeque<Part>,
+    buckets: VecDeque<Bucket>,
 }
 
 impl History {
-    /// The parts that are kept: two windows, and one part each for windows that begin or end within
-    /// a part.
-    const KEPT: usize = 2 * PARTS + 2;
+    /// The number of buckets kept: two windows, and one bucket each for windows that begin or end
+    /// within a bucket.
+    const KEPT_BUCKETS: usize = 2 * BUCKETS_PER_WINDOW + 2;
 
-    /// Creates a history in which the shares have always stood.
+    /// Creates a history with constant shares.
     pub(super) fn new(shares: &[f64]) -> Self {
-        Self { parts: vec![Part::new(shares); Self::KEPT].into() }
+        Self { buckets: vec![Bucket::new(shares); Self::KEPT_BUCKETS].into() }
     }
 
-    /// Creates the history of shares that moved evenly from `two_ago` over `one_ago`, the shares two
-    /// windows and one window ago, to `now`.
-    pub(super) fn between(now: &[f64], one_ago: &[f64], two_ago: &[f64]) -> Self {
+    /// Creates a history by linear interpolation from the shares two windows ago through those one
+    /// window ago to the current shares.
+    pub(super) fn interpolated(now: &[f64], one_ago: &[f64], two_ago: &[f64]) -> Self {
         let mut history = Self::new(two_ago);
         for (from, to) in [(two_ago, one_ago), (one_ago, now)] {
-            for number in 1..=PARTS {
-                let way = number as f64 / PARTS as f64;
+            for number in 1..=BUCKETS_PER_WINDOW {
+                let fraction = number as f64 / BUCKETS_PER_WINDOW as f64;
                 let shares: Vec<_> =
-                    from.iter().zip(to).map(|(from, to)| from + way * (to - from)).collect();
-                history.begin_part(&shares);
+                    from.iter().zip(to).map(|(from, to)| from + fraction * (to - from)).collect();
+                history.begin_bucket(&shares);
             }
         }
         history
     }
 
-    /// Returns the average shares of the part that was current some parts ago.
-    pub(super) fn part_ago(&self, parts: usize) -> Vec<f64> {
-        let last = self.parts.len() - 1;
-        self.average(last - parts, last - parts + 1)
+    /// Returns the average shares of the bucket that was current the given number of buckets ago.
+    pub(super) fn shares_buckets_ago(&self, buckets: usize) -> Vec<f64> {
+        let last = self.buckets.len() - 1;
+        self.average(last - buckets, last - buckets + 1)
     }
 
-    /// Begins a part with the shares that stand in it.
-    pub(super) fn begin_part(&mut self, shares: &[f64]) {
-        self.parts.pop_front();
-        self.parts.push_back(Part::new(shares));
+    /// Begins a bucket with its standing shares, and drops the oldest.
+    pub(super) fn begin_bucket(&mut self, shares: &[f64]) {
+        self.buckets.pop_front();
+        self.buckets.push_back(Bucket::new(shares));
     }
 
-    /// Adds a request that the standing shares gave a home.
+    /// Adds a request, distributed by the standing shares, to the current bucket.
     pub(super) fn add_request(&mut self, shares: &[f64]) {
-        let part = self.current();
-        part.weight += 1.0;
-        for (sum, share) in part.sums.iter_mut().zip(shares) {
+        let bucket = self.current();
+        bucket.weight += 1.0;
+        for (sum, share) in bucket.sums.iter_mut().zip(shares) {
             *sum += share;
         }
     }
 
-    /// Moves a request from one domain to another.
+    /// Moves a request of the current bucket from one domain to another.
     pub(super) fn move_request(&mut self, from: usize, to: usize) {
-        let part = self.current();
-        part.sums[from] -= 1.0;
-        part.sums[to] += 1.0;
+        let bucket = self.current();
+        bucket.sums[from] -= 1.0;
+        bucket.sums[to] += 1.0;
     }
 
-    /// Adds a domain that nothing has gone to.
+    /// Adds a domain without any requests.
     pub(super) fn add_domain(&mut self) {
-        for part in &mut self.parts {
-            part.sums.push(0.0);
+        for bucket in &mut self.buckets {
+            bucket.sums.push(0.0);
         }
     }
 
-    /// Returns every pair of a window and the window before it in which requests of the part about to
-    /// begin may be the last ones.
+    /// Returns every pair of a window that ends in the next bucket and the window before it.
     ///
-    /// A window begins in some part of the last window's time. Where the border between the two
-    /// windows, or the beginning of the earlier one, lies within a part, the average lies between
-    /// those with and without that part, and a distance is at most the larger of the distances at
-    /// both ends; so whole parts suffice, each counted once with and once without those at the
-    /// borders.
-    pub(super) fn pairs(&self) -> Vec<Pair> {
-        let end = self.parts.len();
-        let mut pairs = Vec::with_capacity(8 * (PARTS + 1));
-        for border in end - PARTS..=end {
-            for begin in [border - PARTS, border - PARTS + 1] {
-                for before_end in [border, (border + 1).min(end)] {
-                    for later_begin in [border, (border + 1).min(end)] {
+    /// A window may begin within a bucket. Its average then lies between the averages with and
+    /// without that bucket, and the distance is at most the larger of the two, so it suffices to
+    /// check whole buckets, each pair with and without the boundary buckets.
+    pub(super) fn window_pairs(&self) -> Vec<WindowPair> {
+        let end = self.buckets.len();
+        let mut pairs = Vec::with_capacity(8 * (BUCKETS_PER_WINDOW + 1));
+        for boundary in end - BUCKETS_PER_WINDOW..=end {
+            for begin in [boundary - BUCKETS_PER_WINDOW, boundary - BUCKETS_PER_WINDOW + 1] {
+                for before_end in [boundary, (boundary + 1).min(end)] {
+                    for later_begin in [boundary, (boundary + 1).min(end)] {
                         let before = self.average(begin, before_end);
                         let (sums, weight) = self.sum(later_begin, end);
-                        pairs.push(Pair { before, sums, weight });
+                        pairs.push(WindowPair { before, sums, weight });
                     }
                 }
             }
@@ -137,14 +135,14 @@
         pairs
     }
 
-    /// Returns the most requests of a part in the time that is kept.
-    pub(super) fn most_requests(&self) -> f64 {
-        self.parts.iter().map(|part| part.weight).fold(0.0, f64::max)
+    /// Returns the number of requests in the busiest bucket kept.
+    pub(super) fn max_bucket_requests(&self) -> f64 {
+        self.buckets.iter().map(|bucket| bucket.weight).fold(0.0, f64::max)
     }
 
-    /// Returns the requests of the current part.
-    pub(super) fn current_requests(&self) -> f64 {
-        self.parts[self.parts.len() - 1].weight
+    /// Returns the number of requests in the current bucket.
+    pub(super) fn current_bucket_requests(&self) -> f64 {
+        self.buckets[self.buckets.len() - 1].weight
     }
 
     fn average(&self, begin: usize, end: usize) -> Vec<f64> {
@@ -153,24 +151,24 @@
     }
 
     fn sum(&self, begin: usize, end: usize) -> (Vec<f64>, f64) {
-        let mut sums = vec![0.0; self.parts[0].sums.len()];
+        let mut sums = vec![0.0; self.buckets[0].sums.len()];
         let mut weight = 0.0;
-        for part in self.parts.range(begin..end) {
-            weight += part.weight;
-            for (sum, added) in sums.iter_mut().zip(&part.sums) {
+        for bucket in self.buckets.range(begin..end) {
+            weight += bucket.weight;
+            for (sum, added) in sums.iter_mut().zip(&bucket.sums) {
                 *sum += added;
             }
         }
         (sums, weight)
     }
 
-    /// Returns the requests of the part before the current one.
-    pub(super) fn last_requests(&self) -> f64 {
-        self.parts[self.parts.len() - 2].weight
+    /// Returns the number of requests in the previous bucket.
+    pub(super) fn previous_bucket_requests(&self) -> f64 {
+        self.buckets[self.buckets.len() - 2].weight
     }
 
-    fn current(&mut self) -> &mut Part {
-        let last = self.parts.len() - 1;
-        &mut self.parts[last]
+    fn current(&mut self) -> &mut Bucket {
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[last]
     }
 }
--- a/crates/sedgepath-core/src/shift/traffic_split.rs
+++ b/crates/sedgepath-core/src/shift/traffic_split.rs
@@ -1,22 +1,22 @@
-//! The standing shares of one service and origin group.
+//! The traffic split of one service and origin group over failure domains.
 
-use super::history::{History, PARTS, Pair};
-use super::{NO_CAP, STANDING_PART, TOKEN_PART};
+use super::history::{BUCKETS_PER_WINDOW, History, WindowPair};
+use super::{STANDING_CAP_FRACTION, TOKEN_CAP_FRACTION, UNLIMITED_CAP_SHARE};
 use crate::key::{DomainKey, OriginKey, ServiceKey};
 use crate::message::{DomainShare, GroupShares};
 use crate::record::TrafficCap;
 
-/// How far shares must be from the record's to be handed on to peers.
-const HANDED_ON_FROM: f64 = 0.001;
+/// The minimum distance from the record's shares at which a split is sent to peers.
+const MIN_REPORTED_DISTANCE: f64 = 0.001;
 
-/// How many times the requests of the busiest part a part may have before its shares are looked at
-/// again.
-const BURST: f64 = 2.0;
+/// The multiple of the busiest bucket's requests that a bucket may have before its shares are
+/// checked again.
+const BURST_FACTOR: f64 = 2.0;
 
-/// The halvings by which the longest step under the cap is found.
-const HALVINGS: u32 = 16;
+/// The number of bisection steps in the search for the largest step within the cap.
+const BISECTION_STEPS: u32 = 16;
 
-/// Where the traffic of an origin group stands, and what of it has moved.
+/// The standing shares of an origin group's traffic, with their recent history.
 #[derive(Debug)]
 pub struct TrafficSplit {
     domains: Vec<DomainKey>,
@@ -26,14 +26,14 @@
     tokens: f64,
     bucket_ends_at_ms: u64,
     capped: bool,
-    /// The most that may move between two windows.
-    limit: f64,
-    /// The requests of the part for which its shares are allowed.
-    expected: f64,
+    /// The maximum share that may move between two windows.
+    max_moved_share: f64,
+    /// The number of requests in the current bucket up to which its shares keep the cap.
+    covered_requests: f64,
 }
 
 impl TrafficSplit {
-    /// Creates a standing that has always had these shares.
+    /// Creates a split with constant shares in the past.
     pub fn new(shares: &[(DomainKey, f64)], now_ms: u64, random: &mut fastrand::Rng) -> Self {
         let values: Vec<_> = shares.iter().map(|share| share.1).collect();
         Self {
@@ -44,28 +44,28 @@
             tokens: 1.0,
             bucket_ends_at_ms: now_ms,
             capped: true,
-            limit: 0.0,
-            expected: f64::INFINITY,
+            max_moved_share: 0.0,
+            covered_requests: f64::INFINITY,
         }
     }
 
-    /// Creates a standing that goes on where a peer's stands.
+    /// Creates a split that continues a peer's.
     ///
-    /// The peer's way of the last two windows is taken over as well: with the shares of the moment
-    /// alone the node would take a shift on its way for one that is over, and begin another.
-    pub fn of_peer(peer: &GroupShares, now_ms: u64, random: &mut fastrand::Rng) -> Self {
+    /// The peer's history of the last two windows is included. With the current shares alone, a
+    /// shift in progress would look complete, and the node could move more than the cap.
+    pub fn from_peer(peer: &GroupShares, now_ms: u64, random: &mut fastrand::Rng) -> Self {
         let one_ago: Vec<_> = peer.shares.iter().map(|share| share.one_window_ago).collect();
         let two_ago: Vec<_> = peer.shares.iter().map(|share| share.two_windows_ago).collect();
         let shares: Vec<_> = peer.shares.iter().map(|share| (share.domain, share.now)).collect();
-        let mut standing = Self::new(&shares, now_ms, random);
-        standing.history = History::between(&standing.shares, &one_ago, &two_ago);
-        standing
+        let mut split = Self::new(&shares, now_ms, random);
+        split.history = History::interpolated(&split.shares, &one_ago, &two_ago);
+        split
     }
 
-    /// Returns the standing for a peer.
-    pub fn for_peer(&self, service: ServiceKey, group: OriginKey) -> GroupShares {
-        let one_ago = self.history.part_ago(PARTS);
-        let two_ago = self.history.part_ago(2 * PARTS);
+    /// Returns the current shares and those of one and two windows ago, to send to a peer.
+    pub fn to_peer(&self, service: ServiceKey, group: OriginKey) -> GroupShares {
+        let one_ago = self.history.shares_buckets_ago(BUCKETS_PER_WINDOW);
+        let two_ago = self.history.shares_buckets_ago(2 * BUCKETS_PER_WINDOW);
         let shares = (0..self.domains.len()).map(|index| DomainShare {
             domain: self.domains[index],
             now: self.shares[index],
@@ -75,15 +75,16 @@
         GroupShares { service, group, shares: shares.collect() }
     }
 
-    /// Whether the shares differ from the record's, or did within the last two windows.
-    pub fn has_moved_from(&self, declared: &[(DomainKey, f64)]) -> bool {
-        let ago = [0, PARTS, 2 * PARTS].map(|parts| self.history.part_ago(parts));
-        let declared = self.in_order(declared);
-        ago.iter().any(|shares| distance(shares, &declared) > HANDED_ON_FROM)
-            || distance(&self.shares, &declared) > HANDED_ON_FROM
+    /// Returns whether the shares differ from the given ones, now or one or two windows ago.
+    pub fn differs_from(&self, declared: &[(DomainKey, f64)]) -> bool {
+        let ago = [0, BUCKETS_PER_WINDOW, 2 * BUCKETS_PER_WINDOW]
+            .map(|buckets| self.history.shares_buckets_ago(buckets));
+        let declared = self.in_domain_order(declared);
+        ago.iter().any(|shares| distance(shares, &declared) > MIN_REPORTED_DISTANCE)
+            || distance(&self.shares, &declared) > MIN_REPORTED_DISTANCE
     }
 
-    /// Adds failure domains that traffic may move to.
+    /// Adds failure domains with a share of zero, unless they are present.
     pub fn add_domains(&mut self, domains: impl IntoIterator<Item = DomainKey>) {
         for domain in domains {
             if !self.domains.contains(&domain) {
@@ -95,121 +96,126 @@
         }
     }
 
-    /// Returns the failure domains, in the order in which targets give their shares.
+    /// Returns the failure domains in the order that targets must follow.
     pub fn domains(&self) -> &[DomainKey] {
         &self.domains
     }
 
-    /// Returns the standing shares.
+    /// Returns the standing share of each failure domain.
     pub fn shares(&self) -> Vec<(DomainKey, f64)> {
         self.domains.iter().copied().zip(self.shares.iter().copied()).collect()
     }
 
-    /// Returns shares in the order of this standing's failure domains.
-    fn in_order(&self, shares: &[(DomainKey, f64)]) -> Vec<f64> {
+    /// Returns shares in the order of this split's failure domains.
+    fn in_domain_order(&self, shares: &[(DomainKey, f64)]) -> Vec<f64> {
         let share_of = |domain: &DomainKey| {
             shares.iter().find(|share| share.0 == *domain).map_or(0.0, |share| share.1)
         };
         self.domains.iter().map(share_of).collect()
     }
 
-    /// Whether the next part of a window has begun.
+    /// Returns whether the current bucket has ended.
     pub fn is_due(&self, now_ms: u64) -> bool {
         self.bucket_ends_at_ms <= now_ms
     }
 
-    /// Returns when the next part of a window begins, in milliseconds.
+    /// Returns when the current bucket ends, in milliseconds.
     pub fn bucket_ends_at_ms(&self) -> u64 {
         self.bucket_ends_at_ms
     }
 
-    /// Begins the next part of a window, with shares as near to the target as the cap allows.
+    /// Begins the next bucket, with shares as close to the target as the cap allows.
     ///
-    /// The step is the longest on the straight way to the target after which no pair of windows (see
-    /// the history's `pairs`) moves more than [`STANDING_PART`] of the cap, if up to twice as many
-    /// requests come as in the busiest part before.
+    /// The step is the largest toward the target after which no pair of windows (see
+    /// [`History::window_pairs`]) moves more than [`STANDING_CAP_FRACTION`] of the cap, given at
+    /// most [`BURST_FACTOR`] times the requests of the busiest bucket.
     pub fn begin_bucket(&mut self, target: &[f64], cap: TrafficCap, now_ms: u64) {
-        let part_ms = (cap.window_ms / PARTS as u64).max(1);
-        let begun = now_ms.saturating_sub(self.bucket_ends_at_ms) / part_ms;
-        for _ in 0..begun.min(3 * PARTS as u64) {
-            self.history.begin_part(&self.shares);
+        let bucket_ms = (cap.window_ms / BUCKETS_PER_WINDOW as u64).max(1);
+        let elapsed_buckets = now_ms.saturating_sub(self.bucket_ends_at_ms) / bucket_ms;
+        for _ in 0..elapsed_buckets.min(3 * BUCKETS_PER_WINDOW as u64) {
+            self.history.begin_bucket(&self.shares);
         }
-        self.bucket_ends_at_ms = now_ms - (now_ms - self.bucket_ends_at_ms) % part_ms + part_ms;
+        self.bucket_ends_at_ms = now_ms - (now_ms - self.bucket_ends_at_ms) % bucket_ms + bucket_ms;
         let cap_share = cap.percent / 100.0;
-        self.capped = cap_share < NO_CAP;
-        self.limit = cap_share * STANDING_PART;
-        self.expected = (BURST * self.history.most_requests()).max(BURST);
+        self.capped = cap_share < UNLIMITED_CAP_SHARE;
+        self.max_moved_share = cap_share * STANDING_CAP_FRACTION;
+        self.covered_requests =
+            (BURST_FACTOR * self.history.max_bucket_requests()).max(BURST_FACTOR);
         if self.capped {
-            self.step_to(target);
+            self.step_toward(target);
         } else {
             self.shares = target.to_vec();
         }
-        self.history.begin_part(&self.shares);
+        self.history.begin_bucket(&self.shares);
     }
 
-    fn step_to(&mut self, target: &[f64]) {
-        let pairs = self.history.pairs();
-        if self.is_allowed(&pairs, &self.shares) {
-            self.shares = self.farthest(&pairs, &self.shares, target);
+    fn step_toward(&mut self, target: &[f64]) {
+        let pairs = self.history.window_pairs();
+        if self.is_within_cap(&pairs, &self.shares) {
+            self.shares = self.farthest_within_cap(&pairs, &self.shares, target);
         } else {
             self.step_back(&pairs);
         }
     }
 
-    /// Steps back towards where the shares stood a window ago, as far as is needed.
+    /// Moves the shares back toward those of one window ago, as far as the cap requires.
     ///
-    /// Without it a burst of requests at the end of a shift would carry more weight than the steps
-    /// allowed for. Where even that does not help, because a wider cap for failover was in force,
-    /// the shares stay.
-    fn step_back(&mut self, pairs: &[Pair]) {
-        let safe = self.history.part_ago(PARTS);
-        if self.is_allowed(pairs, &safe) {
-            self.shares = self.farthest(pairs, &safe, &self.shares);
+    /// Otherwise a burst of requests at the end of a shift would weigh more than the steps assumed.
+    /// If even the old shares exceed the cap, because a wider failover cap was in force, the shares
+    /// stay.
+    fn step_back(&mut self, pairs: &[WindowPair]) {
+        let safe = self.history.shares_buckets_ago(BUCKETS_PER_WINDOW);
+        if self.is_within_cap(pairs, &safe) {
+            self.shares = self.farthest_within_cap(pairs, &safe, &self.shares);
         }
     }
 
-    fn is_allowed(&self, pairs: &[Pair], shares: &[f64]) -> bool {
-        pairs.iter().all(|pair| pair.moved(shares, self.expected) <= self.limit)
+    fn is_within_cap(&self, pairs: &[WindowPair], shares: &[f64]) -> bool {
+        pairs
+            .iter()
+            .all(|pair| pair.moved_share(shares, self.covered_requests) <= self.max_moved_share)
     }
 
-    /// Returns the shares farthest on the straight way that the cap allows; the start is allowed.
-    fn farthest(&self, pairs: &[Pair], from: &[f64], to: &[f64]) -> Vec<f64> {
-        let at = |part: f64| -> Vec<f64> {
-            from.iter().zip(to).map(|(from, to)| from + part * (to - from)).collect()
+    /// Returns the farthest shares on the line between two points that keep the cap; the start must
+    /// keep it.
+    fn farthest_within_cap(&self, pairs: &[WindowPair], from: &[f64], to: &[f64]) -> Vec<f64> {
+        let at = |fraction: f64| -> Vec<f64> {
+            from.iter().zip(to).map(|(from, to)| from + fraction * (to - from)).collect()
         };
-        if self.is_allowed(pairs, to) {
+        if self.is_within_cap(pairs, to) {
             return to.to_vec();
         }
-        let (mut allowed, mut refused) = (0.0, 1.0);
-        for _ in 0..HALVINGS {
-            let middle = f64::midpoint(allowed, refused);
-            if self.is_allowed(pairs, &at(middle)) {
+        let (mut allowed, mut exceeding) = (0.0, 1.0);
+        for _ in 0..BISECTION_STEPS {
+            let middle = f64::midpoint(allowed, exceeding);
+            if self.is_within_cap(pairs, &at(middle)) {
                 allowed = middle;
             } else {
-                refused = middle;
+                exceeding = middle;
             }
         }
         at(allowed)
     }
 
-    /// Holds for the rest of the part to shares that no number of requests can take over the cap.
-    fn take_burst(&mut self) {
-        self.expected = f64::INFINITY;
-        let pairs = self.history.pairs();
-        if !self.is_allowed(&pairs, &self.shares) {
+    /// Switches for the rest of the bucket to shares that keep the cap for any number of requests,
+    /// if such shares are reachable.
+    fn handle_burst(&mut self) {
+        self.covered_requests = f64::INFINITY;
+        let pairs = self.history.window_pairs();
+        if !self.is_within_cap(&pairs, &self.shares) {
             self.step_back(&pairs);
         }
     }
 
-    /// Gives a request its home: the domain whose count lags its share the most.
-    pub fn home(&mut self, cap: TrafficCap) -> Option<usize> {
-        if self.capped && self.history.current_requests() >= self.expected {
-            self.take_burst();
+    /// Assigns a request to its home: the domain whose count lags its share the most.
+    pub fn assign_home(&mut self, cap: TrafficCap) -> Option<usize> {
+        if self.capped && self.history.current_bucket_requests() >= self.covered_requests {
+            self.handle_burst();
         }
         self.history.add_request(&self.shares);
-        let earned = cap.percent / 100.0 * TOKEN_PART;
-        let most = 1.0_f64.max(2.0 * earned * self.history.last_requests());
-        self.tokens = (self.tokens + earned).min(most);
+        let earned = cap.percent / 100.0 * TOKEN_CAP_FRACTION;
+        let max_tokens = 1.0_f64.max(2.0 * earned * self.history.previous_bucket_requests());
+        self.tokens = (self.tokens + earned).min(max_tokens);
         for (remainder, share) in self.remainders.iter_mut().zip(&self.shares) {
             *remainder += share;
         }
@@ -220,7 +226,7 @@
         Some(home)
     }
 
-    /// Moves a request from one domain to another if a token pays for it.
+    /// Moves a request from one domain to another if a token is available or no cap applies.
     pub fn try_move_request(&mut self, from: usize, to: usize) -> bool {
         if from == to || !self.capped {
             return true;
@@ -234,7 +240,8 @@
     }
 }
 
-/// Half the sum of the absolute differences.
+/// Returns half the sum of the absolute differences: the share that moves from one split to the
+/// other.
 fn distance(a: &[f64], b: &[f64]) -> f64 {
     a.iter().zip(b).map(|(a, b)| (a - b).abs()).sum::<f64>() / 2.0
 }
--- a/crates/sedgepath-core/src/steering.rs
+++ b/crates/sedgepath-core/src/steering.rs
@@ -1,97 +1,98 @@
-//! The choice of a failure domain for a request.
+//! Steering policies, which choose failure domains for requests.
 
 use crate::key::{DomainKey, OriginKey, RegionKey, ServiceKey};
 use crate::request::Class;
 
-mod baselines;
-mod by_headroom;
+mod headroom;
+mod reference;
 
-pub use baselines::{LeastLoadedPolicy, WeightedRandomPolicy};
-pub use by_headroom::HeadroomPolicy;
+pub use headroom::HeadroomPolicy;
+pub use reference::{LeastLoadedPolicy, WeightedRandomPolicy};
 
-/// A failure domain that a request could go to.
+/// The state of a failure domain that a request could be sent to.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CandidateDomain {
-    /// The failure domain.
+    /// The key of the failure domain.
     pub domain: DomainKey,
-    /// Its share by the record, from 0 to 1.
+    /// The domain's share by the record, from 0 to 1.
     pub share: f64,
-    /// The slots that its owners have.
+    /// The number of slots that the domain's owners report.
     pub slots: u32,
-    /// Those taken, as last reported.
+    /// The number of slots in use by the same reports.
     pub in_flight: u32,
-    /// Whether any of its owners has reported on the service.
+    /// Whether any serving VM of the domain has reported on the service.
     pub has_report: bool,
-    /// The age of the oldest of those reports in milliseconds.
+    /// The age of the oldest report used, in milliseconds.
     pub report_age_ms: u64,
-    /// The slots that its upstreams have by their records, but for those with a drain of their own.
+    /// The number of slots that the records declare for the domain's upstreams, excluding upstreams
+    /// with a drain of their own.
     pub declared_slots: u32,
-    /// Whether an entry VM of it takes work.
+    /// Whether any entry VM of the domain serves.
     pub accepts_work: bool,
-    /// Whether traffic is to move away from it while it serves on: a drain takes it out of service,
-    /// or all entry VMs of it that still take work are about to stop.
+    /// Whether traffic is to move away while the domain keeps serving: a drain takes the domain out
+    /// of service, or all of its serving entry VMs are about to stop.
     pub leaving: bool,
-    /// Its region, if a record names it.
+    /// The domain's region, if a record defines it.
     pub region: Option<RegionKey>,
 }
 
 impl CandidateDomain {
-    /// Whether a request could be run there at all.
+    /// Returns whether the domain serves and has slots for the service.
     pub fn is_usable(&self) -> bool {
         self.accepts_work && self.declared_slots > 0
     }
 
-    /// Whether traffic may move there.
+    /// Returns whether traffic may move to the domain.
     pub fn accepts_more_traffic(&self) -> bool {
         self.is_usable() && !self.has_failed() && !self.leaving
     }
 
-    /// Whether it has failed although no record takes it out of service: none of its entry VMs can
-    /// be reached, or its owners can use none of its upstreams.
+    /// Returns whether the domain has failed: no entry VM of it serves, or its owners report that
+    /// they can use none of its upstreams.
     pub fn has_failed(&self) -> bool {
         self.declared_slots > 0 && (!self.accepts_work || (self.has_report && self.slots == 0))
     }
 }
 
-/// What a choice is for.
+/// The properties of a request that a policy considers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SteeringRequest {
-    /// The service.
+    /// The requested service.
     pub service: ServiceKey,
     /// The origin group of the caller.
     pub origin: OriginKey,
     /// The class of the request.
     pub class: Class,
-    /// The index of the candidate where the request's traffic stands.
+    /// The index of the candidate that the shift ledger assigned to the request.
     pub home: usize,
 }
 
-/// Says where traffic should stand, and ranks the failure domains for a request.
+/// Computes target shares of traffic, and ranks the failure domains for a request.
 ///
-/// The shift ledger and the owners still have to admit it, so a policy proposes and never decides
-/// over a cap.
+/// The shift ledger enforces caps and the owners admit requests, so a policy cannot exceed a cap.
 pub trait SteeringPolicy: std::fmt::Debug + Send {
-    /// Returns the policy's name.
+    /// Returns the name that identifies the policy in diagnostic output.
     fn name(&self) -> &'static str;
 
-    /// Returns the shares of the candidates that the traffic should have, adding up to one; the
-    /// ledger moves it there as fast as the cap allows.
+    /// Returns the target shares of the candidates, which add up to one; the ledger moves traffic
+    /// toward them as fast as the cap allows.
     fn target_shares(&self, candidates: &[CandidateDomain]) -> Vec<f64> {
-        declared_over_usable(candidates)
+        usable_shares(candidates)
     }
 
-    /// Returns the indexes of the candidates in the order in which to try them. All but the home
-    /// cost a token of the ledger.
+    /// Returns the indexes of the candidates in the order to try them. Every candidate except the
+    /// home costs a ledger token.
     fn rank(
         &self,
-        choice: SteeringRequest,
+        request: SteeringRequest,
         candidates: &[CandidateDomain],
         random: &mut fastrand::Rng,
     ) -> Vec<usize>;
 }
 
-/// Returns the record's shares with those of unusable candidates spread over the usable ones.
-pub fn declared_over_usable(candidates: &[CandidateDomain]) -> Vec<f64> {
+/// Returns the record's shares, with the shares of unusable or leaving candidates distributed over
+/// the others in proportion.
+pub fn usable_shares(candidates: &[CandidateDomain]) -> Vec<f64> {
     let usable = |candidate: &CandidateDomain| {
         if candidate.is_usable() && !candidate.leaving { candidate.share } else { 0.0 }
     };
@@ -103,9 +104,9 @@
     candidates.iter().map(|candidate| candidate.share).collect()
 }
 
-/// Orders indexes by repeated draws without replacement, each with a chance by its weight; those of
-/// weight zero are left out.
-pub fn draw_order(mut weights: Vec<f64>, random: &mut fastrand::Rng) -> Vec<usize> {
+/// Returns indexes in the order of weighted random draws without replacement; indexes with weight
+/// zero are omitted.
+pub fn weighted_random_order(mut weights: Vec<f64>, random: &mut fastrand::Rng) -> Vec<usize> {
     let mut order = Vec::with_capacity(weights.len());
     loop {
         let sum = weights.iter().sum::<f64>();
--- a/crates/sedgepath-core/src/steering/baselines.rs
+++ b/crates/sedgepath-core/src/steering/reference.rs
@@ -1,8 +1,8 @@
-//! Policies to measure the shipping one against.
+//! Reference policies for comparison with the default policy.
 
-use super::{CandidateDomain, SteeringPolicy, SteeringRequest, draw_order};
+use super::{CandidateDomain, SteeringPolicy, SteeringRequest, weighted_random_order};
 
-/// Draws at random by the record's shares.
+/// Orders domains by random draws weighted with the record's shares.
 #[derive(Debug)]
 pub struct WeightedRandomPolicy;
 
@@ -13,15 +13,15 @@
 
     fn rank(
         &self,
-        _choice: SteeringRequest,
+        _request: SteeringRequest,
         candidates: &[CandidateDomain],
         random: &mut fastrand::Rng,
     ) -> Vec<usize> {
-        draw_order(candidates.iter().map(|candidate| candidate.share).collect(), random)
+        weighted_random_order(candidates.iter().map(|candidate| candidate.share).collect(), random)
     }
 }
 
-/// Takes the domain with the least load by its last report, whatever the report's age.
+/// Orders domains by their last reported load, lowest first, regardless of the report's age.
 #[derive(Debug)]
 pub struct LeastLoadedPolicy;
 
@@ -32,7 +32,7 @@
 
     fn rank(
         &self,
-        _choice: SteeringRequest,
+        _request: SteeringRequest,
         candidates: &[CandidateDomain],
         _random: &mut fastrand::Rng,
     ) -> Vec<usize> {
--- a/crates/sedgepath-core/src/view.rs
+++ b/crates/sedgepath-core/src/view.rs
@@ -1,4 +1,4 @@
-//! Where a request could go, as this node sees it.
+//! A node's view of the system: its configuration, the members and their load.
 
 use std::net::SocketAddr;
 
@@ -10,40 +10,41 @@
 use crate::rendezvous;
 use crate::steering::CandidateDomain;
 
-/// The owner of an upstream and where it takes frames.
+/// A VM that may use upstreams of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UpstreamOwner {
-    /// The VM.
+    /// The key of the VM.
     pub vm: VmKey,
-    /// Where it takes frames.
+    /// The address where the VM accepts frames.
     pub address: SocketAddr,
-    /// The slots of the service's upstreams that it may use.
+    /// The number of slots of the service's upstreams that the VM may use.
     pub slots: u32,
-    /// Its last report on the service.
+    /// The VM's last load report on the service.
     pub load: Option<ServiceLoad>,
 }
 
-/// What a node knows of the system at one moment.
+/// A node's view of the system at one point in time.
 #[derive(Debug, Clone, Copy)]
 pub struct SystemView<'a> {
-    /// The time in milliseconds.
+    /// The current time in milliseconds.
     pub now_ms: u64,
-    /// The node itself.
+    /// The identity of this node.
     pub identity: &'a Identity,
     /// The configuration in force.
     pub catalogue: &'a Catalogue,
-    /// Its revision; 0 before there is one.
+    /// The revision of the configuration; 0 if there is none yet.
     pub revision: u64,
-    /// Whether the node may serve by it.
+    /// Whether the node may serve with this configuration.
     pub configuration_ready: bool,
     /// The other members.
     pub membership: &'a Membership,
-    /// The load of the upstreams that this node owns.
+    /// This node's own load by service.
     pub own_loads: &'a [ServiceLoad],
 }
 
 impl SystemView<'_> {
-    /// Returns what is known of failure domains, with the record's shares for an origin group.
+    /// Returns the state of failure domains for a service, with the configured shares of an origin
+    /// group.
     pub fn candidates(
         &self,
         service: ServiceKey,
@@ -75,7 +76,7 @@
             region: self.catalogue.domains.get(&domain).map(|entry| entry.region),
         };
         for vm in serving {
-            if let Some((load, age_ms)) = self.load_of(vm, service) {
+            if let Some((load, age_ms)) = self.reported_load(vm, service) {
                 candidate.slots += load.slots;
                 candidate.in_flight += load.in_flight;
                 candidate.has_report = true;
@@ -85,8 +86,8 @@
         candidate
     }
 
-    /// Whether a drain takes a failure domain out of service. Its owners serve on what the cap does not
-    /// yet let move; taken for gone, its callers would be refused for as long.
+    /// Returns whether a drain record takes a failure domain out of service. Its owners keep
+    /// serving the traffic that the cap does not yet let move away.
     fn is_drained(&self, domain: DomainKey) -> bool {
         self.catalogue.domains.get(&domain).is_some_and(|entry| entry.draining)
     }
@@ -98,8 +99,8 @@
         self.membership.member(vm).is_some_and(|member| member.card.leaving)
     }
 
-    /// Returns the last report of an owner on a service, and its age in milliseconds.
-    fn load_of(&self, vm: VmKey, service: ServiceKey) -> Option<(ServiceLoad, u64)> {
+    /// Returns a VM's last load report on a service and the report's age in milliseconds.
+    fn reported_load(&self, vm: VmKey, service: ServiceKey) -> Option<(ServiceLoad, u64)> {
         let (loads, age_ms) = if vm == self.identity.vm {
             (self.own_loads, 0)
         } else {
@@ -109,18 +110,19 @@
         Some((*loads.iter().find(|load| load.service == service)?, age_ms))
     }
 
-    /// Returns the VMs of a failure domain that have told of slots of a service's upstreams: the
-    /// owners, and where a member can't be told dead from cut off, all that use their parts.
+    /// Returns the VMs of a failure domain that report slots of a service's upstreams: the owners,
+    /// or, while a member may be dead or partitioned, all VMs that use their slot shares.
     ///
-    /// Where none has told of any, those that own upstreams by the members known here are returned.
+    /// If no VM reports slots, returns the owners computed from the members known here.
     pub fn upstream_owners(&self, domain: DomainKey, service: ServiceKey) -> Vec<UpstreamOwner> {
         let serving = self.serving_vms_in(domain);
-        let told: Vec<_> = serving.iter().filter_map(|vm| self.told_owner(*vm, service)).collect();
-        if told.is_empty() { self.presumed_owners(domain, service, &serving) } else { told }
+        let reported: Vec<_> =
+            serving.iter().filter_map(|vm| self.reported_owner(*vm, service)).collect();
+        if reported.is_empty() { self.computed_owners(domain, service, &serving) } else { reported }
     }
 
-    fn told_owner(&self, vm: VmKey, service: ServiceKey) -> Option<UpstreamOwner> {
-        let (load, _) = self.load_of(vm, service).filter(|(load, _)| load.slots > 0)?;
+    fn reported_owner(&self, vm: VmKey, service: ServiceKey) -> Option<UpstreamOwner> {
+        let (load, _) = self.reported_load(vm, service).filter(|(load, _)| load.slots > 0)?;
         Some(UpstreamOwner {
             vm,
             address: self.peer_address(vm)?,
@@ -129,7 +131,7 @@
         })
     }
 
-    fn presumed_owners(
+    fn computed_owners(
         &self,
         domain: DomainKey,
         service: ServiceKey,
@@ -142,20 +144,20 @@
             if let Some(owner) = owners.iter_mut().find(|owner| owner.vm == vm) {
                 owner.slots += slots;
             } else if let Some(address) = self.peer_address(vm) {
-                let load = self.load_of(vm, service).map(|(load, _)| load);
+                let load = self.reported_load(vm, service).map(|(load, _)| load);
                 owners.push(UpstreamOwner { vm, address, slots, load });
             }
         }
         owners
     }
 
-    /// Returns the VMs that serve in a failure domain, this node among them.
+    /// Returns the serving VMs of a failure domain, including this node.
     pub fn serving_vms_in(&self, domain: DomainKey) -> Vec<VmKey> {
-        let mut alive = self.membership.alive_in(domain);
+        let mut alive = self.membership.unsuspected_in(domain);
         if self.identity.card.domain == domain {
             alive.push((self.identity.vm, self.identity.card.leaving));
         }
-        membership::serving_among(&alive)
+        membership::serving_vms(&alive)
     }
 
     fn upstreams_in(
@@ -164,8 +166,8 @@
         service: ServiceKey,
     ) -> impl Iterator<Item = UpstreamKey> {
         let upstreams = self.catalogue.services.get(&service).map(|entry| &entry.upstreams);
-        let here = upstreams.into_iter().flatten().copied();
-        here.filter(move |upstream| {
+        let upstreams_of_service = upstreams.into_iter().flatten().copied();
+        upstreams_of_service.filter(move |upstream| {
             let entry = self.catalogue.upstreams.get(upstream);
             entry.is_some_and(|entry| entry.domain == domain)
                 && !self.catalogue.has_own_drain(*upstream)
