--- a/crates/sedgepath-core/benches/look_up.rs
+++ b/crates/sedgepath-core/benches/look_up.rs
@@ -1,8 +1,6 @@
-//! Look-ups a second on one core, at the size that is planned for.
+//! Look-up throughput of a node on one core, with a large configuration.
 //!
-//! 1.1 million blocks of clients in 13 origin groups, a service with an upstream at each of 420 sites
-//! in 48 failure domains, 42 members in the own domain and 8 known of each other one. A look-up is
-//! one call of the node, from a source in a random block.
+//! Each look-up comes from a source address in a random client block.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -18,48 +16,49 @@
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use serde_json::json;
 
-const BLOCKS: u32 = 1_100_000;
-const ORIGINS: u32 = 13;
-const DOMAINS: usize = 48;
-const REGIONS: usize = 13;
-const SITES: usize = 420;
-const MEMBERS: usize = 42;
-const KNOWN_OF_OTHERS: usize = 8;
+const BLOCK_COUNT: u32 = 1_100_000;
+const ORIGIN_COUNT: u32 = 13;
+const DOMAIN_COUNT: usize = 48;
+const REGION_COUNT: usize = 13;
+const SITE_COUNT: usize = 420;
+const MEMBER_COUNT: usize = 42;
+const KNOWN_MEMBERS_PER_OTHER_DOMAIN: usize = 8;
 
 fn domain(number: usize) -> String {
     format!("domain-{number}")
 }
 
-/// The block of a number: a /28, spread over the space.
+/// Returns the first address of a /28 block; the blocks are spread over the address space.
 fn block(number: u32) -> Ipv4Addr {
     Ipv4Addr::from_bits(0x0100_0000 + number * 0x100)
 }
 
 fn records() -> Vec<RawRecord> {
-    let names: Vec<String> = (0..DOMAINS).map(domain).collect();
-    let regions: Vec<(String, Vec<&str>)> = (0..REGIONS)
+    let names: Vec<String> = (0..DOMAIN_COUNT).map(domain).collect();
+    let regions: Vec<(String, Vec<&str>)> = (0..REGION_COUNT)
         .map(|region| {
-            let here = names.iter().skip(region).step_by(REGIONS).map(String::as_str).collect();
+            let here =
+                names.iter().skip(region).step_by(REGION_COUNT).map(String::as_str).collect();
             (format!("region-{region}"), here)
         })
         .collect();
     let regions: Vec<(&str, &[&str])> =
         regions.iter().map(|(name, domains)| (name.as_str(), domains.as_slice())).collect();
-    let upstreams: Vec<_> = (0..SITES)
-        .map(|site| UpstreamSpec::new(&format!("site-{site}"), &names[site % DOMAINS], 100))
+    let upstreams: Vec<_> = (0..SITE_COUNT)
+        .map(|site| UpstreamSpec::new(&format!("site-{site}"), &names[site % DOMAIN_COUNT], 100))
         .collect();
-    let groups: Vec<_> = (0..ORIGINS as usize)
+    let groups: Vec<_> = (0..ORIGIN_COUNT as usize)
         .map(|origin| {
             let shares: Vec<_> = (0..8)
-                .map(|place| json!({ "domain": names[(origin * 4 + place) % DOMAINS], "weight": 8 - place }))
+                .map(|place| json!({ "domain": names[(origin * 4 + place) % DOMAIN_COUNT], "weight": 8 - place }))
                 .collect();
             json!({ "origin": format!("origin-{origin}"), "shares": shares })
         })
         .collect();
     let cap = json!({ "percent": 10.0, "window_ms": 10_000 });
-    let blocks: Vec<_> = (0..BLOCKS)
+    let blocks: Vec<_> = (0..BLOCK_COUNT)
         .map(|number| {
-            json!({ "block": format!("{}/28", block(number)), "origin": format!("origin-{}", number % ORIGINS) })
+            json!({ "block": format!("{}/28", block(number)), "origin": format!("origin-{}", number % ORIGIN_COUNT) })
         })
         .collect();
     vec![
@@ -70,7 +69,7 @@
     ]
 }
 
-fn card(domain_number: usize, member: usize) -> MemberDescriptor {
+fn descriptor(domain_number: usize, member: usize) -> MemberDescriptor {
     let [high, low] = (member as u16).to_be_bytes();
     let address =
         |port| SocketAddr::from((Ipv4Addr::new(10, domain_number as u8, high, low), port));
@@ -84,27 +83,29 @@
     }
 }
 
-fn line(card: MemberDescriptor) -> MemberSummary {
+fn member_summary(descriptor: MemberDescriptor) -> MemberSummary {
     MemberSummary {
-        vm: VmKey::of(&card.name),
+        vm: VmKey::of(&descriptor.name),
         boot: BootId(1),
         age_ms: 0,
         revision: 1,
         leaving: false,
         loads: Vec::new(),
-        descriptor: Some(card),
+        descriptor: Some(descriptor),
     }
 }
 
-/// One node that holds the records and has heard of all members.
+/// Creates a node that has the records and knows all members.
 fn bed() -> Bed {
     let mut bed = Bed::new(1);
     bed.write_records(&records());
     bed.add_node("vm-0-0", &domain(0));
     bed.run_for(5_000);
-    for domain_number in 0..DOMAINS {
-        let members = if domain_number == 0 { MEMBERS } else { KNOWN_OF_OTHERS };
-        let lines = (1..=members).map(|member| line(card(domain_number, member))).collect();
+    for domain_number in 0..DOMAIN_COUNT {
+        let members =
+            if domain_number == 0 { MEMBER_COUNT } else { KNOWN_MEMBERS_PER_OTHER_DOMAIN };
+        let lines =
+            (1..=members).map(|member| member_summary(descriptor(domain_number, member))).collect();
         let summary = MembershipSummary {
             domain: DomainKey::of(&domain(domain_number)),
             forward_in_domain: false,
@@ -128,13 +129,15 @@
     let mut random = fastrand::Rng::with_seed(1);
     let mut group = criterion.benchmark_group("look_up");
     group.throughput(Throughput::Elements(1));
-    let mut one = move || {
-        let source = IpAddr::V4(block(random.u32(0..BLOCKS)));
+    let mut look_up_once = move || {
+        let source = IpAddr::V4(block(random.u32(0..BLOCK_COUNT)));
         let look_up = LookUp { service: "browse".into(), source, revision_seen: 1 };
         let answer = bed.look_up(0, &look_up);
         assert!(answer.is_ok_and(|answer| answer.entry_vms.len() == 8));
     };
-    group.bench_function("1.1 M blocks, 48 domains, 42 members", |bencher| bencher.iter(&mut one));
+    group.bench_function("1.1 M blocks, 48 domains, 42 members", |bencher| {
+        bencher.iter(&mut look_up_once)
+    });
     group.finish();
 }
 
--- a/crates/sedgepath-core/tests/lease.rs
+++ b/crates/sedgepath-core/tests/lease.rs
@@ -1,8 +1,8 @@
-//! No upstream runs more than its slots while members of its failure domain are cut off from each
-//! other, paused, killed, restarted, added or stopped; and whole upstreams are used again afterwards.
+//! Upstream leases: no upstream runs more requests than its slots, whatever faults its owners have,
+//! and all slots are used again afterwards.
 //!
-//! Load from a node of another failure domain always exceeds all slots, so that any slot that a node
-//! believes to be free is filled. Upstreams don't refuse what is too much; they count it.
+//! Load from another failure domain always exceeds all slots, so every slot that a node believes to
+//! be free is filled. Upstreams accept excess requests and count them.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -14,27 +14,29 @@
 use sedgepath_test_support::bed::{Bed, NodeIndex};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 
-/// Four upstreams of which each of three members owns one at least.
+/// Upstreams chosen so that each of three members owns at least one.
 const UPSTREAMS: [&str; 4] = ["u0", "u2", "u4", "u6"];
 const SLOTS: u32 = 4;
 
-/// D: the longest deadline. It is longer than T, so that a promise without it would be too short.
+/// D, the longest deadline; longer than T, so that a promise without D would be too short.
 const LONGEST_DEADLINE_MS: u64 = 4_000;
 
-/// The time that a request takes at an upstream, give or take a fifth; with a pause of half a second
-/// before it is sent it never exceeds the longest deadline.
+/// The service time of an upstream, plus or minus a fifth; with a pause of half a second before
+/// sending, a request still finishes within the longest deadline.
 const SERVICE_MS: u64 = 2_900;
 
-/// 2T + D with the default settings, and some more until the grants are there and all slots filled.
-const SETTLED_MS: u64 = 9_000;
+/// The time until all slots are in use: 2T + D with the default settings, plus time for the grants.
+const SETTLING_TIME_MS: u64 = 9_000;
 
-/// After which silence an unlisted member is forgotten; shorter than by default, to keep runs short.
+/// The silence after which an unlisted member is removed; shorter than the default to shorten the
+/// tests.
 const FORGET_AFTER_MS: u64 = 15_000;
 
-/// The node outside the failure domain that all load comes from.
+/// The node of another failure domain that sends all load.
 const CALLER: NodeIndex = 0;
 
-/// Members `1..=members` of one failure domain with four upstreams, settled.
+/// Creates nodes `1..=members` of one failure domain with four upstreams, and applies load until
+/// all slots are in use.
 fn bed(seed: u64, members: usize) -> Bed {
     let settings = NodeSettings { forget_after_ms: FORGET_AFTER_MS, ..NodeSettings::default() };
     let mut bed = Bed::new(seed).with_settings(settings);
@@ -52,11 +54,11 @@
     for member in 1..=members {
         bed.add_node(&format!("m{member}"), "near");
     }
-    load(&mut bed, SETTLED_MS);
+    load(&mut bed, SETTLING_TIME_MS);
     bed
 }
 
-/// Calls four times in every 20 ms.
+/// Sends four calls every 20 ms.
 fn load(bed: &mut Bed, duration_ms: u64) {
     let until_ms = bed.now_ms() + duration_ms;
     while bed.now_ms() < until_ms {
@@ -79,13 +81,13 @@
     }
 }
 
-/// Returns the highest number of requests that an upstream ran at once.
-fn peak(bed: &Bed) -> u32 {
+/// Returns the highest number of concurrent requests at any upstream.
+fn max_in_flight(bed: &Bed) -> u32 {
     bed.upstreams.iter().map(|(_, upstream)| upstream.peak_in_flight).max().unwrap_or(0)
 }
 
-/// Applies load and returns the share of all slots that it filled, in percent of the time.
-fn used_percent(bed: &mut Bed, duration_ms: u64) -> u64 {
+/// Applies load and returns the average utilization of all slots in percent.
+fn utilization_percent(bed: &mut Bed, duration_ms: u64) -> u64 {
     let mut sum = 0;
     let steps = duration_ms / 20;
     for _ in 0..steps {
@@ -95,81 +97,81 @@
     sum * 100 / (steps * u64::from(SLOTS) * UPSTREAMS.len() as u64)
 }
 
-/// Asserts that no upstream ever ran too much and that all slots are in use again.
-fn assert_safe_and_whole(bed: &mut Bed, what: &str) {
-    assert!(peak(bed) <= SLOTS, "{what}: {} in flight at once", peak(bed));
-    let used = used_percent(bed, 8_000);
+/// Asserts that no upstream exceeded its slots and that almost all slots are in use again.
+fn assert_within_slots_and_fully_used(bed: &mut Bed, what: &str) {
+    assert!(max_in_flight(bed) <= SLOTS, "{what}: {} in flight at once", max_in_flight(bed));
+    let used = utilization_percent(bed, 8_000);
     assert!(used >= 90, "{what}: only {used}% of the slots are used in the end");
-    assert!(peak(bed) <= SLOTS, "{what}: {} in flight at once in the end", peak(bed));
+    assert!(
+        max_in_flight(bed) <= SLOTS,
+        "{what}: {} in flight at once in the end",
+        max_in_flight(bed)
+    );
 }
 
-/// The owner of upstreams is killed while these are full. What it had started runs on; the others
-/// don't know whether it is dead or cut off, so its upstreams must wait until its right and its
-/// requests are surely over, and its part stays idle until the platform's list lacks it.
+/// Guards against members that use a dead owner's slots before its lease and requests have ended,
+/// or its share before the platform's list omits it.
 #[test]
-fn a_killed_owner_leaves_no_upstream_with_too_much() {
+fn a_killed_owner_overloads_no_upstream() {
     for killed in 1..=3 {
         let mut bed = bed(killed as u64, 3);
         bed.kill(killed);
         load(&mut bed, 14_000);
-        let used = used_percent(&mut bed, 8_000);
+        let used = utilization_percent(&mut bed, 8_000);
         assert!((55..=72).contains(&used), "two of three parts are used, not {used}%");
         bed.list_node(killed, false);
         load(&mut bed, 9_000);
-        assert_safe_and_whole(&mut bed, "killed");
+        assert_within_slots_and_fully_used(&mut bed, "killed");
     }
 }
 
-/// A member is killed and starts again at once, or later. Its last boot's requests run on at its
-/// upstreams and it remembers neither them nor its promises.
+/// Guards against a restarted member that ignores requests and promises of its previous boot.
 #[test]
-fn a_restarted_member_counts_what_its_last_boot_left() {
+fn a_restarted_member_counts_requests_of_its_previous_boot() {
     for (seed, down_ms) in [20, 300, 1_000, 3_000, 9_000].into_iter().enumerate() {
         let mut bed = bed(seed as u64, 3);
         bed.kill(1);
         load(&mut bed, down_ms);
         bed.start(1);
         load(&mut bed, 14_000);
-        assert_safe_and_whole(&mut bed, "restarted");
+        assert_within_slots_and_fully_used(&mut bed, "restarted");
     }
 }
 
-/// The only VM of a failure domain is killed and starts again at once: no other member can tell it
-/// anything, and what its last boot started is still running.
+/// Guards against a restarted VM without peers that ignores running requests of its previous boot.
 #[test]
-fn a_lone_restarted_member_counts_what_its_last_boot_left() {
+fn a_lone_restarted_member_counts_requests_of_its_previous_boot() {
     let mut bed = bed(1, 1);
     bed.kill(1);
     bed.run_for(20);
     bed.start(1);
     load(&mut bed, 14_000);
-    assert_safe_and_whole(&mut bed, "lone");
+    assert_within_slots_and_fully_used(&mut bed, "lone");
 }
 
-/// Two members stop hearing each other while the third hears both: each of the two could take the
-/// other for dead and serve its upstreams as well. One way is cut, then both; in the end all heals.
+/// Guards against two partitioned members that both use an upstream's slots in full, and against
+/// idle slots during the partition.
 #[test]
-fn members_that_cannot_hear_each_other_share_the_slots() {
+fn partitioned_members_share_the_slots() {
     for seed in 0..4 {
         let mut bed = bed(seed, 2 + seed as usize % 2);
         bed.faults.cut_one_way(Place::Node(1), Place::Node(2));
         load(&mut bed, 14_000);
-        assert!(peak(&bed) <= SLOTS, "one way cut: {} in flight", peak(&bed));
+        assert!(max_in_flight(&bed) <= SLOTS, "one way cut: {} in flight", max_in_flight(&bed));
         bed.faults.cut(Place::Node(1), Place::Node(2));
         load(&mut bed, 14_000);
-        let used = used_percent(&mut bed, 8_000);
+        let used = utilization_percent(&mut bed, 8_000);
         assert!(used >= 90, "the parts add up to the slots, yet only {used}% are used");
         bed.faults.heal_all();
         load(&mut bed, 7_000);
-        assert_safe_and_whole(&mut bed, "cut");
+        assert_within_slots_and_fully_used(&mut bed, "cut");
     }
 }
 
-/// A member is paused while it holds the right to its upstreams, for longer than that right lasts,
-/// and wakes with calls waiting; further, each of its decisions to send is held up for half a
-/// second. The others have taken over meanwhile, so it must neither decide nor send by the old right.
+/// Guards against a paused member that admits or sends requests with an expired lease when it
+/// resumes, with half a second between decision and send.
 #[test]
-fn a_paused_member_wakes_without_its_right() {
+fn a_paused_member_resumes_without_its_lease() {
     for (seed, paused_ms) in [800, 1_600, 3_000, 6_000, 12_000].into_iter().enumerate() {
         let mut bed = bed(seed as u64, 3);
         bed.faults.pause_before_send_ms = 500;
@@ -180,14 +182,13 @@
         load(&mut bed, 14_000);
         bed.faults.pause_before_send_ms = 0;
         load(&mut bed, 5_000);
-        assert_safe_and_whole(&mut bed, "paused");
+        assert_within_slots_and_fully_used(&mut bed, "paused");
     }
 }
 
-/// Each decision to send is held up for longer than any right lasts. None may be carried out: what was
-/// true at the decision need not be true any more. Callers hear that nothing was sent.
+/// Guards against sends after the decision's allowance has expired.
 #[test]
-fn a_decision_that_is_held_up_for_too_long_is_not_carried_out() {
+fn an_expired_decision_is_not_sent() {
     let mut bed = bed(1, 3);
     bed.faults.pause_before_send_ms = 1_600;
     load(&mut bed, 2_000);
@@ -197,8 +198,8 @@
     assert_eq!(runs(&bed), before);
 }
 
-/// Members join and leave as planned under load, so that upstreams change owners while they are
-/// full: the next owner must leave free what the last one still has in flight.
+/// Guards against a new owner that uses slots in which the previous owner still has requests in
+/// flight, after planned joins and leaves.
 #[test]
 fn upstreams_change_owners_by_join_and_leave() {
     for seed in 0..4 {
@@ -215,14 +216,14 @@
         load(&mut bed, 16_000);
         assert!(bed.has_stopped(second) && bed.runs(third));
         bed.list_node(second, false);
-        assert_safe_and_whole(&mut bed, "joined and left");
+        assert_within_slots_and_fully_used(&mut bed, "joined and left");
     }
 }
 
-/// Any of these at any moment, two and more at once, with a fifth of all datagrams lost and some
-/// repeated; afterwards everything heals. Each seed is a run; `SEDGEPATH_SEEDS` asks for more of them.
+/// Guards against combinations of random faults, lost and repeated datagrams.
+/// `SEDGEPATH_SEEDS` sets the number of seeds, one run each.
 #[test]
-fn faults_in_any_order_leave_no_upstream_with_too_much() {
+fn random_faults_overload_no_upstream() {
     let seeds = std::env::var("SEDGEPATH_SEEDS").ok().and_then(|seeds| seeds.parse().ok());
     for seed in 0..seeds.unwrap_or(20) {
         let mut bed = bed(seed, 3);
@@ -230,9 +231,9 @@
         bed.faults.loss_percent = 20;
         bed.faults.repeat_percent = 10;
         for _ in 0..40 {
-            any_fault(&mut bed, &mut random);
+            inject_random_fault(&mut bed, &mut random);
             load(&mut bed, random.u64(20..3_000));
-            assert!(peak(&bed) <= SLOTS, "seed {seed}: {} in flight", peak(&bed));
+            assert!(max_in_flight(&bed) <= SLOTS, "seed {seed}: {} in flight", max_in_flight(&bed));
         }
         bed.faults.heal_all();
         bed.faults.loss_percent = 0;
@@ -248,11 +249,11 @@
             bed.list_node(node, !bed.has_stopped(node));
         }
         load(&mut bed, 14_000);
-        assert_safe_and_whole(&mut bed, &format!("seed {seed}"));
+        assert_within_slots_and_fully_used(&mut bed, &format!("seed {seed}"));
     }
 }
 
-fn any_fault(bed: &mut Bed, random: &mut fastrand::Rng) {
+fn inject_random_fault(bed: &mut Bed, random: &mut fastrand::Rng) {
     let node = random.usize(1..bed.node_count());
     let other = random.usize(1..bed.node_count());
     match random.u32(0..10) {
--- a/crates/sedgepath-core/tests/look_up.rs
+++ b/crates/sedgepath-core/tests/look_up.rs
@@ -1,4 +1,4 @@
-//! Which entry VMs a look-up names.
+//! The entry VMs that a look-up returns.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -8,7 +8,7 @@
 
 const DOMAINS: [&str; 4] = ["north-a", "north-b", "south-a", "south-b"];
 
-/// Four failure domains with three nodes each; the callers' traffic goes to two of them.
+/// Creates four failure domains with three nodes each; the callers' traffic goes to two domains.
 fn bed() -> Bed {
     let mut bed = Bed::new(1);
     let upstreams: Vec<_> = DOMAINS
@@ -34,19 +34,19 @@
     bed.look_up(0, &LookUp { service: "browse".into(), source, revision_seen })
 }
 
-fn first_names(bed: &mut Bed) -> Vec<String> {
+fn first_entry_vm_names(bed: &mut Bed) -> Vec<String> {
     (0..64)
         .map(|source| look_up(bed, source, 0).expect("the service is known"))
         .map(|answer| answer.entry_vms[0].name.to_string())
         .collect()
 }
 
-/// Callers whose traffic goes to two southern domains, three to one, ask a northern node. Each is
-/// named eight VMs at most, a VM of those two domains first, spread over several VMs.
+/// Guards against answers that ignore the traffic shares, exceed eight VMs, or give all callers the
+/// same first VM.
 #[test]
-fn the_domains_of_the_callers_traffic_come_first() {
+fn domains_with_traffic_shares_come_first() {
     let mut bed = bed();
-    let names = first_names(&mut bed);
+    let names = first_entry_vm_names(&mut bed);
     let south_a = names.iter().filter(|name| name.starts_with("south-a")).count();
     assert!(names.iter().all(|name| name.starts_with("south-")), "{names:?}");
     assert!((32..64).contains(&south_a), "{south_a}");
@@ -59,29 +59,29 @@
     assert_eq!(answer.expires_after_ms, 5_000);
 }
 
-/// A node dies; once it is suspected, no look-up names it, although answers are kept ready.
+/// Guards against cached answers that still contain a node after it is suspected.
 #[test]
-fn a_silent_node_is_not_named() {
+fn a_silent_node_is_not_returned() {
     let mut bed = bed();
-    let named = first_names(&mut bed).swap_remove(0);
+    let excluded_name = first_entry_vm_names(&mut bed).swap_remove(0);
     let index = (0..12)
         .find(|index| {
-            bed.node(*index).is_some_and(|node| *node.outbox().identity().card.name == *named)
+            bed.node(*index)
+                .is_some_and(|node| *node.outbox().identity().card.name == *excluded_name)
         })
         .expect("the named node is on the bed");
     bed.kill(index);
-    // A member of another failure domain is suspected after 1.5 s and four lost rounds of summaries.
+    // A member of another failure domain is suspected after 1.5 s and four lost summary rounds.
     bed.run_for(4_000);
     for source in 0..64 {
         let answer = look_up(&mut bed, source, 0).expect("the service is known");
-        assert!(answer.entry_vms.iter().all(|entry_vm| *entry_vm.name != *named));
+        assert!(answer.entry_vms.iter().all(|entry_vm| *entry_vm.name != *excluded_name));
     }
 }
 
-/// A caller has seen a newer revision than any node has: naming one would send it back to records
-/// that it has seen replaced.
+/// Guards against sending a caller back to nodes with records that it has already seen replaced.
 #[test]
-fn a_node_that_is_behind_says_so() {
+fn a_node_with_an_older_revision_returns_an_error() {
     let mut bed = bed();
     let answer = look_up(&mut bed, 1, 2);
     assert_eq!(answer, Err(LookUpError::Configuration));
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -1,7 +1,7 @@
 //! Shift caps: in any window at most the cap's share of an origin group's traffic moves.
 //!
-//! The oracle (`sedgepath_test_support::moves`) reads the upstreams' own logs of runs and the
-//! callers' log of requests. Rounding: one request per node and window.
+//! The oracle (`sedgepath_test_support::moves`) compares the upstreams' logs with the callers', and
+//! allows a rounding error of one request per node and window.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -23,8 +23,8 @@
 const UPSTREAMS_PER_DOMAIN: usize = 3;
 const NODES: usize = 10;
 
-/// Short, so that a restarted owner uses its upstreams again after a second: the oracle can't tell for
-/// sure where traffic stood that is refused in the middle of a change.
+/// Short, so that a restarted owner soon uses its upstreams again: the oracle cannot attribute
+/// traffic that is rejected during a change.
 const LONGEST_DEADLINE_MS: u64 = 500;
 
 fn steering(
@@ -55,8 +55,8 @@
     bed: Bed,
     started_at_ms: u64,
     sent: usize,
-    /// The shares that stood at each call, by the node asked.
-    stood: Vec<Vec<f64>>,
+    /// The standing shares at each call, as reported by the called node.
+    standing_shares: Vec<Vec<f64>>,
 }
 
 impl Scenario {
@@ -93,12 +93,12 @@
         }
         bed.run_for(5_000);
         let started_at_ms = bed.now_ms();
-        let mut scenario = Self { bed, started_at_ms, sent: 0, stood: Vec::new() };
+        let mut scenario = Self { bed, started_at_ms, sent: 0, standing_shares: Vec::new() };
         scenario.run_windows(3, &[]);
         scenario
     }
 
-    /// Sends traffic for some windows, to the nodes named, or to all.
+    /// Sends traffic for a number of windows to the given nodes, or to all nodes if none are given.
     fn run_windows(&mut self, windows: u64, nodes: &[NodeIndex]) {
         for _ in 0..windows * WINDOW_MS / CALL_EVERY_MS {
             let source = Ipv4Addr::new(10, (self.sent % 2) as u8, 0, (self.sent % 251) as u8);
@@ -113,15 +113,15 @@
             };
             if self.bed.runs(node) {
                 self.bed.call(node, head);
-                self.stood.push(self.stands_at(node, source));
+                self.standing_shares.push(self.standing_shares_at(node, source));
             }
             self.sent += 1;
             self.bed.run_for(CALL_EVERY_MS);
         }
     }
 
-    /// Returns where a node says that the traffic of a caller's group stands.
-    fn stands_at(&self, node: NodeIndex, source: Ipv4Addr) -> Vec<f64> {
+    /// Returns a node's standing shares for a caller's origin group.
+    fn standing_shares_at(&self, node: NodeIndex, source: Ipv4Addr) -> Vec<f64> {
         let question = ExplainRequest {
             service: "browse".into(),
             source: IpAddr::V4(source),
@@ -136,8 +136,8 @@
         DOMAINS.iter().map(share_of).collect()
     }
 
-    /// Kills the nodes and the upstreams of a failure domain.
-    fn lose_domain(&mut self, domain: usize) {
+    /// Kills all nodes and upstreams of a failure domain.
+    fn kill_domain(&mut self, domain: usize) {
         for index in (0..NODES).filter(|index| index % DOMAINS.len() == domain) {
             self.bed.kill(index);
         }
@@ -165,16 +165,19 @@
         })
     }
 
-    /// Returns the greatest share, in percent, that moved between two windows beyond the rounding.
-    fn most_moved(&self) -> f64 {
+    /// Returns the largest share, in percent, that moved between two windows beyond rounding.
+    fn max_moved_percent(&self) -> f64 {
         let moved = |origin| self.follow(origin, |followed| followed.most_moved_percent(&self.bed));
         (0..ORIGINS.len()).map(moved).fold(0.0, f64::max)
     }
 
-    /// Returns the same, with refused traffic where its nodes say that it stood.
-    fn most_moved_from_stood(&self) -> f64 {
+    /// Returns the largest moved share in percent, attributing rejected traffic to the nodes'
+    /// standing shares.
+    fn max_moved_percent_from_standing(&self) -> f64 {
         let moved = |origin| {
-            self.follow(origin, |followed| followed.most_moved_percent_from(&self.stood, &self.bed))
+            self.follow(origin, |followed| {
+                followed.most_moved_percent_from(&self.standing_shares, &self.bed)
+            })
         };
         (0..ORIGINS.len()).map(moved).fold(0.0, f64::max)
     }
@@ -183,7 +186,7 @@
         self.follow(origin, |followed| followed.last_shares(&self.bed))
     }
 
-    /// Returns the share of all requests asked since a time that were answered.
+    /// Returns the fraction of requests sent since a time that were answered.
     fn answered_since(&self, from_ms: u64) -> f64 {
         let asked: Vec<_> =
             self.bed.calls().iter().filter(|call| call.asked_at_ms >= from_ms).collect();
@@ -192,21 +195,21 @@
     }
 
     fn assert_within_cap(&self, cap_percent: f64) {
-        let most = self.most_moved();
+        let most = self.max_moved_percent();
         assert!(most <= cap_percent, "{most:.1} % of the traffic moved in a window");
-        self.assert_within_cap_from_stood(cap_percent);
+        self.assert_standing_within_cap(cap_percent);
     }
 
-    fn assert_within_cap_from_stood(&self, cap_percent: f64) {
-        let most = self.most_moved_from_stood();
+    fn assert_standing_within_cap(&self, cap_percent: f64) {
+        let most = self.max_moved_percent_from_standing();
         assert!(most <= cap_percent, "{most:.1} % of the standing traffic moved in a window");
     }
 }
 
-/// The record's shares change: the first group's traffic is to leave the lowcountry. It moves over
-/// several windows, is never refused for it, and ends where the record says.
+/// Guards against a planned change that exceeds the cap, causes rejections or misses its target
+/// shares.
 #[test]
-fn a_planned_change_moves_under_the_cap() {
+fn a_planned_change_moves_within_the_cap() {
     let mut scenario = Scenario::new(1);
     let from_ms = scenario.bed.now_ms();
     let to = [0.05, 0.05, 0.3, 0.3, 0.15, 0.15];
@@ -218,10 +221,9 @@
     assert!(shares.iter().zip(to).all(|(is, to)| (is - to).abs() < 0.03), "{shares:?}");
 }
 
-/// A drain record takes a failure domain with three tenths of a group's traffic out of service. What
-/// the cap does not let move yet is refused.
+/// Guards against a drain that moves traffic faster than the cap or never completes.
 #[test]
-fn a_drain_moves_under_the_cap() {
+fn a_drain_moves_within_the_cap() {
     let mut scenario = Scenario::new(2);
     let drain = json!({ "target": "domain", "active": true });
     scenario.bed.write_records(&[records::record(1, "drain", "low-a", &drain)]);
@@ -231,7 +233,7 @@
     assert!(scenario.answered_since(scenario.bed.now_ms() - WINDOW_MS) > 0.98);
 }
 
-/// One of three upstreams of a domain dies, then a second one, then the third.
+/// Guards against failures of single upstreams that move traffic faster than the cap.
 #[test]
 fn dead_upstreams_move_no_more_than_the_cap() {
     let mut scenario = Scenario::new(3);
@@ -242,30 +244,28 @@
     scenario.assert_within_cap(CAP_PERCENT);
 }
 
-/// A failure domain is lost with its nodes: its traffic moves under the cap, the rest is refused at
-/// once, until all of it has found another place.
+/// Guards against a failover of a domain that exceeds the cap or never completes.
 #[test]
-fn a_lost_domain_moves_under_the_cap() {
+fn a_failed_domain_moves_within_the_cap() {
     let mut scenario = Scenario::new(4);
-    scenario.lose_domain(0);
+    scenario.kill_domain(0);
     scenario.run_windows(9, &[]);
     scenario.assert_within_cap(CAP_PERCENT);
     assert!(scenario.answered_since(scenario.bed.now_ms() - WINDOW_MS) > 0.98);
 }
 
-/// A whole region is lost, with six tenths of a group's traffic.
+/// Guards against a failover of two domains at once that exceeds the cap or never completes.
 #[test]
-fn a_lost_region_moves_under_the_cap() {
+fn a_failed_region_moves_within_the_cap() {
     let mut scenario = Scenario::new(5);
-    scenario.lose_domain(0);
-    scenario.lose_domain(1);
+    scenario.kill_domain(0);
+    scenario.kill_domain(1);
     scenario.run_windows(14, &[]);
     scenario.assert_within_cap(CAP_PERCENT);
     assert!(scenario.answered_since(scenario.bed.now_ms() - WINDOW_MS) > 0.98);
 }
 
-/// The upstreams of two domains refuse work in turn, as if full; their traffic spills to others and
-/// returns.
+/// Guards against spill from full upstreams, and its return, that exceed the cap.
 #[test]
 fn spill_moves_no_more_than_the_cap() {
     let mut scenario = Scenario::new(6);
@@ -279,24 +279,24 @@
     scenario.assert_within_cap(CAP_PERCENT);
 }
 
-/// Callers move from some entry VMs to others, and back, while a change of shares is on its way and
-/// a domain is lost. The nodes they come to must not start from shares of their own.
+/// Guards against nodes that start from shares of their own when callers change entry VMs during a
+/// shift.
 #[test]
-fn callers_that_change_entry_vms_do_not_move_traffic() {
+fn callers_that_change_entry_vms_stay_within_the_cap() {
     let mut scenario = Scenario::new(7);
     let to = [0.05, 0.05, 0.3, 0.3, 0.15, 0.15];
     scenario.bed.write_records(&[steering([to, SHARES[1]], None)]);
     scenario.run_windows(3, &[1, 2, 3]);
-    scenario.lose_domain(5);
+    scenario.kill_domain(5);
     scenario.run_windows(3, &[4, 6, 7]);
     scenario.run_windows(3, &[1, 8, 9]);
     scenario.assert_within_cap(CAP_PERCENT);
 }
 
-/// A node is restarted in the middle of a change and then gets most of the callers: it has to go on
-/// where its peers stand, neither from the new shares nor from its first measurements.
+/// Guards against a node that restarts during a shift and jumps to the record's shares instead of
+/// taking its peers' standing shares.
 #[test]
-fn a_restarted_node_goes_on_where_its_peers_stand() {
+fn a_restarted_node_continues_from_its_peers_shares() {
     let mut scenario = Scenario::new(8);
     let to = [0.05, 0.05, 0.3, 0.3, 0.15, 0.15];
     scenario.bed.write_records(&[steering([to, SHARES[1]], None)]);
@@ -310,10 +310,10 @@
     scenario.assert_within_cap(CAP_PERCENT);
 }
 
-/// Heartbeats between some nodes are lost for a while, so that their measurements are stale, then
-/// missing, and the members are suspected; then the links heal.
+/// Guards against moves beyond the cap when load reports become stale and members are suspected
+/// during broken links, and when the links heal.
 #[test]
-fn stale_and_missing_measurements_move_no_more_than_the_cap() {
+fn stale_and_missing_reports_move_no_more_than_the_cap() {
     let mut scenario = Scenario::new(9);
     for round in 0..3 {
         for other in 1..NODES {
@@ -326,35 +326,30 @@
     scenario.assert_within_cap(CAP_PERCENT);
 }
 
-/// Half of all datagrams are lost, so that nodes suspect different members at different times, and
-/// a domain dies in the middle.
-///
-/// Some nodes refuse a domain's traffic while others move theirs there; then it comes back. It counts
-/// where its nodes say that it stood: an account that places refused traffic wherever that saves a
-/// move counts its return on top of what the others move, and finds 10.6, 10.1 and 11.1 % with these
-/// seeds.
+/// Guards against moves beyond the cap while nodes disagree about members during heavy datagram
+/// loss. Rejected traffic counts where its nodes say it stood, since its return would look like a
+/// move.
 #[test]
 fn nodes_that_disagree_move_no_more_than_the_cap() {
     for seed in [10, 17, 22] {
         let mut scenario = Scenario::new(seed);
         scenario.bed.faults.loss_percent = 50;
         scenario.run_windows(4, &[]);
-        scenario.lose_domain(3);
+        scenario.kill_domain(3);
         scenario.run_windows(6, &[]);
-        scenario.assert_within_cap_from_stood(CAP_PERCENT);
+        scenario.assert_standing_within_cap(CAP_PERCENT);
     }
 }
 
-/// A record of schema 2 names a wider cap for failover: a lost domain's traffic moves by it, faster
-/// than the cap for other moves would let it.
+/// Guards against a failover that ignores the record's separate failover cap.
 #[test]
-fn a_failover_cap_holds_for_failover() {
+fn failover_uses_the_failover_cap() {
     let mut scenario = Scenario::new(11);
     scenario.bed.write_records(&[steering(SHARES, Some(30.0))]);
     scenario.run_windows(1, &[]);
-    scenario.lose_domain(0);
+    scenario.kill_domain(0);
     scenario.run_windows(4, &[]);
     scenario.assert_within_cap(30.0);
-    assert!(scenario.most_moved() > CAP_PERCENT);
+    assert!(scenario.max_moved_percent() > CAP_PERCENT);
     assert!(scenario.answered_since(scenario.bed.now_ms() - WINDOW_MS) > 0.98);
 }
