--- a/crates/sedgepath-core/src/shift/baseline.rs
+++ b/crates/sedgepath-core/src/shift/baseline.rs
@@ -2,7 +2,7 @@
 //!
 //! A new process knows the record's shares but not the progress of a shift. Steering by the record
 //! at once would make its callers' traffic jump past the cap. So the node asks its peers and serves
-//! once one has answered, or with the record's shares after [`MAX_WAIT_MS`].
+//! once one has answered, or with the record's shares after `MAX_WAIT_MS`.
 
 use crate::key::VmKey;
 use crate::message::{Baseline, Message};
--- a/crates/sedgepath-core/src/shift/traffic_split.rs
+++ b/crates/sedgepath-core/src/shift/traffic_split.rs
@@ -127,8 +127,8 @@
     /// Begins the next bucket, with shares as close to the target as the cap allows.
     ///
     /// The step is the largest toward the target after which no pair of windows (see
-    /// [`History::window_pairs`]) moves more than [`STANDING_CAP_FRACTION`] of the cap, given at
-    /// most [`BURST_FACTOR`] times the requests of the busiest bucket.
+    /// `History::window_pairs`) moves more than [`STANDING_CAP_FRACTION`] of the cap, given at
+    /// most `BURST_FACTOR` times the requests of the busiest bucket.
     pub fn begin_bucket(&mut self, target: &[f64], cap: TrafficCap, now_ms: u64) {
         let bucket_ms = (cap.window_ms / BUCKETS_PER_WINDOW as u64).max(1);
         let elapsed_buckets = now_ms.saturating_sub(self.bucket_ends_at_ms) / bucket_ms;
--- a/crates/sedgepath-core/tests/membership.rs
+++ b/crates/sedgepath-core/tests/membership.rs
@@ -34,10 +34,10 @@
     let members = node.membership().members();
     let others =
         members.iter().filter(|(_, member)| member.accepts_work()).map(|(_, member)| &member.card);
-    let mut vms_accepting_work: Vec<_> =
+    let mut names: Vec<_> =
         own.chain(others).filter(|card| !card.leaving).map(|card| card.name.to_string()).collect();
-    vms_accepting_work.sort();
-    vms_accepting_work
+    names.sort();
+    names
 }
 
 /// Returns the number of suspicions in the log.
