--- a/crates/sedgepath-core/src/blocks.rs
+++ b/crates/sedgepath-core/src/blocks.rs
@@ -31,7 +31,7 @@
     #[error("the prefix length is not a number of at most 32 for IPv4 or 64 for IPv6")]
     InvalidPrefix,
     /// The address has bits set beyond the prefix.
-    #[error("the address has bits set beyond its prefix")]
+    #[error("the address has bits set behind its prefix")]
     HostBitsSet,
 }
 
