--- a/crates/sedgepath-wire/src/datagram.rs
+++ b/crates/sedgepath-wire/src/datagram.rs
@@ -1,45 +1,44 @@
-//! Datagrams between nodes: an envelope and its authentication code.
+//! Datagrams between nodes: an envelope and its message authentication code (MAC).
 //!
-//! A datagram that is oversize, forged, malformed or repeated is rejected with a typed reason, which
-//! the daemon counts and logs. A repeat is told by the sender's boot and number: the window keeps
-//! the highest number of a boot and a bit for each of the 64 before it, as `IPsec` does (RFC 4303,
-//! 3.4.3).
+//! The daemon counts and logs rejected datagrams by reason. Replays are detected with one sliding
+//! window per sender and boot: the highest sequence number received and a bitmap of the 64 newest
+//! ones, as in `IPsec` (RFC 4303, section 3.4.3).
 
 use std::collections::HashMap;
 
 use sedgepath_core::key::{BootId, VmKey};
 use sedgepath_core::message::Envelope;
 
-use crate::key::{CODE_BYTES, SharedKey};
+use crate::key::{MAC_BYTES, SharedKey};
 
-/// The largest datagram in bytes: what IPv6 carries on Ethernet without fragments.
+/// The maximum size of a datagram in bytes: the payload of an unfragmented IPv6 packet on Ethernet.
 pub const MAX_DATAGRAM_BYTES: usize = 1_432;
 
-/// The numbers before the highest one that are still told apart.
-const WINDOW: u64 = 64;
+/// The number of sequence numbers, up to the highest received, that a replay window tracks.
+const REPLAY_WINDOW_NUMBERS: u64 = 64;
 
-/// The boots whose windows are kept at most.
-const MAX_WINDOWS: usize = 8_192;
+/// The maximum number of replay windows; each belongs to one boot of a sender.
+const MAX_REPLAY_WINDOWS: usize = 8_192;
 
-/// Why a datagram was dropped.
+/// Why a datagram can't be encoded or was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DatagramError {
-    /// It is longer than [`MAX_DATAGRAM_BYTES`].
-    #[error("the datagram is oversize")]
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`].
+    #[error("datagram exceeds {MAX_DATAGRAM_BYTES} bytes")]
     Oversize,
-    /// Its code is not that of its bytes.
-    #[error("the datagram is forged")]
+    /// The MAC does not match the datagram.
+    #[error("datagram has an invalid MAC")]
     Forged,
-    /// Its bytes are no envelope.
-    #[error("the datagram is malformed")]
+    /// The datagram is too short for a MAC, or an envelope can't be encoded or decoded.
+    #[error("datagram envelope is malformed")]
     Malformed,
-    /// It was received before, or is too old to tell.
-    #[error("the datagram is a repeat")]
+    /// The sequence number was received before, or is older than the replay window.
+    #[error("datagram is a replay")]
     Replayed,
 }
 
 impl DatagramError {
-    /// Returns the reason as a label of the count of dropped datagrams.
+    /// Returns the metric label of the reason.
     pub fn name(self) -> &'static str {
         match self {
             Self::Oversize => "oversize",
@@ -50,78 +49,82 @@
     }
 }
 
-/// Writes an envelope with its code.
+/// Serializes an envelope and appends its MAC.
 ///
 /// # Errors
 ///
-/// Fails with [`DatagramError::Oversize`] if it does not fit one datagram.
+/// Fails with [`DatagramError::Oversize`] if the envelope does not fit in one datagram, and with
+/// [`DatagramError::Malformed`] if it can't be serialized.
 pub fn encode(key: &SharedKey, envelope: &Envelope) -> Result<Vec<u8>, DatagramError> {
     let mut bytes = postcard::to_stdvec(envelope).ok().ok_or(DatagramError::Malformed)?;
-    let code = key.code(&[&bytes]);
-    bytes.extend_from_slice(&code);
+    let mac = key.mac(&[&bytes]);
+    bytes.extend_from_slice(&mac);
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DatagramError::Oversize);
     }
     Ok(bytes)
 }
 
-/// Reads datagrams and drops repeated ones.
+/// Authenticates and decodes datagrams and rejects replays.
 #[derive(Debug)]
 pub struct DatagramDecoder {
     key: SharedKey,
-    windows: HashMap<(VmKey, BootId), Window>,
+    windows: HashMap<(VmKey, BootId), ReplayWindow>,
 }
 
 #[derive(Debug, Default)]
-struct Window {
-    highest: u64,
-    seen: u64,
+struct ReplayWindow {
+    highest_sequence: u64,
+    /// Bit `n` is set if the sequence number `highest_sequence - n` was received.
+    received_bits: u64,
 }
 
 impl DatagramDecoder {
-    /// Creates an opener that has seen nothing yet.
+    /// Creates a decoder with empty replay windows.
     pub fn new(key: SharedKey) -> Self {
         Self { key, windows: HashMap::new() }
     }
 
-    /// Reads a datagram.
+    /// Authenticates and decodes a datagram and records its sequence number.
     ///
     /// # Errors
     ///
-    /// Fails if the datagram is oversize, forged, malformed or a repeat.
+    /// Fails if the datagram is too long, malformed or a replay, or its MAC is invalid.
     pub fn decode(&mut self, bytes: &[u8]) -> Result<Envelope, DatagramError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DatagramError::Oversize);
         }
-        let body_bytes = bytes.len().checked_sub(CODE_BYTES).ok_or(DatagramError::Malformed)?;
-        let (body, code) = bytes.split_at(body_bytes);
-        if !self.key.verify(&[body], code) {
+        let body_bytes = bytes.len().checked_sub(MAC_BYTES).ok_or(DatagramError::Malformed)?;
+        let (body, mac) = bytes.split_at(body_bytes);
+        if !self.key.verify(&[body], mac) {
             return Err(DatagramError::Forged);
         }
         let envelope: Envelope = postcard::from_bytes(body).ok().ok_or(DatagramError::Malformed)?;
-        // Authenticated senders alone add windows, so a bound that drops all of them is never
-        // reached by a stranger; after it, repeats are told apart again from the next datagram on.
-        if self.windows.len() >= MAX_WINDOWS {
+        // Only authenticated senders add windows, so an outsider can't force this reset. Replays of
+        // datagrams received before the reset are not detected.
+        if self.windows.len() >= MAX_REPLAY_WINDOWS {
             self.windows.clear();
         }
         let window = self.windows.entry((envelope.from, envelope.boot)).or_default();
-        if window.admit(envelope.sequence) { Ok(envelope) } else { Err(DatagramError::Replayed) }
+        if window.accept(envelope.sequence) { Ok(envelope) } else { Err(DatagramError::Replayed) }
     }
 }
 
-impl Window {
-    fn admit(&mut self, sequence: u64) -> bool {
-        if sequence > self.highest {
-            let ahead = sequence - self.highest;
-            self.seen = if ahead < WINDOW { (self.seen << ahead) | 1 } else { 1 };
-            self.highest = sequence;
+impl ReplayWindow {
+    /// Records a sequence number; returns whether it is new.
+    fn accept(&mut self, sequence: u64) -> bool {
+        if sequence > self.highest_sequence {
+            let ahead = sequence - self.highest_sequence;
+            self.received_bits =
+                if ahead < REPLAY_WINDOW_NUMBERS { (self.received_bits << ahead) | 1 } else { 1 };
+            self.highest_sequence = sequence;
             return true;
         }
-        let behind = self.highest - sequence;
-        if behind >= WINDOW || self.seen & (1 << behind) != 0 {
+        let behind = self.highest_sequence - sequence;
+        if behind >= REPLAY_WINDOW_NUMBERS || self.received_bits & (1 << behind) != 0 {
             return false;
         }
-        self.seen |= 1 << behind;
+        self.received_bits |= 1 << behind;
         true
     }
 }
--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -1,12 +1,12 @@
-//! Frames on the connections over which nodes hand requests to each other.
+//! The framing protocol over which nodes forward requests to each other.
 //!
 //! A connection carries one exchange at a time: the head and body of a request, then the head and
-//! body of its answer. Both ends draw a number at its start, from which the connection's key is
-//! derived; each frame's code covers the frame, its direction and its number, so a frame that is
-//! forged, repeated, reordered or carried over from another connection fails its check and ends the
-//! connection. An answer's head names the boot and the request that it answers.
+//! body of its response. In the handshake both ends send a random nonce, and the connection's key is
+//! derived from both. The MAC of a frame covers its direction, its sequence number and its bytes, so
+//! a frame that is forged, replayed, reordered or copied from another connection is rejected and
+//! ends the connection. A response frame names the exchange that it belongs to.
 //!
-//! A frame on the wire: length of the body (u32, little endian), body (postcard), code.
+//! A frame on the wire: length of the body (u32, little endian), body (postcard), MAC.
 
 use std::io;
 
@@ -15,168 +15,169 @@
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-use crate::key::{CODE_BYTES, SharedKey};
+use crate::key::{MAC_BYTES, SharedKey};
 
-/// The largest frame body in bytes.
+/// The maximum size of a frame's body in bytes, without the length and the MAC.
 pub const MAX_FRAME_BYTES: usize = 128 * 1024;
 
-/// The bytes of a body that one frame carries at most.
+/// The maximum number of bytes of an HTTP body that senders put into one frame.
 pub const MAX_CHUNK_BYTES: usize = 64 * 1024;
 
-/// The first bytes of a connection, before the opener's number.
+/// The first bytes that each end sends: the protocol and its version. The nonce follows.
 const MAGIC: [u8; 8] = *b"sedgep01";
 
-/// A header field of HTTP.
+/// The name and value of an HTTP header field.
 pub type HeaderField = (Box<str>, Vec<u8>);
 
-/// The head of an HTTP request as passed on to an upstream.
+/// The head of an HTTP request that is forwarded to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HttpRequestHead {
-    /// The method.
+    /// The HTTP method.
     pub method: Box<str>,
-    /// Path and query.
+    /// The path and query.
     pub target: Box<str>,
-    /// The header without hop-by-hop fields.
+    /// The header fields without hop-by-hop ones.
     pub fields: Vec<HeaderField>,
     /// The length of the body in bytes.
     pub body_bytes: u64,
 }
 
-/// The head of an HTTP answer as passed on to a caller.
+/// The head of an HTTP response that is returned to a caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HttpResponseHead {
-    /// The header without hop-by-hop fields.
+    /// The header fields without hop-by-hop ones.
     pub fields: Vec<HeaderField>,
-    /// The length of the body in bytes if the upstream declared it.
+    /// The length of the body in bytes, if the upstream declared it.
     pub body_bytes: Option<u64>,
 }
 
-/// Names an exchange: the ingress, its boot and its request's number and attempt.
+/// Identifies an exchange across all nodes and their restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ExchangeId {
-    /// The ingress.
+    /// The VM that received the request from its caller.
     pub ingress: VmKey,
-    /// Its boot.
+    /// The boot of the ingress.
     pub boot: BootId,
-    /// The request.
+    /// The key that the ingress assigned to the request.
     pub request: RequestKey,
-    /// The attempt.
+    /// The number of the attempt at the request.
     pub attempt: u32,
 }
 
-/// What an exchange asks of the peer.
+/// The operation that an exchange requests from the peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerOperation {
-    /// To run the request at an upstream that the peer owns.
+    /// Runs the request at an upstream that the peer owns.
     Run(Dispatch),
-    /// To take the request over as the home of its ticket.
+    /// Serves the request as the home of its ticket.
     ServeAsHome(HomeRequest),
-    /// To keep the tickets of the sender, which stops; they are the body, written by postcard.
+    /// Stores the tickets of the sender, which is shutting down. The body holds them in postcard
+    /// encoding.
     StoreTickets,
 }
 
-/// What the home of a ticket is told of a request beyond its HTTP head.
+/// The metadata of a request that is forwarded to the home of its ticket, beside its HTTP head.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HomeRequest {
-    /// The boot that minted the ticket, by the ticket's own word.
+    /// The boot that minted the ticket, as stated in the ticket.
     pub boot: BootId,
-    /// The name of the service.
+    /// The name of the requested service.
     pub service: Box<str>,
-    /// The caller's address.
+    /// The IP address that the caller connected from.
     pub caller_ip: std::net::IpAddr,
-    /// The digest of the organisation's key.
+    /// The digest of the organisation's API key, if the caller sent one.
     pub key_digest: Option<sedgepath_core::hash::Digest>,
     /// The time left until the caller's deadline, in milliseconds.
     pub remaining_ms: u64,
-    /// How the request is kept from running twice.
+    /// How repeated execution of the request is prevented.
     pub deduplication: sedgepath_core::request::Deduplication,
-    /// The number of the attempt.
+    /// The number of the caller's attempt.
     pub attempt: u32,
-    /// The digest of the request.
+    /// The digest of method, path and body, which distinguishes a repeat from another request.
     pub digest: sedgepath_core::hash::Digest,
 }
 
-/// A frame.
+/// A message of the framing protocol.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Starts an exchange.
+    /// Starts an exchange; the frames of the request's body follow.
     Request {
-        /// Names it.
+        /// The new exchange.
         id: ExchangeId,
-        /// What is asked.
+        /// The requested operation.
         purpose: PeerOperation,
-        /// The request.
+        /// The HTTP head of the request.
         head: HttpRequestHead,
     },
-    /// A part of a body.
+    /// A part of a request or response body.
     BodyChunk(Vec<u8>),
-    /// The body ends here, whole.
+    /// The body is complete.
     BodyEnd,
-    /// The body breaks off here.
+    /// The sender can't send the rest of the body.
     BodyAborted,
-    /// Starts the answer.
+    /// Starts the response; the frames of its body follow.
     Answer {
-        /// The exchange that is answered.
+        /// The exchange that the response belongs to.
         id: ExchangeId,
-        /// What the ingress decides by.
+        /// The status and origin of the response, which the ingress acts on.
         head: AnswerHead,
-        /// What the caller gets.
+        /// The HTTP head that the caller receives.
         http: HttpResponseHead,
     },
     /// The request was not run.
     Refused {
-        /// The exchange that is refused.
+        /// The refused exchange.
         id: ExchangeId,
-        /// Why.
+        /// Why the request was refused, and when to retry.
         refusal: Rejection,
     },
-    /// The request was sent to an upstream and its answer was lost.
+    /// The request was sent to an upstream, but no response was received.
     ResponseLost {
-        /// The exchange.
+        /// The exchange without a response.
         id: ExchangeId,
     },
-    /// The home's final word on a request that was forwarded to it, as JSON with its HTTP status.
+    /// The complete response of a ticket's home to a request that was forwarded to it.
     HomeResponse {
-        /// The exchange.
+        /// The exchange that the response belongs to.
         id: ExchangeId,
-        /// The HTTP status.
+        /// The HTTP status code.
         status: u16,
-        /// The header.
+        /// The HTTP header fields.
         fields: Vec<HeaderField>,
-        /// The body.
+        /// The HTTP body.
         body: Vec<u8>,
     },
 }
 
-/// Why a connection's frames can't be read or written any further.
+/// An error that ends a connection.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The connection failed.
-    #[error("the connection failed")]
+    /// The underlying stream failed.
+    #[error("peer connection failed")]
     Io(#[from] io::Error),
-    /// The other end does not speak this protocol.
-    #[error("the other end did not greet as a peer")]
-    Greeting,
-    /// A frame is longer than [`MAX_FRAME_BYTES`].
-    #[error("a frame is oversize")]
+    /// The peer's handshake does not start with the protocol's magic bytes.
+    #[error("peer sent an invalid handshake")]
+    Handshake,
+    /// A frame is longer than [`MAX_FRAME_BYTES`], or a body longer than its receiver accepts.
+    #[error("frame or body exceeds the size limit")]
     Oversize,
-    /// A frame's code is not that of its bytes, number and connection.
-    #[error("a frame is forged, repeated or out of order")]
+    /// The MAC does not match the frame's bytes, sequence number, direction and connection.
+    #[error("frame has an invalid MAC: it was forged, replayed or reordered")]
     Forged,
-    /// A frame's bytes are none of the known frames.
-    #[error("a frame is malformed")]
+    /// The frame can't be encoded or decoded.
+    #[error("frame is malformed")]
     Malformed(#[from] postcard::Error),
-    /// A frame came that has no place there.
-    #[error("a frame came out of place")]
+    /// The frame is not valid in the current state of the exchange.
+    #[error("unexpected frame")]
     UnexpectedFrame,
 }
 
 impl FrameError {
-    /// Returns the reason as a label of the count of dropped frames.
+    /// Returns the metric label of the error.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Io(_) => "io",
-            Self::Greeting => "greeting",
+            Self::Handshake => "greeting",
             Self::Oversize => "oversize",
             Self::Forged => "forged",
             Self::Malformed(_) => "malformed",
@@ -185,70 +186,70 @@
     }
 }
 
-/// One end of a connection.
+/// Sends and receives authenticated frames on one end of a connection.
 #[derive(Debug)]
 pub struct FrameStream<S> {
     stream: S,
     key: SharedKey,
-    is_opener: bool,
-    sent: u64,
-    received: u64,
+    is_initiator: bool,
+    sent_frames: u64,
+    received_frames: u64,
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> FrameStream<S> {
-    /// Greets as the opener; `number` is drawn at random.
+    /// Performs the handshake as the initiator of the connection; `nonce` must be random.
     ///
     /// # Errors
     ///
-    /// Fails if the connection breaks or the other end does not greet as a peer.
-    pub async fn open(mut stream: S, key: &SharedKey, number: u64) -> Result<Self, FrameError> {
-        let accepter = exchange_numbers(&mut stream, number).await?;
-        let key = key.for_connection(number, accepter);
-        Ok(Self { stream, key, is_opener: true, sent: 0, received: 0 })
+    /// Fails if the connection breaks or the peer's handshake is invalid.
+    pub async fn open(mut stream: S, key: &SharedKey, nonce: u64) -> Result<Self, FrameError> {
+        let acceptor_nonce = exchange_nonces(&mut stream, nonce).await?;
+        let key = key.derive_connection_key(nonce, acceptor_nonce);
+        Ok(Self { stream, key, is_initiator: true, sent_frames: 0, received_frames: 0 })
     }
 
-    /// Greets as the accepter; `number` is drawn at random.
+    /// Performs the handshake as the acceptor of the connection; `nonce` must be random.
     ///
     /// # Errors
     ///
-    /// Fails if the connection breaks or the other end does not greet as a peer.
-    pub async fn accept(mut stream: S, key: &SharedKey, number: u64) -> Result<Self, FrameError> {
-        let opener = exchange_numbers(&mut stream, number).await?;
-        let key = key.for_connection(opener, number);
-        Ok(Self { stream, key, is_opener: false, sent: 0, received: 0 })
+    /// Fails if the connection breaks or the peer's handshake is invalid.
+    pub async fn accept(mut stream: S, key: &SharedKey, nonce: u64) -> Result<Self, FrameError> {
+        let initiator_nonce = exchange_nonces(&mut stream, nonce).await?;
+        let key = key.derive_connection_key(initiator_nonce, nonce);
+        Ok(Self { stream, key, is_initiator: false, sent_frames: 0, received_frames: 0 })
     }
 
-    /// Returns the connection itself.
+    /// Returns the underlying stream.
     pub fn get_ref(&self) -> &S {
         &self.stream
     }
 
-    /// Sends a frame.
+    /// Encodes and sends a frame with its MAC.
     ///
     /// # Errors
     ///
-    /// Fails if the frame is oversize or the connection breaks.
+    /// Fails if the frame is too long or can't be encoded, or the connection breaks.
     pub async fn send(&mut self, frame: &Frame) -> Result<(), FrameError> {
         let body = postcard::to_stdvec(frame)?;
         if body.len() > MAX_FRAME_BYTES {
             return Err(FrameError::Oversize);
         }
         let length = (body.len() as u32).to_le_bytes();
-        let code = self.key.code(&[&tag(self.is_opener, self.sent), &length, &body]);
-        self.sent += 1;
-        let mut bytes = Vec::with_capacity(length.len() + body.len() + CODE_BYTES);
+        let mac = self.key.mac(&[&frame_tag(self.is_initiator, self.sent_frames), &length, &body]);
+        self.sent_frames += 1;
+        let mut bytes = Vec::with_capacity(length.len() + body.len() + MAC_BYTES);
         bytes.extend_from_slice(&length);
         bytes.extend_from_slice(&body);
-        bytes.extend_from_slice(&code);
+        bytes.extend_from_slice(&mac);
         self.stream.write_all(&bytes).await?;
         Ok(())
     }
 
-    /// Receives a frame.
+    /// Receives, authenticates and decodes a frame.
     ///
     /// # Errors
     ///
-    /// Fails if the connection breaks or the frame is oversize, forged or malformed.
+    /// Fails if the connection breaks, the frame is too long or malformed, or its MAC is invalid.
     pub async fn receive(&mut self) -> Result<Frame, FrameError> {
         let mut length = [0; 4];
         self.stream.read_exact(&mut length).await?;
@@ -256,20 +257,23 @@
         if body_bytes > MAX_FRAME_BYTES {
             return Err(FrameError::Oversize);
         }
-        let mut bytes = vec![0; body_bytes + CODE_BYTES];
+        let mut bytes = vec![0; body_bytes + MAC_BYTES];
         self.stream.read_exact(&mut bytes).await?;
-        let (body, code) = bytes.split_at(body_bytes);
-        if !self.key.verify(&[&tag(!self.is_opener, self.received), &length, body], code) {
+        let (body, mac) = bytes.split_at(body_bytes);
+        if !self
+            .key
+            .verify(&[&frame_tag(!self.is_initiator, self.received_frames), &length, body], mac)
+        {
             return Err(FrameError::Forged);
         }
-        self.received += 1;
+        self.received_frames += 1;
         Ok(postcard::from_bytes(body)?)
     }
 
-    /// Waits until the other end closes or sends; true if it has closed.
+    /// Waits until the peer closes the connection or sends a byte; returns whether it closed.
     ///
-    /// To be used between exchanges and while an answer is awaited: the other end sends nothing
-    /// then, so whatever comes means that it has gone.
+    /// Consumes the byte, so the stream can't be used afterwards. For use between exchanges and while
+    /// the peer waits for a response: it sends nothing then, so any input ends the connection.
     ///
     /// # Errors
     ///
@@ -280,28 +284,29 @@
     }
 }
 
-/// The direction and number of a frame, as its code covers them.
-fn tag(from_opener: bool, number: u64) -> [u8; 9] {
+/// Returns the direction and sequence number of a frame as covered by its MAC.
+fn frame_tag(from_initiator: bool, sequence: u64) -> [u8; 9] {
     let mut tag = [0; 9];
-    tag[0] = u8::from(from_opener);
-    tag[1..].copy_from_slice(&number.to_le_bytes());
+    tag[0] = u8::from(from_initiator);
+    tag[1..].copy_from_slice(&sequence.to_le_bytes());
     tag
 }
 
-async fn exchange_numbers<S: AsyncRead + AsyncWrite + Unpin>(
+/// Performs the handshake and returns the peer's nonce.
+async fn exchange_nonces<S: AsyncRead + AsyncWrite + Unpin>(
     stream: &mut S,
-    number: u64,
+    nonce: u64,
 ) -> Result<u64, FrameError> {
-    let mut greeting = [0; 16];
-    greeting[..8].copy_from_slice(&MAGIC);
-    greeting[8..].copy_from_slice(&number.to_le_bytes());
-    stream.write_all(&greeting).await?;
-    let mut heard = [0; 16];
-    stream.read_exact(&mut heard).await?;
-    if heard[..8] != MAGIC {
-        return Err(FrameError::Greeting);
+    let mut handshake = [0; 16];
+    handshake[..8].copy_from_slice(&MAGIC);
+    handshake[8..].copy_from_slice(&nonce.to_le_bytes());
+    stream.write_all(&handshake).await?;
+    let mut received = [0; 16];
+    stream.read_exact(&mut received).await?;
+    if received[..8] != MAGIC {
+        return Err(FrameError::Handshake);
     }
-    let mut other = [0; 8];
-    other.copy_from_slice(&heard[8..]);
-    Ok(u64::from_le_bytes(other))
+    let mut peer_nonce = [0; 8];
+    peer_nonce.copy_from_slice(&received[8..]);
+    Ok(u64::from_le_bytes(peer_nonce))
 }
--- a/crates/sedgepath-wire/src/lib.rs
+++ b/crates/sedgepath-wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the processes of sedgepath say to each other: datagrams, frames and remote calls.
+//! The protocols between sedgepath processes: datagrams, frames and remote calls.
 //!
-//! Datagrams, frames and remote calls are authenticated by a keyed BLAKE3 hash whose keys come from the
-//! settings. Nothing is encrypted: the links between the VMs are the users' own.
+//! Every message is authenticated by a keyed BLAKE3 hash whose key is derived from a secret in the
+//! settings. Nothing is encrypted: the network between the VMs is trusted to be private.
 
 pub mod datagram;
 pub mod frame;
--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -1,4 +1,4 @@
-//! Remote calls: what operators ask of any node, and what peers fetch rarely.
+//! The JSON-RPC interface of nodes, for operators and for peers that fetch records.
 
 use jsonrpsee::core::RpcResult;
 use jsonrpsee::proc_macros::rpc;
@@ -13,119 +13,123 @@
 
 use crate::signed_call::SignedCall;
 
-mod caller;
+mod node_client;
 
-pub use caller::NodeClient;
+pub use node_client::NodeClient;
 
-/// A node's part of the time line.
+/// The timeline entries that one node recorded.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeTimeline {
-    /// The node's name.
+    /// The node that recorded the entries.
     pub node: Box<str>,
     /// The entries, oldest first.
     pub entries: Vec<TimelineEntry>,
 }
 
-/// What a node says of itself.
+/// The status that a node reports about itself and the members it knows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// The node's name.
+    /// The name of the reporting node.
     pub node: Box<str>,
-    /// Its failure domain, by key.
+    /// The key of the node's failure domain.
     pub domain: DomainKey,
     /// The configuration revision in force.
     pub revision: u64,
-    /// The time since the newest reading of the platform's head that it knows of, in milliseconds.
+    /// The time since the newest successful reading of the platform's head that the node knows of,
+    /// in milliseconds.
     pub head_age_ms: u64,
-    /// Whether it serves callers.
+    /// Whether the node serves callers.
     pub ready: bool,
-    /// The records that it keeps but can't read.
+    /// The records that the node stores but can't decode.
+    #[serde(rename = "unread")]
     pub unreadable_records: Vec<UnreadableRecordStatus>,
-    /// The members that it knows.
+    /// The members that the node knows.
     pub members: Vec<MemberStatus>,
 }
 
-/// A record that a node keeps and passes on but can't read.
+/// A record that a node stores and forwards but can't decode.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnreadableRecordStatus {
-    /// The record's kind.
+    /// The kind that the record declares.
     pub kind: Box<str>,
-    /// The record's name.
+    /// The name of the record, unique within its kind.
     pub name: Box<str>,
-    /// Why it can't be read.
+    /// Why the record can't be decoded.
     pub reason: Box<str>,
 }
 
-/// What a node says of a member.
+/// A node's view of another member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// The member's name.
+    /// The name of the member.
     pub name: Box<str>,
-    /// Where it takes remote calls.
+    /// The address on which the member serves remote calls.
+    #[serde(rename = "operators")]
     pub operator_address: std::net::SocketAddr,
-    /// The configuration revision that it has in force.
+    /// The configuration revision in force at the member.
     pub revision: u64,
-    /// The age of its last sign of life, in milliseconds.
+    /// The time since the member was last heard from, in milliseconds.
     pub silent_ms: u64,
-    /// Whether it is suspected to be gone.
+    /// Whether the member is suspected to have failed.
+    #[serde(rename = "suspect")]
     pub suspected: bool,
-    /// Whether it is about to stop.
+    /// Whether the member is shutting down.
     pub leaving: bool,
 }
 
-/// The code of the error of a process that is about to end.
+/// The error code of a node that is shutting down.
 pub const STOPPING_CODE: i32 = -32_001;
 
-/// The code of the error of a question that needs the platform while it can't be reached.
+/// The error code of a call that needs the platform while it is unreachable.
 pub const PLATFORM_UNAVAILABLE_CODE: i32 = -32_002;
 
-/// The code of the error of a call that no key in force proves, or that was made before.
+/// The error code of a call whose signature is invalid or that is a replay.
 pub const UNAUTHENTICATED_CODE: i32 = -32_003;
 
-/// The code of the error of a call whose time is far from the node's; its data is the node's time, in
-/// milliseconds since the Unix epoch.
+/// The error code of a call whose timestamp is outside the allowed clock skew; the error's data is the
+/// node's time in milliseconds since the Unix epoch.
 pub const CLOCK_SKEW_CODE: i32 = -32_004;
 
-/// The methods by their names in proofs.
+/// The method names that signatures cover.
 pub mod method {
-    /// Of [`super::OperatorsServer::page`].
+    /// The name of [`super::OperatorsServer::page`].
     pub const PAGE: &str = "page";
-    /// Of [`super::OperatorsServer::check_change`].
+    /// The name of [`super::OperatorsServer::change`].
     pub const CHANGE: &str = "change";
-    /// Of [`super::OperatorsServer::history`].
+    /// The name of [`super::OperatorsServer::history`].
     pub const HISTORY: &str = "history";
-    /// Of [`super::OperatorsServer::status`].
+    /// The name of [`super::OperatorsServer::status`].
     pub const STATUS: &str = "status";
-    /// Of [`super::OperatorsServer::explain`].
+    /// The name of [`super::OperatorsServer::explain`].
     pub const EXPLAIN: &str = "explain";
-    /// Of [`super::OperatorsServer::timeline`].
+    /// The name of [`super::OperatorsServer::timeline`].
     pub const TIMELINE: &str = "timeline";
 }
 
-/// The remote calls of a node; each is proved by a key.
+/// The remote calls that a node serves; each carries a signature.
 #[rpc(client, server, namespace = "sedgepath")]
 pub trait Operators {
-    /// Returns the next page of the records that were written after a position.
+    /// Returns a page of the records written after a position.
     #[method(name = "page")]
     async fn page(&self, after: SignedCall<RecordPosition>) -> RpcResult<RecordPage>;
 
-    /// Changes the configuration in force everywhere.
+    /// Changes the configuration of all nodes.
     #[method(name = "change")]
     async fn change(&self, request: SignedCall<ChangeRequest>) -> RpcResult<ChangeOutcome>;
 
-    /// Returns the newest accepted changes, the newest first.
+    /// Returns the latest accepted changes, newest first.
     #[method(name = "history")]
     async fn history(&self, limit: SignedCall<u32>) -> RpcResult<Vec<LoggedChange>>;
 
-    /// Returns what the node says of itself and of the members that it knows.
+    /// Returns the status of the node and of the members that it knows.
     #[method(name = "status")]
     async fn status(&self, call: SignedCall<()>) -> RpcResult<NodeStatus>;
 
-    /// Explains where a request of a caller would go, by what the node knows.
+    /// Explains how the node would route a caller's request, by its current state.
     #[method(name = "explain")]
     async fn explain(&self, question: SignedCall<ExplainRequest>) -> RpcResult<Explanation>;
 
-    /// Returns the entries of the node's time line after a stamp.
+    /// Returns the node's timeline entries after a timestamp.
     #[method(name = "timeline")]
     async fn timeline(&self, after: SignedCall<HybridTimestamp>) -> RpcResult<NodeTimeline>;
 }
--- a/crates/sedgepath-wire/src/signed_call.rs
+++ b/crates/sedgepath-wire/src/signed_call.rs
@@ -1,148 +1,157 @@
-//! Proofs of remote calls: who asks, for what, and that it is asked once.
+//! Authentication and replay protection of remote calls.
 //!
-//! A proof is a keyed hash of the method, its parameters, the time and a number drawn at random. A
-//! node takes it if it knows the key, the time is near its own, and it has not seen the number. It
-//! remembers numbers as long as their time is near, so that a repeat is refused for as long as it would
-//! be taken; a node that starts again has forgotten them, which lets a recorded call be repeated for
-//! [`MAX_CLOCK_SKEW_MS`] after it was made. A repeated change is found by its number and made once all the
-//! same; all other calls only read.
+//! A signature is a MAC of the method, its parameters, a timestamp and a random nonce. A node accepts
+//! a call if one of its keys verifies the MAC, the timestamp differs from its clock by at most
+//! [`MAX_CLOCK_SKEW_MS`], and it does not remember the nonce. Nonces are remembered until their
+//! timestamps expire, but are lost in a restart: a recorded call can then be replayed until its
+//! timestamp expires. A replayed change still takes effect only once, since changes carry an
+//! identifier of their own; all other calls only read.
 //!
-//! Several keys may be in force, so that one can be replaced: the new one is added to all nodes, then
-//! given to the operators, then the old one is taken away.
+//! A node accepts several keys, so that a key can be rotated: add the new key to all nodes, give it to
+//! the operators, then remove the old one.
 
 use std::collections::{HashSet, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
-use crate::key::{Code, SharedKey};
+use crate::key::{Mac, SharedKey};
 
-/// How far the time of a call may be from the node's, in milliseconds: clocks of VMs are set apart by
-/// some seconds, and an operator's call takes up to twelve.
+/// The maximum difference between the timestamp of a call and the node's clock, in milliseconds;
+/// covers the clock skew between VMs and the duration of an operator's call.
 pub const MAX_CLOCK_SKEW_MS: u64 = 30_000;
 
-/// The most numbers that are remembered. Strangers add none; operators ask a few times a second.
-const MAX_SEEN: usize = 65_536;
+/// The maximum number of remembered nonces; only calls with a valid signature add one.
+const MAX_REMEMBERED_NONCES: usize = 65_536;
 
-/// What proves a call.
+/// The signature of a remote call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallSignature {
-    /// When it was made, in milliseconds since the Unix epoch by the caller's clock.
-    pub at_ms: u64,
-    /// A number drawn at random.
-    pub number: u64,
-    /// The code.
-    pub code: Code,
+    /// The time of the call by the caller's clock, in milliseconds since the Unix epoch.
+    #[serde(rename = "at_ms")]
+    pub signed_at_ms: u64,
+    /// A random number that detects replays.
+    #[serde(rename = "number")]
+    pub nonce: u64,
+    /// The MAC of the method, the parameters, the timestamp and the nonce.
+    #[serde(rename = "code")]
+    pub mac: Mac,
 }
 
-/// The parameters of a call with its proof.
+/// The parameters of a remote call with their signature.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SignedCall<T> {
-    /// The proof.
-    pub proof: CallSignature,
-    /// The parameters.
-    pub of: T,
+    /// Authenticates the method and the parameters.
+    #[serde(rename = "proof")]
+    pub signature: CallSignature,
+    /// The parameters of the method.
+    #[serde(rename = "of")]
+    pub params: T,
 }
 
-/// Why a call is refused.
+/// Why a call is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum SignatureError {
-    /// No key in force made the proof, or not for this call.
+    /// No accepted key verifies the MAC of this method and these parameters.
     #[error("the call is not proved by a key in force")]
     InvalidSignature,
-    /// Its time is too far from the node's.
-    #[error("the call's time is {apart_ms} ms from the node's")]
+    /// The timestamp differs from the node's clock by more than [`MAX_CLOCK_SKEW_MS`].
+    #[error("call timestamp differs from the node's clock by {skew_ms} ms")]
     ClockSkew {
-        /// How far.
-        apart_ms: u64,
+        /// The difference in milliseconds.
+        skew_ms: u64,
     },
-    /// It was made before.
+    /// A call with the same nonce was accepted before.
     #[error("the call was made before")]
     Replayed,
 }
 
-/// Returns the key that a text stands for in proofs.
-pub fn derive_call_key(text: &str) -> SharedKey {
-    SharedKey::new(text, "remote calls")
+/// Derives the key that signs remote calls from a secret.
+pub fn derive_call_key(secret: &str) -> SharedKey {
+    SharedKey::new(secret, "remote calls")
 }
 
 impl<T: Serialize> SignedCall<T> {
-    /// Proves a call.
-    pub fn new(key: &SharedKey, method: &str, of: T, at_ms: u64, number: u64) -> Self {
-        // Parameters that can't be written are proved by nothing, and refused.
-        let parts = parts(method, &of, at_ms, number);
-        let code = parts.map(|parts| key.code(&[&parts])).unwrap_or_default();
-        Self { proof: CallSignature { at_ms, number, code }, of }
+    /// Signs a call with a timestamp in milliseconds since the Unix epoch and a random nonce.
+    pub fn new(key: &SharedKey, method: &str, params: T, signed_at_ms: u64, nonce: u64) -> Self {
+        // Unserializable parameters get a MAC of zeros, which the verifier rejects.
+        let signed = signed_bytes(method, &params, signed_at_ms, nonce);
+        let mac = signed.map(|signed| key.mac(&[&signed])).unwrap_or_default();
+        Self { signature: CallSignature { signed_at_ms, nonce, mac }, params }
     }
 }
 
-/// Checks the proofs of calls.
+/// Verifies the signatures of calls and rejects replays.
 #[derive(Debug)]
 pub struct CallVerifier {
     keys: Vec<SharedKey>,
-    /// The numbers of calls whose time is near, oldest first by when they came.
-    order: VecDeque<(u64, u64)>,
-    seen: HashSet<u64>,
+    /// The expiry times and nonces of accepted calls, in the order of their arrival.
+    nonce_expiries: VecDeque<(u64, u64)>,
+    seen_nonces: HashSet<u64>,
 }
 
 impl CallVerifier {
-    /// Creates a guard that knows keys by their texts.
-    pub fn new<'a>(texts: impl IntoIterator<Item = &'a str>) -> Self {
-        let keys = texts.into_iter().map(derive_call_key).collect();
-        Self { keys, order: VecDeque::new(), seen: HashSet::new() }
+    /// Creates a verifier that accepts the keys derived from any of these secrets.
+    pub fn new<'a>(secrets: impl IntoIterator<Item = &'a str>) -> Self {
+        let keys = secrets.into_iter().map(derive_call_key).collect();
+        Self { keys, nonce_expiries: VecDeque::new(), seen_nonces: HashSet::new() }
     }
 
-    /// Checks a call and returns its parameters.
+    /// Verifies a call, remembers its nonce and returns its parameters.
     ///
     /// # Errors
     ///
-    /// Fails if the call is not proved by a key in force, untimely, or a repeat.
+    /// Fails if the signature is invalid, the timestamp is outside the allowed clock skew, or the
+    /// call is a replay.
     pub fn verify<T: Serialize>(
         &mut self,
         method: &str,
         call: SignedCall<T>,
         now_ms: u64,
     ) -> Result<T, SignatureError> {
-        let CallSignature { at_ms, number, code: given } = call.proof;
-        let Some(parts) = parts(method, &call.of, at_ms, number) else {
+        let CallSignature { signed_at_ms, nonce, mac } = call.signature;
+        let Some(signed) = signed_bytes(method, &call.params, signed_at_ms, nonce) else {
             return Err(SignatureError::InvalidSignature);
         };
-        // All keys are tried, so that the time does not tell which one fits.
-        if self.keys.iter().filter(|key| key.verify(&[&parts], &given)).count() == 0 {
+        // Tries all keys, so that the duration does not reveal which one matches.
+        if self.keys.iter().filter(|key| key.verify(&[&signed], &mac)).count() == 0 {
             return Err(SignatureError::InvalidSignature);
         }
-        let apart_ms = now_ms.abs_diff(at_ms);
-        if apart_ms > MAX_CLOCK_SKEW_MS {
-            return Err(SignatureError::ClockSkew { apart_ms });
+        let skew_ms = now_ms.abs_diff(signed_at_ms);
+        if skew_ms > MAX_CLOCK_SKEW_MS {
+            return Err(SignatureError::ClockSkew { skew_ms });
         }
-        self.forget(now_ms);
-        if !self.seen.insert(number) {
+        self.remove_expired_nonces(now_ms);
+        if !self.seen_nonces.insert(nonce) {
             return Err(SignatureError::Replayed);
         }
-        // A call that is ahead of the node's clock is timely for longer.
-        self.order.push_back((at_ms.max(now_ms) + MAX_CLOCK_SKEW_MS, number));
-        Ok(call.of)
+        // A timestamp ahead of the node's clock stays acceptable for longer.
+        self.nonce_expiries.push_back((signed_at_ms.max(now_ms) + MAX_CLOCK_SKEW_MS, nonce));
+        Ok(call.params)
     }
 
-    fn forget(&mut self, now_ms: u64) {
-        while self
-            .order
-            .front()
-            .is_some_and(|(until_ms, _)| *until_ms < now_ms || self.order.len() >= MAX_SEEN)
-        {
-            if let Some((_, number)) = self.order.pop_front() {
-                self.seen.remove(&number);
+    fn remove_expired_nonces(&mut self, now_ms: u64) {
+        while self.nonce_expiries.front().is_some_and(|(expires_at_ms, _)| {
+            *expires_at_ms < now_ms || self.nonce_expiries.len() >= MAX_REMEMBERED_NONCES
+        }) {
+            if let Some((_, nonce)) = self.nonce_expiries.pop_front() {
+                self.seen_nonces.remove(&nonce);
             }
         }
     }
 }
 
-/// Returns what a code stands for, or none if the parameters can't be written.
-fn parts<T: Serialize>(method: &str, of: &T, at_ms: u64, number: u64) -> Option<Vec<u8>> {
-    let mut parts = Vec::new();
-    parts.extend_from_slice(&at_ms.to_le_bytes());
-    parts.extend_from_slice(&number.to_le_bytes());
-    parts.extend_from_slice(&(method.len() as u64).to_le_bytes());
-    parts.extend_from_slice(method.as_bytes());
-    parts.extend_from_slice(&postcard::to_stdvec(of).ok()?);
-    Some(parts)
+/// Returns the bytes that a signature covers, or `None` if the parameters can't be serialized.
+fn signed_bytes<T: Serialize>(
+    method: &str,
+    params: &T,
+    signed_at_ms: u64,
+    nonce: u64,
+) -> Option<Vec<u8>> {
+    let mut bytes = Vec::new();
+    bytes.extend_from_slice(&signed_at_ms.to_le_bytes());
+    bytes.extend_from_slice(&nonce.to_le_bytes());
+    bytes.extend_from_slice(&(method.len() as u64).to_le_bytes());
+    bytes.extend_from_slice(method.as_bytes());
+    bytes.extend_from_slice(&postcard::to_stdvec(params).ok()?);
+    Some(bytes)
 }
--- a/crates/sedgepath-wire/src/tcp.rs
+++ b/crates/sedgepath-wire/src/tcp.rs
@@ -1,4 +1,4 @@
-//! Opens connections whose peers may vanish without a sign.
+//! TCP connections that detect unreachable peers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,44 +8,46 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// The silence after which a peer is asked for a sign of life; the shortest that the system offers.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+/// The idle time before the first keepalive probe and the interval between probes; the system
+/// accepts no shorter one.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The questions without an answer after which a connection has failed.
-const KEEPALIVE_RETRIES: u32 = 2;
+/// The number of unanswered keepalive probes after which a connection has failed.
+const MAX_UNANSWERED_PROBES: u32 = 2;
 
-/// The longest that sent bytes may stay unacknowledged: some repeats of a lost packet.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_500);
+/// How long sent bytes may stay unacknowledged; allows for several retransmissions.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Opens a connection that notices within about three seconds that its peer is gone.
+/// Opens a connection that fails within about three seconds of its peer becoming unreachable.
 ///
-/// A VM without power or behind a cut answers nothing, not even with a reset; without these
-/// settings a request there would wait for its whole deadline, and an idle connection for ever.
+/// A VM that lost power or its network sends no reset: a pending request would wait until its
+/// deadline, and an idle connection would stay open indefinitely.
 ///
 /// # Errors
 ///
-/// Fails if no connection is made in time.
-pub async fn connect(address: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
-    let stream = timeout(limit, TcpStream::connect(address))
+/// Fails if the connection can't be established within the time limit.
+pub async fn connect(address: SocketAddr, time_limit: Duration) -> io::Result<TcpStream> {
+    let stream = timeout(time_limit, TcpStream::connect(address))
         .await
         .map_err(|_elapsed| io::Error::from(io::ErrorKind::TimedOut))??;
     detect_dead_peer(&stream)?;
     Ok(stream)
 }
 
-/// Sets up an open connection to notice that its peer is gone.
+/// Enables keepalive probes and the user timeout on an open connection, and disables Nagle's
+/// algorithm.
 ///
 /// # Errors
 ///
-/// Fails if the system refuses a setting.
+/// Fails if the system rejects a socket option.
 pub fn detect_dead_peer(stream: &TcpStream) -> io::Result<()> {
-    // Small requests must not wait for the acknowledgement of earlier bytes.
+    // Avoids delaying small requests until earlier bytes are acknowledged.
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE)
-        .with_interval(KEEPALIVE)
-        .with_retries(KEEPALIVE_RETRIES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(MAX_UNANSWERED_PROBES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
