--- a/crates/sedgepath-yaml/src/lib.rs
+++ b/crates/sedgepath-yaml/src/lib.rs
@@ -1,10 +1,10 @@
-//! YAML documents whose parts know their place in the file.
+//! YAML documents with source spans.
 //!
-//! Operators' files are read into a [`YamlNode`] first and checked there, so that every mistake of a
-//! file is shown at once, each at its place, with what would be right.
+//! Operators' files are parsed into [`YamlNode`]s and validated there, so that one report shows all
+//! errors of a file, each at its location.
 
-mod mistakes;
+mod error_report;
 mod tree;
 
-pub use mistakes::{ErrorReport, LocatedError};
-pub use tree::{Entry, ReadError, Span, YamlNode, YamlValue, parse};
+pub use error_report::{ErrorReport, LocatedError};
+pub use tree::{MappingEntry, ParseError, Span, YamlNode, YamlValue, parse};
--- a/crates/sedgepath-yaml/src/tree.rs
+++ b/crates/sedgepath-yaml/src/tree.rs
@@ -1,4 +1,4 @@
-//! The parts of a document and their places.
+//! YAML values with their source spans.
 
 use std::fmt;
 
@@ -7,89 +7,90 @@
 use serde_json::{Number, Value};
 use serde_saphyr::{Location, Spanned};
 
-/// A place in a file.
+/// A byte range of a file.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Span {
-    /// The offset of its first byte.
-    pub offset: usize,
-    /// Its length in bytes.
-    pub bytes: usize,
+    /// The offset of the first byte.
+    pub offset_bytes: usize,
+    /// The number of bytes.
+    pub length_bytes: usize,
 }
 
 impl From<Location> for Span {
     fn from(location: Location) -> Self {
         let span = location.span();
         Self {
-            offset: span.byte_offset().unwrap_or_default() as usize,
-            bytes: span.byte_len().unwrap_or_default() as usize,
+            offset_bytes: span.byte_offset().unwrap_or_default() as usize,
+            length_bytes: span.byte_len().unwrap_or_default() as usize,
         }
     }
 }
 
-/// A part of a document.
+/// A value of a document with its source span.
 #[derive(Debug, Clone, PartialEq)]
 pub struct YamlNode {
-    /// What it holds.
+    /// The value without its span.
     pub content: YamlValue,
-    /// Where it stands.
+    /// The range of the file that the value was read from.
     pub span: Span,
 }
 
-/// What a part of a document holds.
+/// A YAML value.
 #[derive(Debug, Clone, PartialEq)]
 pub enum YamlValue {
-    /// Nothing.
+    /// An empty value or `null`.
     Null,
     /// `true` or `false`.
-    Flag(bool),
-    /// A number.
+    Bool(bool),
+    /// A finite number.
     Number(Number),
-    /// A text.
-    Text(Box<str>),
-    /// A list.
-    List(Vec<YamlNode>),
-    /// A mapping.
-    Mapping(Vec<Entry>),
+    /// A scalar of any other type.
+    String(Box<str>),
+    /// The items of a sequence.
+    Sequence(Vec<YamlNode>),
+    /// The entries of a mapping, in the order of the file.
+    Mapping(Vec<MappingEntry>),
 }
 
 /// An entry of a mapping.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Entry {
-    /// Its key.
+pub struct MappingEntry {
+    /// The key; other types than text are rejected.
     pub key: Box<str>,
-    /// Where the key stands.
+    /// The source span of the key.
     pub key_span: Span,
-    /// Its value.
+    /// The value with its own span.
     pub value: YamlNode,
 }
 
-/// A file that is no YAML.
+/// A syntax error, a repeated key, or a value that is not supported.
 #[derive(Debug, thiserror::Error)]
 #[error("{message}")]
-pub struct ReadError {
-    /// What the parser found.
+pub struct ParseError {
+    /// The parser's description of the error.
     pub message: Box<str>,
-    /// Where.
+    /// The location of the error, or the start of the file if the parser gives none.
     pub span: Span,
 }
 
-/// Reads all documents of a file; empty ones are left out.
+/// Parses all documents of a file and omits empty ones.
 ///
 /// # Errors
 ///
-/// Fails if the text is no YAML, or a mapping has a key twice.
-pub fn parse(text: &str) -> Result<Vec<YamlNode>, ReadError> {
+/// Fails if the text is not valid YAML or a mapping contains a key twice.
+pub fn parse(text: &str) -> Result<Vec<YamlNode>, ParseError> {
     let documents: Vec<YamlNode> = serde_saphyr::from_multiple(text).map_err(|error| {
         let plain = error.without_snippet();
-        let span = plain.location().map(|location| place_of_error(text, location));
+        let span = plain.location().map(|location| error_span(text, location));
         let span = span.unwrap_or_default();
-        ReadError { message: plain.to_string().into(), span }
+        ParseError { message: plain.to_string().into(), span }
     })?;
     Ok(documents.into_iter().filter(|document| document.content != YamlValue::Null).collect())
 }
 
-/// The places of some errors have a line and a column only.
-fn place_of_error(text: &str, location: Location) -> Span {
+/// Returns the span of a parser error; computes the offset of a location that has only a line and a
+/// column.
+fn error_span(text: &str, location: Location) -> Span {
     if location.span().byte_offset().is_some_and(|offset| offset > 0) {
         return location.into();
     }
@@ -98,77 +99,79 @@
     let line = text.get(line_offset..).unwrap_or_default();
     let column = location.column().saturating_sub(1) as usize;
     let column_offset = line.char_indices().nth(column).map_or(0, |(offset, _)| offset);
-    Span { offset: line_offset + column_offset, bytes: 1 }
+    Span { offset_bytes: line_offset + column_offset, length_bytes: 1 }
 }
 
 impl YamlNode {
-    /// Returns the value of a field of a mapping.
+    /// Returns the value of a key, or `None` if this is not a mapping with that key.
     pub fn field(&self, name: &str) -> Option<&Self> {
         self.entry(name).map(|entry| &entry.value)
     }
 
-    fn entry(&self, name: &str) -> Option<&Entry> {
+    fn entry(&self, name: &str) -> Option<&MappingEntry> {
         match &self.content {
             YamlValue::Mapping(entries) => entries.iter().find(|entry| &*entry.key == name),
             _ => None,
         }
     }
 
-    /// Returns the same as JSON.
+    /// Converts the value to JSON, without spans.
     pub fn to_json(&self) -> Value {
         match &self.content {
             YamlValue::Null => Value::Null,
-            YamlValue::Flag(flag) => Value::Bool(*flag),
+            YamlValue::Bool(flag) => Value::Bool(*flag),
             YamlValue::Number(number) => Value::Number(number.clone()),
-            YamlValue::Text(text) => Value::String(text.to_string()),
-            YamlValue::List(items) => items.iter().map(Self::to_json).collect(),
+            YamlValue::String(text) => Value::String(text.to_string()),
+            YamlValue::Sequence(items) => items.iter().map(Self::to_json).collect(),
             YamlValue::Mapping(entries) => {
                 entries.iter().map(|entry| (entry.key.to_string(), entry.value.to_json())).collect()
             }
         }
     }
 
-    /// Returns the place of the key that a path ends with, if it ends with one.
-    pub fn key_place(&self, path: &ValuePath) -> Option<Span> {
+    /// Returns the span of the key at the end of a path, or `None` if the path ends with an index or
+    /// does not exist.
+    pub fn key_span_of(&self, path: &ValuePath) -> Option<Span> {
         let (PathSegment::Field(name), parent) = path.0.split_last()? else { return None };
-        let parent = parent.iter().try_fold(self, |tree, segment| tree.step(segment))?;
+        let parent = parent.iter().try_fold(self, |node, segment| node.child(segment))?;
         parent.entry(name).map(|entry| entry.key_span)
     }
 
-    fn step(&self, segment: &PathSegment) -> Option<&Self> {
+    fn child(&self, segment: &PathSegment) -> Option<&Self> {
         match (segment, &self.content) {
             (PathSegment::Field(name), _) => self.field(name),
-            (PathSegment::Item(index), YamlValue::List(items)) => items.get(*index),
+            (PathSegment::Item(index), YamlValue::Sequence(items)) => items.get(*index),
             (PathSegment::Item(_), _) => None,
         }
     }
 
-    /// Returns the place to show for a path: that of the value if it fits one line, else of the key
-    /// that leads to it. Of a path that ends nowhere, the last part that is there is shown.
+    /// Returns the span that an error report marks for a path: that of a scalar, or else that of the
+    /// key, since other values may extend over many lines. A value without a key is marked at its
+    /// first part, and a path that does not exist at its longest existing prefix.
     pub fn span_of(&self, path: &ValuePath) -> Span {
-        let mut tree = self;
+        let mut node = self;
         let mut key_span = None;
         for segment in &path.0 {
-            let Some(next) = tree.step(segment) else { break };
+            let Some(next) = node.child(segment) else { break };
             key_span = match segment {
-                PathSegment::Field(name) => tree.entry(name).map(|entry| entry.key_span),
+                PathSegment::Field(name) => node.entry(name).map(|entry| entry.key_span),
                 PathSegment::Item(_) => None,
             };
-            tree = next;
+            node = next;
         }
-        tree.line_span(key_span)
+        node.report_span(key_span)
     }
 
-    fn line_span(&self, key_span: Option<Span>) -> Span {
+    fn report_span(&self, key_span: Option<Span>) -> Span {
         match &self.content {
-            YamlValue::List(items) => {
-                key_span.or_else(|| items.first().map(|item| item.line_span(None)))
+            YamlValue::Sequence(items) => {
+                key_span.or_else(|| items.first().map(|item| item.report_span(None)))
             }
             YamlValue::Mapping(entries) => {
                 key_span.or_else(|| entries.first().map(|entry| entry.key_span))
             }
             YamlValue::Null => key_span,
-            YamlValue::Flag(_) | YamlValue::Number(_) | YamlValue::Text(_) => None,
+            YamlValue::Bool(_) | YamlValue::Number(_) | YamlValue::String(_) => None,
         }
         .unwrap_or(self.span)
     }
@@ -209,7 +212,7 @@
     }
 
     fn visit_bool<E>(self, v: bool) -> Result<YamlValue, E> {
-        Ok(YamlValue::Flag(v))
+        Ok(YamlValue::Bool(v))
     }
 
     fn visit_u64<E>(self, v: u64) -> Result<YamlValue, E> {
@@ -226,7 +229,7 @@
     }
 
     fn visit_str<E>(self, v: &str) -> Result<YamlValue, E> {
-        Ok(YamlValue::Text(v.into()))
+        Ok(YamlValue::String(v.into()))
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<YamlValue, A::Error> {
@@ -234,16 +237,16 @@
         while let Some(item) = seq.next_element()? {
             list.push(item);
         }
-        Ok(YamlValue::List(list))
+        Ok(YamlValue::Sequence(list))
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<YamlValue, A::Error> {
         let mut entries = Vec::new();
         while let Some(key) = map.next_key::<YamlNode>()? {
-            let YamlValue::Text(name) = key.content else {
+            let YamlValue::String(name) = key.content else {
                 return Err(A::Error::custom("a key must be text"));
             };
-            entries.push(Entry { key: name, key_span: key.span, value: map.next_value()? });
+            entries.push(MappingEntry { key: name, key_span: key.span, value: map.next_value()? });
         }
         Ok(YamlValue::Mapping(entries))
     }
