--- a/crates/sedgepath-core/src/drain.rs
+++ b/crates/sedgepath-core/src/drain.rs
@@ -23,17 +23,17 @@
 use crate::shift::traffic_split::TrafficSplit;
 
 /// The share up to which a domain counts as empty, because of floating-point rounding.
-const NO_SHARE: f64 = 1e-9;
+const SHARE_EPSILON: f64 = 1e-9;
 
 /// The time until all nodes apply a record and have begun the next part of a window.
-const IN_FORCE_MS: u64 = 3_000;
+const RECORD_PROPAGATION_MS: u64 = 3_000;
 
 /// The maximum number of window parts that a prediction covers.
-const MOST_PARTS: u32 = 20_000;
+const MAX_WINDOW_BUCKETS: u32 = 20_000;
 
 /// Placeholder domains of the prediction, which only needs the share that moves between them.
-const TARGET: DomainKey = DomainKey(0);
-const ELSEWHERE: DomainKey = DomainKey(1);
+const DRAINED_DOMAIN: DomainKey = DomainKey(0);
+const OTHER_DOMAINS: DomainKey = DomainKey(1);
 
 /// The part of the deployment that a drain takes out of service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -110,8 +110,8 @@
         given_ms: u64,
     },
     /// The shift cap doesn't let the share move within the predicted period.
-    #[error("service {service}, group {origin}: the cap lets nothing move")]
-    NoCap {
+    #[error("service {service}, group {origin}: the shift cap does not let the share move")]
+    CapTooSmallToMove {
         /// The service's name.
         service: Box<str>,
         /// The origin group's name.
@@ -119,7 +119,7 @@
     },
     /// The longest deadline of the service exceeds the given time.
     #[error("service {service}: requests may run for {longest_deadline_ms} ms, not {given_ms} ms")]
-    LongRequests {
+    DeadlineTooLong {
         /// The service's name.
         service: Box<str>,
         /// The longest deadline of its requests, in milliseconds.
@@ -133,14 +133,14 @@
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum DrainError {
     /// The target is in no record.
-    #[error("the records know no such upstream or failure domain")]
+    #[error("no such upstream or failure domain is configured")]
     UnknownTarget,
     /// The drain can't finish in time, for these reasons.
-    #[error("the drain cannot finish in time: {}", list(.0))]
+    #[error("the drain cannot finish in time: {}", join_reasons(.0))]
     Refused(Vec<DrainObstacle>),
 }
 
-fn list(obstacles: &[DrainObstacle]) -> String {
+fn join_reasons(obstacles: &[DrainObstacle]) -> String {
     obstacles.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
@@ -157,16 +157,16 @@
         now_ms: u64,
         finish_by_ms: u64,
     ) -> Result<Self, DrainError> {
-        if !is_known(catalogue, target) {
+        if !target_exists(catalogue, target) {
             return Err(DrainError::UnknownTarget);
         }
         let given_ms = finish_by_ms.saturating_sub(now_ms);
         let mut groups = Vec::new();
         let mut obstacles = Vec::new();
-        for (service, entry) in services_at(catalogue, target) {
-            for origin in origins(entry) {
-                let group = Group { catalogue, target, service, entry, origin };
-                match group.drain(now_ms, given_ms) {
+        for (service, entry) in services_with_target(catalogue, target) {
+            for origin in origin_groups(entry) {
+                let group = GroupPlanner { catalogue, target, service, entry, origin };
+                match group.plan(now_ms, given_ms) {
                     Ok(drain) => groups.push(drain),
                     Err(obstacle) => obstacles.push(obstacle),
                 }
@@ -181,7 +181,7 @@
     }
 }
 
-fn is_known(catalogue: &Catalogue, target: DrainTarget) -> bool {
+fn target_exists(catalogue: &Catalogue, target: DrainTarget) -> bool {
     match target {
         DrainTarget::Upstream(upstream) => catalogue.upstreams.contains_key(&upstream),
         DrainTarget::Domain(domain) => catalogue.domains.contains_key(&domain),
@@ -189,9 +189,12 @@
 }
 
 /// Returns the services with upstreams in the target, in the order of their keys.
-fn services_at(catalogue: &Catalogue, target: DrainTarget) -> Vec<(ServiceKey, &ServiceEntry)> {
+fn services_with_target(
+    catalogue: &Catalogue,
+    target: DrainTarget,
+) -> Vec<(ServiceKey, &ServiceEntry)> {
     let is_at = |entry: &ServiceEntry| {
-        entry.upstreams.iter().any(|upstream| is_part(catalogue, target, *upstream))
+        entry.upstreams.iter().any(|upstream| target_contains(catalogue, target, *upstream))
     };
     let services = catalogue.services.iter().filter(|(_, entry)| is_at(entry));
     let mut services: Vec<_> = services.map(|(key, entry)| (*key, entry)).collect();
@@ -199,7 +202,7 @@
     services
 }
 
-fn is_part(catalogue: &Catalogue, target: DrainTarget, upstream: UpstreamKey) -> bool {
+fn target_contains(catalogue: &Catalogue, target: DrainTarget, upstream: UpstreamKey) -> bool {
     match target {
         DrainTarget::Upstream(drained) => upstream == drained,
         DrainTarget::Domain(domain) => {
@@ -208,7 +211,7 @@
     }
 }
 
-fn origins(entry: &ServiceEntry) -> Vec<OriginKey> {
+fn origin_groups(entry: &ServiceEntry) -> Vec<OriginKey> {
     let steering = entry.steering.iter();
     let mut origins: Vec<_> =
         steering.flat_map(|steering| steering.shares.keys().copied()).collect();
@@ -218,7 +221,7 @@
 
 /// Predicts the drain of one service for callers of one origin group.
 #[derive(Debug, Clone, Copy)]
-struct Group<'a> {
+struct GroupPlanner<'a> {
     catalogue: &'a Catalogue,
     target: DrainTarget,
     service: ServiceKey,
@@ -226,14 +229,14 @@
     origin: OriginKey,
 }
 
-impl Group<'_> {
-    fn drain(self, now_ms: u64, given_ms: u64) -> Result<GroupDrain, DrainObstacle> {
+impl GroupPlanner<'_> {
+    fn plan(self, now_ms: u64, given_ms: u64) -> Result<GroupDrain, DrainObstacle> {
         let longest_deadline_ms = self.entry.longest_deadline_ms;
         let service = self.entry.name.clone();
-        let share = self.share()?;
-        let steps = self.steps(share, now_ms)?;
+        let share = self.share_to_move()?;
+        let steps = self.predict_steps(share, now_ms)?;
         if longest_deadline_ms > given_ms {
-            return Err(DrainObstacle::LongRequests { service, longest_deadline_ms, given_ms });
+            return Err(DrainObstacle::DeadlineTooLong { service, longest_deadline_ms, given_ms });
         }
         let moved_at_ms = steps.last().map_or(now_ms, |step| step.at_ms);
         let predicted_end_ms = moved_at_ms + longest_deadline_ms;
@@ -254,23 +257,23 @@
     }
 
     /// Returns the remaining share after each window, up to the time when it is zero.
-    fn steps(self, share: f64, now_ms: u64) -> Result<Vec<DrainStep>, DrainObstacle> {
+    fn predict_steps(self, share: f64, now_ms: u64) -> Result<Vec<DrainStep>, DrainObstacle> {
         let mut steps = vec![DrainStep { at_ms: now_ms, share }];
-        if share <= NO_SHARE {
+        if share <= SHARE_EPSILON {
             return Ok(steps);
         }
         let cap = self.cap();
-        let from_ms = now_ms + IN_FORCE_MS;
+        let from_ms = now_ms + RECORD_PROPAGATION_MS;
         // The random remainders affect the placement of single requests, not the shares.
         let mut random = fastrand::Rng::with_seed(0);
-        let shares = [(TARGET, share), (ELSEWHERE, 1.0 - share)];
-        let mut standing = TrafficSplit::new(&shares, from_ms, &mut random);
+        let shares = [(DRAINED_DOMAIN, share), (OTHER_DOMAINS, 1.0 - share)];
+        let mut split = TrafficSplit::new(&shares, from_ms, &mut random);
         let mut next_step_ms = from_ms;
-        for _ in 0..MOST_PARTS {
-            let at_ms = standing.bucket_ends_at_ms();
-            standing.begin_bucket(&[0.0, 1.0], cap, at_ms);
-            let left = standing.shares()[0].1;
-            if left <= NO_SHARE {
+        for _ in 0..MAX_WINDOW_BUCKETS {
+            let at_ms = split.bucket_ends_at_ms();
+            split.begin_bucket(&[0.0, 1.0], cap, at_ms);
+            let left = split.shares()[0].1;
+            if left <= SHARE_EPSILON {
                 steps.push(DrainStep { at_ms, share: 0.0 });
                 return Ok(steps);
             }
@@ -280,11 +283,11 @@
             }
         }
         let origin = self.origin_name();
-        Err(DrainObstacle::NoCap { service: self.entry.name.clone(), origin })
+        Err(DrainObstacle::CapTooSmallToMove { service: self.entry.name.clone(), origin })
     }
 
     /// Returns the share that has to leave the failure domain.
-    fn share(self) -> Result<f64, DrainObstacle> {
+    fn share_to_move(self) -> Result<f64, DrainObstacle> {
         let domain = match self.target {
             DrainTarget::Domain(domain) => domain,
             DrainTarget::Upstream(upstream) => self.catalogue.upstreams[&upstream].domain,
@@ -292,18 +295,18 @@
         let shares = self.catalogue.shares(self.service, self.origin).unwrap_or_default();
         let declared =
             shares.iter().find(|(key, _)| *key == domain).map_or(0.0, |(_, share)| *share);
-        if declared <= NO_SHARE {
+        if declared <= SHARE_EPSILON {
             return Ok(0.0);
         }
-        let drained: u32 = self.slots(domain, |upstream| self.is_part(upstream));
-        let stays: u32 = self.slots(domain, |upstream| !self.is_part(upstream));
-        let elsewhere = shares
+        let drained: u32 = self.slots(domain, |upstream| self.is_drained(upstream));
+        let remaining: u32 = self.slots(domain, |upstream| !self.is_drained(upstream));
+        let has_other_domain = shares
             .iter()
             .any(|(key, share)| *key != domain && *share > 0.0 && self.slots(*key, |_| true) > 0);
-        if elsewhere {
-            return Ok(declared * f64::from(drained) / f64::from((drained + stays).max(1)));
+        if has_other_domain {
+            return Ok(declared * f64::from(drained) / f64::from((drained + remaining).max(1)));
         }
-        if stays > 0 {
+        if remaining > 0 {
             return Ok(0.0);
         }
         Err(DrainObstacle::NoCapacity {
@@ -323,15 +326,15 @@
         let upstreams = self.entry.upstreams.iter().copied();
         upstreams
             .filter(|upstream| counts(*upstream))
-            .filter(|upstream| !self.catalogue.is_draining(*upstream) || self.is_part(*upstream))
+            .filter(|upstream| !self.catalogue.is_draining(*upstream) || self.is_drained(*upstream))
             .map(|upstream| &self.catalogue.upstreams[&upstream])
             .filter(|entry| entry.domain == domain)
             .map(|entry| entry.slots)
             .sum()
     }
 
-    fn is_part(self, upstream: UpstreamKey) -> bool {
-        is_part(self.catalogue, self.target, upstream)
+    fn is_drained(self, upstream: UpstreamKey) -> bool {
+        target_contains(self.catalogue, self.target, upstream)
     }
 
     fn origin_name(self) -> Box<str> {
--- a/crates/sedgepath-core/src/egress.rs
+++ b/crates/sedgepath-core/src/egress.rs
@@ -21,36 +21,36 @@
 use crate::timeline::Topic;
 
 mod connections;
+mod context;
 mod health;
+mod interpolation;
 mod leaving;
 mod queue;
-mod ramp;
-mod report;
+mod reported_slots;
 mod reserve;
-mod rise;
-mod scope;
 mod service;
 pub mod settings;
 mod upstream;
 mod upstreams;
+mod warm_up;
 
-pub use leaving::Notice;
-use queue::Waiting;
-pub use scope::AdmissionContext;
-use service::{Outlook, Service};
+pub use context::AdmissionContext;
+pub use leaving::LeavingNotice;
+use queue::QueuedRequest;
+use service::{GroupSlots, ServiceState};
 use settings::{AdmissionSettings, Queueing};
-use upstream::{Change, Sent};
-use upstreams::{Capacity, Choice, Upstreams};
+use upstream::{CallTerms, HealthChange};
+use upstreams::{ChosenUpstream, ServiceCapacity, UpstreamTable};
 
 /// The retry time told to a caller for whom no upstream is available, in milliseconds.
 const RETRY_AFTER_MS: u64 = 500;
 
 /// A dispatched request that was sent to an upstream.
 #[derive(Debug, Clone, Copy)]
-struct Call {
+struct ActiveCall {
     upstream: UpstreamKey,
     service: ServiceKey,
-    sent: Sent,
+    terms: CallTerms,
     sent_at_ms: u64,
 }
 
@@ -58,9 +58,9 @@
 #[derive(Debug)]
 pub struct Egress {
     settings: AdmissionSettings,
-    calls: Map<ExchangeKey, Call>,
-    upstreams: Upstreams,
-    services: Map<ServiceKey, Service>,
+    calls: Map<ExchangeKey, ActiveCall>,
+    upstreams: UpstreamTable,
+    services: Map<ServiceKey, ServiceState>,
 }
 
 impl Default for Egress {
@@ -75,7 +75,7 @@
         Self {
             settings,
             calls: Map::default(),
-            upstreams: Upstreams::new(settings.warm_up),
+            upstreams: UpstreamTable::new(settings.warm_up),
             services: Map::default(),
         }
     }
@@ -91,26 +91,31 @@
         let now_ms = out.now_ms();
         let capacity = self.upstreams.capacity(dispatch.service, scope, now_ms);
         if !self.upstreams.is_usable(dispatch.service, dispatch.avoid_upstream, scope, now_ms) {
-            out.push(Action::RejectDispatch { exchange, refusal: unusable(capacity, now_ms) });
+            out.push(Action::RejectDispatch {
+                exchange,
+                refusal: unusable_refusal(capacity, now_ms),
+            });
             return;
         }
         // Caps the deadline that the peer asks for: a lost call holds its slot until its deadline, and
         // the grants to other members assume the longest deadline of the record.
         let longest_ms = longest_deadline_ms(dispatch.service, scope);
         let deadline_at_ms = now_ms + dispatch.remaining_ms.min(longest_ms);
-        let waiting = Waiting {
+        let request = QueuedRequest {
             exchange,
             class: dispatch.class,
             deadline_at_ms,
-            since_ms: now_ms,
-            avoid: dispatch.avoid_upstream,
+            queued_at_ms: now_ms,
+            avoid_upstream: dispatch.avoid_upstream,
         };
         let service = self.services.entry(dispatch.service).or_default();
-        service.queue.push(waiting);
-        if waiting.pays() {
-            service.reserve.note(capacity.paying + service.queue.paying(), now_ms);
+        service.queue.push(request);
+        if request.is_paying() {
+            service
+                .reserve
+                .record_demand(capacity.paying_slots + service.queue.paying_count(), now_ms);
         }
-        self.serve(dispatch.service, scope, out);
+        self.send_queued(dispatch.service, scope, out);
     }
 
     /// Frees the slot of a call that has ended, and sends queued requests that fit now.
@@ -125,16 +130,16 @@
             return;
         };
         let now_ms = out.now_ms();
-        let upstream = self.upstreams.entry(call.upstream);
-        let change = upstream.end(call.sent, end, now_ms);
-        if change == Change::Paused {
+        let upstream = self.upstreams.state_mut(call.upstream);
+        let change = upstream.call_ended(call.terms, end, now_ms);
+        if change == HealthChange::Paused {
             log_upstream(Topic::Admission, "upstream_paused", call.upstream, scope, out);
         }
         if end == CallOutcome::Completed {
             let took_ms = now_ms.saturating_sub(call.sent_at_ms);
-            self.services.entry(call.service).or_default().time.note(took_ms);
+            self.services.entry(call.service).or_default().service_time.add_sample(took_ms);
         }
-        self.serve(call.service, scope, out);
+        self.send_queued(call.service, scope, out);
     }
 
     /// Stops a dispatch that the ingress no longer waits for: refuses it if it is queued, and tries
@@ -156,9 +161,9 @@
     }
 
     /// Returns the number of dispatches that run at upstreams or are queued.
-    pub fn calls_in_flight(&self) -> usize {
-        let waiting = self.services.values().map(|service| service.queue.waiting().len());
-        self.calls.len() + waiting.sum::<usize>()
+    pub fn dispatches_in_flight(&self) -> usize {
+        let queued = self.services.values().map(|service| service.queue.requests().len());
+        self.calls.len() + queued.sum::<usize>()
     }
 
     /// Applies an upstream's load report, and sends queued requests that fit now.
@@ -172,19 +177,19 @@
         if report.leaving {
             self.mark_leaving(upstream, scope, out);
         }
-        self.upstreams.entry(upstream).take_report(&report);
+        self.upstreams.state_mut(upstream).record_report(&report);
         if let Some(entry) = scope.catalogue.upstreams.get(&upstream) {
-            self.serve(entry.service, scope, out);
+            self.send_queued(entry.service, scope, out);
         }
     }
 
     /// Sets the number of connections that are open to an upstream.
     pub fn set_open_connections(&mut self, upstream: UpstreamKey, open: u32, now_ms: u64) {
-        self.upstreams.entry(upstream).take_connections(open, now_ms);
+        self.upstreams.state_mut(upstream).set_open_connections(open, now_ms);
     }
 
     /// Marks an upstream as leaving, as learnt from the upstream or the platform. It gets no new
-    /// requests from now on, and [`Self::leaving_notice`] returns the notices for the peers.
+    /// requests from now on, and [`Self::due_leaving_notice`] returns the notices for the peers.
     pub fn mark_leaving(
         &mut self,
         upstream: UpstreamKey,
@@ -201,39 +206,39 @@
     }
 
     /// Merges a peer's list of leaving upstreams.
-    pub fn take_leaving(
+    pub fn merge_leaving(
         &mut self,
         leaving: &LeavingUpstreams,
         scope: AdmissionContext<'_>,
         out: &mut Outbox,
     ) {
         for entry in &leaving.upstreams {
-            if self.upstreams.leaving.take(*entry, out.now_ms()) {
+            if self.upstreams.leaving.merge(*entry, out.now_ms()) {
                 log_upstream(Topic::Drain, "upstream_leaving_told", entry.upstream, scope, out);
             }
         }
     }
 
     /// Returns the notice that is due to be sent to the peers of the failure domain, if any.
-    pub fn leaving_notice(&mut self, now_ms: u64) -> Option<Notice> {
-        self.upstreams.leaving.notice(now_ms)
+    pub fn due_leaving_notice(&mut self, now_ms: u64) -> Option<LeavingNotice> {
+        self.upstreams.leaving.due_notice(now_ms)
     }
 
     /// Returns the leaving upstreams, for a peer that joins.
-    pub fn leaving(&self, now_ms: u64) -> LeavingUpstreams {
-        self.upstreams.leaving.told(now_ms)
+    pub fn leaving_upstreams(&self, now_ms: u64) -> LeavingUpstreams {
+        self.upstreams.leaving.snapshot(now_ms)
     }
 
     /// Expires what is past its time, refuses queued requests that can no longer be served and sends
     /// those that fit.
     pub fn tick(&mut self, scope: AdmissionContext<'_>, out: &mut Outbox) {
         let now_ms = out.now_ms();
-        self.upstreams.tick(scope, now_ms);
+        self.upstreams.expire(scope, now_ms);
         let mut services: Vec<_> = self.services.keys().copied().collect();
         services.sort_unstable();
         for service in services {
-            self.services.entry(service).or_default().reserve.advance(now_ms);
-            self.serve(service, scope, out);
+            self.services.entry(service).or_default().reserve.decay(now_ms);
+            self.send_queued(service, scope, out);
         }
     }
 
@@ -249,48 +254,48 @@
         self.upstreams.loads(scope, now_ms)
     }
 
-    fn kept(&self, service: &Service, capacity: Capacity) -> u32 {
-        let Capacity { slots, paying, .. } = capacity;
+    fn reserved_slots(&self, service: &ServiceState, capacity: ServiceCapacity) -> u32 {
+        let ServiceCapacity { slots, paying_slots: paying, .. } = capacity;
         if self.settings.reserve_for_paying { service.reserve.slots(slots, paying) } else { 0 }
     }
 
     /// Sends the queued requests of a service that fit, and refuses those that can't be served.
-    fn serve(&mut self, key: ServiceKey, scope: AdmissionContext<'_>, out: &mut Outbox) {
+    fn send_queued(&mut self, key: ServiceKey, scope: AdmissionContext<'_>, out: &mut Outbox) {
         let now_ms = out.now_ms();
-        self.refuse_overdue(key, out);
-        let mut place = 0;
-        while let Some(waiting) = self.waiting(key, place) {
-            if self.free_for(waiting.pays(), key, scope, now_ms) == 0 {
+        self.refuse_expired(key, out);
+        let mut index = 0;
+        while let Some(request) = self.queued_at(key, index) {
+            if self.free_slots_for(request.is_paying(), key, scope, now_ms) == 0 {
                 break;
             }
-            match self.upstreams.choose(key, waiting.avoid, scope, now_ms) {
+            match self.upstreams.choose(key, request.avoid_upstream, scope, now_ms) {
                 Some(choice) => {
                     let service = self.services.entry(key).or_default();
-                    service.queue.remove(place);
-                    service.sent(waiting.pays(), now_ms);
-                    self.send(key, &waiting, choice, out);
+                    service.queue.remove(index);
+                    service.record_sent(request.is_paying(), now_ms);
+                    self.send(key, &request, choice, out);
                 }
-                None => place += 1,
+                None => index += 1,
             }
         }
-        self.refuse(key, scope, out);
+        self.refuse_unservable(key, scope, out);
     }
 
     /// Refuses queued requests whose deadline has passed, for example while the process was paused.
-    fn refuse_overdue(&mut self, key: ServiceKey, out: &mut Outbox) {
+    fn refuse_expired(&mut self, key: ServiceKey, out: &mut Outbox) {
         let now_ms = out.now_ms();
         let Some(service) = self.services.get_mut(&key) else {
             return;
         };
-        for waiting in service.queue.drain_refused(|waiting| waiting.deadline_at_ms <= now_ms) {
+        for request in service.queue.remove_where(|request| request.deadline_at_ms <= now_ms) {
             let refusal =
                 Rejection { reason: RejectionReason::Deadline, retry_after_ms: RETRY_AFTER_MS };
-            out.push(Action::RejectDispatch { exchange: waiting.exchange, refusal });
+            out.push(Action::RejectDispatch { exchange: request.exchange, refusal });
         }
     }
 
     /// Returns the free slots that paying requests, or all others, may take.
-    fn free_for(
+    fn free_slots_for(
         &self,
         pays: bool,
         key: ServiceKey,
@@ -299,36 +304,37 @@
     ) -> u32 {
         let capacity = self.upstreams.capacity(key, scope, now_ms);
         if pays {
-            return capacity.free;
+            return capacity.free_slots;
         }
-        let kept = self.services.get(&key).map_or(0, |service| self.kept(service, capacity));
-        capacity.free.saturating_sub(kept.saturating_sub(capacity.paying))
+        let kept =
+            self.services.get(&key).map_or(0, |service| self.reserved_slots(service, capacity));
+        capacity.free_slots.saturating_sub(kept.saturating_sub(capacity.paying_slots))
     }
 
-    fn waiting(&self, service: ServiceKey, place: usize) -> Option<Waiting> {
-        self.services.get(&service)?.queue.waiting().get(place).copied()
+    fn queued_at(&self, service: ServiceKey, index: usize) -> Option<QueuedRequest> {
+        self.services.get(&service)?.queue.requests().get(index).copied()
     }
 
     fn send(
         &mut self,
         service: ServiceKey,
-        waiting: &Waiting,
-        choice: Choice<'_>,
+        request: &QueuedRequest,
+        choice: ChosenUpstream<'_>,
         out: &mut Outbox,
     ) {
         let now_ms = out.now_ms();
         let upstream = choice.allowance.upstream;
-        let sent = Sent {
-            class: waiting.class,
+        let sent = CallTerms {
+            class: request.class,
             may_open: choice.may_open,
-            send_by_ms: choice.allowance.send_by_ms.min(waiting.deadline_at_ms),
-            deadline_at_ms: waiting.deadline_at_ms,
+            send_by_ms: choice.allowance.send_by_ms.min(request.deadline_at_ms),
+            deadline_at_ms: request.deadline_at_ms,
         };
-        self.upstreams.entry(upstream).begin(sent, now_ms);
-        let call = Call { upstream, service, sent, sent_at_ms: now_ms };
-        self.calls.insert(waiting.exchange, call);
+        self.upstreams.state_mut(upstream).call_sent(sent, now_ms);
+        let call = ActiveCall { upstream, service, terms: sent, sent_at_ms: now_ms };
+        self.calls.insert(request.exchange, call);
         out.push(Action::CallUpstream {
-            exchange: waiting.exchange,
+            exchange: request.exchange,
             upstream,
             domain: choice.entry.domain,
             address: choice.entry.address,
@@ -339,62 +345,69 @@
     }
 
     /// Refuses queued requests that would miss their deadline or exceed the limits of the queue.
-    fn refuse(&mut self, key: ServiceKey, scope: AdmissionContext<'_>, out: &mut Outbox) {
+    fn refuse_unservable(
+        &mut self,
+        key: ServiceKey,
+        scope: AdmissionContext<'_>,
+        out: &mut Outbox,
+    ) {
         let now_ms = out.now_ms();
         let capacity = self.upstreams.capacity(key, scope, now_ms);
         let settings = self.settings;
-        let kept = self.services.get(&key).map_or(0, |service| self.kept(service, capacity));
+        let kept =
+            self.services.get(&key).map_or(0, |service| self.reserved_slots(service, capacity));
         let Some(service) = self.services.get_mut(&key) else {
             return;
         };
-        let outlook = Outlook {
+        let group_slots = GroupSlots {
             paying: capacity.slots,
-            others: capacity.slots.saturating_sub(kept.max(capacity.paying)),
+            others: capacity.slots.saturating_sub(kept.max(capacity.paying_slots)),
         };
         let mut refused = Vec::new();
         match settings.queueing {
             _ if capacity.slots == 0 => {
-                for waiting in service.queue.drain_refused(|_| true) {
-                    refused.push((waiting, unusable(capacity, now_ms)));
+                for request in service.queue.remove_where(|_| true) {
+                    refused.push((request, unusable_refusal(capacity, now_ms)));
                 }
             }
             Queueing::Off => {
-                for waiting in service.queue.drain_refused(|_| true) {
-                    let retry_after_ms = service.retry_after_ms(waiting.pays(), outlook, now_ms);
-                    refused.push((waiting, full(retry_after_ms)));
+                for request in service.queue.remove_where(|_| true) {
+                    let retry_after_ms =
+                        service.retry_after_ms(request.is_paying(), group_slots, now_ms);
+                    refused.push((request, full_refusal(retry_after_ms)));
                 }
             }
             Queueing::Unbounded => {}
             Queueing::Bounded { paying_per_slot, others_per_slot } => {
-                for (waiting, retry_after_ms) in service.refuse_late(outlook, now_ms) {
-                    refused.push((waiting, full(retry_after_ms)));
+                for (request, retry_after_ms) in service.remove_late(group_slots, now_ms) {
+                    refused.push((request, full_refusal(retry_after_ms)));
                 }
                 let bounds = [
-                    (true, paying_per_slot * outlook.paying),
-                    (false, others_per_slot * outlook.others),
+                    (true, paying_per_slot * group_slots.paying),
+                    (false, others_per_slot * group_slots.others),
                 ];
                 for (pays, bound) in bounds {
-                    while let Some(waiting) = service.queue.pop_above(pays, bound) {
-                        let retry_after_ms = service.retry_after_ms(pays, outlook, now_ms);
-                        refused.push((waiting, full(retry_after_ms)));
+                    while let Some(request) = service.queue.pop_over_limit(pays, bound) {
+                        let retry_after_ms = service.retry_after_ms(pays, group_slots, now_ms);
+                        refused.push((request, full_refusal(retry_after_ms)));
                     }
                 }
             }
         }
-        for (waiting, refusal) in refused {
-            out.push(Action::RejectDispatch { exchange: waiting.exchange, refusal });
+        for (request, refusal) in refused {
+            out.push(Action::RejectDispatch { exchange: request.exchange, refusal });
         }
     }
 }
 
-fn full(retry_after_ms: u64) -> Rejection {
+fn full_refusal(retry_after_ms: u64) -> Rejection {
     Rejection { reason: RejectionReason::Full, retry_after_ms }
 }
 
 /// Returns the rejection for a service none of whose upstreams can be used.
-fn unusable(capacity: Capacity, now_ms: u64) -> Rejection {
+fn unusable_refusal(capacity: ServiceCapacity, now_ms: u64) -> Rejection {
     let reason =
-        if capacity.owned { RejectionReason::NoUpstream } else { RejectionReason::NotOwner };
+        if capacity.may_send { RejectionReason::NoUpstream } else { RejectionReason::NotOwner };
     let retry_after_ms = match capacity.retry_at_ms {
         Some(retry_at_ms) => retry_at_ms.saturating_sub(now_ms).max(1),
         None => RETRY_AFTER_MS,
--- a/crates/sedgepath-core/src/egress/connections.rs
+++ b/crates/sedgepath-core/src/egress/connections.rs
@@ -9,11 +9,11 @@
 
 use crate::allowance::Allowance;
 
-const SECOND_MS: u64 = 1_000;
+const RATE_WINDOW_MS: u64 = 1_000;
 
 /// The connections to one upstream and the outstanding permissions to open more.
 #[derive(Debug, Default)]
-pub struct Connections {
+pub struct ConnectionLimits {
     open: u32,
     /// Running calls that may open a connection.
     permitted: u32,
@@ -22,7 +22,7 @@
     opened_at_ms: VecDeque<u64>,
 }
 
-impl Connections {
+impl ConnectionLimits {
     /// Returns whether a new call may open a connection, or `None` if it could get no connection.
     ///
     /// A call that should find an idle connection may open a new one as well if that leaves a
@@ -30,20 +30,21 @@
     pub fn permit(&self, allowance: &Allowance, running: u32, now_ms: u64) -> Option<bool> {
         let outstanding = self.permitted.saturating_sub(self.reported);
         let by_limit = allowance.connections.saturating_sub(self.open + outstanding);
-        let recent = self.opened_at_ms.iter().filter(|at_ms| **at_ms + SECOND_MS > now_ms).count();
+        let recent =
+            self.opened_at_ms.iter().filter(|at_ms| **at_ms + RATE_WINDOW_MS > now_ms).count();
         let by_rate = allowance.new_connections_per_s.saturating_sub(recent as u32 + outstanding);
         let spare = by_limit.min(by_rate);
         if self.open > running { Some(spare > 1) } else { (spare > 0).then_some(true) }
     }
 
     /// Counts the permission of a call that is sent.
-    pub fn begin(&mut self, may_open: bool) {
+    pub fn record_sent(&mut self, may_open: bool) {
         self.permitted += u32::from(may_open);
     }
 
     /// Releases the permission of a call that has ended; `failed` says that no connection could be
     /// opened for it.
-    pub fn end(&mut self, may_open: bool, failed: bool, now_ms: u64) {
+    pub fn record_end(&mut self, may_open: bool, failed: bool, now_ms: u64) {
         if !may_open {
             return;
         }
@@ -58,8 +59,8 @@
     }
 
     /// Sets the number of open connections, and counts the new ones against the rate.
-    pub fn report(&mut self, open: u32, now_ms: u64) {
-        while self.opened_at_ms.front().is_some_and(|at_ms| at_ms + SECOND_MS <= now_ms) {
+    pub fn set_open(&mut self, open: u32, now_ms: u64) {
+        while self.opened_at_ms.front().is_some_and(|at_ms| at_ms + RATE_WINDOW_MS <= now_ms) {
             self.opened_at_ms.pop_front();
         }
         for _ in self.open..open {
--- a/crates/sedgepath-core/src/egress/scope.rs
+++ b/crates/sedgepath-core/src/egress/context.rs
@@ -22,7 +22,7 @@
     }
 
     /// Returns the upstreams of a service that the node may use.
-    pub fn of(
+    pub fn upstreams_of(
         self,
         service: ServiceKey,
     ) -> impl Iterator<Item = (&'a Allowance, &'a UpstreamEntry)> {
--- a/crates/sedgepath-core/src/egress/report.rs
+++ b/crates/sedgepath-core/src/egress/reported_slots.rs
@@ -4,23 +4,23 @@
 //! effect decays with age. Otherwise an upstream that once reported no free slots would get no
 //! requests, and could never report anything else.
 
-use super::rise::risen;
+use super::interpolation::linear_rise;
 use crate::event::UpstreamReport;
 
 /// The age up to which a report has its full effect.
-const FRESH_MS: u64 = 1_000;
+const FULL_EFFECT_MS: u64 = 1_000;
 
 /// The time over which the effect of a report then decays to nothing.
-const FADE_MS: u64 = 4_000;
+const DECAY_MS: u64 = 4_000;
 
 /// The slots that the last report of an upstream leaves to this node.
 #[derive(Debug)]
-pub struct Heard {
+pub struct ReportedSlots {
     slots: u32,
     made_at_ms: u64,
 }
 
-impl Heard {
+impl ReportedSlots {
     /// Evaluates a report, given the requests that this node may have had in flight when it was made.
     /// Any further requests in flight belong to other nodes and reduce the slots.
     pub fn new(report: &UpstreamReport, in_flight: u32) -> Self {
@@ -37,6 +37,11 @@
     /// Returns how many of `slots` may be used now.
     pub fn slots(&self, slots: u32, now_ms: u64) -> u32 {
         let age_ms = now_ms.saturating_sub(self.made_at_ms);
-        risen(self.slots.clamp(1, slots.max(1)), slots, age_ms.saturating_sub(FRESH_MS), FADE_MS)
+        linear_rise(
+            self.slots.clamp(1, slots.max(1)),
+            slots,
+            age_ms.saturating_sub(FULL_EFFECT_MS),
+            DECAY_MS,
+        )
     }
 }
--- a/crates/sedgepath-core/src/egress/reserve.rs
+++ b/crates/sedgepath-core/src/egress/reserve.rs
@@ -5,30 +5,30 @@
 //! now.
 
 /// The time between two decay steps of the peak.
-const STEP_MS: u64 = 1_000;
+const DECAY_STEP_MS: u64 = 1_000;
 
 /// The factor that the peak falls by in each step: it halves in about 23 steps.
-const KEPT_SHARE: f64 = 0.97;
+const DECAY_FACTOR: f64 = 0.97;
 
 /// The decaying peak of paying demand for a service.
 #[derive(Debug, Default)]
-pub struct Reserve {
+pub struct PayingReserve {
     peak: f64,
     step: u64,
 }
 
-impl Reserve {
+impl PayingReserve {
     /// Raises the peak to the slots that paying requests hold or wait for, if that is more.
-    pub fn note(&mut self, demand: u32, now_ms: u64) {
-        self.advance(now_ms);
+    pub fn record_demand(&mut self, demand: u32, now_ms: u64) {
+        self.decay(now_ms);
         self.peak = self.peak.max(f64::from(demand));
     }
 
     /// Decays the peak for the time since the last call.
-    pub fn advance(&mut self, now_ms: u64) {
-        let step = now_ms / STEP_MS;
+    pub fn decay(&mut self, now_ms: u64) {
+        let step = now_ms / DECAY_STEP_MS;
         let steps = step.saturating_sub(self.step).min(1_000);
-        self.peak *= KEPT_SHARE.powi(steps as i32);
+        self.peak *= DECAY_FACTOR.powi(steps as i32);
         self.step = step;
     }
 
--- a/crates/sedgepath-core/src/egress/upstreams.rs
+++ b/crates/sedgepath-core/src/egress/upstreams.rs
@@ -1,8 +1,8 @@
 //! The state of all upstreams that an owner has used, and the choice among them.
 
-use super::leaving::Leaving;
-use super::scope::AdmissionContext;
-use super::upstream::Upstream;
+use super::context::AdmissionContext;
+use super::leaving::LeavingSet;
+use super::upstream::UpstreamState;
 use crate::allowance::Allowance;
 use crate::catalogue::UpstreamEntry;
 use crate::hash::Map;
@@ -11,7 +11,7 @@
 
 /// The upstream chosen for a request.
 #[derive(Debug, Clone, Copy)]
-pub struct Choice<'a> {
+pub struct ChosenUpstream<'a> {
     /// The node's allowance for the upstream.
     pub allowance: &'a Allowance,
     /// The upstream as configured.
@@ -22,50 +22,50 @@
 
 /// The combined capacity of the upstreams of a service.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Capacity {
+pub struct ServiceCapacity {
     /// Whether this node may send to any of the upstreams.
-    pub owned: bool,
+    pub may_send: bool,
     /// The slots that may be used.
     pub slots: u32,
     /// The slots that are free.
-    pub free: u32,
+    pub free_slots: u32,
     /// The slots that paying requests hold.
-    pub paying: u32,
+    pub paying_slots: u32,
     /// When the first backed-off upstream may be tried again, in milliseconds.
     pub retry_at_ms: Option<u64>,
 }
 
 /// The state of each upstream, and the set of those that are leaving.
 #[derive(Debug)]
-pub struct Upstreams {
-    table: Map<UpstreamKey, Upstream>,
+pub struct UpstreamTable {
+    table: Map<UpstreamKey, UpstreamState>,
     /// The upstreams that are leaving.
-    pub leaving: Leaving,
-    ramps: bool,
+    pub leaving: LeavingSet,
+    warm_up_enabled: bool,
 }
 
-impl Upstreams {
+impl UpstreamTable {
     /// Creates an empty table; `ramps` says whether cold upstreams start with fewer slots.
     pub fn new(ramps: bool) -> Self {
-        Self { table: Map::default(), leaving: Leaving::default(), ramps }
+        Self { table: Map::default(), leaving: LeavingSet::default(), warm_up_enabled: ramps }
     }
 
     /// Returns the state of an upstream, creating it if absent.
-    pub fn entry(&mut self, upstream: UpstreamKey) -> &mut Upstream {
+    pub fn state_mut(&mut self, upstream: UpstreamKey) -> &mut UpstreamState {
         self.table.entry(upstream).or_default()
     }
 
     /// Returns the number of requests that may be running at an upstream.
     pub fn in_flight(&self, upstream: UpstreamKey) -> u32 {
-        self.table.get(&upstream).map_or(0, Upstream::in_flight)
+        self.table.get(&upstream).map_or(0, UpstreamState::in_flight)
     }
 
     /// Expires lost calls and leaving upstreams, and drops the state of idle upstreams that are no
     /// longer configured.
-    pub fn tick(&mut self, scope: AdmissionContext<'_>, now_ms: u64) {
+    pub fn expire(&mut self, scope: AdmissionContext<'_>, now_ms: u64) {
         self.leaving.expire(scope.catalogue, now_ms);
         for upstream in self.table.values_mut() {
-            upstream.expire(now_ms);
+            upstream.expire_lost_calls(now_ms);
         }
         // An upstream that is configured again later starts cold.
         self.table.retain(|key, upstream| {
@@ -79,7 +79,7 @@
     pub fn loads(&self, scope: AdmissionContext<'_>, now_ms: u64) -> Vec<ServiceLoad> {
         let mut loads: Vec<ServiceLoad> = Vec::new();
         for (allowance, entry) in scope.upstreams() {
-            let (slots, in_flight) = if self.leaves(allowance.upstream, scope) {
+            let (slots, in_flight) = if self.is_leaving(allowance.upstream, scope) {
                 (0, 0)
             } else {
                 (self.slots(allowance, entry, now_ms), self.in_flight(allowance.upstream))
@@ -104,17 +104,17 @@
         now_ms: u64,
     ) -> bool {
         scope
-            .of(service)
+            .upstreams_of(service)
             .filter(|(allowance, _)| Some(allowance.upstream) != avoid)
-            .filter(|(allowance, _)| !self.leaves(allowance.upstream, scope))
+            .filter(|(allowance, _)| !self.is_leaving(allowance.upstream, scope))
             .any(|(allowance, entry)| self.slots(allowance, entry, now_ms) > 0)
     }
 
     fn slots(&self, allowance: &Allowance, entry: &UpstreamEntry, now_ms: u64) -> u32 {
-        let ramps = self.ramps;
+        let ramps = self.warm_up_enabled;
         match self.table.get(&allowance.upstream) {
             Some(upstream) => upstream.slots(allowance, entry, ramps, now_ms),
-            None => Upstream::default().slots(allowance, entry, ramps, now_ms),
+            None => UpstreamState::default().slots(allowance, entry, ramps, now_ms),
         }
     }
 
@@ -124,18 +124,18 @@
         service: ServiceKey,
         scope: AdmissionContext<'_>,
         now_ms: u64,
-    ) -> Capacity {
-        let mut capacity = Capacity::default();
-        for (allowance, entry) in scope.of(service) {
-            capacity.owned |= now_ms <= allowance.send_by_ms;
-            if self.leaves(allowance.upstream, scope) {
+    ) -> ServiceCapacity {
+        let mut capacity = ServiceCapacity::default();
+        for (allowance, entry) in scope.upstreams_of(service) {
+            capacity.may_send |= now_ms <= allowance.send_by_ms;
+            if self.is_leaving(allowance.upstream, scope) {
                 continue;
             }
             let slots = self.slots(allowance, entry, now_ms);
             capacity.slots += slots;
-            capacity.free += slots.saturating_sub(self.in_flight(allowance.upstream));
+            capacity.free_slots += slots.saturating_sub(self.in_flight(allowance.upstream));
             if let Some(upstream) = self.table.get(&allowance.upstream) {
-                capacity.paying += upstream.running_paying();
+                capacity.paying_slots += upstream.running_paying();
                 let retry_at_ms = upstream.retry_at_ms();
                 capacity.retry_at_ms = retry_at_ms.into_iter().chain(capacity.retry_at_ms).min();
             }
@@ -151,29 +151,29 @@
         avoid: Option<UpstreamKey>,
         scope: AdmissionContext<'a>,
         now_ms: u64,
-    ) -> Option<Choice<'a>> {
+    ) -> Option<ChosenUpstream<'a>> {
         scope
-            .of(service)
+            .upstreams_of(service)
             .filter(|(allowance, _)| Some(allowance.upstream) != avoid)
-            .filter(|(allowance, _)| !self.leaves(allowance.upstream, scope))
+            .filter(|(allowance, _)| !self.is_leaving(allowance.upstream, scope))
             .filter_map(|(allowance, entry)| {
                 let slots = self.slots(allowance, entry, now_ms);
                 let in_flight = self.in_flight(allowance.upstream);
                 let upstream = self.table.get(&allowance.upstream);
                 let may_open = match upstream {
                     Some(upstream) => upstream.permit(allowance, now_ms)?,
-                    None => Upstream::default().permit(allowance, now_ms)?,
+                    None => UpstreamState::default().permit(allowance, now_ms)?,
                 };
-                let sent_at_ms = upstream.map_or(0, Upstream::sent_at_ms);
+                let sent_at_ms = upstream.map_or(0, UpstreamState::sent_at_ms);
                 let taken = u64::from(in_flight) * 1_000 / u64::from(slots.max(1));
                 let rank = (taken, sent_at_ms, allowance.upstream);
-                (in_flight < slots).then_some((rank, Choice { allowance, entry, may_open }))
+                (in_flight < slots).then_some((rank, ChosenUpstream { allowance, entry, may_open }))
             })
             .min_by_key(|(rank, _)| *rank)
             .map(|(_, choice)| choice)
     }
 
-    fn leaves(&self, upstream: UpstreamKey, scope: AdmissionContext<'_>) -> bool {
+    fn is_leaving(&self, upstream: UpstreamKey, scope: AdmissionContext<'_>) -> bool {
         self.leaving.contains(upstream) || scope.catalogue.has_own_drain(upstream)
     }
 }
--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -51,7 +51,7 @@
     #[error("no service has this name")]
     NoService,
     /// The node has no usable configuration of the service; another node may have one.
-    #[error("this node has no configuration that answers for the service")]
+    #[error("this node has no usable configuration of the service")]
     Configuration,
 }
 
--- a/crates/sedgepath-core/src/explain.rs
+++ b/crates/sedgepath-core/src/explain.rs
@@ -125,7 +125,7 @@
         Explanation {
             node: self.identity.card.name.clone(),
             revision: self.revision,
-            entrance: self.entrance(service, class),
+            entrance: self.check_admission(service, class),
             origin_by_block: origin != OriginKey::of(ANY_ORIGIN),
             shares_of: steering
                 .map(|_| if own_shares { origin_name.clone() } else { ANY_ORIGIN.into() }),
@@ -143,7 +143,7 @@
         }
     }
 
-    fn entrance(&self, service: ServiceKey, class: Option<Class>) -> AdmissionCheck {
+    fn check_admission(&self, service: ServiceKey, class: Option<Class>) -> AdmissionCheck {
         if !self.configuration_ready {
             return AdmissionCheck::NotReady;
         }
--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -6,7 +6,7 @@
 //! otherwise ends *unknown*.
 //!
 //! [`Ingress::begin`] is the entry for every request that may run. Each method returns the
-//! [`Conclusion`] that it reached, so that the once-only system sees every outcome before the caller
+//! [`ConcludedRequest`] that it reached, so that the once-only system sees every outcome before the caller
 //! does.
 
 use crate::catalogue::{Catalogue, ServiceEntry};
@@ -24,21 +24,21 @@
 use crate::view::{SystemView, UpstreamOwner};
 
 mod pending;
-mod places;
+mod placement;
 
-use pending::Pending;
-pub use places::Places;
+use pending::PendingRequest;
+pub use placement::Placement;
 
 /// The retry time told to a caller whose request could not be placed. By then an unresponsive member
 /// has been suspected or heard from again.
 const RETRY_AFTER_MS: u64 = 500;
 
 /// The minimum time before the deadline for another attempt.
-const LEAST_REMAINING_MS: u64 = 5;
+const MIN_RETRY_TIME_MS: u64 = 5;
 
 /// A request that ends without a relayed answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Conclusion {
+pub struct ConcludedRequest {
     /// The request.
     pub request: RequestKey,
     /// The final outcome.
@@ -47,7 +47,7 @@
 
 /// The state of other systems that the ingress decides by.
 #[derive(Debug, Clone, Copy)]
-pub struct Means<'a> {
+pub struct RoutingContext<'a> {
     /// The node's view of the configuration and its peers.
     pub view: SystemView<'a>,
     /// The policy that ranks failure domains.
@@ -57,10 +57,10 @@
 /// The requests that this node serves as ingress.
 #[derive(Debug)]
 pub struct Ingress {
-    pending: Map<RequestKey, Pending>,
+    pending: Map<RequestKey, PendingRequest>,
     budgets: RetryBudgets,
     look_ups: LookUpCache,
-    places: Places,
+    placement: Placement,
 }
 
 impl Ingress {
@@ -70,7 +70,7 @@
             pending: Map::default(),
             budgets: RetryBudgets::default(),
             look_ups: LookUpCache::default(),
-            places: Places::new(seed),
+            placement: Placement::new(seed),
         }
     }
 
@@ -84,32 +84,34 @@
         &mut self,
         request: RequestKey,
         head: &RequestHead,
-        means: Means<'_>,
+        context: RoutingContext<'_>,
         out: &mut Outbox,
-    ) -> Option<Conclusion> {
+    ) -> Option<ConcludedRequest> {
         let service = ServiceKey::of(&head.service);
-        let (entry, class) = match admit(service, head, &means.view) {
-            Ok(_) if !self.places.is_ready() => {
+        let (entry, class) = match check_request(service, head, &context.view) {
+            Ok(_) if !self.placement.is_ready() => {
                 let refusal =
                     Rejection { reason: RejectionReason::NotReady, retry_after_ms: RETRY_AFTER_MS };
-                return Some(self.not_run(request, service, head, refusal, &means));
+                return Some(self.conclude_not_run(request, service, head, refusal, &context));
             }
             Ok(admitted) => admitted,
-            Err(Denied::Outcome(outcome)) => return Some(Conclusion { request, outcome }),
-            Err(Denied::NotRun(reason)) => {
+            Err(CheckFailure::Final(outcome)) => {
+                return Some(ConcludedRequest { request, outcome });
+            }
+            Err(CheckFailure::NotRun(reason)) => {
                 let refusal = Rejection { reason, retry_after_ms: RETRY_AFTER_MS };
-                return Some(self.not_run(request, service, head, refusal, &means));
+                return Some(self.conclude_not_run(request, service, head, refusal, &context));
             }
         };
-        self.budgets.earn(service, class);
-        let mut pending = Pending::new(head, service, class, &means.view, entry);
-        match self.places.place(&mut pending, &means) {
+        self.budgets.credit_request(service, class);
+        let mut pending = PendingRequest::new(head, service, class, &context.view, entry);
+        match self.placement.place(&mut pending, &context) {
             Ok(owner) => {
-                pending.send(request, owner, means.view.revision, out);
+                pending.send_attempt(request, owner, context.view.revision, out);
                 self.pending.insert(request, pending);
                 None
             }
-            Err(refusal) => Some(self.not_run(request, service, head, refusal, &means)),
+            Err(refusal) => Some(self.conclude_not_run(request, service, head, refusal, &context)),
         }
     }
 
@@ -132,27 +134,27 @@
         request: RequestKey,
         attempt: u32,
         end: HopFailure,
-        means: Means<'_>,
+        context: RoutingContext<'_>,
         out: &mut Outbox,
-    ) -> Option<Conclusion> {
+    ) -> Option<ConcludedRequest> {
         let pending = self.pending.get_mut(&request)?;
         let ended = pending.take_attempt(attempt)?;
-        pending.note_end(ended, end);
+        pending.record_failure(ended, end);
         if pending.in_flight() > 0 {
             return None;
         }
-        self.try_again(request, means, out)
+        self.retry_or_conclude(request, context, out)
     }
 
     /// Gives up attempts whose owner is suspected, and requests whose deadline has passed.
-    pub fn tick(&mut self, means: Means<'_>, out: &mut Outbox) -> Vec<Conclusion> {
-        let now_ms = means.view.now_ms;
-        self.look_ups.drop_stale_lists(&means.view);
-        self.places.tick(&means, out);
+    pub fn tick(&mut self, context: RoutingContext<'_>, out: &mut Outbox) -> Vec<ConcludedRequest> {
+        let now_ms = context.view.now_ms;
+        self.look_ups.drop_stale_lists(&context.view);
+        self.placement.tick(&context, out);
         let mut due: Vec<_> = self
             .pending
             .iter()
-            .filter(|(_, pending)| pending.is_due(&means.view))
+            .filter(|(_, pending)| pending.is_due(&context.view))
             .map(|(request, _)| *request)
             .collect();
         due.sort_unstable();
@@ -162,28 +164,28 @@
             if pending.deadline_at_ms() <= now_ms {
                 pending.give_up_all(request, out);
             } else {
-                pending.give_up_silent(request, &means.view, out);
+                pending.give_up_unresponsive(request, &context.view, out);
             }
             if pending.in_flight() == 0 {
-                concluded.extend(self.try_again(request, means, out));
+                concluded.extend(self.retry_or_conclude(request, context, out));
             }
         }
         concluded
     }
 
     /// Returns the placement of requests, which holds the current shares.
-    pub fn places_mut(&mut self) -> &mut Places {
-        &mut self.places
+    pub fn placement_mut(&mut self) -> &mut Placement {
+        &mut self.placement
     }
 
     /// Returns the current shares of an origin group's traffic, if this node has had any.
-    pub fn standing(
+    pub fn traffic_split(
         &self,
         service: ServiceKey,
         origin: OriginKey,
-        means: &Means<'_>,
+        context: &RoutingContext<'_>,
     ) -> Option<Vec<(DomainKey, f64)>> {
-        self.places.standing(ShiftKey::of(service, origin, means.view.catalogue))
+        self.placement.traffic_split(ShiftKey::of(service, origin, context.view.catalogue))
     }
 
     /// Returns the number of requests in flight.
@@ -192,49 +194,49 @@
     }
 
     /// Removes a request whose answer was relayed or whose caller disconnected.
-    pub fn forget(&mut self, request: RequestKey) {
+    pub fn remove(&mut self, request: RequestKey) {
         self.pending.remove(&request);
     }
 
     /// Chooses an owner for another attempt and spends a retry of the budget.
-    fn place_again(
+    fn place_retry(
         &mut self,
-        pending: &mut Pending,
-        means: &Means<'_>,
+        pending: &mut PendingRequest,
+        context: &RoutingContext<'_>,
     ) -> Result<UpstreamOwner, Rejection> {
         let (service, class) = (pending.service(), pending.class());
-        if !self.budgets.allow(service, class) {
+        if !self.budgets.allows_retry(service, class) {
             let reason = RejectionReason::RetryBudget;
             return Err(Rejection { reason, retry_after_ms: RETRY_AFTER_MS });
         }
-        let owner = self.places.place(pending, means)?;
-        self.budgets.spend(service, class);
+        let owner = self.placement.place(pending, context)?;
+        self.budgets.spend_retry(service, class);
         Ok(owner)
     }
 
     /// Retries a request whose attempts have all ended, or concludes it.
-    fn try_again(
+    fn retry_or_conclude(
         &mut self,
         request: RequestKey,
-        means: Means<'_>,
+        context: RoutingContext<'_>,
         out: &mut Outbox,
-    ) -> Option<Conclusion> {
+    ) -> Option<ConcludedRequest> {
         let mut pending = self.pending.remove(&request)?;
-        let left_ms = pending.deadline_at_ms().saturating_sub(means.view.now_ms);
+        let left_ms = pending.deadline_at_ms().saturating_sub(context.view.now_ms);
         let mut refusal = None;
-        if pending.may_repeat() && left_ms >= LEAST_REMAINING_MS {
-            match self.place_again(&mut pending, &means) {
+        if pending.may_retry() && left_ms >= MIN_RETRY_TIME_MS {
+            match self.place_retry(&mut pending, &context) {
                 Ok(owner) => {
-                    pending.send(request, owner, means.view.revision, out);
+                    pending.send_attempt(request, owner, context.view.revision, out);
                     self.pending.insert(request, pending);
                     return None;
                 }
                 Err(found) => refusal = Some(found),
             }
         }
-        if pending.is_lost() {
+        if pending.may_have_run() {
             let outcome = Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS };
-            return Some(Conclusion { request, outcome });
+            return Some(ConcludedRequest { request, outcome });
         }
         let refusal = pending.refusal().or(refusal).unwrap_or(Rejection {
             reason: RejectionReason::Deadline,
@@ -242,61 +244,61 @@
         });
         let outcome = Outcome::NotRun {
             refusal,
-            others: self.look_ups.alternatives(pending.service(), pending.source(), &means.view),
+            others: self.look_ups.alternatives(pending.service(), pending.source(), &context.view),
         };
-        Some(Conclusion { request, outcome })
+        Some(ConcludedRequest { request, outcome })
     }
 
-    fn not_run(
+    fn conclude_not_run(
         &mut self,
         request: RequestKey,
         service: ServiceKey,
         head: &RequestHead,
         refusal: Rejection,
-        means: &Means<'_>,
-    ) -> Conclusion {
-        let others = self.look_ups.alternatives(service, head.source, &means.view);
-        Conclusion { request, outcome: Outcome::NotRun { refusal, others } }
+        context: &RoutingContext<'_>,
+    ) -> ConcludedRequest {
+        let others = self.look_ups.alternatives(service, head.source, &context.view);
+        ConcludedRequest { request, outcome: Outcome::NotRun { refusal, others } }
     }
 }
 
 /// The rejection of a request on arrival.
-enum Denied {
+enum CheckFailure {
     /// A final outcome, which a retry doesn't change.
-    Outcome(Outcome),
+    Final(Outcome),
     /// Not run, for a reason that may be temporary.
     NotRun(RejectionReason),
 }
 
-fn admit<'a>(
+fn check_request<'a>(
     service: ServiceKey,
     head: &RequestHead,
     view: &SystemView<'a>,
-) -> Result<(&'a ServiceEntry, Class), Denied> {
+) -> Result<(&'a ServiceEntry, Class), CheckFailure> {
     if !view.configuration_ready {
-        return Err(Denied::NotRun(RejectionReason::NotReady));
+        return Err(CheckFailure::NotRun(RejectionReason::NotReady));
     }
     if view.catalogue.rejected_services.contains(&service) || head.revision_seen > view.revision {
-        return Err(Denied::NotRun(RejectionReason::Configuration));
+        return Err(CheckFailure::NotRun(RejectionReason::Configuration));
     }
     let Some(entry) = view.catalogue.services.get(&service) else {
-        return Err(Denied::Outcome(Outcome::NoService));
+        return Err(CheckFailure::Final(Outcome::NoService));
     };
     let Some(class) = view.catalogue.class_of_key(head.key_digest) else {
-        return Err(Denied::Outcome(Outcome::UnknownOrganisation));
+        return Err(CheckFailure::Final(Outcome::UnknownOrganisation));
     };
     if entry.once_only && head.deduplication == Deduplication::Repeatable {
-        return Err(Denied::Outcome(Outcome::KeyRequired));
+        return Err(CheckFailure::Final(Outcome::KeyRequired));
     }
     if head.deadline_at_ms <= view.now_ms {
-        return Err(Denied::NotRun(RejectionReason::Deadline));
+        return Err(CheckFailure::NotRun(RejectionReason::Deadline));
     }
     Ok((entry, class))
 }
 
 /// Returns whether a request's service and organisation are known; only then may it cause a write to
 /// the table.
-pub fn knows(head: &RequestHead, catalogue: &Catalogue) -> bool {
+pub fn service_and_caller_known(head: &RequestHead, catalogue: &Catalogue) -> bool {
     catalogue.services.contains_key(&ServiceKey::of(&head.service))
         && catalogue.class_of_key(head.key_digest).is_some()
 }
--- a/crates/sedgepath-core/src/ingress/pending.rs
+++ b/crates/sedgepath-core/src/ingress/pending.rs
@@ -20,7 +20,7 @@
 /// A request in flight, with its attempts and their results so far.
 #[derive(Debug)]
 #[expect(clippy::struct_excessive_bools, reason = "the flags are independent")]
-pub(super) struct Pending {
+pub(super) struct PendingRequest {
     service: ServiceKey,
     origin: OriginKey,
     class: Class,
@@ -30,14 +30,14 @@
     repeatable: bool,
     attempts: Vec<Attempt>,
     last_attempt: u32,
-    home: Option<usize>,
-    failed: Vec<VmKey>,
-    lost: bool,
+    domain_index: Option<usize>,
+    failed_owners: Vec<VmKey>,
+    may_have_run: bool,
     refusal: Option<Rejection>,
     answered: bool,
 }
 
-impl Pending {
+impl PendingRequest {
     pub(super) fn new(
         head: &RequestHead,
         service: ServiceKey,
@@ -59,9 +59,9 @@
             repeatable,
             attempts: Vec::new(),
             last_attempt: 0,
-            home: None,
-            failed: Vec::new(),
-            lost: false,
+            domain_index: None,
+            failed_owners: Vec::new(),
+            may_have_run: false,
             refusal: None,
             answered: false,
         }
@@ -89,22 +89,22 @@
 
     /// Returns the index of the failure domain whose share the request counts towards; `None` before
     /// its first attempt.
-    pub(super) fn home(&self) -> Option<usize> {
-        self.home
+    pub(super) fn domain_index(&self) -> Option<usize> {
+        self.domain_index
     }
 
-    pub(super) fn set_home(&mut self, home: usize) {
-        self.home = Some(home);
+    pub(super) fn set_domain_index(&mut self, home: usize) {
+        self.domain_index = Some(home);
     }
 
     /// Returns whether an attempt has failed at an owner or is in flight there.
     pub(super) fn has_tried(&self, vm: VmKey) -> bool {
-        self.failed.contains(&vm) || self.attempts.iter().any(|attempt| attempt.vm == vm)
+        self.failed_owners.contains(&vm) || self.attempts.iter().any(|attempt| attempt.vm == vm)
     }
 
     /// Returns whether an attempt ended without proof that it was not run.
-    pub(super) fn is_lost(&self) -> bool {
-        self.lost
+    pub(super) fn may_have_run(&self) -> bool {
+        self.may_have_run
     }
 
     /// Returns the rejection with the shortest retry time, if an attempt was refused.
@@ -118,12 +118,12 @@
 
     /// Returns whether another attempt is safe: all earlier ones were proved not run, or the request
     /// is idempotent and not once-only.
-    pub(super) fn may_repeat(&self) -> bool {
-        self.repeatable || !self.lost
+    pub(super) fn may_retry(&self) -> bool {
+        self.repeatable || !self.may_have_run
     }
 
     /// Sends a new attempt to an owner.
-    pub(super) fn send(
+    pub(super) fn send_attempt(
         &mut self,
         request: RequestKey,
         owner: UpstreamOwner,
@@ -161,19 +161,19 @@
     }
 
     /// Records the failure of an attempt.
-    pub(super) fn note_end(&mut self, attempt: Attempt, end: HopFailure) {
-        self.failed.push(attempt.vm);
+    pub(super) fn record_failure(&mut self, attempt: Attempt, end: HopFailure) {
+        self.failed_owners.push(attempt.vm);
         match end {
-            HopFailure::Refused(refusal) => self.note_refusal(refusal),
-            HopFailure::NotSent => self.note_refusal(Rejection {
+            HopFailure::Refused(refusal) => self.record_refusal(refusal),
+            HopFailure::NotSent => self.record_refusal(Rejection {
                 reason: RejectionReason::PeerUnreachable,
                 retry_after_ms: super::RETRY_AFTER_MS,
             }),
-            HopFailure::Lost => self.lost = true,
+            HopFailure::Lost => self.may_have_run = true,
         }
     }
 
-    fn note_refusal(&mut self, refusal: Rejection) {
+    fn record_refusal(&mut self, refusal: Rejection) {
         let sooner = self.refusal.is_none_or(|known| refusal.retry_after_ms < known.retry_after_ms);
         if sooner {
             self.refusal = Some(refusal);
@@ -192,7 +192,7 @@
     pub(super) fn give_up_all(&mut self, request: RequestKey, out: &mut Outbox) {
         for attempt in std::mem::take(&mut self.attempts) {
             out.push(Action::CancelAttempt { request, attempt: attempt.number });
-            self.note_end(attempt, HopFailure::Lost);
+            self.record_failure(attempt, HopFailure::Lost);
         }
     }
 
@@ -200,28 +200,28 @@
     ///
     /// A cut link doesn't close connections, so a request would otherwise wait for its deadline
     /// although other owners could serve it.
-    pub(super) fn give_up_silent(
+    pub(super) fn give_up_unresponsive(
         &mut self,
         request: RequestKey,
         view: &SystemView<'_>,
         out: &mut Outbox,
     ) {
-        let silent = |attempt: &Attempt| is_silent(attempt.vm, view);
+        let silent = |attempt: &Attempt| is_unresponsive(attempt.vm, view);
         let (gone, kept) = std::mem::take(&mut self.attempts).into_iter().partition(silent);
         self.attempts = kept;
         for attempt in gone {
             out.push(Action::CancelAttempt { request, attempt: attempt.number });
-            self.note_end(attempt, HopFailure::Lost);
+            self.record_failure(attempt, HopFailure::Lost);
         }
     }
 
     /// Returns whether the deadline has passed or the owner of an attempt is unresponsive.
     pub(super) fn is_due(&self, view: &SystemView<'_>) -> bool {
-        let silent = || self.attempts.iter().any(|attempt| is_silent(attempt.vm, view));
+        let silent = || self.attempts.iter().any(|attempt| is_unresponsive(attempt.vm, view));
         !self.answered && (self.deadline_at_ms <= view.now_ms || silent())
     }
 }
 
-fn is_silent(vm: VmKey, view: &SystemView<'_>) -> bool {
+fn is_unresponsive(vm: VmKey, view: &SystemView<'_>) -> bool {
     vm != view.identity.vm && view.membership.member(vm).is_none_or(|member| member.suspected)
 }
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -15,7 +15,7 @@
 use crate::event::{Action, Event, ListedVm, LookUp, LookUpAnswer, LookUpError};
 use crate::explain::{ExplainRequest, Explanation};
 use crate::identity::{Identity, NodeSettings};
-use crate::ingress::{self, Conclusion, Ingress, Means};
+use crate::ingress::{self, ConcludedRequest, Ingress, RoutingContext};
 use crate::key::{RequestKey, ServiceKey, UpstreamKey, VmKey};
 use crate::lease::UpstreamLease;
 use crate::membership::{LocalState, Membership};
@@ -29,9 +29,9 @@
 
 /// Borrows the state that the ingress decides by. A macro borrows single fields, so that the ingress
 /// and the outbox can be borrowed mutably at the same time.
-macro_rules! means {
+macro_rules! routing_context {
     ($node:ident, $identity:ident) => {
-        Means {
+        RoutingContext {
             view: SystemView {
                 now_ms: $node.out.now_ms(),
                 identity: &$identity,
@@ -60,7 +60,7 @@
     egress: Egress,
     once: DeduplicationSystem,
     /// The cached allowances of the node; `None` if they must be recomputed.
-    allowances: Option<Vec<Allowance>>,
+    compute_allowances: Option<Vec<Allowance>>,
     stop: PlannedStop,
     own_loads: Vec<ServiceLoad>,
 }
@@ -77,7 +77,7 @@
             ingress: Ingress::new(settings.seed),
             egress: Egress::new(settings.admission),
             once: DeduplicationSystem::default(),
-            allowances: None,
+            compute_allowances: None,
             stop: PlannedStop::default(),
             own_loads: Vec::new(),
             settings,
@@ -118,57 +118,63 @@
     /// Handles an event at `now_ms` and returns the actions to carry out.
     pub fn handle(&mut self, now_ms: u64, event: Event) -> Vec<Action> {
         self.out.set_now_ms(now_ms);
-        self.forget_allowances(&event);
+        self.invalidate_allowances(&event);
         match event {
             Event::LookUp { reply, look_up } => {
                 let answer = self.look_up(&look_up);
                 self.out.push(Action::AnswerLookUp { reply, answer });
             }
             Event::MintTickets { reply, service, count } => {
-                let tickets = self.mint(&service, count);
+                let tickets = self.mint_tickets(&service, count);
                 self.out.push(Action::AnswerTickets { reply, tickets });
             }
-            Event::Request { request, head } => self.request(request, &head),
+            Event::Request { request, head } => self.handle_request(request, &head),
             Event::HopAnswered { request, attempt, .. } => {
                 if !self.once.handle_hop_response(request, attempt, &mut self.out) {
                     self.ingress.hop_answered(request, attempt, &mut self.out);
                 }
             }
-            Event::HopEnded { request, attempt, end } => self.hop_ended(request, attempt, end),
+            Event::HopEnded { request, attempt, end } => {
+                self.handle_hop_ended(request, attempt, end);
+            }
             Event::RelayEnded { request, stored, .. } => {
                 self.once.handle_relay_end(request, stored, &mut self.out);
-                self.ingress.forget(request);
+                self.ingress.remove(request);
             }
             Event::CallerDisconnected { request } => {
                 self.once.handle_caller_disconnect(request, &mut self.out);
-                self.ingress.forget(request);
+                self.ingress.remove(request);
             }
             Event::Dispatched { exchange, .. } if self.stop.refuses(now_ms) => {
-                self.out.push(Action::RejectDispatch { exchange, refusal: stop::REFUSAL });
+                self.out.push(Action::RejectDispatch { exchange, refusal: stop::STOPPING_REFUSAL });
             }
             Event::Dispatched { exchange, dispatch, .. } => {
-                self.admit(|egress, scope, out| egress.dispatch(exchange, &dispatch, scope, out));
+                self.with_egress(|egress, scope, out| {
+                    egress.dispatch(exchange, &dispatch, scope, out);
+                });
             }
             Event::CallEnded { exchange, end, .. } => {
-                self.admit(|egress, scope, out| egress.call_ended(exchange, end, scope, out));
+                self.with_egress(|egress, scope, out| egress.call_ended(exchange, end, scope, out));
             }
             Event::DispatchCanceled { exchange } => {
-                self.egress.cancel_dispatch(exchange, &mut self.out)
+                self.egress.cancel_dispatch(exchange, &mut self.out);
             }
             Event::UpstreamReport { upstream, report } => {
                 self.right.handle_upstream_report(upstream, &report);
-                self.admit(|egress, scope, out| egress.record_report(upstream, report, scope, out));
+                self.with_egress(|egress, scope, out| {
+                    egress.record_report(upstream, report, scope, out);
+                });
             }
             Event::ConnectionsChanged { upstream, open } => {
                 self.egress.set_open_connections(upstream, open, now_ms);
             }
-            Event::Datagram(envelope) => self.datagram(&envelope),
+            Event::Datagram(envelope) => self.handle_datagram(&envelope),
             Event::Table { operation, result } => {
                 if !self.once.handle_table_result(operation, &result, &mut self.out) {
                     self.configuration.handle_table_result(operation, &result, &mut self.out);
                 }
             }
-            Event::VmList(listed) => self.vm_list(listed),
+            Event::VmList(listed) => self.handle_vm_list(listed),
             Event::PageFetched { operation, page } => {
                 if let Some(page) = page.as_ref().filter(|page| !page.listed.is_empty())
                     && self.membership.apply_peer_vm_list(&page.listed)
@@ -182,11 +188,11 @@
             }
             Event::TicketsReceived(tickets) => self.once.store_handover(tickets),
             Event::TicketHandoverEnded { operation, taken } => {
-                self.once.handle_copy_result(operation, taken)
+                self.once.handle_copy_result(operation, taken);
             }
             Event::StopRequested => self.begin_stop(),
         }
-        self.settle_once()
+        self.finish_step()
     }
 
     /// Runs the time-driven systems and returns the actions to carry out; the driver calls it every
@@ -195,58 +201,58 @@
         self.out.set_now_ms(now_ms);
         self.configuration.tick(&self.membership, &mut self.out);
         self.refresh_right();
-        self.admit(Egress::tick);
-        self.tell_leaving();
-        self.own_loads = self.admit(|egress, scope, out| egress.loads(scope, out.now_ms()));
+        self.with_egress(Egress::tick);
+        self.send_leaving_notice();
+        self.own_loads = self.with_egress(|egress, scope, out| egress.loads(scope, out.now_ms()));
         let own = LocalState { news: self.configuration.status(now_ms), loads: &self.own_loads };
         self.right.update_in_flight(|upstream| self.egress.in_flight(upstream));
         self.membership.tick(own, &mut self.right, &mut self.out);
         // Grants just made to other members reduce the allowances of the next dispatch.
-        self.allowances = None;
+        self.compute_allowances = None;
         let identity = self.out.shared_identity();
-        let means = means!(self, identity);
-        let concluded = self.ingress.tick(means, &mut self.out);
+        let context = routing_context!(self, identity);
+        let concluded = self.ingress.tick(context, &mut self.out);
         self.conclude(concluded);
         self.once.tick(&mut self.out);
-        self.end_stop();
-        self.settle_once()
+        self.try_finish_stop();
+        self.finish_step()
     }
 
-    fn request(&mut self, request: RequestKey, head: &RequestHead) {
+    fn handle_request(&mut self, request: RequestKey, head: &RequestHead) {
         let identity = self.out.shared_identity();
-        let means = means!(self, identity);
+        let context = routing_context!(self, identity);
         let is_once = head.deduplication != Deduplication::Repeatable;
-        let is_known = is_once && ingress::knows(head, means.view.catalogue);
+        let is_known = is_once && ingress::service_and_caller_known(head, context.view.catalogue);
         if is_known && !self.once.admit(request, head, &self.membership, &mut self.out) {
             return;
         }
-        let mut conclusion = self.ingress.begin(request, head, means, &mut self.out);
+        let mut conclusion = self.ingress.begin(request, head, context, &mut self.out);
         if let Some(conclusion) = conclusion.as_mut().filter(|_| is_once && !is_known) {
             deduplication::not_run_to_unknown(head, &mut conclusion.outcome);
         }
         self.conclude(conclusion);
     }
 
-    fn hop_ended(&mut self, request: RequestKey, attempt: u32, end: HopFailure) {
+    fn handle_hop_ended(&mut self, request: RequestKey, attempt: u32, end: HopFailure) {
         if self.once.handle_hop_failure(request, end, &self.membership, &mut self.out) {
             return;
         }
         let identity = self.out.shared_identity();
-        let means = means!(self, identity);
-        let conclusion = self.ingress.hop_ended(request, attempt, end, means, &mut self.out);
+        let context = routing_context!(self, identity);
+        let conclusion = self.ingress.hop_ended(request, attempt, end, context, &mut self.out);
         self.conclude(conclusion);
     }
 
     /// Starts the once-only requests that were granted and returns the collected actions, after the
     /// once-only system has processed the outcomes of its requests.
-    fn settle_once(&mut self) -> Vec<Action> {
+    fn finish_step(&mut self) -> Vec<Action> {
         for (request, head) in self.once.take_granted() {
-            self.request(request, &head);
+            self.handle_request(request, &head);
         }
         self.once.intercept_outcomes(&mut self.out)
     }
 
-    fn mint(&mut self, service: &str, count: u32) -> Result<Vec<Ticket>, MintError> {
+    fn mint_tickets(&mut self, service: &str, count: u32) -> Result<Vec<Ticket>, MintError> {
         let service = ServiceKey::of(service);
         if !self.configuration.catalogue().services.contains_key(&service) {
             return Err(MintError::NoService);
@@ -261,7 +267,7 @@
         // A lost heartbeat is repeated well within the suspicion timeout, and forwarding by relays
         // takes up to the same time again.
         let heard_by_ms = self.out.now_ms() + 2 * self.settings.suspect_after_ms;
-        if self.stop.begin(heard_by_ms, self.settings.look_up_valid_ms) {
+        if self.stop.start(heard_by_ms, self.settings.look_up_valid_ms) {
             self.out.identity_mut().card.leaving = true;
             self.out.log(Topic::Node, "stop_begun", &[]);
         } else {
@@ -269,8 +275,8 @@
         }
     }
 
-    fn end_stop(&mut self) {
-        let in_flight = self.ingress.in_flight() + self.egress.calls_in_flight();
+    fn try_finish_stop(&mut self) {
+        let in_flight = self.ingress.in_flight() + self.egress.dispatches_in_flight();
         if self.stop.may_end(self.out.now_ms(), in_flight)
             && self.once.poll_handover(&self.membership, &mut self.out)
         {
@@ -291,28 +297,29 @@
     pub fn look_up(&mut self, look_up: &LookUp) -> Result<LookUpAnswer, LookUpError> {
         let valid_ms = self.settings.look_up_valid_ms;
         let identity = self.out.shared_identity();
-        let means = means!(self, identity);
-        self.ingress.look_ups_mut().answer(look_up, valid_ms, &means.view)
+        let context = routing_context!(self, identity);
+        self.ingress.look_ups_mut().answer(look_up, valid_ms, &context.view)
     }
 
     /// Explains how this node would route a request.
     pub fn explain(&self, question: &ExplainRequest) -> Explanation {
         let identity = self.out.shared_identity();
-        let means = means!(self, identity);
-        let origin = means.view.catalogue.origin_of_address(question.source);
-        let standing = self.ingress.standing(ServiceKey::of(&question.service), origin, &means);
-        means.view.explain(question, means.policy, standing.as_deref())
+        let context = routing_context!(self, identity);
+        let origin = context.view.catalogue.origin_of_address(question.source);
+        let standing =
+            self.ingress.traffic_split(ServiceKey::of(&question.service), origin, &context);
+        context.view.explain(question, context.policy, standing.as_deref())
     }
 
     /// Emits the final outcomes of concluded requests.
-    fn conclude(&mut self, concluded: impl IntoIterator<Item = Conclusion>) {
-        for Conclusion { request, outcome } in concluded {
+    fn conclude(&mut self, concluded: impl IntoIterator<Item = ConcludedRequest>) {
+        for ConcludedRequest { request, outcome } in concluded {
             self.out.push(Action::Conclude { request, outcome });
         }
     }
 
     /// Applies the platform's list of VMs, which may include VMs of upstreams.
-    fn vm_list(&mut self, listed: Vec<ListedVm>) {
+    fn handle_vm_list(&mut self, listed: Vec<ListedVm>) {
         let catalogue = Arc::clone(self.configuration.catalogue());
         let is_upstream =
             |vm: &ListedVm| catalogue.upstreams.contains_key(&UpstreamKey::of(&vm.name));
@@ -321,14 +328,14 @@
         self.membership.apply_vm_list(vms);
         for vm in upstreams.into_iter().filter(|vm| vm.leaving) {
             let upstream = UpstreamKey::of(&vm.name);
-            self.admit(|egress, scope, out| egress.mark_leaving(upstream, scope, out));
+            self.with_egress(|egress, scope, out| egress.mark_leaving(upstream, scope, out));
         }
     }
 
     /// Sends the notice of leaving upstreams that is due, to all peers of the failure domain or to one
     /// of them.
-    fn tell_leaving(&mut self) {
-        let Some(notice) = self.egress.leaving_notice(self.out.now_ms()) else {
+    fn send_leaving_notice(&mut self) {
+        let Some(notice) = self.egress.due_leaving_notice(self.out.now_ms()) else {
             return;
         };
         let identity = self.out.identity();
@@ -337,7 +344,7 @@
             members.into_iter().map(|(_, member)| member.card.peer_address).collect();
         let turn = notice.number.wrapping_add(identity.vm.0) % peers.len().max(1) as u64;
         for (place, peer) in peers.into_iter().enumerate() {
-            if notice.to_all || place as u64 == turn {
+            if notice.broadcast || place as u64 == turn {
                 self.out.send(peer, Message::LeavingUpstreams(notice.leaving.clone()));
             }
         }
@@ -347,8 +354,8 @@
     ///
     /// The member may own some of them at once, and would send requests there until the next notice
     /// reaches it.
-    fn tell_newcomer(&mut self, vm: VmKey) {
-        let leaving = self.egress.leaving(self.out.now_ms());
+    fn send_leaving_to(&mut self, vm: VmKey) {
+        let leaving = self.egress.leaving_upstreams(self.out.now_ms());
         let Some(member) = self.membership.member(vm) else {
             return;
         };
@@ -358,18 +365,18 @@
     }
 
     /// Runs an operation of the egress with the current allowances.
-    fn admit<T>(
+    fn with_egress<T>(
         &mut self,
         step: impl FnOnce(&mut Egress, AdmissionContext<'_>, &mut Outbox) -> T,
     ) -> T {
-        let allowances = match self.allowances.take() {
+        let allowances = match self.compute_allowances.take() {
             Some(allowances) => allowances,
-            None => self.allowances(),
+            None => self.compute_allowances(),
         };
         let scope =
             AdmissionContext { allowances: &allowances, catalogue: self.configuration.catalogue() };
         let result = step(&mut self.egress, scope, &mut self.out);
-        self.allowances = Some(allowances);
+        self.compute_allowances = Some(allowances);
         result
     }
 
@@ -377,22 +384,22 @@
     ///
     /// Between two ticks a member may be granted a part of an upstream that this node has used; with
     /// outdated allowances both would use it.
-    fn forget_allowances(&mut self, event: &Event) {
+    fn invalidate_allowances(&mut self, event: &Event) {
         let may_change = matches!(
             event,
             Event::Datagram(_) | Event::Table { .. } | Event::VmList(_) | Event::PageFetched { .. }
         );
         if may_change {
-            self.allowances = None;
+            self.compute_allowances = None;
         }
     }
 
-    fn allowances(&self) -> Vec<Allowance> {
+    fn compute_allowances(&self) -> Vec<Allowance> {
         self.right.allowances(self.out.now_ms())
     }
 
     fn refresh_right(&mut self) {
-        self.allowances = None;
+        self.compute_allowances = None;
         let revision = self.configuration.revision();
         let catalogue = self.configuration.catalogue();
         let egress = &self.egress;
@@ -401,19 +408,19 @@
     }
 
     /// Records the revision that a member has in force, if the member's address is known.
-    fn hear_revision(&mut self, vm: VmKey, revision: u64) {
+    fn record_revision(&mut self, vm: VmKey, revision: u64) {
         if let Some(member) = self.membership.member(vm) {
             self.configuration.observe_revision(vm, member.card.operator_address, revision);
         }
     }
 
-    fn baseline(&mut self, from: VmKey, baseline: Option<&Baseline>) {
+    fn handle_baseline(&mut self, from: VmKey, baseline: Option<&Baseline>) {
         let identity = self.out.shared_identity();
-        let means = means!(self, identity);
-        self.ingress.places_mut().take_baseline(from, baseline, &means, &mut self.out);
+        let context = routing_context!(self, identity);
+        self.ingress.placement_mut().handle_baseline(from, baseline, &context, &mut self.out);
     }
 
-    fn heartbeat(&mut self, envelope: &Envelope, heartbeat: &Heartbeat) {
+    fn handle_heartbeat(&mut self, envelope: &Envelope, heartbeat: &Heartbeat) {
         let boot = |node: &Self| node.membership.member(envelope.from).map(|known| known.boot);
         let known = boot(self);
         if self.membership.handle_heartbeat(envelope, heartbeat, &mut self.out) {
@@ -422,22 +429,22 @@
             self.membership.reconcile_roster(envelope.from, named, own, &mut self.out);
         }
         if boot(self) != known {
-            self.tell_newcomer(envelope.from);
+            self.send_leaving_to(envelope.from);
         }
         self.configuration.observe_head_age(heartbeat.configuration.head_age_ms, &self.out);
-        self.hear_revision(envelope.from, heartbeat.configuration.revision);
+        self.record_revision(envelope.from, heartbeat.configuration.revision);
     }
 
-    fn datagram(&mut self, envelope: &Envelope) {
+    fn handle_datagram(&mut self, envelope: &Envelope) {
         if envelope.from == self.out.identity().vm {
             return;
         }
         self.out.merge_stamp(envelope.stamp);
         match &envelope.message {
             Message::LeavingUpstreams(leaving) => {
-                self.admit(|egress, scope, out| egress.take_leaving(leaving, scope, out));
+                self.with_egress(|egress, scope, out| egress.merge_leaving(leaving, scope, out));
             }
-            Message::Heartbeat(heartbeat) => self.heartbeat(envelope, heartbeat),
+            Message::Heartbeat(heartbeat) => self.handle_heartbeat(envelope, heartbeat),
             Message::BootEnded => {
                 if self.membership.handle_boot_ended(envelope, &mut self.out) {
                     self.right.handle_boot_ended(envelope.from, envelope.boot);
@@ -452,8 +459,8 @@
                     revision,
                 );
             }
-            Message::BaselineRequest => self.baseline(envelope.from, None),
-            Message::Baseline(baseline) => self.baseline(envelope.from, Some(baseline)),
+            Message::BaselineRequest => self.handle_baseline(envelope.from, None),
+            Message::Baseline(baseline) => self.handle_baseline(envelope.from, Some(baseline)),
             Message::Probe(probe) => self.membership.handle_probe(envelope, probe, &mut self.out),
             Message::ProbeAnswer(answer) => {
                 self.membership.handle_probe_answer(answer, &mut self.out);
@@ -461,7 +468,7 @@
             Message::Summary(summary) => {
                 self.membership.handle_summary(summary, &mut self.out);
                 for line in &summary.members {
-                    self.hear_revision(line.vm, line.revision);
+                    self.record_revision(line.vm, line.revision);
                 }
             }
         }
--- a/crates/sedgepath-core/src/retry.rs
+++ b/crates/sedgepath-core/src/retry.rs
@@ -9,31 +9,31 @@
 use crate::request::Class;
 
 /// The retries that each first attempt adds to the budget.
-const PER_FRESH_REQUEST: f64 = 0.1;
+const RETRIES_PER_REQUEST: f64 = 0.1;
 
 /// The maximum balance of a budget, which is also its initial balance.
-const MOST_SAVED: f64 = 5.0;
+const MAX_SAVED_RETRIES: f64 = 5.0;
 
 /// The retry budgets of all services and classes.
 #[derive(Debug, Default)]
 pub struct RetryBudgets {
-    saved: Map<(ServiceKey, Class), f64>,
+    balances: Map<(ServiceKey, Class), f64>,
 }
 
 impl RetryBudgets {
     /// Adds the credit of a new request to the budget.
-    pub fn earn(&mut self, service: ServiceKey, class: Class) {
-        let saved = self.saved.entry((service, class)).or_insert(MOST_SAVED);
-        *saved = (*saved + PER_FRESH_REQUEST).min(MOST_SAVED);
+    pub fn credit_request(&mut self, service: ServiceKey, class: Class) {
+        let saved = self.balances.entry((service, class)).or_insert(MAX_SAVED_RETRIES);
+        *saved = (*saved + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
     }
 
     /// Returns whether the budget allows another retry.
-    pub fn allow(&self, service: ServiceKey, class: Class) -> bool {
-        self.saved.get(&(service, class)).is_none_or(|saved| *saved >= 1.0)
+    pub fn allows_retry(&self, service: ServiceKey, class: Class) -> bool {
+        self.balances.get(&(service, class)).is_none_or(|saved| *saved >= 1.0)
     }
 
     /// Subtracts one retry from the budget.
-    pub fn spend(&mut self, service: ServiceKey, class: Class) {
-        *self.saved.entry((service, class)).or_insert(MOST_SAVED) -= 1.0;
+    pub fn spend_retry(&mut self, service: ServiceKey, class: Class) {
+        *self.balances.entry((service, class)).or_insert(MAX_SAVED_RETRIES) -= 1.0;
     }
 }
--- a/crates/sedgepath-core/src/stop.rs
+++ b/crates/sedgepath-core/src/stop.rs
@@ -9,11 +9,11 @@
 use crate::request::{Rejection, RejectionReason};
 
 /// The rejection of a dispatch that arrives at a stopping node; another owner takes over meanwhile.
-pub const REFUSAL: Rejection =
+pub const STOPPING_REFUSAL: Rejection =
     Rejection { reason: RejectionReason::NotReady, retry_after_ms: 1_000 };
 
 /// The time without requests in flight before the process may end.
-const LAST_WHILE_MS: u64 = 1_000;
+const IDLE_BEFORE_EXIT_MS: u64 = 1_000;
 
 /// The progress of a planned stop.
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
     ///
     /// `heard_by_ms` is the time by which every reachable node knows that this node is leaving, and
     /// `look_up_valid_ms` is how long a look-up answer is valid.
-    pub fn begin(&mut self, heard_by_ms: u64, look_up_valid_ms: u64) -> bool {
+    pub fn start(&mut self, heard_by_ms: u64, look_up_valid_ms: u64) -> bool {
         if self.serve_until_ms.is_some() {
             return false;
         }
@@ -53,6 +53,6 @@
             return false;
         }
         let since_ms = *self.idle_since_ms.get_or_insert(now_ms);
-        since_ms + LAST_WHILE_MS <= now_ms
+        since_ms + IDLE_BEFORE_EXIT_MS <= now_ms
     }
 }
--- a/crates/sedgepath-core/src/timeline.rs
+++ b/crates/sedgepath-core/src/timeline.rs
@@ -7,7 +7,7 @@
 use crate::clock::HybridTimestamp;
 
 /// The maximum number of entries that a node keeps; the oldest are dropped first.
-pub const KEPT_ENTRIES: usize = 4096;
+pub const MAX_ENTRIES: usize = 4096;
 
 /// The subject area of a timeline entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -103,7 +103,7 @@
 impl Timeline {
     /// Appends an entry, dropping the oldest one if the buffer is full.
     pub fn push(&mut self, entry: TimelineEntry) {
-        if self.entries.len() == KEPT_ENTRIES {
+        if self.entries.len() == MAX_ENTRIES {
             self.entries.pop_front();
         }
         self.entries.push_back(entry);
--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -21,7 +21,7 @@
     vec![records::places(&[("r", &["a"])]), records::record(1, "service", "s", &body)]
 }
 
-fn owner(slots: u32, more: &serde_json::Value) -> Owner {
+fn owner_of_one_upstream(slots: u32, more: &serde_json::Value) -> Owner {
     Owner::new(&one_upstream(slots, more))
 }
 
@@ -67,7 +67,7 @@
 /// Guards against freeing the slot of a lost call before its deadline, or not at all.
 #[test]
 fn lost_call_keeps_its_slot_until_its_deadline() {
-    let mut owner = owner(4, &json!({}));
+    let mut owner = owner_of_one_upstream(4, &json!({}));
     let sent = owner.dispatch_many(4, Class::Paying, 2_000);
     owner.pass_ms(10);
     for exchange in &sent {
@@ -85,7 +85,7 @@
 /// Guards against slots that an outdated report frees, or that a newer one doesn't free.
 #[test]
 fn newer_report_frees_the_slots_of_lost_calls() {
-    let mut owner = owner(4, &json!({}));
+    let mut owner = owner_of_one_upstream(4, &json!({}));
     let sent = owner.dispatch_many(3, Class::Paying, 4_000);
     owner.pass_ms(10);
     for exchange in &sent {
@@ -101,7 +101,7 @@
 /// Guards against sending new requests while more calls run than a reduced allowance permits.
 #[test]
 fn shrunk_allowance_admits_nothing_until_calls_have_ended() {
-    let mut owner = owner(6, &json!({}));
+    let mut owner = owner_of_one_upstream(6, &json!({}));
     let sent = owner.dispatch_many(6, Class::Paying, 4_000);
     owner.allowances[0].slots = 3;
     for exchange in &sent[..3] {
@@ -116,7 +116,7 @@
 /// Guards against calls without the time to send by, and against sending after it.
 #[test]
 fn nothing_is_sent_after_the_right_has_ended() {
-    let mut owner = owner(4, &json!({}));
+    let mut owner = owner_of_one_upstream(4, &json!({}));
     let send_by_ms = owner.now_ms() + 100;
     owner.allowances[0].send_by_ms = send_by_ms;
     let first = owner.dispatch("s", Class::Paying, 2_000);
@@ -135,7 +135,7 @@
 /// Guards against reports that raise the configured slots, or reduce them for ever.
 #[test]
 fn reports_lower_the_slots_for_a_while_and_never_raise_them() {
-    let mut owner = owner(4, &json!({}));
+    let mut owner = owner_of_one_upstream(4, &json!({}));
     owner.report("u", 0, 10, false);
     assert_eq!(owner.fits(Class::Paying), 4);
     owner.pass_ms(2_000);
@@ -148,7 +148,7 @@
 /// Guards against slots that a refusal doesn't reduce, or reduces for ever.
 #[test]
 fn refusal_lowers_the_slots_for_a_while() {
-    let mut owner = owner(8, &json!({}));
+    let mut owner = owner_of_one_upstream(8, &json!({}));
     let sent = owner.dispatch_many(8, Class::Paying, 1_000);
     owner.end(sent[0], CallOutcome::Refused);
     for exchange in &sent[1..] {
@@ -163,7 +163,7 @@
 /// without back-off, and against an upstream that stays unused after it has recovered.
 #[test]
 fn unreachable_upstream_is_tried_by_one_request_after_growing_pauses() {
-    let mut owner = owner(4, &json!({}));
+    let mut owner = owner_of_one_upstream(4, &json!({}));
     let mut tries = Vec::new();
     while owner.now_ms() < 1_060_000 {
         for exchange in owner.dispatch_and_take_sent(2, Class::Paying, 400) {
@@ -194,14 +194,14 @@
 
 /// Simulates the driver's connection pool and records the connections that the upstream sees.
 #[derive(Default)]
-struct Shell {
+struct SimulatedDriver {
     idle: u32,
     open: u32,
     opened_at_ms: Vec<u64>,
     running: Vec<(ExchangeKey, u64)>,
 }
 
-impl Shell {
+impl SimulatedDriver {
     /// Starts the calls that were sent and ends those that are due; `keep` keeps connections open.
     fn step(&mut self, owner: &mut Owner, sent: Vec<ExchangeKey>, keep: bool) {
         for exchange in sent {
@@ -240,8 +240,8 @@
     }
 }
 
-fn drive(owner: &mut Owner, keep: bool) -> (Shell, u32) {
-    let mut shell = Shell::default();
+fn run_connections(owner: &mut Owner, keep: bool) -> (SimulatedDriver, u32) {
+    let mut shell = SimulatedDriver::default();
     let mut peak_open = 0;
     for _ in 0..500 {
         let sent = owner.dispatch_and_take_sent(4, Class::Paying, 1_000);
@@ -255,8 +255,8 @@
 /// Guards against opening more connections in a second than the upstream's rate allows.
 #[test]
 fn new_connections_stay_within_their_rate() {
-    let mut owner = owner(8, &json!({ "new_connections_per_s": 10 }));
-    let (shell, _) = drive(&mut owner, false);
+    let mut owner = owner_of_one_upstream(8, &json!({ "new_connections_per_s": 10 }));
+    let (shell, _) = run_connections(&mut owner, false);
     assert!(shell.most_opened_in_a_second() <= 10, "{}", shell.most_opened_in_a_second());
     assert!(shell.opened_at_ms.len() >= 80, "{} opened", shell.opened_at_ms.len());
 }
@@ -264,8 +264,8 @@
 /// Guards against more open connections than the limit, and against not reusing the open ones.
 #[test]
 fn open_connections_stay_within_their_limit() {
-    let mut owner = owner(8, &json!({ "connections": 3 }));
-    let (shell, peak_open) = drive(&mut owner, true);
+    let mut owner = owner_of_one_upstream(8, &json!({ "connections": 3 }));
+    let (shell, peak_open) = run_connections(&mut owner, true);
     assert_eq!(peak_open, 3);
     assert_eq!(shell.opened_at_ms.len(), 3);
     assert!(owner.sent_count() > 300, "{} sent", owner.sent_count());
@@ -275,7 +275,7 @@
 /// long idle time.
 #[test]
 fn cold_upstream_warms_up_from_its_first_use() {
-    let mut owner = owner(8, &json!({ "cold_slots": 2, "warm_up_ms": 4_000 }));
+    let mut owner = owner_of_one_upstream(8, &json!({ "cold_slots": 2, "warm_up_ms": 4_000 }));
     owner.pass_ms(10_000);
     assert_eq!(owner.fits(Class::Paying), 2);
     owner.pass_ms(2_000);
@@ -300,7 +300,7 @@
 
 /// The actual state of a call at the upstream, whether or not the owner knows it.
 #[derive(Debug, Clone, Copy)]
-struct Truth {
+struct ActualCall {
     exchange: ExchangeKey,
     ends_at_ms: u64,
     /// When the answer is lost, if it is lost.
@@ -313,25 +313,25 @@
 fn no_step_of_chance_exceeds_the_slots() {
     for seed in 1..=40 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let mut owner = owner(6, &json!({}));
-        let mut running: Vec<Truth> = Vec::new();
+        let mut owner = owner_of_one_upstream(6, &json!({}));
+        let mut running: Vec<ActualCall> = Vec::new();
         let mut asked = Vec::new();
         for _ in 0..1_500 {
             match random.u32(0..100) {
                 0..8 => owner.allowances[0].slots = random.u32(0..=6),
                 8..10 => owner.allowances[0].send_by_ms = owner.now_ms() + random.u64(0..20_000),
-                10..14 => report(&mut owner, &running, random.u32(3..9)),
-                14 => end_one(&mut owner, &mut running, CallOutcome::Refused, &mut random),
+                10..14 => report_running(&mut owner, &running, random.u32(3..9)),
+                14 => end_random_call(&mut owner, &mut running, CallOutcome::Refused, &mut random),
                 _ => {
                     let class = Class::ALL[random.usize(0..3)];
                     asked.push(owner.dispatch("s", class, random.u64(0..3_000)));
                 }
             }
-            start_sent(&mut owner, &mut running, &mut random, seed);
+            start_sent_calls(&mut owner, &mut running, &mut random, seed);
             owner.pass_ms(random.u64(0..30));
-            start_sent(&mut owner, &mut running, &mut random, seed);
-            end_due(&mut owner, &mut running);
-            start_sent(&mut owner, &mut running, &mut random, seed);
+            start_sent_calls(&mut owner, &mut running, &mut random, seed);
+            end_due_calls(&mut owner, &mut running);
+            start_sent_calls(&mut owner, &mut running, &mut random, seed);
         }
         owner.pass_ms(3_000);
         let undecided = asked.iter().filter(|key| owner.decision(**key) == Decision::Queued);
@@ -340,13 +340,18 @@
     }
 }
 
-fn report(owner: &mut Owner, running: &[Truth], slots: u32) {
+fn report_running(owner: &mut Owner, running: &[ActualCall], slots: u32) {
     let now_ms = owner.now_ms();
     let run = running.iter().filter(|truth| now_ms < truth.ends_at_ms).count();
     owner.report("u", run as u32, slots, false);
 }
 
-fn start_sent(owner: &mut Owner, running: &mut Vec<Truth>, random: &mut fastrand::Rng, seed: u64) {
+fn start_sent_calls(
+    owner: &mut Owner,
+    running: &mut Vec<ActualCall>,
+    random: &mut fastrand::Rng,
+    seed: u64,
+) {
     for exchange in owner.take_sent() {
         let Decision::Sent { send_by_ms, at_ms: now_ms, .. } = owner.decision(exchange) else {
             continue;
@@ -356,7 +361,7 @@
         let takes_ms = random.u64(1..900).min(send_by_ms - now_ms);
         let lost = random.u32(0..4) == 0;
         let lost_at_ms = lost.then(|| now_ms + random.u64(0..=takes_ms));
-        running.push(Truth { exchange, ends_at_ms: now_ms + takes_ms, lost_at_ms });
+        running.push(ActualCall { exchange, ends_at_ms: now_ms + takes_ms, lost_at_ms });
         let run = running.iter().filter(|truth| now_ms < truth.ends_at_ms).count();
         let slots = owner.allowances[0].slots as usize;
         assert!(run <= slots, "seed {seed}: {run} run of {slots} slots");
@@ -364,9 +369,9 @@
 }
 
 /// Reports losses and ends that are due to the owner; a lost call runs on without a report.
-fn end_due(owner: &mut Owner, running: &mut Vec<Truth>) {
+fn end_due_calls(owner: &mut Owner, running: &mut Vec<ActualCall>) {
     let now_ms = owner.now_ms();
-    let is_over = |truth: &Truth| truth.ends_at_ms <= now_ms;
+    let is_over = |truth: &ActualCall| truth.ends_at_ms <= now_ms;
     for truth in running.clone() {
         match truth.lost_at_ms {
             Some(lost_at_ms) if lost_at_ms <= now_ms => {
@@ -382,9 +387,9 @@
     running.retain(|truth| !is_over(truth));
 }
 
-fn end_one(
+fn end_random_call(
     owner: &mut Owner,
-    running: &mut Vec<Truth>,
+    running: &mut Vec<ActualCall>,
     end: CallOutcome,
     random: &mut fastrand::Rng,
 ) {
--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -10,7 +10,7 @@
 
 /// The maximum increase of the 99th percentile of paying requests through trial traffic: the rest of
 /// one trial request of 100 ms, give or take a fifth, that holds a slot.
-const BOUND_MS: u64 = 120;
+const MAX_ADDED_LATENCY_MS: u64 = 120;
 
 fn one_upstream(slots: u32) -> Vec<RawRecord> {
     let upstream = json!({ "name": "u", "domain": "a", "address": "127.0.0.1:9", "slots": slots });
@@ -53,7 +53,10 @@
             paying.in_time, paying.asked
         );
         let (before_ms, after_ms) = (alone.paying.percentile_ms(99), paying.percentile_ms(99));
-        assert!(after_ms <= before_ms + BOUND_MS, "seed {seed}: {before_ms} ms to {after_ms} ms");
+        assert!(
+            after_ms <= before_ms + MAX_ADDED_LATENCY_MS,
+            "seed {seed}: {before_ms} ms to {after_ms} ms"
+        );
     }
 }
 
--- a/crates/sedgepath-core/tests/drain.rs
+++ b/crates/sedgepath-core/tests/drain.rs
@@ -34,7 +34,7 @@
     ]
 }
 
-fn check(records: &[RawRecord], target: DrainTarget, given_ms: u64, expected: &Expect) {
+fn assert_plan(records: &[RawRecord], target: DrainTarget, given_ms: u64, expected: &Expect) {
     let catalogue = Catalogue::new(records);
     let text = match DrainPlan::new(&catalogue, target, NOW_MS, NOW_MS + given_ms) {
         Ok(plan) => {
@@ -53,7 +53,7 @@
 fn domain_ends_after_its_windows_and_the_longest_deadline() {
     let records = records(&[("north", 1.0), ("south", 1.0)], 20.0);
     let north = DrainTarget::Domain(DomainKey::of("north"));
-    check(
+    assert_plan(
         &records,
         north,
         49_000,
@@ -68,7 +68,7 @@
 fn drain_that_cannot_finish_is_refused_with_the_reason() {
     let halves = [("north", 1.0), ("south", 1.0)];
     let north = DrainTarget::Domain(DomainKey::of("north"));
-    check(
+    assert_plan(
         &records(&halves, 20.0),
         north,
         48_999,
@@ -76,15 +76,15 @@
             "the drain cannot finish in time: service browse, group any: moving 50.0% under a cap of 20% in 10000 ms would end in 49000 ms, not in 48999 ms"
         ],
     );
-    check(
+    assert_plan(
         &records(&halves, 0.0),
         north,
         60_000,
         &expect![
-            "the drain cannot finish in time: service browse, group any: the cap lets nothing move"
+            "the drain cannot finish in time: service browse, group any: the shift cap does not let the share move"
         ],
     );
-    check(
+    assert_plan(
         &records(&halves, 20.0),
         north,
         4_000,
@@ -98,7 +98,7 @@
 #[test]
 fn drain_without_capacity_elsewhere_is_refused() {
     let records = records(&[("north", 1.0), ("south", 1.0)], 20.0);
-    check(
+    assert_plan(
         &records,
         DrainTarget::Domain(DomainKey::of("south")),
         70_000,
@@ -106,7 +106,7 @@
             "the drain cannot finish in time: service guides: no other upstream may take callers of group any"
         ],
     );
-    check(
+    assert_plan(
         &records,
         DrainTarget::Upstream(UpstreamKey::of("g1")),
         30_000,
@@ -123,7 +123,7 @@
     let body = json!({ "target": "domain", "active": true });
     records.push(records::record(1, "drain", "south", &body));
     let north = DrainTarget::Domain(DomainKey::of("north"));
-    check(
+    assert_plan(
         &records,
         north,
         60_000,
@@ -131,7 +131,7 @@
             "the drain cannot finish in time: service browse: no other upstream may take callers of group any"
         ],
     );
-    check(
+    assert_plan(
         &self::records(&[("north", 1.0), ("south", 0.0)], 20.0),
         north,
         60_000,
@@ -146,7 +146,7 @@
 #[test]
 fn upstream_moves_its_part_of_the_domain() {
     let halves = records(&[("north", 1.0), ("south", 1.0)], 20.0);
-    check(
+    assert_plan(
         &halves,
         DrainTarget::Upstream(UpstreamKey::of("b1")),
         60_000,
@@ -155,23 +155,23 @@
         ],
     );
     let north = records(&[("north", 1.0)], 20.0);
-    check(
+    assert_plan(
         &north,
         DrainTarget::Upstream(UpstreamKey::of("b1")),
         60_000,
         &expect!["0 ms 0.00; ends after 5000 ms"],
     );
-    check(
+    assert_plan(
         &north,
         DrainTarget::Upstream(UpstreamKey::of("b3")),
         60_000,
         &expect!["0 ms 0.00; ends after 5000 ms"],
     );
-    check(
+    assert_plan(
         &north,
         DrainTarget::Upstream(UpstreamKey::of("b9")),
         60_000,
-        &expect!["the records know no such upstream or failure domain"],
+        &expect!["no such upstream or failure domain is configured"],
     );
 }
 
@@ -199,7 +199,7 @@
         let moved_ms = plan.groups[0].steps.last().expect("a plan has steps").at_ms;
         let runs = bed.upstreams.iter().filter(|(key, _)| *key != UpstreamKey::of("b3"));
         let runs: Vec<_> = runs.flat_map(|(_, upstream)| &upstream.runs).collect();
-        let late = runs.iter().filter(|run| run.started_at_ms > moved_ms + LATE_MS);
+        let late = runs.iter().filter(|run| run.started_at_ms > moved_ms + MAX_TRANSIT_MS);
         assert_eq!(late.count(), 0, "seed {seed}");
         let soon = runs.iter().filter(|run| run.started_at_ms > from_ms).count();
         assert!(soon > 300, "seed {seed}: {soon} runs at the drained domain");
@@ -207,7 +207,7 @@
 }
 
 /// How much later than planned a request in transit may still start.
-const LATE_MS: u64 = 200;
+const MAX_TRANSIT_MS: u64 = 200;
 
 fn two_domains(seed: u64) -> Bed {
     let mut bed = Bed::new(seed);
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 
 /// How long after the first report that the upstream is leaving new requests may still reach it.
-const GRACE_MS: u64 = 3_000;
+const MAX_LEAVING_DELAY_MS: u64 = 3_000;
 
 /// Returns a bed of three owners and two upstreams in one failure domain.
 fn bed(seed: u64) -> Bed {
@@ -37,7 +37,7 @@
 /// Returns the number of runs at `u1` that started later than the grace period after `sign_ms`.
 fn late_runs(bed: &mut Bed, sign_ms: u64) -> usize {
     let runs = &bed.upstreams.get("u1").runs;
-    runs.iter().filter(|run| run.started_at_ms > sign_ms + GRACE_MS).count()
+    runs.iter().filter(|run| run.started_at_ms > sign_ms + MAX_LEAVING_DELAY_MS).count()
 }
 
 /// Returns the number of requests sent since `from_ms`, and how many of them were answered.
@@ -48,7 +48,7 @@
 }
 
 /// Asserts that every run at the leaving upstream was answered to its caller.
-fn assert_none_cut(bed: &mut Bed) {
+fn assert_all_runs_answered(bed: &mut Bed) {
     let runs = bed.upstreams.get("u1").runs.clone();
     for run in runs {
         let call = run.call.expect("its owner lives");
@@ -73,15 +73,15 @@
     run_load(&mut bed, 8_000);
     bed.run_for(2_000);
     assert_eq!(late_runs(&mut bed, sign_ms), 0);
-    assert_none_cut(&mut bed);
-    let (asked, answered) = asked_and_answered(&bed, sign_ms + GRACE_MS);
+    assert_all_runs_answered(&mut bed);
+    let (asked, answered) = asked_and_answered(&bed, sign_ms + MAX_LEAVING_DELAY_MS);
     // The other upstream has just enough capacity; the ingress follows the reported loads.
     assert!(answered >= asked * 9 / 10, "{answered} of {asked}");
 }
 
 /// Reports `u1` as leaving under a steady load, and asserts that no late request reaches it and that
 /// no running request is cut off.
-fn assert_stays_away(seed: u64, give_sign: impl FnOnce(&mut Bed)) {
+fn assert_no_late_runs(seed: u64, give_sign: impl FnOnce(&mut Bed)) {
     let mut bed = bed(seed);
     run_load(&mut bed, 2_000);
     give_sign(&mut bed);
@@ -89,7 +89,7 @@
     run_load(&mut bed, 8_000);
     bed.run_for(2_000);
     assert_eq!(late_runs(&mut bed, sign_ms), 0);
-    assert_none_cut(&mut bed);
+    assert_all_runs_answered(&mut bed);
 }
 
 /// Guards against ignoring an operator's drain record of an upstream.
@@ -97,7 +97,7 @@
 fn drain_record_says_so() {
     let body = json!({ "target": "upstream", "active": true });
     let drain = records::record(1, "drain", "u1", &body);
-    assert_stays_away(2, |bed| {
+    assert_no_late_runs(2, |bed| {
         bed.write_records(&[drain]);
     });
 }
@@ -105,7 +105,7 @@
 /// Guards against ignoring the leaving mark in the platform's list of VMs.
 #[test]
 fn list_of_vms_says_so() {
-    assert_stays_away(3, |bed| bed.list_upstream_leaving("u1", "a"));
+    assert_no_late_runs(3, |bed| bed.list_upstream_leaving("u1", "a"));
 }
 
 /// Guards against ignoring answers that report leaving while the upstream's failure domain is drained.
@@ -113,7 +113,7 @@
 fn its_answers_say_so_while_its_domain_is_drained() {
     let body = json!({ "target": "domain", "active": true });
     let drain = records::record(1, "drain", "a", &body);
-    assert_stays_away(10, |bed| {
+    assert_no_late_runs(10, |bed| {
         bed.write_records(&[drain]);
         bed.run_for(3_000);
         bed.upstreams.get("u1").leaving = true;
@@ -162,7 +162,7 @@
     }
 }
 
-fn owner() -> Owner {
+fn owner_of_two_upstreams() -> Owner {
     let upstream =
         |name: &str| json!({ "name": name, "domain": "a", "address": "127.0.0.1:9", "slots": 4 });
     let body =
@@ -173,7 +173,7 @@
 /// Guards against reporting slots of leaving upstreams, queueing for them, or cancelling running calls.
 #[test]
 fn loads_leave_it_out_and_the_queue_is_told() {
-    let mut owner = owner();
+    let mut owner = owner_of_two_upstreams();
     let running = owner.dispatch_many(8, Class::Paying, 2_000);
     assert_eq!(owner.load(), (8, 8));
     owner.report("u1", 4, 4, true);
@@ -195,7 +195,7 @@
 /// Guards against an upstream that counts as leaving for ever after it has come back.
 #[test]
 fn sign_is_forgotten_after_a_while() {
-    let mut owner = owner();
+    let mut owner = owner_of_two_upstreams();
     owner.report("u1", 0, 4, true);
     owner.pass_ms(14 * 60_000);
     assert_eq!(owner.load().0, 4);
