--- a/crates/sedgepath-core/src/catalogue.rs
+++ b/crates/sedgepath-core/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, read from its records into tables.
+//! Lookup tables built from the records of one configuration revision.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -9,42 +9,42 @@
 use crate::record::{self, DrainTargetKind, Plan, RawRecord, RecordBody, RecordError, TrafficCap};
 use crate::request::Class;
 
-/// The origin group whose shares hold for callers of all groups that have none of their own.
+/// The origin group whose shares apply to callers of groups that have no shares of their own.
 pub const ANY_ORIGIN: &str = "any";
 
-/// A failure domain as configured.
+/// A configured failure domain.
 #[derive(Debug, Clone)]
 pub struct DomainEntry {
-    /// Its name.
+    /// The name from the `places` record.
     pub name: Box<str>,
-    /// Its region.
+    /// The region that contains the domain.
     pub region: RegionKey,
-    /// Whether a drain takes it out of service.
+    /// Whether an active drain targets the domain.
     pub draining: bool,
 }
 
-/// An upstream as configured.
+/// A configured upstream.
 #[derive(Debug, Clone)]
 pub struct UpstreamEntry {
-    /// Its name.
+    /// The name, unique over all services.
     pub name: Box<str>,
-    /// The service it belongs to.
+    /// The service that the upstream belongs to.
     pub service: ServiceKey,
-    /// Its failure domain.
+    /// The failure domain that the upstream is in.
     pub domain: DomainKey,
-    /// Its address.
+    /// The address that requests are sent to.
     pub address: SocketAddr,
-    /// The most requests it runs at once.
+    /// The maximum number of concurrent requests.
     pub slots: u32,
-    /// The most connections it takes.
+    /// The maximum number of open connections.
     pub connections: u32,
-    /// The most new connections it takes in a second.
+    /// The maximum number of new connections per second.
     pub new_connections_per_s: u32,
-    /// The slots it may use when cold.
+    /// The maximum number of concurrent requests while the upstream is cold.
     pub cold_slots: u32,
-    /// The time in milliseconds over which it warms up.
+    /// The time in milliseconds over which the limit rises from `cold_slots` to `slots`.
     pub warm_up_ms: u64,
-    /// Whether a drain takes it out of service.
+    /// Whether an active drain targets the upstream itself.
     pub draining: bool,
 }
 
@@ -53,78 +53,81 @@
 pub struct SteeringEntry {
     /// The schema of the record.
     pub schema: u32,
-    /// The weights by origin group, adding up to one, in the order of the domains' keys.
+    /// The weights by origin group, normalized to a sum of 1 and sorted by domain key.
     pub shares: Map<OriginKey, Vec<(DomainKey, f64)>>,
-    /// The most that a shift may move.
+    /// The most traffic that a shift may move.
     pub cap: TrafficCap,
-    /// The most that a failover may move.
+    /// The most traffic that a failover may move.
     pub failover_cap: TrafficCap,
-    /// After which time in milliseconds an idempotent request may be hedged; none is yet.
+    /// The delay in milliseconds before an idempotent request may be hedged. Hedging is not
+    /// implemented.
     pub hedge_after_ms: Option<u64>,
 }
 
-/// A service as configured.
+/// A configured service.
 #[derive(Debug, Clone)]
 pub struct ServiceEntry {
-    /// Its name.
+    /// The name of the `service` record.
     pub name: Box<str>,
     /// The longest deadline that a request may carry, in milliseconds.
     pub longest_deadline_ms: u64,
     /// Whether requests must carry an idempotency key or a ticket.
     pub once_only: bool,
-    /// Its upstreams in the order of their keys.
+    /// The service's upstreams, sorted by key.
     pub upstreams: Vec<UpstreamKey>,
-    /// Its shares and caps; none until a steering record names it.
+    /// The shares and caps; `None` if the service has no steering record.
     pub steering: Option<SteeringEntry>,
 }
 
-/// An organisation as configured.
+/// A configured organisation.
 #[derive(Debug, Clone)]
 pub struct OrganisationEntry {
-    /// Its name.
+    /// The name from the `organisations` record.
     pub name: Box<str>,
-    /// Whether it pays.
+    /// The plan, which decides the class of the organisation's requests.
     pub plan: Plan,
 }
 
-/// A record that this version can't read.
+/// A record that this version can't parse.
 #[derive(Debug, Clone)]
 pub struct UnreadableRecord {
     /// The record's kind.
     pub kind: Box<str>,
     /// The record's name.
     pub name: Box<str>,
-    /// Why it could not be read.
+    /// Why the record could not be parsed.
     pub error: Arc<RecordError>,
 }
 
-/// All records of one revision, read into tables.
+/// The tables of one configuration revision.
 #[derive(Debug, Default)]
 pub struct Catalogue {
-    /// The regions' names.
+    /// The names of the regions.
     pub regions: Map<RegionKey, Box<str>>,
-    /// The failure domains.
+    /// The failure domains of all regions.
     pub domains: Map<DomainKey, DomainEntry>,
-    /// The services.
+    /// The services, each with its steering entry.
     pub services: Map<ServiceKey, ServiceEntry>,
     /// The upstreams of all services.
     pub upstreams: Map<UpstreamKey, UpstreamEntry>,
-    /// The organisations.
+    /// The admitted organisations.
     pub organisations: Map<OrganisationKey, OrganisationEntry>,
-    /// The origin groups' names.
+    /// The names of the origin groups.
     pub origins: Map<OriginKey, Box<str>>,
-    /// Services that a record of an unknown schema concerns; they are refused on this node.
+    /// Services with a service or steering record that can't be parsed. This node rejects their
+    /// requests.
     pub rejected_services: Set<ServiceKey>,
-    /// The records that could not be read.
+    /// The records that could not be parsed.
     pub unreadable_records: Vec<UnreadableRecord>,
     keys: Map<Digest, OrganisationKey>,
     blocks: Arc<BlockTable>,
 }
 
 impl Catalogue {
-    /// Reads the records of a revision.
+    /// Builds the tables from all records of a revision.
     ///
-    /// Records that can't be read are listed in [`Self::unreadable_records`]; they take nothing else down.
+    /// Records that can't be parsed are listed in [`Self::unreadable_records`]; the others still
+    /// apply.
     pub fn new<'a>(records: impl IntoIterator<Item = &'a RawRecord>) -> Self {
         let mut blocks = Vec::new();
         let mut catalogue = Self::default();
@@ -135,10 +138,10 @@
         catalogue
     }
 
-    /// Reads the records of a revision whose records of clients are those of `previous`.
+    /// Builds the tables of a revision that has the same `clients` records as `previous`.
     ///
-    /// At full size the blocks are nearly all of the records' text. Reading them again for every
-    /// change would hold the node's thread up for seconds, and look-ups with it.
+    /// Client blocks make up most of the records' text. Reusing the parsed block table keeps a
+    /// change from blocking the node's thread, and thus look-ups.
     pub fn with_blocks_of<'a>(
         records: impl IntoIterator<Item = &'a RawRecord>,
         previous: &Self,
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Returns the origin group of a caller's address.
+    /// Returns the origin group of a caller's address, or [`ANY_ORIGIN`] if no block contains it.
     pub fn origin_of_address(&self, address: IpAddr) -> OriginKey {
         self.blocks.origin(address).unwrap_or_else(|| OriginKey::of(ANY_ORIGIN))
     }
@@ -192,8 +195,9 @@
         self.keys.get(&key_digest).copied()
     }
 
-    /// Returns the class of a caller, given the digest of its organisation's key, or none if the key
-    /// is unknown.
+    /// Returns the class of a caller, given the digest of its organisation's key.
+    ///
+    /// A caller without a key is a guest; an unknown key gives `None`.
     pub fn class_of_key(&self, key_digest: Option<Digest>) -> Option<Class> {
         let Some(key_digest) = key_digest else {
             return Some(Class::Guest);
@@ -204,22 +208,25 @@
         }
     }
 
-    /// Returns the shares of a service for callers of an origin group.
+    /// Returns the shares of a service for callers of an origin group, or else those of
+    /// [`ANY_ORIGIN`].
     pub fn shares(&self, service: ServiceKey, origin: OriginKey) -> Option<&[(DomainKey, f64)]> {
         let steering = self.services.get(&service)?.steering.as_ref()?;
         let shares = steering.shares.get(&origin);
         shares.or_else(|| steering.shares.get(&OriginKey::of(ANY_ORIGIN))).map(Vec::as_slice)
     }
 
-    /// Whether an upstream is taken out of service by a drain of its own or of its domain.
+    /// Whether the upstream or its failure domain is being drained. True for an unknown upstream.
     pub fn is_draining(&self, upstream: UpstreamKey) -> bool {
         self.upstreams.get(&upstream).is_none_or(|entry| {
             entry.draining || self.domains.get(&entry.domain).is_some_and(|domain| domain.draining)
         })
     }
 
-    /// Whether an upstream has a drain of its own. It gets nothing new from then on, while a drained
-    /// domain serves on what the cap does not yet let move.
+    /// Whether a drain targets the upstream itself.
+    ///
+    /// Such an upstream gets no new requests, while a drained domain keeps serving the traffic that
+    /// the cap does not let move yet.
     pub fn has_own_drain(&self, upstream: UpstreamKey) -> bool {
         self.upstreams.get(&upstream).is_some_and(|entry| entry.draining)
     }
@@ -320,10 +327,9 @@
         }
     }
 
-    /// Refuses the service that an unreadable record concerns.
+    /// Lists an unreadable record and rejects the service that it configures.
     ///
-    /// Without this a node that can't read a newer steering record would go on steering by nothing
-    /// or by an older one, and callers would be sent against the record in force.
+    /// Serving without the record would send callers where the record in force forbids it.
     fn add_unread(&mut self, raw: &RawRecord, error: RecordError) {
         if matches!(&*raw.kind, "service" | "steering") {
             self.rejected_services.insert(ServiceKey::of(&raw.name));
--- a/crates/sedgepath-core/src/configuration.rs
+++ b/crates/sedgepath-core/src/configuration.rs
@@ -1,15 +1,15 @@
-//! The configuration in force on this node, and how it learns of a newer one.
+//! The node's copy of the configuration, and how it receives newer revisions.
 //!
-//! The platform's table says which revision was accepted; every node works by a copy. The parts:
+//! The platform's table decides which revisions are accepted; every node works from a copy.
 //!
-//! - [`store`]: the copy, which only ever goes up.
-//! - `reader`: the few members of each failure domain that read the table.
-//! - `spread`: how a revision goes from node to node, also without the platform.
-//! - [`change`]: what operators ask for, as one transaction.
-//! - [`rows`]: how all of it stands in the table.
+//! - [`store`]: the copy, whose revision never decreases.
+//! - `reader`: reads the table; a few members of each failure domain do.
+//! - `gossip`: replicates revisions between nodes, also without the platform.
+//! - [`change`]: commits operators' changes, each in one transaction.
+//! - [`rows`]: the layout of the configuration in the table.
 //!
-//! A node serves once it is [`ready`](Configuration::ready). Until then it knows nothing or less
-//! than its peers, and would steer callers by records that were replaced before it started.
+//! A node serves once it is [`ready`](Configuration::ready); before that it could steer callers by
+//! records that had been replaced before its start.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -37,11 +37,11 @@
 use spread::{Fetched, Spread};
 use store::{Changes, RecordPage, RecordPosition, Store};
 
-/// The time between two readings for a change that waits for this node to catch up, in
+/// The interval at which the head is read while a change waits for this node to catch up, in
 /// milliseconds.
 const HURRY_EVERY_MS: u64 = 250;
 
-/// Where a revision came from.
+/// Where a revision was received from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Source {
     Table,
@@ -59,7 +59,7 @@
     }
 }
 
-/// The configuration in force.
+/// The configuration state of a node.
 #[derive(Debug)]
 pub struct Configuration {
     settings: NodeSettings,
@@ -74,7 +74,7 @@
 }
 
 impl Configuration {
-    /// Creates the configuration of a node that knows no record.
+    /// Creates the state of a node that has no records.
     pub fn new(settings: NodeSettings) -> Self {
         Self {
             random: fastrand::Rng::with_seed(settings.seed),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Returns the revision in force; 0 before there is one.
+    /// Returns the revision in force, or 0 if there is none yet.
     pub fn revision(&self) -> u64 {
         self.store.revision()
     }
@@ -99,27 +99,26 @@
         self.store.catalogue()
     }
 
-    /// Returns the records in force, in the order of their kinds and names.
+    /// Returns the records in force, sorted by kind and name.
     pub fn records(&self) -> impl Iterator<Item = &RecordRow> {
         self.store.records()
     }
 
-    /// Returns the next page of the records that were written after a position.
+    /// Returns a page of the records that follow a position.
     pub fn page(&self, after: &RecordPosition) -> RecordPage {
         self.store.page(after)
     }
 
-    /// Whether the node may serve: it has a revision that is no older than any it has heard of.
+    /// Whether the node may serve. Once true, it stays true.
     ///
-    /// A revision that came from a peer while the platform can't be reached counts only after
-    /// [`NodeSettings::boot_wait_ms`], when the other members have been heard too. Without this a
-    /// node that restarts and first hears of a member that was cut off would serve by an old
-    /// revision that it had served past before.
+    /// The node becomes ready when its revision is at least the highest that it has heard of. If it
+    /// has not read the table itself, it first waits for [`NodeSettings::boot_wait_ms`] to hear from
+    /// other members: the first peer heard after a restart may have an outdated revision.
     pub fn ready(&self) -> bool {
         self.ready
     }
 
-    /// Returns what peers are told with every sign of life.
+    /// Returns the configuration state that is sent with every heartbeat.
     pub fn status(&self, now_ms: u64) -> ConfigurationStatus {
         ConfigurationStatus {
             revision: self.store.revision(),
@@ -127,22 +126,21 @@
         }
     }
 
-    /// Takes in how old the newest reading of the head is that a member knows of.
+    /// Handles the age of the newest successful read of the head that a member knows of.
     pub fn observe_head_age(&mut self, age_ms: u64, out: &Outbox) {
         self.reader.hear_head_age(age_ms, out.now_ms());
     }
 
-    /// Takes in that a member has a revision in force.
+    /// Handles the revision that a member reports to be in force there.
     pub fn observe_revision(&mut self, vm: VmKey, operators: SocketAddr, revision: u64) {
         self.spread.hear(vm, operators, revision, self.store.revision());
     }
 
-    /// Reads the head, fetches, tells and goes on with changes as they are due.
+    /// Polls the head, gossips, fetches from peers and advances changes as they are due.
     pub fn tick(&mut self, members: &Membership, out: &mut Outbox) {
         if self.started_at_ms.is_none() {
             self.started_at_ms = Some(out.now_ms());
-            // Members that start together do not read in the same moment, and one that hears of a
-            // peer with records meanwhile fetches them there.
+            // Jitter, so that members that start together don't all read the table at once.
             let wait_ms = self.random.u64(0..=self.settings.head_every_ms / 2);
             self.reader.wait(wait_ms, out.now_ms());
         }
@@ -160,7 +158,7 @@
         self.become_ready(out);
     }
 
-    /// Takes in a result of the table; returns false if it is not one of this module.
+    /// Handles a table result; returns false if the configuration did not send the request.
     pub fn handle_table_result(
         &mut self,
         operation: OperationKey,
@@ -183,7 +181,7 @@
         true
     }
 
-    /// Takes in a page of a peer's records, or that the peer did not answer.
+    /// Handles a page of a peer's records; `None` if the peer did not answer.
     pub fn handle_fetched_page(
         &mut self,
         operation: OperationKey,
@@ -197,7 +195,7 @@
         }
     }
 
-    /// Takes in an operator's change.
+    /// Starts an operator's change; its outcome follows as [`Action::AnswerChange`].
     pub fn start_change(&mut self, reply: ReplyKey, request: ChangeRequest, out: &mut Outbox) {
         let fields: [(&str, &dyn std::fmt::Display); 2] =
             [("change", &request.change_id), ("note", &request.note)];
@@ -250,7 +248,7 @@
     }
 }
 
-/// Returns how many members of the own failure domain come before this node as readers.
+/// Returns this node's rank among the members of its failure domain, from 0, by rendezvous hashing.
 fn rank(members: &Membership, out: &Outbox) -> u64 {
     let identity = out.identity();
     let domain = identity.card.domain;
--- a/crates/sedgepath-core/src/configuration/change.rs
+++ b/crates/sedgepath-core/src/configuration/change.rs
@@ -1,17 +1,15 @@
-//! Changes of the configuration that operators ask for.
+//! Configuration changes requested by operators.
 //!
-//! A change is one transaction: the head, conditional on the version that was read, the records, and
-//! the log row. Of all transactions conditional on the same version of the head at most one takes
-//! effect, which settles everything else:
+//! A change is one transaction that writes the head, conditional on the version that was read, the
+//! records and a log row. At most one transaction per version of the head commits:
 //!
-//! - Racing operators: the loser gets a conflict and the winner's log row.
-//! - A lost answer: the log row of the expected revision tells whose change took effect. If there is
-//!   none yet, the same transaction is sent again. Should the first one still arrive, only one of
-//!   the two can take effect, and both say the same.
-//! - Asking again: a change whose identifier stands in the log is accepted already.
+//! - Concurrent changes: the loser gets a conflict with the winner's log row.
+//! - Lost response: the log row of the next revision tells which change committed. If there is none,
+//!   the same transaction is sent again; at most one of the two commits, with the same content.
+//! - Repeated request: a change whose identifier is found in the log counts as accepted.
 //!
-//! Before the transaction is sent, the records are checked against the records in force at exactly
-//! the expected revision, so what is accepted is in order as a whole, not only by itself.
+//! Before the transaction is sent, the records are validated together with the records in force at
+//! the revision that the change builds on.
 
 use serde::{Deserialize, Serialize};
 
@@ -27,57 +25,57 @@
 
 use progress::Change;
 
-/// The most text of all records of a change, in bytes. It goes to the store in one transaction of at
-/// most 1 MB, in which each record stands twice (its own row and the log's), as base64.
+/// The maximum total length of a change's record bodies in bytes. A transaction may have 1 MB and
+/// contains each record twice, in its own row and in the log row, as base64.
 const MAX_CHANGE_BYTES: usize = 350 * 1024;
 
-/// The most records of a change: the store takes a hundred entries in a transaction, of which the
-/// head's condition and value and the newest and the oldest row of the log are four.
+/// The maximum number of records in a change. The platform's store takes 100 entries in a
+/// transaction; the head's condition and value and the new and the expired log row are 4 of them.
 const MAX_CHANGE_RECORDS: usize = 96;
 
-/// The most changes that a node works on at once.
+/// The maximum number of concurrent changes on a node.
 const MAX_CHANGES: usize = 32;
 
-/// What an operator asks for.
+/// An operator's request to write records.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRequest {
-    /// A number that the operator's command draws once and sends again when it asks again.
+    /// The change's unique identifier; a repeated request carries the same one.
     pub change_id: Box<str>,
     /// The records to write.
     pub records: Vec<RawRecord>,
-    /// The revision that the operator has seen; the change is refused if another one is in force.
+    /// The revision that the change builds on; it is rejected if the head is at another one.
     pub expected_revision: Option<u64>,
-    /// What the operator notes about it.
+    /// The operator's note for the log.
     pub note: Box<str>,
 }
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
 pub enum ChangeOutcome {
-    /// It made this revision, which is in force everywhere within seconds and never reverts.
+    /// The change was committed and is permanent.
     Accepted {
-        /// The revision.
+        /// The revision that the change created.
         revision: u64,
     },
-    /// Another change came first; this one did not and will not take effect.
+    /// Another change was committed first; this one was not and will not be.
     Conflict {
         /// The head revision as far as known.
         revision: u64,
-        /// The other change, if the log has it.
+        /// The other change, if it was found in the log.
         other: Option<LoggedChange>,
     },
-    /// It did not and will not take effect.
+    /// The change was not and will not be committed.
     NotAccepted {
-        /// Why.
+        /// The reason.
         refusal: ChangeRefusal,
     },
-    /// It may take effect; asking again with the same identifier tells.
+    /// The change may or may not be committed. A repeated request with the same identifier tells.
     Unknown,
 }
 
 impl ChangeOutcome {
-    /// Returns the outcome's name as logged.
+    /// Returns the name used in log events.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Accepted { .. } => "accepted",
@@ -92,16 +90,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case", tag = "refusal")]
 pub enum ChangeRefusal {
-    /// The records are not in order.
+    /// Validation of the records failed.
     #[error("the records are not in order")]
+    #[serde(rename = "check")]
     InvalidRecords {
-        /// What is wrong, and where.
+        /// The validation errors with their locations.
         problems: Vec<Problem>,
     },
     /// The platform's table can't be reached.
     #[error("the platform's table can't be reached")]
     Unavailable,
-    /// The node could not catch up to the revision that the change builds on.
+    /// The node did not catch up in time with the head that it read for the change.
     #[error("the node is behind: it has revision {own} in force and the head is {head}")]
     Behind {
         /// The revision in force on the node.
@@ -109,8 +108,8 @@
         /// The head revision.
         head: u64,
     },
-    /// The node works on too many changes already.
-    #[error("the node works on too many changes already")]
+    /// The node has reached its limit of concurrent changes.
+    #[error("the node has too many changes in progress")]
     Busy,
     /// The change has no records.
     #[error("the change has no records")]
@@ -118,42 +117,42 @@
     /// The change has too many records.
     #[error("the change has {records} records; split it into changes of at most {most}")]
     Many {
-        /// Their number.
+        /// The number of records.
         records: usize,
-        /// The most.
+        /// The maximum number of records.
         most: usize,
     },
-    /// The records of the change are too long together.
+    /// The total length of the record bodies is too large.
     #[error(
         "the records of the change have {bytes} bytes; split it into changes of at most {most}"
     )]
     Large {
-        /// Their length in bytes.
+        /// The total length in bytes.
         bytes: usize,
-        /// The most.
+        /// The maximum total length in bytes.
         most: usize,
     },
 }
 
-/// What became of a change, and the records that it put in force.
+/// A finished change: its outcome, and the records that it wrote.
 #[derive(Debug)]
 pub struct Concluded {
-    /// The operator's question.
+    /// Identifies the operator's request to answer.
     pub reply: ReplyKey,
-    /// The outcome.
+    /// The outcome to send.
     pub outcome: ChangeOutcome,
-    /// What is to be applied on this node at once.
+    /// The committed records, for this node to apply without reading them from the table.
     pub changes: Option<Changes>,
 }
 
-/// The changes that the node works on.
+/// The changes in progress on a node.
 #[derive(Debug, Default)]
 pub struct ChangeDesk {
     changes: Vec<Change>,
 }
 
 impl ChangeDesk {
-    /// Takes in a request; returns its outcome if it is refused at once.
+    /// Starts a change; returns it as finished if a limit is exceeded.
     pub fn begin(
         &mut self,
         reply: ReplyKey,
@@ -181,12 +180,12 @@
         None
     }
 
-    /// Whether a change waits for this node to catch up.
+    /// Whether a change waits for this node to catch up with the head.
     pub fn waits_for_store(&self) -> bool {
         self.changes.iter().any(Change::waits_for_store)
     }
 
-    /// Goes on with what is due and gives up what has taken too long.
+    /// Sends requests that are due and finishes changes whose time limit has passed.
     pub fn tick(&mut self, store: &Store, out: &mut Outbox) -> Vec<Concluded> {
         let mut concluded = Vec::new();
         for change in &mut self.changes {
@@ -197,7 +196,7 @@
         concluded
     }
 
-    /// Takes in a result; returns none if it is not one of a change.
+    /// Handles a table result; returns `None` if no change sent the request.
     pub fn take_result(
         &mut self,
         operation: OperationKey,
--- a/crates/sedgepath-core/src/configuration/change/progress.rs
+++ b/crates/sedgepath-core/src/configuration/change/progress.rs
@@ -1,4 +1,4 @@
-//! One change on its way: what it waits for, and what each answer of the table leads to.
+//! The state machine of a change: the table request it waits for, and the step after each result.
 
 use serde::Serialize;
 
@@ -14,54 +14,54 @@
     Row, RowChange, RowCondition, RowVersion, RowWrite, TableRequest, TableResult, Transaction,
 };
 
-/// How long a change is worked on before its outcome is given, in milliseconds.
+/// The time limit of a change, in milliseconds.
 const CHANGE_LIMIT_MS: u64 = 8_000;
 
-/// The time between two tries of a request that failed, in milliseconds.
+/// The delay before a failed table request is retried, in milliseconds.
 const RETRY_MS: u64 = 250;
 
-/// The newest changes among which a change's identifier is looked for.
+/// The number of newest log rows that are searched for a change's identifier.
 const REMEMBERED_CHANGES: u64 = 256;
 
-/// The head as read for a change.
+/// The head row that a change builds on; `version` is `None` if the row does not exist.
 #[derive(Debug, Clone, Copy)]
 struct Head {
     revision: u64,
     version: Option<RowVersion>,
 }
 
-/// What a change waits for.
+/// What a change waits for next.
 #[derive(Debug)]
 enum Step {
-    /// To be sent at a time: the read of the head.
+    /// The time at which to read the head.
     ReadHead { at_ms: u64 },
-    /// The head.
+    /// The head row.
     AwaitHead,
-    /// The newest log rows, to find the change's identifier.
+    /// The newest log rows, to search them for the change's identifier.
     AwaitLog { head: Head },
-    /// That this node has the head's revision in force.
+    /// This node's copy to catch up with the head's revision.
     AwaitStore { head: Head },
     /// The result of the transaction.
     AwaitCommit { head: Head },
-    /// To be sent at a time: the read of the log row that settles an unknown result.
+    /// The time at which to read the log row that resolves an unknown commit result.
     Settle { head: Head, at_ms: u64 },
-    /// That log row.
+    /// The log row that resolves an unknown commit result.
     AwaitSettle { head: Head },
-    /// The log row of the change that came first.
+    /// The log row of the change that won a conflict.
     AwaitOther { head: Head },
 }
 
-/// A change on its way.
+/// A change in progress.
 #[derive(Debug)]
 pub(super) struct Change {
     reply: ReplyKey,
     request: ChangeRequest,
     give_up_at_ms: u64,
-    /// Whether a transaction was sent whose result is not known.
+    /// Whether the result of a sent transaction is unknown.
     in_doubt: bool,
     operation: Option<OperationKey>,
     step: Step,
-    /// What the transaction has put in force, if this node saw it committed.
+    /// The records of the transaction, if this node got the result that it was committed.
     committed: Option<Changes>,
 }
 
@@ -82,7 +82,7 @@
         self.reply
     }
 
-    /// Takes the key of the request that it waits for, if it is this one.
+    /// Clears the pending table request if it is the given one; returns whether it was.
     pub(super) fn take_operation(&mut self, operation: OperationKey) -> bool {
         self.operation.take_if(|waited| *waited == operation).is_some()
     }
@@ -170,12 +170,12 @@
                 self.step = Step::Settle { head, at_ms: retry_at_ms };
                 None
             }
-            // The read failed, and is sent again after a while.
+            // A read failed; start again with the head after a delay.
             _ => None,
         }
     }
 
-    /// Returns the outcome that follows from the log row of the expected revision.
+    /// Returns the outcome by the log row of the revision that the change would have created.
     fn standing(&self, revision: u64, rows: &[Row]) -> ChangeOutcome {
         match rows.iter().find_map(logged) {
             Some(own) if self.is_mine(&own) => ChangeOutcome::Accepted { revision: own.revision },
@@ -187,10 +187,8 @@
         logged.change_id == self.request.change_id
     }
 
-    /// Looks through the newest changes for this one before anything is sent.
-    ///
-    /// An operator may ask again about a change that was accepted, and expect the revision that it
-    /// made or a later one. Without this the change would be made twice.
+    /// Searches the log for the change's identifier, so that a repeated request is not committed
+    /// twice.
     fn take_head(&mut self, rows: &[Row], out: &mut Outbox) {
         let row = rows.first();
         let head = Head {
@@ -310,8 +308,8 @@
                 return Some(ChangeOutcome::Accepted { revision: head.revision + 1 });
             }
             TableResult::Conflict { .. } => {
-                // The first row after the head that was read: another's change, or this one's own
-                // if an earlier try of it took effect and its answer was lost.
+                // The log row may be this change's own, if an earlier attempt committed and its
+                // response was lost.
                 self.read(vec![log_key(head.revision + 1)], Step::AwaitOther { head }, out);
             }
             TableResult::Unavailable => {
@@ -327,8 +325,8 @@
 
     fn take_settle(&mut self, head: Head, rows: &[Row], out: &mut Outbox) -> Option<ChangeOutcome> {
         if rows.is_empty() {
-            // None has taken effect yet. The same transaction again is safe: both are conditional
-            // on the same version of the head, so that at most one of them takes effect.
+            // Sending the transaction again is safe: both attempts are conditional on the same
+            // version of the head, so at most one commits.
             self.commit(head, out);
             return None;
         }
--- a/crates/sedgepath-core/src/configuration/reader.rs
+++ b/crates/sedgepath-core/src/configuration/reader.rs
@@ -1,18 +1,15 @@
 //! Reads the configuration from the platform's table.
 //!
-//! Two members of each failure domain poll the head, chosen by rendezvous hashing over the live
-//! ones, so the platform's reads grow with the failure domains and not with the nodes. Every
-//! heartbeat says how old the newest successful reading is that its sender knows of. When that age
-//! passes [`NodeSettings::head_stale_ms`](crate::identity::NodeSettings), others step in, by their
-//! rank and at growing intervals: a reader that lives but can't reach the platform is replaced, and
-//! an outage of the platform raises the attempts of a domain of n members to about 2 + ln n a poll,
-//! not to n.
+//! Two serving members of each failure domain, chosen by rendezvous hashing, poll the head, so the
+//! load on the platform does not grow with the number of nodes. Heartbeats carry the age of the
+//! newest successful read that the sender knows of. When it exceeds
+//! [`NodeSettings::head_stale_ms`](crate::identity::NodeSettings), the other members also poll, at
+//! intervals that grow with their rank, in case the readers can't reach the platform.
 //!
-//! A reader that is a few revisions behind reads the log rows since its own. At boot, or far behind,
-//! it scans all records, which is no snapshot: changes go on while it turns the pages. It therefore
-//! reads the head H before the scan and the log after it, from H + 1 up to at least the highest
-//! revision that the scan met. A record changed after H stands in that log, one changed before H was
-//! scanned as it stands, so the outcome is exactly one revision.
+//! A reader that is a few revisions behind reads the log rows after its revision. Otherwise it scans
+//! all records, which is not a snapshot. It therefore reads the head H before the scan and, after
+//! it, the log from H + 1 up to at least the highest revision that the scan returned. A record
+//! changed after H is in that log, any other was scanned unchanged: the result is one revision.
 
 use super::rows::{HEAD_KEY, LoggedChange, RECORD_PREFIX, RecordRow, log_key};
 use super::store::Changes;
@@ -21,19 +18,19 @@
 use crate::outbox::Outbox;
 use crate::table::{Row, TableRequest, TableResult};
 
-/// The members of a failure domain that poll the head.
+/// The number of members in a failure domain that regularly poll the head.
 const READERS: u64 = 2;
 
-/// The most rows read from the table at once.
+/// The maximum number of rows in a page of a scan.
 const PAGE_ROWS: u32 = 64;
 
-/// The most log rows read at once; a reader further behind scans.
+/// The number of log rows in one read; a reader that is further behind scans all records.
 const LOG_ROWS: u64 = 64;
 
-/// How much later each further member of a domain steps in, in milliseconds.
+/// The additional age of the head per rank at which a member starts to poll, in milliseconds.
 const STEP_IN_MS: u64 = 100;
 
-/// What a reading of the table is for.
+/// The read in progress, with the data that its result is combined with.
 #[derive(Debug)]
 enum Reading {
     Head,
@@ -42,14 +39,14 @@
     LogAfterScan { head: u64, rows: Vec<RecordRow> },
 }
 
-/// What a result of the table has brought.
+/// The effect of a table result.
 #[derive(Debug)]
 pub enum ReadResult {
-    /// It is no result of this reader.
+    /// The reader did not send the request.
     NotMine,
-    /// Nothing new, or not yet.
+    /// There is nothing new, or the read continues.
     Nothing,
-    /// Changes that are to be applied.
+    /// Records to apply to the store.
     Changes(Changes),
 }
 
@@ -59,7 +56,7 @@
     }
 }
 
-/// Polls the head and reads what changed.
+/// Polls the head and reads records that changed.
 #[derive(Debug, Default)]
 pub struct Reader {
     reading: Option<(OperationKey, Reading)>,
@@ -70,39 +67,40 @@
 }
 
 impl Reader {
-    /// Returns the time since the newest successful reading of the head that this node knows of.
+    /// Returns the age of the newest successful read of the head, by any node, that is known here.
     pub fn head_age_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.confirmed_at_ms)
     }
 
-    /// Returns the head as this node has last read it itself since its start.
+    /// Returns the head revision that this node last read itself; `None` if it has not read it.
     pub fn head(&self) -> Option<u64> {
         self.head
     }
 
-    /// Takes in how old the newest reading is that a peer knows of.
+    /// Handles the age of the newest successful read that a peer knows of.
     pub fn hear_head_age(&mut self, age_ms: u64, now_ms: u64) {
         self.confirmed_at_ms = self.confirmed_at_ms.max(now_ms.saturating_sub(age_ms));
     }
 
-    /// Asks for a reading at the next tick, whoever the readers are.
+    /// Reads the head now, whatever this node's rank, unless a read is in progress.
     pub fn hurry(&mut self, out: &mut Outbox) {
         if self.reading.is_none() {
             self.read_head(out);
         }
     }
 
-    /// Whether the time for a reading has come; the rank is asked for only then.
+    /// Whether it is time for [`Self::poll`].
     pub fn is_due(&self, now_ms: u64) -> bool {
         self.reading.is_none() && now_ms >= self.next_at_ms
     }
 
-    /// Delays the first reading at boot by `wait_ms`.
+    /// Delays the first poll by `wait_ms`.
     pub fn wait(&mut self, wait_ms: u64, now_ms: u64) {
         self.next_at_ms = now_ms + wait_ms;
     }
 
-    /// Reads the head if this node, the `rank`-th of its domain, is to do it.
+    /// Reads the head if this node is one of the first of its domain by `rank`, or if the last
+    /// known read is too old.
     pub fn poll(&mut self, rank: u64, settings: &NodeSettings, out: &mut Outbox) {
         let every_ms = settings.head_every_ms;
         let Some(behind) = rank.checked_sub(READERS) else {
@@ -140,7 +138,7 @@
         self.reading = Some((operation, Reading::Scan { head, rows }));
     }
 
-    /// Takes in a result and returns what it has brought.
+    /// Handles a table result; `revision` is the one in force on this node.
     pub fn take_result(
         &mut self,
         operation: OperationKey,
@@ -193,7 +191,7 @@
     ) -> Option<Changes> {
         let (reached, records) = follow_log(after, rows);
         if reached == after {
-            // The log does not reach back so far, or was not written.
+            // The log no longer has the next revision, or its row can't be parsed.
             self.scan(head, Vec::new(), Box::default(), out);
             return None;
         }
@@ -226,12 +224,12 @@
         if reached > head {
             self.read_log(reached, Reading::LogAfterScan { head: reached, rows: known }, out);
         }
-        // Else the log lacks a change that the scan met, and the next poll starts anew.
+        // Otherwise the log lacks a revision that the scan returned; the next poll starts over.
         None
     }
 }
 
-/// Returns how far log rows reach without a gap, and the records that they hold.
+/// Returns the last revision of the gapless run of log rows after `after`, and its records.
 fn follow_log(after: u64, rows: &[Row]) -> (u64, Vec<RecordRow>) {
     let mut reached = after;
     let mut records = Vec::new();
--- a/crates/sedgepath-core/src/configuration/rows.rs
+++ b/crates/sedgepath-core/src/configuration/rows.rs
@@ -1,13 +1,12 @@
-//! The rows of the table that hold the configuration.
+//! The table rows that store the configuration.
 //!
-//! - `head`: the revision in force, as a decimal number. Every change is conditional on its version.
-//! - `record/<kind>/<name>`: a [`RecordRow`], the record as last accepted.
-//! - `log/<revision as 20 digits>`: a [`LoggedChange`], so that a reader that is a few revisions
-//!   behind reads only what changed, a lost answer can be settled, and operators see who changed
-//!   what.
+//! - `head`: the newest revision, as a decimal number. Every change is conditional on its version.
+//! - `record/<kind>/<name>`: a [`RecordRow`] with the record as last accepted.
+//! - `log/<revision as 20 digits>`: a [`LoggedChange`]. Readers that are a few revisions behind read
+//!   only these rows, changes look up lost commit results in them, and operators list them.
 //!
-//! A change writes all of its rows in one transaction. Records are never removed: one that is no
-//! longer wanted is replaced, so "all records written after revision R" is a complete difference.
+//! A change writes all of its rows in one transaction. Records are replaced but never removed, so
+//! the records written after revision R are the complete difference to R.
 
 use serde::{Deserialize, Serialize};
 
@@ -16,38 +15,38 @@
 /// The key of the row that holds the head revision.
 pub const HEAD_KEY: &str = "head";
 
-/// The start of the keys of records.
+/// The key prefix of record rows.
 pub const RECORD_PREFIX: &str = "record/";
 
-/// The start of the keys of changes.
+/// The key prefix of log rows.
 pub const LOG_KEY_PREFIX: &str = "log/";
 
-/// The changes that the table keeps in its log; older ones are removed as new ones come.
+/// The number of log rows kept; each change removes the row that exceeds it.
 pub const KEPT_CHANGES: u64 = 10_000;
 
-/// A record as it stands in its row of the table.
+/// The value of a record's row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordRow {
-    /// The revision that wrote it.
+    /// The revision that last wrote the record.
     pub revision: u64,
-    /// The record.
+    /// The record as accepted.
     pub record: RawRecord,
 }
 
-/// An accepted change as it stands in the log.
+/// The value of a log row: an accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoggedChange {
-    /// The revision that it made.
+    /// The revision that the change created.
     pub revision: u64,
-    /// The number that the operator's command drew for it.
+    /// The identifier from the operator's request.
     pub change_id: Box<str>,
-    /// What the operator noted.
+    /// The operator's note.
     pub note: Box<str>,
-    /// The name of the node that wrote it.
+    /// The name of the node that committed the change.
     pub node: Box<str>,
-    /// When the node wrote it, in milliseconds by that node's clock.
+    /// The time of the commit request, in milliseconds by that node's clock.
     pub written_at_ms: u64,
-    /// The records written.
+    /// The records that the change wrote.
     pub records: Vec<RawRecord>,
 }
 
@@ -56,7 +55,7 @@
     format!("{RECORD_PREFIX}{}/{}", record.kind, record.name).into()
 }
 
-/// Returns the key of a change's row; keys sort as their revisions do.
+/// Returns the key of a revision's log row; keys sort in the order of their revisions.
 pub fn log_key(revision: u64) -> Box<str> {
     format!("{LOG_KEY_PREFIX}{revision:020}").into()
 }
--- a/crates/sedgepath-core/src/configuration/spread.rs
+++ b/crates/sedgepath-core/src/configuration/spread.rs
@@ -1,14 +1,13 @@
-//! Carries the configuration from node to node.
+//! Replicates the configuration between nodes by gossip, also without the platform.
 //!
-//! A node that puts a revision in force tells a few random members, most of them in its own failure
-//! domain, and each of these does the same: a rumour reaches all members of a domain of n in about
-//! log n rounds (Demers et al., 1987), whatever nodes are lost. Rumours die out before they reach
-//! everyone, so every heartbeat also carries the sender's revision, and a node that hears a higher
-//! one than its own fetches the difference. Both ways work without the platform.
+//! A node that applies a revision notifies a few random members, most of them in its own failure
+//! domain, and each of these does the same (rumor mongering; Demers et al., 1987). A rumor may miss
+//! members, so heartbeats carry the sender's revision too. A node that learns of a higher revision
+//! fetches the difference.
 //!
-//! A fetch is bounded: one at a time, in pages, after a short random wait, so that the members that
-//! hear of a change by the same heartbeat do not all ask the same peer in the same millisecond. If
-//! a peer does not answer, the next one that is known to have the revision is asked, then the table.
+//! A node fetches from one peer at a time, in pages, after a random delay that keeps members from
+//! asking the same peer at once. If a peer does not answer, the next peer that is ahead is asked,
+//! then the table.
 
 use std::net::SocketAddr;
 
@@ -21,23 +20,23 @@
 use crate::message::{ConfigurationStatus, Message, RevisionNotice};
 use crate::outbox::Outbox;
 
-/// The members of the own failure domain that are told of a new revision.
+/// The number of members in the own failure domain that are notified of a new revision.
 const TOLD_NEAR: usize = 4;
 
-/// The members of other failure domains that are told of a new revision.
+/// The number of members in other failure domains that are notified of a new revision.
 const TOLD_FAR: usize = 2;
 
-/// The most peers that are remembered as being ahead.
+/// The maximum number of peers ahead of this node that are remembered.
 const MAX_AHEAD: usize = 64;
 
-/// A peer that is ahead of this node.
+/// The address and revision of a peer that is ahead of this node.
 #[derive(Debug, Clone, Copy)]
 struct Ahead {
     operators: SocketAddr,
     revision: u64,
 }
 
-/// A fetch that is on its way.
+/// A fetch in progress.
 #[derive(Debug)]
 struct Fetching {
     operation: OperationKey,
@@ -47,18 +46,18 @@
     records: Vec<RecordRow>,
 }
 
-/// What a fetch has brought.
+/// The effect of a fetched page.
 #[derive(Debug)]
 pub enum Fetched {
-    /// The whole difference.
+    /// The fetch is complete.
     Changes(Changes),
-    /// A page, and the next one is asked for; or nothing that helps, and another peer is next.
+    /// The next page was requested, or another peer will be asked.
     Pending,
-    /// No peer is left to ask.
+    /// No peer that is ahead is left to ask.
     NoPeer,
 }
 
-/// Hears of revisions and fetches them from peers.
+/// Tracks peers' revisions, fetches newer ones and announces its own.
 #[derive(Debug, Default)]
 pub struct Spread {
     highest_heard: u64,
@@ -69,12 +68,12 @@
 }
 
 impl Spread {
-    /// Returns the highest revision that any member was heard to have.
+    /// Returns the highest revision that a member reported or that this node applied.
     pub fn highest_heard(&self) -> u64 {
         self.highest_heard
     }
 
-    /// Takes in that a member has a revision in force.
+    /// Handles the revision that a member reports; `own` is the one in force on this node.
     pub fn hear(&mut self, vm: VmKey, operators: SocketAddr, revision: u64, own: u64) {
         self.highest_heard = self.highest_heard.max(revision);
         if revision > own && (self.ahead.len() < MAX_AHEAD || self.ahead.contains_key(&vm)) {
@@ -82,14 +81,14 @@
         }
     }
 
-    /// Takes in that a new revision is in force here; it is told at the next tick.
+    /// Handles that this node applied a revision; the next tick announces it.
     pub fn applied(&mut self, revision: u64) {
         self.highest_heard = self.highest_heard.max(revision);
         self.ahead.retain(|_, peer| peer.revision > revision);
         self.tell = true;
     }
 
-    /// Tells of a new revision and starts a fetch when it is due.
+    /// Announces a new revision and starts a fetch when it is due.
     pub fn tick(
         &mut self,
         news: ConfigurationStatus,
@@ -116,7 +115,7 @@
         }
     }
 
-    /// Asks one of the peers that are the furthest ahead.
+    /// Requests the first page from a random peer among those with the highest revision.
     fn fetch(&mut self, revision: u64, random: &mut fastrand::Rng, out: &mut Outbox) {
         let highest = self.ahead.values().map(|peer| peer.revision).max();
         let mut peers: Vec<_> = self
@@ -132,7 +131,7 @@
             Some(Fetching { operation, vm, from, after: revision, records: Vec::new() });
     }
 
-    /// Takes in a fetched page, or that the peer did not answer.
+    /// Handles a fetched page; `None` if the peer did not answer.
     pub fn take_page(
         &mut self,
         operation: OperationKey,
--- a/crates/sedgepath-core/src/configuration/store.rs
+++ b/crates/sedgepath-core/src/configuration/store.rs
@@ -1,4 +1,4 @@
-//! The records in force, and the differences that nodes hand each other.
+//! The records in force on a node, and the pages in which other nodes fetch them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,10 +9,11 @@
 use crate::catalogue::Catalogue;
 use crate::event::ListedVm;
 
-/// The most text of records that one page carries, in bytes; a longer record goes alone.
+/// The maximum total length of the record bodies in a page, in bytes; a longer record gets its own
+/// page.
 const PAGE_BYTES: usize = 256 * 1024;
 
-/// A place in the order of writing: records are ordered by revision, kind and name.
+/// A position in the order of records by revision, kind and name.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RecordPosition {
     /// The revision that wrote the record.
@@ -24,17 +25,17 @@
 }
 
 impl RecordPosition {
-    /// Whether this is the place before all records, at which a node begins after its start.
+    /// Whether this position precedes all records, as in the first request of a node that starts.
     pub fn precedes_all_records(&self) -> bool {
         self.revision <= 1 && self.kind.is_empty()
     }
 
-    /// Returns the place behind all records of a revision.
+    /// Returns the position that follows all records of a revision.
     pub fn after_revision(revision: u64) -> Self {
         Self { revision: revision + 1, ..Self::default() }
     }
 
-    /// Returns the place of a record.
+    /// Returns the position of a record.
     pub fn of_row(row: &RecordRow) -> Self {
         Self {
             revision: row.revision,
@@ -44,38 +45,37 @@
     }
 }
 
-/// A part of the records that a node has in force.
+/// A page of the records in force on a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordPage {
-    /// The revision that the node has in force.
+    /// The revision in force on the node.
     pub revision: u64,
-    /// The records after the position asked for, in the order of writing.
+    /// The records after the requested position, in the order of [`RecordPosition`].
     pub records: Vec<RecordRow>,
-    /// Whether no record follows.
+    /// Whether this is the last page.
     ///
-    /// A record that is written again while a reader turns the pages moves behind the reader's
-    /// position, so the pages up to a complete one hold the whole difference to that page's
-    /// revision, whatever changed meanwhile.
+    /// A record that is rewritten during a fetch moves behind the fetch's position, so all pages up
+    /// to the last one together contain the whole difference to the last page's revision.
     pub complete: bool,
-    /// The platform's list of VMs as the peer has it, for a node that starts without the platform.
+    /// The peer's copy of the platform's VM list, sent to a node that starts.
     ///
-    /// Without it the nodes of a failure domain that restart all together while the platform is
-    /// down never hear of each other, and only the one that a relay reaches has a configuration.
+    /// It lets the nodes of a failure domain find each other if they all restart while the platform
+    /// is down.
     pub listed: Vec<ListedVm>,
 }
 
-/// All records written after one revision and up to another.
+/// The records written after one revision and up to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Changes {
-    /// The revision that these records lead to.
+    /// The last revision included.
     pub revision: u64,
-    /// The revision from which on they are complete; 0 for all records.
+    /// The revision that the records build on; 0 if all records are included.
     pub after: u64,
-    /// The records.
+    /// The records, each with the revision that wrote it.
     pub records: Vec<RecordRow>,
 }
 
-/// The records in force.
+/// The node's copy of the records in force.
 #[derive(Debug, Default)]
 pub struct Store {
     revision: u64,
@@ -84,7 +84,7 @@
 }
 
 impl Store {
-    /// Returns the revision in force; 0 before there is one.
+    /// Returns the revision in force, or 0 if there is none yet.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -94,15 +94,15 @@
         &self.catalogue
     }
 
-    /// Returns the records in the order of their kinds and names.
+    /// Returns the records sorted by kind and name.
     pub fn records(&self) -> impl Iterator<Item = &RecordRow> {
         self.records.values()
     }
 
-    /// Puts changes in force; returns false if they are old or do not join on to what is in force.
+    /// Applies changes; returns false if they are outdated or build on a revision that is not in
+    /// force yet.
     ///
-    /// A lower revision is never applied: peers and slow answers of the table bring old ones at any
-    /// time, and callers would be steered back by a record that had been replaced.
+    /// The revision never decreases, though peers and late table results may deliver older ones.
     pub fn apply(&mut self, changes: Changes) -> bool {
         if changes.revision <= self.revision || changes.after > self.revision {
             return false;
@@ -127,7 +127,7 @@
         true
     }
 
-    /// Returns the next page of records after a position.
+    /// Returns the page of records that follow a position.
     pub fn page(&self, after: &RecordPosition) -> RecordPage {
         let mut rows: Vec<_> = self
             .records
