--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -1,9 +1,9 @@
-//! Requests that must run at most once.
+//! At-most-once execution of requests.
 //!
-//! [`DeduplicationSystem`] stands between the arrival of a request and its first attempt, and hears of its
-//! end. There are two paths, and a key never passes from one to the other: [`claims`] for keys that
-//! callers choose, over the platform's table; [`tickets`] for keys that a node mints, over the memory
-//! of its boot alone, so that they work while the platform is down.
+//! [`DeduplicationSystem`] admits a request before its first attempt and records its outcome. There are
+//! two mechanisms, and a key never moves from one to the other: [`claims`] stores keys that callers
+//! choose in the platform's table; [`tickets`] keeps keys that a node mints in the memory of its
+//! boot, so that they work while the platform is down.
 
 use crate::event::Action;
 use crate::hash::Digest;
@@ -32,10 +32,10 @@
 use tickets::{MintError, Tickets};
 use visitors::Visitors;
 
-/// When a caller should come back to learn more of its action, in milliseconds.
+/// The delay after which a caller should ask again for an outcome, in milliseconds.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// The once-only requests of a node.
+/// The requests of a node that must run at most once.
 #[derive(Debug, Default)]
 pub struct DeduplicationSystem {
     batcher: Batcher,
@@ -46,8 +46,9 @@
 }
 
 impl DeduplicationSystem {
-    /// Takes a request; returns true if it may be started now. Otherwise it gets its outcome, or
-    /// comes back from [`Self::take_granted`].
+    /// Handles a request that has arrived; returns true if it may be started now.
+    ///
+    /// Otherwise the request gets its outcome, or is returned by [`Self::take_granted`] later.
     pub fn admit(
         &mut self,
         request: RequestKey,
@@ -80,12 +81,12 @@
         admitted
     }
 
-    /// Returns the requests that may be started since the last call.
+    /// Returns the requests whose claims were granted since the last call.
     pub fn take_granted(&mut self) -> Vec<(RequestKey, RequestHead)> {
         self.claims.take_granted()
     }
 
-    /// Takes in the end of an answer on its way to its caller, with the answer for repeats.
+    /// Handles the end of relaying an answer; `stored` is the answer to give to repeats.
     pub fn handle_relay_end(
         &mut self,
         request: RequestKey,
@@ -98,7 +99,7 @@
         self.batcher.flush(out);
     }
 
-    /// Takes in that a request's caller has gone.
+    /// Handles that a request's caller disconnected.
     pub fn handle_caller_disconnect(&mut self, request: RequestKey, out: &mut Outbox) {
         self.visitors.forget(request);
         self.tickets.caller_gone(request);
@@ -106,7 +107,7 @@
         self.batcher.flush(out);
     }
 
-    /// Takes in the result of a request to the table; returns false if it is not one of this system.
+    /// Handles a table result; returns false if the request was not sent from here.
     pub fn handle_table_result(
         &mut self,
         operation: OperationKey,
@@ -137,11 +138,12 @@
         }
     }
 
-    /// Mints tickets for a service.
+    /// Mints `count` tickets for a service.
     ///
     /// # Errors
     ///
-    /// Fails if the number is out of bounds, too many are valid, or the node is about to stop.
+    /// Returns an error if `count` is out of range, too many tickets are valid, or the node is
+    /// stopping.
     pub fn mint_tickets(
         &mut self,
         service: ServiceKey,
@@ -151,12 +153,12 @@
         self.tickets.mint(service, count, out)
     }
 
-    /// Takes in the answer of another home; returns false if the request was not sent to one.
+    /// Handles the answer of another VM; returns false if the request was not forwarded.
     pub fn handle_hop_response(&self, request: RequestKey, attempt: u32, out: &mut Outbox) -> bool {
         self.visitors.hop_answered(request, attempt, out)
     }
 
-    /// Takes in the end of a hop to another home; returns false if the request was not sent to one.
+    /// Handles the end of a hop to another VM; returns false if the request was not forwarded.
     pub fn handle_hop_failure(
         &mut self,
         request: RequestKey,
@@ -169,21 +171,22 @@
         known
     }
 
-    /// Keeps the tickets that a peer has handed over.
+    /// Stores the tickets that a peer hands over.
     pub fn store_handover(&mut self, tickets: TicketHandover) {
         self.visitors.keep(tickets);
     }
 
-    /// Takes in whether a successor has taken this node's tickets over.
+    /// Handles whether a successor accepted the copy of this node's tickets.
     pub fn handle_copy_result(&mut self, operation: OperationKey, taken: bool) {
         if let Some(hand_over) = &mut self.poll_handover {
             hand_over.copied(operation, taken);
         }
     }
 
-    /// Stops running once-only requests and hands over what others need to answer for them; returns
-    /// true once that is done, or has failed for good. To be called at each tick from the moment at
-    /// which the node has nothing in flight.
+    /// Stops running tickets and hands over their state; returns true once the handover is complete
+    /// or has timed out.
+    ///
+    /// Called at each tick once the node has nothing in flight.
     pub fn poll_handover(&mut self, membership: &Membership, out: &mut Outbox) -> bool {
         self.tickets.close();
         if !self.tickets.is_idle() || !self.visitors.is_idle() {
@@ -198,7 +201,7 @@
         self.poll_handover.as_ref().is_some_and(|hand_over| hand_over.is_done(claims, out))
     }
 
-    /// Runs what works by time.
+    /// Handles timeouts, retries and expiry.
     pub fn tick(&mut self, out: &mut Outbox) {
         self.claims.tick(&mut self.batcher, out);
         self.visitors.tick(out);
@@ -209,11 +212,11 @@
         self.batcher.flush(out);
     }
 
-    /// Looks through the actions of an event for outcomes of once-only requests. An outcome that
-    /// has to wait for the table is taken out and given later.
+    /// Records the outcomes among an event's actions and returns the actions to perform. An outcome
+    /// that has to wait for the release of its claim is held back.
     ///
-    /// The actions are the one place that all ends of a request pass, whatever decided them, so no
-    /// retry can be told *not run* without the claim's release.
+    /// All outcomes pass through the actions, whatever decided them, so no caller hears *not run*
+    /// before the release of its claim was started.
     pub fn intercept_outcomes(&mut self, out: &mut Outbox) -> Vec<Action> {
         let mut kept = Vec::new();
         for action in out.take_actions() {
@@ -232,31 +235,30 @@
     }
 }
 
-/// The outcome of a request that was not run and will not be.
+/// Returns the outcome of a request that was not run and will not be.
 fn not_run(reason: RejectionReason) -> Outcome {
     let refusal = Rejection { reason, retry_after_ms: RETRY_AFTER_MS };
     Outcome::NotRun { refusal, others: Vec::new() }
 }
 
-/// Whether an attempt was overtaken by one whose caller has been told *not run*.
+/// Whether an attempt must not run because the caller was told *not run* for attempt `denied`.
 ///
-/// That caller may have turned to another key by then, so neither an earlier attempt that comes late
-/// nor the same one sent again may run. A request without a number (0) is a new try of its caller.
+/// The caller may have moved on to another key, so neither an earlier attempt that arrives late nor
+/// a duplicate of the same attempt may run. A request without an attempt number (0) is always new.
 fn is_denied(attempt: u32, denied: u32) -> bool {
     attempt < denied || (attempt == denied && attempt != 0)
 }
 
-/// The outcome of a request that was not sent although nothing is known of its key.
+/// Returns the outcome of a request that was not sent while the state of its key is unknown.
 ///
-/// *Not run* is said of the first attempt only. A later one asks about the action, and an earlier
-/// attempt may have run elsewhere; a caller that heard *not run* then might start the action anew
-/// under another key. A request that does not say which attempt it is may be a repeat.
+/// It is *not run* for attempt 1 only: before a later attempt, an earlier one may have run elsewhere.
+/// A request without an attempt number may be a repeat too.
 fn unsettled(attempt: u32, reason: RejectionReason) -> Outcome {
     if attempt == 1 { not_run(reason) } else { Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS } }
 }
 
-/// Turns *not run* into *unknown* for a request that was denied before its key was looked at, unless
-/// it is the first with that key.
+/// Replaces *not run* by *unknown* for a request that was rejected before its key was looked up,
+/// unless it is attempt 1.
 pub fn not_run_to_unknown(head: &RequestHead, outcome: &mut Outcome) {
     if matches!(outcome, Outcome::NotRun { .. }) && head.attempt != 1 {
         *outcome = Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS };
@@ -269,8 +271,8 @@
 
 /// Returns the digest of a key that a caller chose for a service.
 ///
-/// The organisation's key is part of it, so that one organisation can neither meet nor probe the
-/// keys of another.
+/// The digest includes the organisation's key, so that organisations can't collide with each other's
+/// keys or probe for them.
 pub fn key_digest(service: &str, organisation: Option<Digest>, key: &[u8]) -> Digest {
     let organisation = organisation.map_or([0; 16], |digest| digest.0);
     Digest::of(&[b"idempotency key", service.as_bytes(), &organisation, key])
--- a/crates/sedgepath-core/src/deduplication/batch.rs
+++ b/crates/sedgepath-core/src/deduplication/batch.rs
@@ -1,11 +1,9 @@
-//! Requests to the table, gathered into few transactions.
+//! Batches table requests into few transactions, since the platform limits the rate of writes.
 //!
-//! The platform takes a few hundred writes a second in all, so rows that are due at about the same
-//! time share a transaction. A transaction fails as a whole on the first row whose condition does
-//! not hold. That row's job hears of the conflict, and the others hear that they were left out: they
-//! read their rows, which costs one reading for all of them, before they write again. To send the
-//! rest at once would cost a transaction for each conflict, and many repeats at once would use up
-//! what the platform takes.
+//! A transaction fails as a whole if the condition of one row does not hold. That row's sender gets
+//! the conflict; the other senders are told that their rows were not written and read their rows in
+//! one batch before they write again. Sending the remaining rows again at once could cost a
+//! transaction per conflict.
 
 use std::collections::VecDeque;
 
@@ -14,43 +12,42 @@
 use crate::outbox::Outbox;
 use crate::table::{Row, RowChange, RowWrite, TableRequest, TableResult, Transaction};
 
-/// The least time between two transactions of a node, in milliseconds: ten nodes under load then make
-/// 250 a second.
+/// The minimum interval between two transactions, and between two reads, of a node, in milliseconds.
 const FLUSH_EVERY_MS: u64 = 40;
 
-/// The most requests of one kind that wait for the table at once.
+/// The maximum number of transactions, and of reads, that are in flight at once.
 const MAX_IN_FLIGHT: usize = 2;
 
-/// The most rows in one transaction or reading. The store takes a hundred entries at once, and a row
-/// with a condition and a change counts as two.
+/// The maximum number of rows in a transaction, and of queued reads in one read. The platform's
+/// store takes 100 entries per transaction; a row with a condition and a change counts as 2.
 const MAX_ROWS: usize = 50;
 
-/// The most bytes of rows in one transaction; a single larger row still goes alone.
+/// The maximum total size of the rows in a transaction, in bytes; a larger row is sent alone.
 const MAX_BYTES: usize = 256 * 1024;
 
-/// Whose request to the table it is.
+/// The sender of a table request, to which the result is returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Job {
     /// The claim of a request.
     Claim(RequestKey),
-    /// The look-up of a ticket whose home is gone.
+    /// The read of a ticket's rows, if its home can't be reached.
     Ticket(RequestKey),
-    /// A row of the hand-over, by its place in the list.
+    /// A row of the handover, by its index.
     HandOver(usize),
 }
 
-/// What became of a job's request.
+/// The result of a table request for one sender.
 #[derive(Debug)]
 pub enum Reply {
     /// The row was written.
     Written,
-    /// The row was not written: its condition did not hold, and this stands there.
+    /// The row was not written: its condition did not hold for the row's current value.
     Conflict(Option<Row>),
     /// The row was not written, since the condition of another row did not hold.
     LeftOut,
-    /// The request was surely not carried out.
+    /// The write was certainly not carried out, or the read failed.
     Refused,
-    /// The row may or may not be written, now or later.
+    /// The row may have been written or may still be written later.
     Lost,
     /// The rows that were read.
     Rows(Vec<Row>),
@@ -68,7 +65,7 @@
     keys: Vec<Box<str>>,
 }
 
-/// Gathers requests to the table and hands their results back to the jobs.
+/// Batches table requests and returns their results by sender.
 #[derive(Debug, Default)]
 pub struct Batcher {
     writes: VecDeque<Write>,
@@ -90,14 +87,14 @@
         self.readings.push_back(Reading { job, keys });
     }
 
-    /// Takes a job's write back if it has not been sent; returns whether it was found.
+    /// Removes a sender's write from the queue; returns false if it was not queued.
     pub fn take_back(&mut self, job: Job) -> bool {
         let before = self.writes.len();
         self.writes.retain(|write| write.job != job);
         self.writes.len() < before
     }
 
-    /// Sends what is due.
+    /// Sends queued requests as far as the rate and in-flight limits allow.
     pub fn flush(&mut self, out: &mut Outbox) {
         if self.commits_in_flight.len() < MAX_IN_FLIGHT
             && self.next_commit_at_ms <= out.now_ms()
@@ -127,7 +124,7 @@
         for write in self.writes.drain(..) {
             let size = size_bytes(&write.write);
             let fits = batch.len() < MAX_ROWS && (batch.is_empty() || bytes + size <= MAX_BYTES);
-            // Two writes of one row need an order, so they never share a transaction.
+            // Writes of the same row must keep their order, so they never share a transaction.
             if fits && later.is_empty() && keys.insert(write.write.key.clone()) {
                 bytes += size;
                 batch.push(write);
@@ -141,7 +138,7 @@
         self.commits_in_flight.insert(operation, batch);
     }
 
-    /// Takes in a result; none if the request was not sent from here.
+    /// Returns the result by sender, or `None` if the request was not sent from here.
     pub fn take_result(
         &mut self,
         operation: OperationKey,
--- a/crates/sedgepath-core/src/deduplication/claim.rs
+++ b/crates/sedgepath-core/src/deduplication/claim.rs
@@ -1,4 +1,4 @@
-//! One claim of this node: its request, its step and its row.
+//! The state of one claim.
 
 use crate::hash::Digest;
 use crate::request::{Outcome, RequestHead, StoredAnswer};
@@ -6,24 +6,24 @@
 
 use super::row::{ClaimRow, ClaimState, Holder};
 
-/// How long a finished key is remembered, in milliseconds.
+/// How long the row of a finished claim is kept, in milliseconds.
 pub const KEPT_MS: u64 = 3_600_000;
 
-/// How a claim ends.
+/// The end of a claim that is to be written to its row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum End {
-    /// The action was not run under it.
+    /// The action was not run under the claim.
     NotRun,
-    /// The action ran.
+    /// The action ran; the answer is `None` if it is not stored for repeats.
     Answered(Option<StoredAnswer>),
-    /// The row has been kept for long enough and is removed.
+    /// The row has expired and is removed.
     Swept,
 }
 
-/// What a claim waits for.
+/// What a claim waits for next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// The first reading of a repeat, or the reading after a lost answer.
+    /// The read of the row, for a repeat or after a write whose result is unknown.
     Reading,
     /// The write of the claim under this condition.
     Claiming(RowCondition),
@@ -31,35 +31,36 @@
     Granted,
     /// The end of the request.
     Running,
-    /// The row to say how it ended.
+    /// The write of the end to the row.
     Ending(End),
 }
 
-/// One claim.
+/// A claim of this node.
 #[derive(Debug)]
 pub struct Claim {
     /// The digest of the caller's key.
     pub key: Digest,
-    /// The digest of the request.
+    /// The digest of the request, to tell a repeat from another request.
     pub digest: Digest,
-    /// The number of the attempt.
+    /// The attempt number from the request.
     pub attempt: u32,
-    /// The request; none once its caller has got its outcome or it has been started.
+    /// The request; `None` once it has been started, concluded or given up.
     pub head: Option<RequestHead>,
-    /// What it waits for.
+    /// What the claim waits for next.
     pub step: Step,
-    /// The condition of a write of the claim whose answer was lost, so that it may still land.
+    /// The condition of a write of the claim whose result is unknown; it may still be applied.
     pub may_land: Option<RowCondition>,
-    /// When the wait for the claim ends, in milliseconds.
+    /// When the request stops waiting for the claim, in milliseconds.
     pub give_up_at_ms: u64,
-    /// An outcome that waits for the release of the claim, and until when.
+    /// An outcome that is held back until the claim is released, at most until the time in
+    /// milliseconds.
     pub held_back: Option<(Outcome, u64)>,
-    /// When the end is tried again, in milliseconds.
+    /// When the write of the end is retried, in milliseconds.
     pub retry_at_ms: Option<u64>,
 }
 
 impl Claim {
-    /// Creates the claim of a request.
+    /// Creates a claim that is not in the table yet.
     pub fn new(key: Digest, head: &RequestHead, give_up_at_ms: u64) -> Self {
         Self {
             key,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Creates the removal of an old row.
+    /// Creates a claim that removes its expired row.
     pub fn swept(key: Digest, now_ms: u64) -> Self {
         Self {
             key,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Whether its request was not run and will not be.
+    /// Whether the claim's request was not run and will not be.
     pub fn is_given_up(&self) -> bool {
         match self.step {
             Step::Claiming(_) | Step::Reading => self.head.is_none(),
@@ -98,12 +99,12 @@
         }
     }
 
-    /// Whether its request is left to the node.
+    /// Whether the claim's request was passed to the node to run.
     pub fn is_started(&self) -> bool {
         matches!(self.step, Step::Granted | Step::Running)
     }
 
-    /// Returns the claim's row.
+    /// Returns the claim's row in the given state, expiring [`KEPT_MS`] from now.
     pub fn row(&self, holder: Holder, state: ClaimState, now_ms: u64) -> ClaimRow {
         ClaimRow {
             holder,
--- a/crates/sedgepath-core/src/deduplication/claims.rs
+++ b/crates/sedgepath-core/src/deduplication/claims.rs
@@ -1,31 +1,24 @@
-//! Claims: actions that run at most once under a key that the caller chose.
+//! At-most-once execution under keys that callers choose, by claims in the platform's table.
 //!
-//! # Problem
-//!
-//! A caller repeats its request through any entry VM when it hears nothing. The writes of a node
-//! to the table may take effect late or lose their answers, and the node may be paused or die
-//! anywhere. The action must run at most once, and a caller that is told *not run* must be able
-//! to rely on it for ever.
-//!
-//! # Ways weighed
-//!
-//! A lease on the claim, so that another node may take over, is unsafe: its lapse proves nothing,
-//! since the holder may only be paused between its check and its send. A lock before the claim adds
-//! a write and has the same fault. A claim written after the send proves nothing at all.
+//! A caller may repeat its request through any entry VM, table writes may be applied late or lose
+//! their results, and nodes may pause or fail at any time. Still an action runs at most once, and
+//! *not run* stays true once a caller was told so. Claims are not leases: an expired lease does not
+//! prove that a paused holder won't send.
 //!
 //! # Invariants
 //!
-//! - A request is sent only after its own claim was seen in the table: the answer to the insert, or
-//!   a reading that shows this very request as the holder.
-//! - A row in state held is changed by its holder only. So a claim of a node that died stays, and the
-//!   key stays *unknown*: a dead holder may have sent the request. That is the price.
-//! - Every write of a row names the version that it replaces, or that there is none. A write that
-//!   lands late meets another version and fails.
-//! - A request that gives up while its insert may still land leaves a tombstone: a row that says
-//!   *not run*, with which the late insert collides. The node goes on until the tombstone stands; if
-//!   it dies before that, the late claim is one of a dead holder: never run, and *unknown* for good.
-//! - A row that says *not run* speaks for all attempts up to its number, so a delayed earlier request
-//!   can't claim after its caller has heard that the action did not run.
+//! - A request is sent only after its own claim was seen in the table, by the result of the write or
+//!   by a read that shows this request as the holder.
+//! - A row in state held is changed only by requests of its holder's boot. The key of a node that
+//!   failed stays *unknown*, since the node may have sent the request.
+//! - Every write of a row is conditional on the version that it replaces or on the row's absence, so
+//!   a write that is applied late fails.
+//! - A request that gives up while its write may still be applied leaves a tombstone, a row in state
+//!   *not run*, that the late write conflicts with. The node retries until the tombstone is written.
+//!   If the node fails before, the late claim belongs to a failed holder: the action never runs and
+//!   stays *unknown*.
+//! - A row in state *not run* covers all attempts up to its number, so a delayed earlier attempt can't
+//!   claim the key after the caller was told *not run*.
 
 use crate::hash::{Digest, Map};
 use crate::key::RequestKey;
@@ -41,19 +34,19 @@
 
 mod ending;
 
-/// The longest that a request waits for its claim, in milliseconds.
+/// The maximum time that a request waits for its claim, in milliseconds.
 const CLAIM_WAIT_MS: u64 = 1_000;
 
-/// The longest that an outcome waits for the release of its claim, in milliseconds.
+/// The maximum time that an outcome waits for the release of its claim, in milliseconds.
 const RELEASE_WAIT_MS: u64 = 250;
 
-/// The time until a write that failed is tried again, in milliseconds.
+/// The delay before a rejected write is retried, in milliseconds.
 const RETRY_MS: u64 = 500;
 
-/// The most claims that a node works on at once; further requests are refused.
+/// The maximum number of claims in progress on a node; further requests are rejected.
 const MAX_CLAIMS: usize = 10_000;
 
-/// The claims that this node works on.
+/// The claims in progress on this node.
 #[derive(Debug, Default)]
 pub struct Claims {
     by_request: Map<RequestKey, Claim>,
@@ -63,7 +56,7 @@
 }
 
 impl Claims {
-    /// Takes a request; returns true if it has its claim and may be started.
+    /// Handles a request; returns true if its claim is granted and it may be started.
     pub fn admit(
         &mut self,
         request: RequestKey,
@@ -87,7 +80,7 @@
         let claim = Claim::new(key, head, give_up_at_ms);
         self.by_request.insert(request, claim);
         self.by_key.insert(key, request);
-        // A repeat most likely meets a row; a reading costs the others of its transaction nothing.
+        // The row of a repeat probably exists; a read, unlike a write, can't fail a transaction.
         if head.attempt > 1 {
             batcher.read(Job::Claim(request), vec![ClaimRow::key(key)]);
         } else {
@@ -96,7 +89,8 @@
         false
     }
 
-    /// Answers a repeat of a key that this node works on.
+    /// Answers a request whose key has a claim in progress here; returns false if it has none or the
+    /// claim's request was given up.
     fn answer_from_memory(
         &self,
         request: RequestKey,
@@ -122,12 +116,12 @@
         std::mem::take(&mut self.granted)
     }
 
-    /// Returns the number of claims whose rows do not yet say how they ended.
+    /// Returns the number of claims whose end is not written yet.
     pub fn unsettled(&self) -> usize {
         self.by_request.values().filter(|claim| claim.step != Step::Ending(End::Swept)).count()
     }
 
-    /// Takes in the outcome of a request; returns it unless it has to wait for the release.
+    /// Handles the outcome of a request; returns it unless it has to wait for the claim's release.
     pub fn concluded(
         &mut self,
         request: RequestKey,
@@ -143,13 +137,13 @@
             self.drop_claim(request);
             return Some(outcome);
         }
-        // The retry that the caller makes at once should find the claim released.
+        // An immediate retry of the caller should find the claim released.
         claim.held_back = Some((outcome, out.now_ms() + RELEASE_WAIT_MS));
         self.end(request, End::NotRun, batcher);
         None
     }
 
-    /// Takes in the answer of a request, for its repeats.
+    /// Handles the answer of a request, to be stored for repeats.
     pub fn answered(
         &mut self,
         request: RequestKey,
@@ -161,20 +155,20 @@
         }
     }
 
-    /// Takes in that a request's caller has gone.
+    /// Handles that a request's caller disconnected.
     pub fn caller_gone(&mut self, request: RequestKey, batcher: &mut Batcher) {
         let Some(claim) = self.by_request.get_mut(&request) else {
             return;
         };
         match claim.step {
-            // It may have been sent; nobody here will learn of its end.
+            // The request may have been sent, and its end will not be reported here.
             Step::Granted | Step::Running => self.drop_claim(request),
             _ if claim.head.take().is_some() => self.give_up(request, batcher),
             _ => {}
         }
     }
 
-    /// Takes in what became of a request to the table.
+    /// Handles the result of a claim's table request.
     pub fn replied(
         &mut self,
         request: RequestKey,
@@ -217,7 +211,7 @@
         }
     }
 
-    /// Gives up what waits for too long, tries again what failed, and removes old rows.
+    /// Handles timeouts and retries, and starts to remove expired rows.
     pub fn tick(&mut self, batcher: &mut Batcher, out: &mut Outbox) {
         let now_ms = out.now_ms();
         let mut requests: Vec<_> = self.by_request.keys().copied().collect();
@@ -258,7 +252,8 @@
         batcher.write(Job::Claim(request), row.write(claim.key, condition));
     }
 
-    /// The claim stands: the request is started if somebody still waits for it.
+    /// Handles that the claim is in the table: the request may be started unless it was given up or
+    /// its deadline has passed.
     fn grant(&mut self, request: RequestKey, batcher: &mut Batcher, out: &mut Outbox) {
         let Some(claim) = self.by_request.get_mut(&request) else {
             return;
@@ -277,7 +272,7 @@
         }
     }
 
-    /// Decides by the row that stands where the claim was to be written.
+    /// Continues by the current value of the claim's row.
     fn resolve(
         &mut self,
         request: RequestKey,
@@ -286,8 +281,8 @@
         out: &mut Outbox,
     ) {
         let Some(row) = row else {
-            // Nothing stands there, though an own insert may still land; a second one of the same
-            // holder is as good, and only one of them can.
+            // An earlier insert of this request may still be applied. Another one is safe, since
+            // only one of the two can succeed and both name the same holder.
             if self.by_request.get(&request).is_some_and(|claim| claim.head.is_some()) {
                 self.claim(request, RowCondition::Absent, batcher, out);
             } else {
@@ -332,7 +327,7 @@
         self.refuse(request, outcome, out);
     }
 
-    /// Whether a row is held by a request of this boot that was not run and will not be.
+    /// Whether a holder is a request of this boot that was not run and will not be.
     fn is_given_up(&self, other: Holder, out: &Outbox) -> bool {
         other == holder(other.request, out)
             && self.by_request.get(&other.request).is_some_and(Claim::is_given_up)
@@ -354,16 +349,16 @@
         }
     }
 
-    /// Ends the wait for a claim. A request to the table that is on its way goes on; its result
-    /// finds that nobody waits.
+    /// Ends the wait for a claim. A table request in flight is completed; the handler of its result
+    /// then releases the claim.
     fn give_up(&mut self, request: RequestKey, batcher: &mut Batcher) {
         if batcher.take_back(Job::Claim(request)) {
             self.abandon(request, batcher);
         }
     }
 
-    /// Ends a claim that is not granted and has nothing on its way whose result will come: nothing
-    /// was sent to an upstream and nothing will be.
+    /// Ends a claim that is not granted and has no table request in flight. If a write of unknown
+    /// result may still be applied, this writes a tombstone.
     fn abandon(&mut self, request: RequestKey, batcher: &mut Batcher) {
         if self.by_request.get(&request).is_some_and(|claim| claim.may_land.is_some()) {
             self.end(request, End::NotRun, batcher);
--- a/crates/sedgepath-core/src/deduplication/claims/ending.rs
+++ b/crates/sedgepath-core/src/deduplication/claims/ending.rs
@@ -1,4 +1,4 @@
-//! How a claim ends: its row comes to say so, whatever the writes on the way became.
+//! Writes the end of a claim to its row, with reads and retries until the row says so.
 
 use crate::deduplication::batch::{Batcher, Job};
 use crate::deduplication::claim::{End, KEPT_MS, Step};
@@ -11,7 +11,7 @@
 use super::{Claims, holder};
 
 impl Claims {
-    /// Begins to write how a claim ended; its row's version has to be read first.
+    /// Starts to write the end of a claim by reading its row's version.
     pub(super) fn end(&mut self, request: RequestKey, end: End, batcher: &mut Batcher) {
         if let Some(claim) = self.by_request.get_mut(&request) {
             claim.step = Step::Ending(end);
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Writes how a claim ended in place of the row that was read.
+    /// Writes the end of a claim over the row that was read, unless that is not necessary.
     pub(super) fn write_end(
         &mut self,
         request: RequestKey,
@@ -49,7 +49,7 @@
         };
         let done = match &known {
             Some(known) if is_own => known.state == state,
-            // A row that says not run may still be replaced by an own claim that names its version.
+            // A write of this claim with unknown result may still replace the row's version.
             Some(_) => claim.may_land.as_ref() != Some(&condition),
             None => row.is_some(),
         };
@@ -71,7 +71,7 @@
         self.drop_claim(request);
     }
 
-    /// Gives the outcome that has waited for the release of its claim.
+    /// Sends the outcome that was held back, if there is one.
     pub(super) fn release_outcome(&mut self, request: RequestKey, out: &mut Outbox) {
         let Some(claim) = self.by_request.get_mut(&request) else {
             return;
--- a/crates/sedgepath-core/src/deduplication/handover.rs
+++ b/crates/sedgepath-core/src/deduplication/handover.rs
@@ -1,8 +1,8 @@
-//! The hand-over of a boot's tickets at its planned stop.
+//! The handover of a boot's tickets at a planned stop.
 //!
-//! Only this boot may run its tickets, and only its memory knows which were used. So that nothing
-//! stays *unknown*, it writes them to the table and gives a copy to two successors, which serve
-//! while the platform is down. It runs nothing any more by then.
+//! Only this boot's memory knows which of its tickets were used. To keep outcomes from becoming
+//! *unknown*, the boot writes its tickets to the table and copies them to two successors, which can
+//! answer while the platform is down. The boot runs no tickets during the handover.
 
 use crate::event::Action;
 use crate::key::OperationKey;
@@ -15,23 +15,23 @@
 use super::row::{HandOverRow, TicketHandover, TicketRow, put};
 use super::visitors::successors;
 
-/// The time until a part that failed is tried again, in milliseconds.
+/// The delay before a failed row write is retried, in milliseconds.
 const RETRY_MS: u64 = 500;
 
-/// The longest that the table is waited for once a successor has a copy, in milliseconds.
+/// The maximum time to wait for the table if a successor has a copy, in milliseconds.
 const TABLE_WAIT_MS: u64 = 2_000;
 
-/// The longest that a hand-over takes, in milliseconds; what it has not placed by then is lost.
+/// The maximum duration of a handover, in milliseconds; unwritten tickets are lost after it.
 const GIVE_UP_MS: u64 = 10_000;
 
-/// A copy on its way to a successor.
+/// A copy that was sent to a successor.
 #[derive(Debug)]
 struct Copy {
     operation: OperationKey,
     taken: bool,
 }
 
-/// A hand-over.
+/// A handover in progress.
 #[derive(Debug)]
 pub struct HandOver {
     tickets: Option<TicketHandover>,
@@ -44,7 +44,7 @@
 }
 
 impl HandOver {
-    /// Begins the hand-over of tickets; there may be none.
+    /// Starts the handover: queues the rows and sends the copies. There may be no tickets.
     pub fn new(
         tickets: Option<TicketHandover>,
         membership: &Membership,
@@ -67,7 +67,7 @@
     }
 
     fn write_all(&self, batcher: &mut Batcher) {
-        // The last row says that the others are all there.
+        // The last row marks the others as complete, so it is written after them.
         for index in 0..self.rows.len().saturating_sub(1) {
             batcher.write(Job::HandOver(index), self.rows[index].clone());
         }
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Takes in what became of a row.
+    /// Handles the result of a row's write.
     pub fn replied(&mut self, index: usize, reply: &Reply, batcher: &mut Batcher, out: &Outbox) {
         if !matches!(reply, Reply::Written) {
             self.retries.push(index);
@@ -104,14 +104,14 @@
         }
     }
 
-    /// Takes in whether a successor has taken its copy.
+    /// Handles whether a successor accepted its copy.
     pub fn copied(&mut self, operation: OperationKey, taken: bool) {
         for copy in self.copies.iter_mut().filter(|copy| copy.operation == operation) {
             copy.taken = taken;
         }
     }
 
-    /// Writes again what was not written.
+    /// Retries failed writes when they are due.
     pub fn tick(&mut self, batcher: &mut Batcher, out: &Outbox) {
         if self.retry_at_ms <= out.now_ms() {
             for index in std::mem::take(&mut self.retries) {
@@ -120,7 +120,9 @@
         }
     }
 
-    /// Whether the tickets are placed and the rows of all claims say how these ended, or can't.
+    /// Whether the tickets are handed over and no claim is unsettled, or the handover timed out.
+    ///
+    /// `claims` is the number of unsettled claims.
     pub fn is_done(&self, claims: usize, out: &mut Outbox) -> bool {
         let took_ms = out.now_ms() - self.begun_at_ms;
         let copied = self.copies.iter().any(|copy| copy.taken);
--- a/crates/sedgepath-core/src/deduplication/row.rs
+++ b/crates/sedgepath-core/src/deduplication/row.rs
@@ -1,4 +1,4 @@
-//! Rows of the table that keep an action from running twice.
+//! The table rows of claims and tickets.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,130 +7,132 @@
 use crate::request::StoredAnswer;
 use crate::table::{RowChange, RowCondition, RowWrite};
 
-/// Who holds a claim: one request at one boot of one VM.
+/// The holder of a claim: one request of one boot of one VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
-    /// The VM.
+    /// The VM that wrote the claim.
     pub vm: VmKey,
-    /// Its boot.
+    /// The boot of that VM.
     pub boot: BootId,
-    /// The request, numbered by that boot.
+    /// The request, by its number within the boot.
     pub request: RequestKey,
 }
 
-/// What a row says of its key.
+/// The state of a claim or a used ticket.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// The holder may run the action, may be running it or may have run it.
+    /// The holder may run, may be running or may have run the action.
     Held,
-    /// No request up to [`ClaimRow::attempt_id`] ran or will run.
+    /// No attempt up to the row's attempt number ran or will run.
     NotRun,
-    /// The action ran; its answer, unless that was too large to be kept.
+    /// The action ran; the answer is `None` if it was not stored.
     Answered(Option<StoredAnswer>),
 }
 
 /// The row `claim/<digest of the key>`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRow {
-    /// Who wrote it.
+    /// The request that wrote the row.
     pub holder: Holder,
     /// The digest of the request, to tell a repeat from another request.
     pub digest: Digest,
-    /// The highest attempt that the row speaks for.
+    /// The attempt number up to which the state applies.
     pub attempt: u32,
-    /// What it says.
+    /// The state of the key.
     pub state: ClaimState,
-    /// When the holder removes it, in milliseconds by the holder's clock.
+    /// When the holder removes the row, in milliseconds by the holder's clock.
     pub expires_at_ms: u64,
 }
 
 impl ClaimRow {
-    /// Returns the key of the row of a caller's key.
+    /// Returns the row's key for the digest of a caller's key.
     pub fn key(key: Digest) -> Box<str> {
         format!("claim/{}", key.to_hex()).into()
     }
 
-    /// Writes the row under a condition.
+    /// Returns a conditional write of the row.
     pub fn write(&self, key: Digest, condition: RowCondition) -> RowWrite {
         RowWrite { key: Self::key(key), condition, change: RowChange::Put(to_json(self)) }
     }
 }
 
-/// Writes a row's value as JSON.
+/// Serializes a row's value as JSON.
 ///
 /// # Panics
 ///
-/// Panics if the value can't be written as JSON, which the types of rows rule out.
+/// Panics if the value can't be serialized, which the types of rows rule out.
 pub fn to_json(value: &impl Serialize) -> Box<str> {
     serde_json::to_string(value).expect("rows hold only what JSON can hold").into()
 }
 
-/// Removes the row of a caller's key under a condition.
+/// Returns a conditional removal of the row for the digest of a caller's key.
 pub fn delete(key: Digest, condition: RowCondition) -> RowWrite {
     RowWrite { key: ClaimRow::key(key), condition, change: RowChange::Delete }
 }
 
-/// What became of a used ticket; also the row `ticket/<vm>/<boot>/<number>`.
+/// The state of a used ticket; also the value of the row `ticket/<vm>/<boot>/<number>`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TicketRow {
     /// The digest of the request, to tell a repeat from another request.
     pub digest: Digest,
-    /// The highest attempt that came with it.
+    /// The attempt number up to which the state applies.
     pub attempt: u32,
-    /// What became of it.
+    /// The state of the ticket.
     pub state: ClaimState,
 }
 
-/// A used ticket that is handed over.
+/// A used ticket in a handover.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandedTicket {
-    /// Its number.
+    /// The ticket's number within its boot.
     pub number: u64,
-    /// What became of it.
+    /// The ticket's state.
     pub row: TicketRow,
 }
 
-/// The tickets of a boot that has stopped as planned, in the order of their numbers.
+/// The tickets of a boot at its planned stop.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TicketHandover {
-    /// The VM.
+    /// The VM that minted the tickets.
     pub vm: VmKey,
-    /// Its boot.
+    /// The boot of that VM.
     pub boot: BootId,
-    /// The first number that it did not mint.
+    /// The first ticket number that the boot did not mint.
     pub next_number: u64,
-    /// When it handed over, in milliseconds by its own clock.
+    /// The start of the handover, in milliseconds by the boot's clock.
     pub handed_over_at_ms: u64,
-    /// The tickets that it has used and still remembers.
+    /// The used tickets that the boot still remembers, sorted by number.
     pub used: Vec<HandedTicket>,
 }
 
-/// The row `ticket/<vm>/<boot>`; written after the rows of all used tickets of the boot, so that a
-/// ticket without a row of its own was never used.
+/// The value of the row `ticket/<vm>/<boot>`.
+///
+/// The row is written after the rows of the boot's used tickets, so a ticket without a row was not
+/// used, or was forgotten before the handover.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandOverRow {
-    /// The first number that the boot did not mint.
+    /// The first ticket number that the boot did not mint.
     pub next_number: u64,
-    /// When it handed over, in milliseconds by its own clock.
+    /// The start of the handover, in milliseconds by the boot's clock.
     pub handed_over_at_ms: u64,
 }
 
 impl HandOverRow {
-    /// Returns the key of the row of a boot.
+    /// Returns the row's key for a boot.
     pub fn key(vm: VmKey, boot: BootId) -> Box<str> {
         format!("ticket/{:016x}/{:016x}", vm.0, boot.0).into()
     }
 }
 
 impl TicketRow {
-    /// Returns the key of the row of a ticket.
+    /// Returns the row's key for a ticket.
     pub fn key(vm: VmKey, boot: BootId, number: u64) -> Box<str> {
         format!("{}/{number}", HandOverRow::key(vm, boot)).into()
     }
 }
 
-/// Writes a row whatever stands there; for rows that no other process ever writes.
+/// Returns an unconditional write, for rows that no other process writes.
 pub fn put(key: Box<str>, value: &impl Serialize) -> RowWrite {
     RowWrite { key, condition: RowCondition::Any, change: RowChange::Put(to_json(value)) }
 }
--- a/crates/sedgepath-core/src/deduplication/tickets.rs
+++ b/crates/sedgepath-core/src/deduplication/tickets.rs
@@ -1,26 +1,18 @@
-//! Tickets: actions that run at most once under keys that this boot mints.
+//! At-most-once execution under tickets, which are keys that this boot mints.
 //!
-//! # Problem
-//!
-//! Claims need the table, which may be away for long. A key that one process alone may spend needs
-//! neither a store nor an agreement: that process remembers what it has spent.
-//!
-//! # Ways weighed
-//!
-//! Tickets that any VM may run while it holds a lease on them compare clocks of different machines,
-//! and a paused holder acts after its lease. Tickets that are bound to a VM but not to its boot would
-//! be run again by a restarted process, whose memory is empty. A copy of the spent ones at a peer
-//! before each send would save them from a kill, at the price of a round trip on every request.
+//! Claims need the table, which may be unavailable. A ticket may be run by one process only, so that
+//! process's memory of the used tickets suffices. Tickets are bound to a boot and not only to a VM,
+//! since a restarted process has lost that memory.
 //!
 //! # Invariants
 //!
-//! - Only the boot that minted a ticket runs it, and it marks the ticket before it sends. Every other
-//!   process forwards the request; see [`super::visitors`].
-//! - A used ticket is remembered for [`GRACE_MS`] longer than it is valid, so that *never used* can be
-//!   told of a lapsed one for a while. After that it is *unknown*.
-//! - Memory is bounded: at most [`MAX_LIVE`] tickets are valid at once, and at most
-//!   [`MAX_ANSWER_BYTES`] of answers are kept; a repeat whose answer was not kept is *unknown*.
-//! - The price: the tickets that a killed process had spent or given out are *unknown* for good.
+//! - Only the boot that minted a ticket runs it, and it marks the ticket as used before it sends the
+//!   request. Every other process forwards the request; see [`super::visitors`].
+//! - A used ticket is remembered for [`GRACE_MS`] after it expires, so that an expired ticket that is
+//!   not remembered can be reported as *not run* until then. After that it is *unknown*.
+//! - At most [`MAX_LIVE`] tickets are valid at once, and at most [`MAX_ANSWER_BYTES`] of answers are
+//!   stored. A repeat whose answer was not stored is *unknown*.
+//! - If the process is killed, the state of its tickets, used or not, is lost for good.
 
 use std::collections::VecDeque;
 
@@ -35,37 +27,37 @@
 /// How long a ticket is valid, in milliseconds.
 pub const TICKET_VALIDITY_MS: u64 = 600_000;
 
-/// How long a used ticket is remembered after it has lapsed, in milliseconds.
+/// How long a used ticket is remembered after it expires, in milliseconds.
 pub const GRACE_MS: u64 = 60_000;
 
-/// The most tickets of a boot that are valid at once.
+/// The maximum number of valid tickets of a boot.
 pub const MAX_LIVE: usize = 20_000;
 
-/// The most bytes of answers that are kept for repeats.
+/// The maximum total size of the answers stored for repeats, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
-/// The most tickets that are minted at once.
+/// The maximum number of tickets in one mint request.
 pub const MAX_MINTED: u32 = 100;
 
 /// Why no tickets were minted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum MintError {
-    /// No such service.
+    /// The service does not exist.
     #[error("no service has this name")]
     NoService,
-    /// The number is none or too large.
-    #[error("between 1 and {MAX_MINTED} tickets can be had at once")]
+    /// The requested number is 0 or too large.
+    #[error("the number of tickets must be between 1 and {MAX_MINTED}")]
     CountOutOfRange,
-    /// Too many tickets are valid.
-    #[error("too many tickets of this node are valid")]
+    /// The number of valid tickets would exceed the maximum.
+    #[error("this node has too many valid tickets")]
     TooManyValidTickets,
-    /// The node is about to stop.
-    #[error("the node is about to stop")]
+    /// The node is stopping and mints no more tickets.
+    #[error("the node is stopping")]
     Stopping,
 }
 
 impl MintError {
-    /// Returns the reason's name as sent to callers.
+    /// Returns the name that is sent to callers.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoService => "no_service",
@@ -76,21 +68,21 @@
     }
 }
 
-/// Tickets that were minted together.
+/// The number of tickets that were minted together, and their expiry time.
 #[derive(Debug)]
 struct Minted {
     expires_at_ms: u64,
     count: usize,
 }
 
-/// When a used ticket may be forgotten.
+/// The time at which a used ticket is forgotten.
 #[derive(Debug)]
 struct Lapse {
     forget_at_ms: u64,
     number: u64,
 }
 
-/// The tickets that this boot has minted.
+/// The tickets of this boot.
 #[derive(Debug, Default)]
 pub struct Tickets {
     next_number: u64,
@@ -104,11 +96,12 @@
 }
 
 impl Tickets {
-    /// Mints tickets for a service.
+    /// Mints `count` tickets for a service.
     ///
     /// # Errors
     ///
-    /// Fails if the number is out of bounds, too many are valid, or the node is about to stop.
+    /// Returns an error if `count` is out of range, too many tickets are valid, or the node is
+    /// stopping.
     pub fn mint(
         &mut self,
         service: ServiceKey,
@@ -141,7 +134,7 @@
         Ok((first..self.next_number).map(ticket).collect())
     }
 
-    /// Takes a request with a ticket of this boot; returns true if it may be started.
+    /// Handles a request with a ticket of this boot; returns true if it may be started.
     pub fn admit(
         &mut self,
         request: RequestKey,
@@ -157,7 +150,7 @@
         true
     }
 
-    /// Returns the outcome of a request that may not be started.
+    /// Returns the outcome of a request that must not be started, or `None` if it may be.
     fn answer(&self, ticket: Ticket, head: &RequestHead, now_ms: u64) -> Option<Outcome> {
         if ticket.service != ServiceKey::of(&head.service) {
             return Some(Outcome::KeyReused);
@@ -183,7 +176,7 @@
         }
     }
 
-    /// Returns why a ticket that has surely not run may not be run now.
+    /// Returns why a ticket that was certainly not run may not be run now.
     fn refusal(&self, ticket: Ticket, now_ms: u64) -> Option<RejectionReason> {
         if ticket.expires_at_ms <= now_ms {
             Some(RejectionReason::TicketVoid)
@@ -203,7 +196,7 @@
         self.running.insert(request, ticket.number);
     }
 
-    /// Takes in the outcome of a request.
+    /// Handles the outcome of a request that ended without an answer.
     pub fn concluded(&mut self, request: RequestKey, outcome: &Outcome) {
         if let Some(row) = self.ended(request)
             && !matches!(outcome, Outcome::Unknown { .. })
@@ -212,7 +205,7 @@
         }
     }
 
-    /// Takes in the answer of a request, for its repeats.
+    /// Handles the answer of a request, to be stored for repeats.
     pub fn answered(&mut self, request: RequestKey, stored: Option<StoredAnswer>) {
         let size = stored.as_ref().map_or(0, |stored| stored.body.len());
         let fits = self.answer_bytes + size <= MAX_ANSWER_BYTES;
@@ -222,7 +215,7 @@
         }
     }
 
-    /// Takes in that a request's caller has gone: nobody will learn of its end.
+    /// Handles that a request's caller disconnected. The end of the request will not be reported.
     pub fn caller_gone(&mut self, request: RequestKey) {
         self.running.remove(&request);
     }
@@ -232,7 +225,7 @@
         self.used.get_mut(&number)
     }
 
-    /// Forgets what has lapsed.
+    /// Stops counting expired tickets as valid, and forgets used ones after [`GRACE_MS`].
     pub fn lapse(&mut self, now_ms: u64) {
         while let Some(minted) = self.minted.pop_front_if(|minted| minted.expires_at_ms <= now_ms) {
             self.live -= minted.count;
@@ -244,17 +237,17 @@
         }
     }
 
-    /// Stops running tickets.
+    /// Stops minting and running tickets.
     pub fn close(&mut self) {
         self.closed = true;
     }
 
-    /// Whether no ticket is being run.
+    /// Whether no ticket's request is running.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty()
     }
 
-    /// Returns what a successor has to know to answer for the tickets of this boot.
+    /// Returns the state to hand over, or `None` if no ticket is valid or remembered.
     pub fn handed_over(&self, out: &Outbox) -> Option<TicketHandover> {
         if self.live == 0 && self.used.is_empty() {
             return None;
@@ -280,9 +273,9 @@
     }
 }
 
-/// Returns the outcome of a request whose ticket's home has handed over, from what it left.
+/// Returns the outcome of a request whose ticket's home has handed its tickets over.
 ///
-/// A home hands over only once it runs nothing any more, so a ticket that it did not use never runs.
+/// A home hands over only when it runs no tickets any more, so an unused ticket never runs.
 pub fn answer_for(ticket: Ticket, digest: Digest, left: &Left) -> Outcome {
     let outcome = match (&left.row, left.next_number) {
         (Some(row), _) if row.digest != digest => return Outcome::KeyReused,
@@ -301,19 +294,19 @@
     outcome.map_or(Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS }, not_run)
 }
 
-/// What a home that has handed over left about one ticket.
+/// The state of one ticket in a handover.
 #[derive(Debug)]
 pub struct Left {
-    /// The first number that it did not mint.
+    /// The first ticket number that the home did not mint.
     pub next_number: u64,
-    /// When it handed over, in milliseconds by its own clock.
+    /// The start of the handover, in milliseconds by the home's clock.
     pub handed_over_at_ms: u64,
-    /// What became of the ticket, if it was used.
+    /// The state of the ticket; `None` if it was not used or was forgotten.
     pub row: Option<TicketRow>,
 }
 
 impl Left {
-    /// Finds a ticket among those handed over.
+    /// Returns the state of the ticket with the given number.
     pub fn of(tickets: &TicketHandover, number: u64) -> Self {
         let found = tickets.used.binary_search_by_key(&number, |ticket| ticket.number);
         Self {
--- a/crates/sedgepath-core/src/deduplication/visitors.rs
+++ b/crates/sedgepath-core/src/deduplication/visitors.rs
@@ -1,8 +1,9 @@
-//! Requests with tickets of other homes.
+//! Requests with tickets that another boot minted.
 //!
-//! They are forwarded whole to the boot that minted the ticket. If that boot is gone, only what it
-//! left tells what became of the ticket: a copy at its successors, or its rows in the table. Without
-//! either the request ends *unknown*; it is never run here.
+//! Such a request is never run here. It is forwarded to the ticket's home, the boot that minted the
+//! ticket. If that boot is gone, the request is answered from the state that it handed over: a copy
+//! here or at a successor, or its rows in the table. Without that state the outcome is *unknown*,
+//! or *not run* for attempt 1.
 
 use crate::event::Action;
 use crate::hash::{Digest, Map};
@@ -18,20 +19,20 @@
 use super::tickets::{Left, answer_for};
 use super::{RETRY_AFTER_MS, conclude, unsettled};
 
-/// The successors to which a node hands its tickets over.
+/// The number of successors to which a node hands its tickets over.
 pub const SUCCESSORS: usize = 2;
 
-/// The most hand-overs that a node keeps for others; the oldest are dropped first.
+/// The maximum number of handovers that a node stores for other boots; the oldest is dropped first.
 const MAX_KEPT: usize = 64;
 
-/// Where a request with another home's ticket is.
+/// What a forwarded request waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Step {
-    /// At its home, which alone may run it.
+    /// The ticket's home, which alone may run the request.
     AtHome,
-    /// At a successor of its home, which never runs it.
+    /// A successor of the home, which may have a copy of the home's tickets.
     AtSuccessor,
-    /// The rows that its home left are read.
+    /// The read of the rows that the home wrote at its handover.
     Reading,
 }
 
@@ -44,7 +45,7 @@
     step: Step,
 }
 
-/// The requests with tickets of other homes, and what other homes have handed over.
+/// The requests with tickets of other boots, and the handovers of other boots.
 #[derive(Debug, Default)]
 pub struct Visitors {
     visitors: Map<RequestKey, Visitor>,
@@ -52,7 +53,7 @@
 }
 
 impl Visitors {
-    /// Takes a request with a ticket that this boot did not mint.
+    /// Handles a request with a ticket that this boot did not mint.
     pub fn take(
         &mut self,
         request: RequestKey,
@@ -74,7 +75,7 @@
             step: Step::AtHome,
         };
         self.visitors.insert(request, visitor);
-        // A request is forwarded once at most, so that no two nodes pass it to and fro.
+        // A request is forwarded at most once, which rules out forwarding loops.
         let forwarded = head.forwarded_by.is_some();
         let home = membership.member(ticket.home).filter(|home| home.boot == ticket.boot);
         match home {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Keeps what another home has handed over.
+    /// Stores the handover of another boot, in place of an earlier one of the same boot.
     pub fn keep(&mut self, tickets: TicketHandover) {
         self.kept.retain(|kept| (kept.vm, kept.boot) != (tickets.vm, tickets.boot));
         if self.kept.len() == MAX_KEPT {
@@ -95,7 +96,7 @@
         self.kept.push(tickets);
     }
 
-    /// Relays the answer of a request's home; returns false if the request is none of these.
+    /// Relays the answer to a forwarded request; returns false if the request was not forwarded.
     pub fn hop_answered(&self, request: RequestKey, attempt: u32, out: &mut Outbox) -> bool {
         let known = self.visitors.contains_key(&request);
         if known {
@@ -104,7 +105,7 @@
         known
     }
 
-    /// Takes in the end of a hop; returns false if the request is none of these.
+    /// Handles the end of a hop; returns false if the request was not forwarded.
     pub fn hop_ended(
         &mut self,
         request: RequestKey,
@@ -117,7 +118,7 @@
             return false;
         };
         match (visitor.step, end) {
-            // The home has had it and may be running it.
+            // The home got the request and may have run it.
             (Step::AtHome, HopFailure::Lost) => {
                 self.conclude(request, Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS }, out);
             }
@@ -133,7 +134,7 @@
         true
     }
 
-    /// Takes in the rows that a home left, or that they could not be read.
+    /// Handles the result of reading the home's rows.
     pub fn replied(&mut self, request: RequestKey, reply: &Reply, out: &mut Outbox) {
         let Some(visitor) = self.visitors.get(&request) else {
             return;
@@ -149,7 +150,7 @@
         self.conclude(request, outcome, out);
     }
 
-    /// Ends the wait for rows that do not come in time.
+    /// Ends requests whose deadline passes while the home's rows are read.
     pub fn tick(&mut self, out: &mut Outbox) {
         let mut late: Vec<_> = self
             .visitors
@@ -164,12 +165,12 @@
         }
     }
 
-    /// Whether no request waits.
+    /// Whether no request with another boot's ticket is in progress.
     pub fn is_idle(&self) -> bool {
         self.visitors.is_empty()
     }
 
-    /// Forgets a request that has got its answer or whose caller has gone.
+    /// Forgets a request that was answered or whose caller disconnected.
     pub fn forget(&mut self, request: RequestKey) {
         self.visitors.remove(&request);
     }
@@ -238,7 +239,9 @@
     }
 }
 
-/// Returns the VMs that keep the tickets of a boot that stops, the first first.
+/// Returns the VMs that get the tickets of a stopping boot, in the order in which they are asked.
+///
+/// `own` adds the VM that asks, which is not among the members that it knows.
 pub fn successors(
     home: VmKey,
     boot: BootId,
