--- a/crates/sedgepath-core/src/record.rs
+++ b/crates/sedgepath-core/src/record.rs
@@ -1,8 +1,8 @@
-//! Records that operators write, in their schemas.
+//! Configuration records and their schemas.
 //!
-//! A record is kept and relayed as the text it was accepted with. Each node reads the kinds and
-//! schemas that it knows; one that it does not know stays in force elsewhere and is passed on
-//! unchanged, and only what it concerns is refused on this node.
+//! A record is stored and relayed as the text that was accepted. Each node parses the kinds and
+//! schemas that it knows. A node relays a record of an unknown schema unchanged and rejects only
+//! the service that the record configures.
 
 use std::net::SocketAddr;
 
@@ -14,20 +14,20 @@
 /// The newest schema that this version reads.
 pub const NEWEST_SCHEMA: u32 = 2;
 
-/// A record as accepted: its heading, and its body as JSON text.
+/// An unparsed record: its heading, and its body as JSON text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RawRecord {
     /// The schema that the body follows.
     pub schema: u32,
-    /// What the record is about; see [`RecordBody`].
+    /// The name of a [`RecordBody`] variant in lower case.
     pub kind: Box<str>,
     /// The record's name, unique within its kind.
     pub name: Box<str>,
-    /// The body as JSON text.
+    /// The JSON text of the body, as accepted.
     pub body: Box<str>,
 }
 
-/// The body of a record, by kind.
+/// The parsed body of a record, by kind.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RecordBody {
     /// Kind `places`.
@@ -44,7 +44,7 @@
     Drain(Drain),
 }
 
-/// Why the body of a record could not be read.
+/// Why the body of a record could not be parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
     /// The schema is not known to this version.
@@ -61,23 +61,23 @@
         /// The record's kind.
         kind: Box<str>,
     },
-    /// The body does not have the shape that its kind and schema ask for.
+    /// The body does not match the schema of its kind.
     #[error("the body of a {kind} record does not follow its schema")]
     Malformed {
         /// The record's kind.
         kind: Box<str>,
-        /// What the parser found.
+        /// The parser's error.
         #[source]
         source: serde_json::Error,
     },
 }
 
 impl RawRecord {
-    /// Reads the body.
+    /// Parses the body by the record's kind.
     ///
     /// # Errors
     ///
-    /// Fails if the kind or the schema is unknown, or the body does not follow it.
+    /// Returns an error if the kind or the schema is unknown or the body does not match the kind.
     pub fn parse(&self) -> Result<RecordBody, RecordError> {
         if self.schema == 0 || self.schema > NEWEST_SCHEMA {
             return Err(RecordError::UnknownSchema {
@@ -100,11 +100,11 @@
     }
 }
 
-/// The regions and their failure domains.
+/// The body of the `places` record: the regions and their failure domains.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Places {
-    /// The regions.
+    /// All regions of the deployment.
     pub regions: Vec<Region>,
 }
 
@@ -118,7 +118,7 @@
     pub domains: Vec<Box<str>>,
 }
 
-/// A service and its upstreams.
+/// The body of a `service` record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
@@ -127,7 +127,7 @@
     /// Whether requests must carry an idempotency key or a ticket.
     #[serde(default)]
     pub once_only: bool,
-    /// The upstreams.
+    /// The upstreams that serve the service.
     pub upstreams: Vec<Upstream>,
 }
 
@@ -137,19 +137,20 @@
 pub struct Upstream {
     /// The upstream's name, unique over all services.
     pub name: Box<str>,
-    /// The failure domain it is in.
+    /// The name of the failure domain that the upstream is in.
     pub domain: Box<str>,
-    /// Its address.
+    /// The address that requests are sent to.
     pub address: SocketAddr,
-    /// The most requests it runs at once.
+    /// The maximum number of concurrent requests.
     pub slots: u32,
-    /// The most connections it takes.
+    /// The maximum number of open connections.
     #[serde(default = "default_connections")]
     pub connections: u32,
-    /// The most new connections it takes in a second.
+    /// The maximum number of new connections per second.
     #[serde(default = "default_new_connections_per_s")]
     pub new_connections_per_s: u32,
-    /// The slots it may use when cold; they rise to `slots` over `warm_up_ms`.
+    /// The maximum number of concurrent requests while the upstream is cold; rises to `slots` over
+    /// `warm_up_ms`.
     #[serde(default)]
     pub cold_slots: Option<u32>,
     /// The time in milliseconds over which a cold upstream warms up.
@@ -165,30 +166,30 @@
     100
 }
 
-/// Which callers go where, and how much any shift may move.
+/// The body of a `steering` record: how traffic is split, and how fast the split may change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Steering {
-    /// The shares by origin group; callers of other groups follow the group `any`.
+    /// The shares by origin group; the group `any` applies to callers of all other groups.
     pub groups: Vec<Group>,
     /// The most traffic that a shift may move.
     pub cap: TrafficCap,
-    /// The most that a failover may move; `cap` holds where it is absent. Since schema 2.
+    /// The most traffic that a failover may move; defaults to `cap`. Since schema 2.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub failover_cap: Option<TrafficCap>,
-    /// After which time in milliseconds an idempotent request may also be sent to a second upstream.
-    /// Since schema 2. No request is: in the experiment of policies it made nothing better.
+    /// The delay in milliseconds before an idempotent request may also be sent to a second
+    /// upstream. Since schema 2. Accepted but not used: hedging is not implemented.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hedge_after_ms: Option<u64>,
 }
 
-/// Where the callers of an origin group go.
+/// How the traffic of an origin group is split among failure domains.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Group {
     /// The origin group's name.
     pub origin: Box<str>,
-    /// The weight of each failure domain.
+    /// The weights of the failure domains.
     pub shares: Vec<Share>,
 }
 
@@ -198,37 +199,37 @@
 pub struct Share {
     /// The failure domain's name.
     pub domain: Box<str>,
-    /// Its weight against the others of the group.
+    /// The weight relative to the other domains of the group.
     pub weight: f64,
 }
 
-/// In any window, at most a share of the traffic moves.
+/// A limit on the share of traffic that moves within any window of a given length.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrafficCap {
-    /// The most traffic that moves, in percent.
+    /// The most traffic that may move within a window, in percent.
     pub percent: f64,
     /// The length of the window in milliseconds.
     pub window_ms: u64,
 }
 
-/// The organisations that are admitted.
+/// The body of the `organisations` record: the admitted organisations.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisations {
-    /// The organisations.
+    /// The admitted organisations, each with its plan and keys.
     pub organisations: Vec<Organisation>,
 }
 
-/// An organisation whose members or partners call.
+/// An organisation whose members or partners send requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
     /// The organisation's name.
     pub name: Box<str>,
-    /// What it pays.
+    /// The plan, which decides the class of the organisation's requests.
     pub plan: Plan,
-    /// The digests of its keys, as 32 hexadecimal digits each; see `sedgepath key`.
+    /// The digests of the organisation's keys, 32 hexadecimal digits each; see `sedgepath key`.
     pub key_digests: Vec<Box<str>>,
 }
 
@@ -236,17 +237,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Plan {
-    /// It pays.
+    /// A paid plan.
     Paying,
-    /// It is on a free trial.
+    /// A free trial.
     Trial,
 }
 
-/// The blocks of clients of each origin group.
+/// The body of a `clients` record: which client addresses belong to which origin group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// The blocks.
+    /// The blocks of client addresses.
     pub blocks: Vec<Block>,
 }
 
@@ -254,23 +255,23 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Block {
-    /// The block in the form `192.0.2.0/24`.
+    /// The block in CIDR notation, such as `192.0.2.0/24`.
     pub block: Box<str>,
-    /// The name of its origin group.
+    /// The name of the block's origin group.
     pub origin: Box<str>,
 }
 
-/// A planned drain.
+/// The body of a `drain` record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drain {
-    /// What is drained.
+    /// The type of the drained target; the record's name is the target's name.
     pub target: DrainTargetKind,
     /// Whether the drain is in force; a record with `false` ends it.
     pub active: bool,
 }
 
-/// What a drain takes out of service; the record's name names it.
+/// The type of target that a drain takes out of service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DrainTargetKind {
--- a/crates/sedgepath-core/src/record/check.rs
+++ b/crates/sedgepath-core/src/record/check.rs
@@ -1,4 +1,4 @@
-//! Checks records before they are accepted: each by itself, and all of them together.
+//! Validates records before a change is accepted: each record alone, and all of them together.
 
 use std::collections::BTreeSet;
 
@@ -12,21 +12,21 @@
 
 use whole::Whole;
 
-/// The most text of one record's body, in bytes: rows of the table and pages between nodes carry it
-/// whole.
+/// The maximum length of a record's body in bytes. Table rows and pages between nodes carry each
+/// body whole.
 pub const MAX_BODY_BYTES: usize = 512 * 1024;
 
 /// What is wrong with a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case", tag = "error")]
 pub enum CheckError {
-    /// A value of the body is wrong by itself.
+    /// A value of the body does not match its field.
     #[error(transparent)]
     Fault {
-        /// What is wrong.
+        /// The mismatch.
         fault: schema::Fault,
     },
-    /// The record's name is no name.
+    /// The record's name is not a valid name.
     #[error("`{name}` is no name; a name has 1 to 64 of the characters a-z, 0-9, `.`, `_` and `-`")]
     Name {
         /// The record's name.
@@ -37,7 +37,7 @@
     Kind {
         /// The kind.
         kind: Box<str>,
-        /// The kinds known.
+        /// The kinds that this version knows.
         known: Box<str>,
     },
     /// The schema is not known to this version.
@@ -45,85 +45,85 @@
     Schema {
         /// The schema.
         schema: u32,
-        /// The newest schema known.
+        /// The newest schema that this version knows.
         newest: u32,
     },
-    /// The body is no JSON text.
+    /// The body is not valid JSON.
     #[error("the body can't be read: {reason}")]
     Body {
-        /// What the parser found.
+        /// The parser's error.
         reason: Box<str>,
     },
     /// The body is too long.
     #[error("the record has {bytes} bytes; at most {most} are kept in one, so split it")]
     Long {
-        /// Its length in bytes.
+        /// The body's length in bytes.
         bytes: usize,
-        /// The most.
+        /// The maximum length in bytes.
         most: usize,
     },
     /// Two records of a change have the same kind and name.
     #[error("the change has another record of this kind and name")]
     Repeated,
-    /// A name stands twice.
+    /// A name that must be unique is used more than once.
     #[error("the {what} `{name}` is named twice; the other is in {other}")]
     Duplicate {
-        /// What the name names.
+        /// The type of the named thing.
         what: Box<str>,
         /// The name.
         name: Box<str>,
-        /// The record that has the other.
+        /// Where else the name is used.
         other: Box<str>,
     },
-    /// Two names have the same key.
+    /// Two names hash to the same key.
     #[error("the {what} `{name}` has the same key as `{other}`; choose another name")]
     Collision {
-        /// What the names name.
+        /// The type of the named things.
         what: Box<str>,
         /// The name.
         name: Box<str>,
         /// The other name.
         other: Box<str>,
     },
-    /// What a name refers to is not there.
+    /// A name refers to something that does not exist.
     #[error("there is no {what} `{name}`; known are {known}")]
     Dangling {
-        /// What the name should name.
+        /// The type of thing that the name should refer to.
         what: Box<str>,
         /// The name.
         name: Box<str>,
-        /// The names known, or as many as fit a line.
+        /// The first known names of that type.
         known: Box<str>,
     },
-    /// All weights of a group are zero.
+    /// The sum of a group's weights is not a finite number above 0.
     #[error("the weights of this group add up to {sum}; their sum should be above 0")]
     Weights {
-        /// The sum.
+        /// The sum of the weights.
         sum: Box<str>,
     },
-    /// The cold slots are more than the slots.
+    /// `cold_slots` exceeds `slots`.
     #[error("{cold} cold slots are more than the {slots} slots")]
     ColdSlots {
-        /// The cold slots.
+        /// The value of `cold_slots`.
         cold: u32,
-        /// The slots.
+        /// The value of `slots`.
         slots: u32,
     },
 }
 
-/// Something wrong, and where.
+/// A validation error and its location.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Problem {
     /// The record's kind.
     pub kind: Box<str>,
     /// The record's name.
     pub name: Box<str>,
-    /// The number of the record in the change, from 0; none if it is a record in force that the
-    /// change would break.
+    /// The index of the record in the change, from 0; `None` for a record in force that the change
+    /// would break.
     pub index: Option<usize>,
-    /// The way to the value in the record's body.
+    /// The path of the value in the record's body.
     pub path: ValuePath,
-    /// What is wrong.
+    /// The error.
     pub error: CheckError,
 }
 
@@ -139,7 +139,7 @@
     }
 }
 
-/// Checks the records of a change by themselves.
+/// Validates each record of a change alone, and that no two have the same kind and name.
 pub fn check_records(records: &[RawRecord]) -> Vec<Problem> {
     let mut problems = Vec::new();
     for (index, record) in records.iter().enumerate() {
@@ -153,9 +153,9 @@
     problems
 }
 
-/// Checks the records of a change, together with the records in force.
+/// Validates the records of a change, together with the records in force.
 ///
-/// A record in force that had the same problem before is not held against the change.
+/// Problems that records in force already have without the change are not reported.
 pub fn check_change<'a>(
     in_force: impl IntoIterator<Item = &'a RawRecord>,
     records: &[RawRecord],
@@ -189,7 +189,7 @@
     Problem { kind: record.kind.clone(), name: record.name.clone(), index, path, error }
 }
 
-/// Checks a record by itself.
+/// Validates a record without regard to other records.
 fn alone(record: &RawRecord) -> Vec<(ValuePath, CheckError)> {
     let mut found = Vec::new();
     if !schema::is_name(&record.name) {
@@ -225,7 +225,7 @@
     found
 }
 
-/// The most names that a message lists.
+/// The maximum number of names that an error message lists.
 const MAX_LISTED: usize = 12;
 
 fn list<'a>(names: impl IntoIterator<Item = &'a str>) -> Box<str> {
--- a/crates/sedgepath-core/src/record/check/whole.rs
+++ b/crates/sedgepath-core/src/record/check/whole.rs
@@ -1,4 +1,4 @@
-//! Checks all records that would be in force together.
+//! Validates the set of all records that would be in force: unique names and keys, and references.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
 };
 use crate::schema::ValuePath;
 
-/// What a name names, for messages and to tell names apart.
+/// The namespaces of names: a name must be unique within its namespace.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum What {
     Region,
@@ -45,7 +45,7 @@
     }
 }
 
-/// A record of the whole, with its number in the change.
+/// A record with its index in the change; `None` for a record in force.
 pub(super) type Numbered<'a> = (Option<usize>, &'a RawRecord);
 
 /// All records that would be in force.
@@ -58,7 +58,7 @@
 
 impl<'a> Whole<'a> {
     pub(super) fn new(records: &[Numbered<'a>]) -> Self {
-        // What can't be read is reported with the record itself, or is of a newer schema.
+        // Unparsable records are reported by `check_records`, or have a newer schema.
         let bodies = records.iter().filter_map(|numbered| {
             let body = numbered.1.parse().ok()?;
             Some((*numbered, body))
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Finds what is wrong with the records together.
+    /// Collects all definitions, then checks that all references resolve.
     pub(super) fn check(mut self) -> Vec<Problem> {
         let bodies = std::mem::take(&mut self.bodies);
         for (record, body) in &bodies {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Takes in a name that may stand once only.
+    /// Registers a name that must be unique.
     fn name(&mut self, record: Numbered<'a>, path: ValuePath, what: What, name: &str) {
         if let Some(other) = self.names.insert((what, name.into()), record.1) {
             let error = CheckError::Duplicate {
@@ -122,10 +122,9 @@
         self.key(record, path, what, name);
     }
 
-    /// Takes in a name, and refuses it if another one has the same key.
+    /// Registers the key of a name, and reports a collision with the key of another name.
     ///
-    /// Messages carry keys in place of names; with two names of one key, traffic of the one would
-    /// go where the other's record says.
+    /// Messages carry keys instead of names, so a collision would misroute traffic.
     fn key(&mut self, record: Numbered<'a>, path: ValuePath, what: What, name: &str) {
         let known = self.keys.entry((what, what.key(name))).or_insert_with(|| name.into());
         if &**known != name {
@@ -243,7 +242,7 @@
             DrainTargetKind::Upstream => What::Upstream,
             DrainTargetKind::Domain => What::Domain,
         };
-        // A drain that has ended may outlive its target.
+        // The record of an ended drain stays after its target is removed.
         if drain.active {
             self.known(record, ValuePath::field("name"), what, &record.1.name);
         }
--- a/crates/sedgepath-core/src/record/fields.rs
+++ b/crates/sedgepath-core/src/record/fields.rs
@@ -1,25 +1,27 @@
-//! The fields of each kind of record.
+//! The field tables of each record kind.
+//!
+//! The operators' documentation lists the descriptions, so both change together.
 
 use crate::schema::{Field, Shape};
 
-/// The longest time that a record may name, in milliseconds: one day.
+/// The longest duration that a record may hold, in milliseconds: one day.
 const MAX_TIME_MS: u64 = 86_400_000;
 
-/// The most slots or connections of an upstream.
+/// The maximum of an upstream's slots, connections and new connections per second.
 const MAX_COUNT: u64 = 1_000_000;
 
-/// A kind of record and its fields.
+/// The description of a record kind.
 #[derive(Debug, Clone, Copy)]
 pub struct Kind {
-    /// The kind.
+    /// The value of the record's `kind`.
     pub name: &'static str,
-    /// What records of it are for.
+    /// What records of this kind configure.
     pub description: &'static str,
-    /// The fields of its body, by all schemas.
+    /// The fields of the body in all schemas; see [`Field::since_schema`].
     pub fields: &'static [Field],
 }
 
-/// All kinds that this version reads.
+/// All kinds that this version can parse.
 pub const RECORD_KINDS: &[Kind] = &[
     Kind { name: "places", description: "The regions and their failure domains.", fields: PLACES },
     Kind {
@@ -49,7 +51,7 @@
     },
 ];
 
-/// Returns the fields of a kind, unless this version does not know it.
+/// Returns the fields of a kind, or `None` if this version does not know the kind.
 pub fn of_kind(kind: &str) -> Option<&'static [Field]> {
     RECORD_KINDS.iter().find(|known| known.name == kind).map(|known| known.fields)
 }
--- a/crates/sedgepath-core/src/schema.rs
+++ b/crates/sedgepath-core/src/schema.rs
@@ -1,8 +1,8 @@
-//! What a document may hold, as a table of fields, and a check that finds all mistakes at once.
+//! Document schemas as tables of fields, and a validator for records and settings.
 //!
-//! Records and settings are checked by the same walk. A parser into types stops at the first
-//! mistake and does not say at which field of the document it is; the walk goes on and names the
-//! path to each, so that the place in the operator's file can be shown.
+//! Deserialization stops at the first error and does not say where in the document it is. The
+//! validator reports every error with its path, so that the location in the operator's file can be
+//! shown.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,50 +13,50 @@
 use crate::blocks::Cidr;
 use crate::hash::Digest;
 
-/// The longest name in characters.
+/// The maximum length of a name in characters.
 const MAX_NAME_CHARS: usize = 64;
 
-/// What a value may be.
+/// The type of a value.
 #[derive(Debug, Clone, Copy)]
 pub enum Shape {
     /// A name: 1 to 64 lower-case letters, digits, `.`, `_` and `-`.
     Name,
-    /// Text of at least so many characters.
+    /// Text of a minimum length.
     Text {
-        /// The least length.
+        /// The minimum length in characters.
         least_chars: usize,
     },
-    /// A whole number.
+    /// A non-negative integer.
     Integer {
-        /// The least value.
+        /// The minimum, inclusive.
         least: u64,
-        /// The greatest value.
+        /// The maximum, inclusive.
         most: u64,
     },
     /// A finite number.
     Number {
-        /// The least value.
+        /// The minimum, inclusive.
         least: f64,
-        /// The greatest value.
+        /// The maximum, inclusive.
         most: f64,
     },
     /// `true` or `false`.
     Boolean,
     /// An IP address and a port.
     Address,
-    /// The digest of an organisation's key.
+    /// The digest of an organisation's key, in hexadecimal digits.
     Digest,
-    /// A block of addresses in CIDR form.
+    /// A block of addresses in CIDR notation.
     CidrBlock,
     /// The base URL of an HTTP service.
     Url,
-    /// One of some words.
+    /// One of the given words.
     OneOf(&'static [&'static str]),
     /// A list.
     List {
-        /// What its items are.
+        /// The type of the items.
         of: &'static Shape,
-        /// The least number of items.
+        /// The minimum number of items.
         least: usize,
     },
     /// A mapping with these fields.
@@ -66,25 +66,25 @@
 /// A field of a mapping.
 #[derive(Debug, Clone, Copy)]
 pub struct Field {
-    /// Its name.
+    /// The key in the mapping.
     pub name: &'static str,
-    /// What it holds.
+    /// The type of the value.
     pub shape: Shape,
-    /// What holds if it is left out; none if it may not be left out.
+    /// A description of the default value; `None` if the field is required.
     pub default: Option<&'static str>,
-    /// The schema that it came with.
+    /// The first schema that has the field.
     pub since_schema: u32,
-    /// What it means, with its unit.
+    /// The meaning of the value, with its unit.
     pub description: &'static str,
 }
 
 impl Field {
-    /// Creates a field of the first schema that may not be left out.
+    /// Creates a required field, present since schema 1.
     pub const fn required(name: &'static str, shape: Shape, meaning: &'static str) -> Self {
         Self { name, shape, default: None, since_schema: 1, description: meaning }
     }
 
-    /// Creates a field of the first schema that has a default.
+    /// Creates an optional field, present since schema 1.
     pub const fn optional(
         name: &'static str,
         shape: Shape,
@@ -95,32 +95,32 @@
     }
 }
 
-/// A step from a document to a part of it.
+/// One segment of a [`ValuePath`].
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum PathSegment {
-    /// Into a field of a mapping.
+    /// The field of a mapping.
     Field(Box<str>),
-    /// To an item of a list, counted from 0.
+    /// The index of a list item, from 0.
     Item(usize),
 }
 
-/// The way from a document to a part of it.
+/// The location of a value in a document; empty for the document itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ValuePath(pub Vec<PathSegment>);
 
 impl ValuePath {
-    /// Returns the path of a field of the document.
+    /// Returns the path of a top-level field.
     pub fn field(name: &str) -> Self {
         Self::default().with_field(name)
     }
 
-    /// Goes on into a field.
+    /// Returns this path extended by a field.
     pub fn with_field(&self, name: &str) -> Self {
         self.with(PathSegment::Field(name.into()))
     }
 
-    /// Goes on to an item.
+    /// Returns this path extended by a list index.
     pub fn with_item(&self, index: usize) -> Self {
         self.with(PathSegment::Item(index))
     }
@@ -145,129 +145,129 @@
     }
 }
 
-/// What is wrong with a value, and what would be right.
+/// A mismatch between a value and its schema.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case", tag = "fault")]
 pub enum Fault {
-    /// A field is missing.
+    /// A required field is missing.
     #[error("the field `{field}` is missing: {meaning}")]
     Missing {
-        /// The field.
+        /// The name of the field.
         field: Box<str>,
-        /// What it means.
+        /// The description of the field.
         meaning: Box<str>,
     },
-    /// No such field.
+    /// The mapping has a field that the schema does not know.
     #[error("there is no field `{field}` here; the fields are {known}")]
     UnknownField {
-        /// The field.
+        /// The name of the field.
         field: Box<str>,
-        /// The fields that there are.
+        /// The known fields.
         known: Box<str>,
     },
-    /// The field came with a newer schema.
+    /// The field requires a newer schema than the document's.
     #[error("`{field}` came with schema {since}, and this record says `schema: {schema}`")]
     TooNew {
-        /// The field.
+        /// The name of the field.
         field: Box<str>,
-        /// The schema that it came with.
+        /// The first schema that has the field.
         since: u32,
         /// The schema of the document.
         schema: u32,
     },
-    /// The value is of another type.
+    /// The value has the wrong type.
     #[error("this is {found}; it should be {expected}")]
     Type {
-        /// What was found.
+        /// The type found.
         found: Box<str>,
-        /// What would be right.
+        /// The type expected.
         expected: Box<str>,
     },
-    /// The value is too small or too large.
+    /// The number is out of range or not an integer.
     #[error("{found} is out of range; it should be from {least} to {most}")]
     Range {
-        /// What was found.
+        /// The number found.
         found: Box<str>,
-        /// The least value.
+        /// The minimum, inclusive.
         least: Box<str>,
-        /// The greatest value.
+        /// The maximum, inclusive.
         most: Box<str>,
     },
-    /// The text is no name.
+    /// The text is not a valid name.
     #[error(
         "`{found}` is no name; a name has 1 to 64 of the characters a-z, 0-9, `.`, `_` and `-`"
     )]
     Name {
-        /// What was found.
+        /// The text found.
         found: Box<str>,
     },
     /// The text is too short.
     #[error("the text is too short; it should have at least {least} characters")]
     Short {
-        /// The least length.
+        /// The minimum length in characters.
         least: usize,
     },
-    /// The text is no address with a port.
+    /// The text is not an IP address with a port.
     #[error("`{found}` is no address; it should be an IP address and a port, like 192.0.2.1:8080")]
     Address {
-        /// What was found.
+        /// The text found.
         found: Box<str>,
     },
-    /// The text is no digest.
+    /// The text is not a key digest.
     #[error("`{found}` is no digest; it should be the 32 digits that `sedgepath key` prints")]
     Digest {
-        /// What was found.
+        /// The text found.
         found: Box<str>,
     },
-    /// The text is no block.
+    /// The text is not a CIDR block.
     #[error("`{found}` is no block of addresses like 192.0.2.0/24: {reason}")]
     Block {
-        /// What was found.
+        /// The text found.
         found: Box<str>,
-        /// Why.
+        /// The parser's error.
         reason: Box<str>,
     },
-    /// The text is no URL.
+    /// The text is not a URL.
     #[error("`{found}` is no URL; it should be like http://192.0.2.1:8080")]
     Url {
-        /// What was found.
+        /// The text found.
         found: Box<str>,
     },
-    /// The word is none of those known.
+    /// The text is not one of the allowed words.
     #[error("`{found}` is not known here; it should be one of {known}")]
     Choice {
-        /// What was found.
+        /// The text found.
         found: Box<str>,
-        /// The words known.
+        /// The allowed words.
         known: Box<str>,
     },
     /// The list is too short.
     #[error("the list has {found} items; it should have at least {least}")]
     Items {
-        /// The items found.
+        /// The number of items.
         found: usize,
-        /// The least number.
+        /// The minimum number of items.
         least: usize,
     },
 }
 
-/// A fault and where it is.
+/// A fault with its location in the document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LocatedFault<F> {
-    /// The way to the value.
+    /// The path of the faulty value; of the enclosing mapping if a field is missing.
     pub path: ValuePath,
-    /// What is wrong.
+    /// The mismatch.
     pub fault: F,
 }
 
-/// Finds everything that is wrong with a document that follows a schema of its kind.
+/// Returns all mismatches between a document and its fields as of the given schema.
 pub fn check(document: &Value, fields: &'static [Field], schema: u32) -> Vec<LocatedFault<Fault>> {
     let mut walk = Walk { schema, faults: Vec::new() };
     walk.value(document, &Shape::Object(fields), &ValuePath::default());
     walk.faults
 }
 
-/// Whether a text is a name.
+/// Whether a text is a valid name; see [`Shape::Name`].
 pub fn is_name(text: &str) -> bool {
     let plain = |c: char| matches!(c, 'a'..='z' | '0'..='9' | '.' | '_' | '-');
     (1..=MAX_NAME_CHARS).contains(&text.len()) && text.chars().all(plain)
@@ -421,7 +421,7 @@
     !host.is_empty() && !host.contains(|c: char| c.is_whitespace() || c.is_control())
 }
 
-/// Writes words in quotes, separated by commas.
+/// Returns the words in backticks, separated by commas.
 fn quoted(words: &[&str]) -> Box<str> {
     let words: Vec<_> = words.iter().map(|word| format!("`{word}`")).collect();
     words.join(", ").into()
