--- a/crates/sedgepath-core/tests/claims.rs
+++ b/crates/sedgepath-core/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Actions under keys that callers choose: at most one run, and *not run* is true for ever.
+//! At-most-once execution under keys that callers choose.
 
 #[path = "once_support/callers.rs"]
 mod once_callers;
@@ -10,7 +10,7 @@
 use sedgepath_core::request::{Deduplication, Outcome};
 use sedgepath_test_support::bed::{Bed, Seen};
 
-/// Returns a key that a caller chose.
+/// Returns the key that a caller chose for an action.
 fn key(number: usize) -> Deduplication {
     Deduplication::Key(Digest::of(&[b"key", &number.to_le_bytes()]))
 }
@@ -19,8 +19,8 @@
     key(number)
 }
 
-/// A caller whose answer got lost repeats its request through another node. It gets the answer of
-/// the first run, which the table keeps, and the action does not run again.
+/// A caller whose answer was lost repeats its request through another node. It must get the answer
+/// stored in the table, and the action must not run again.
 #[test]
 fn a_repeat_through_another_node_gets_the_stored_answer() {
     let mut bed = bed(1);
@@ -38,8 +38,8 @@
     assert_eq!(verdict, Verdict { answered: 20, ..Verdict::default() });
 }
 
-/// A service's record says that its actions are once-only. A request without a key or ticket could
-/// not be told from its repeat, so it is refused.
+/// A request to a once-only service without a key or ticket can't be told from its repeat and must
+/// be rejected.
 #[test]
 fn a_once_only_service_takes_no_request_without_a_key() {
     let mut bed = bed(14);
@@ -48,8 +48,8 @@
     assert_eq!(bed.calls()[call].seen, Seen::Concluded(Outcome::KeyRequired));
 }
 
-/// A key comes back with another request: it is refused on every node, before and after the first
-/// request has ended, since its answer would belong to another action.
+/// A key that is reused with another request must be rejected on every node, before and after the
+/// first request has ended.
 #[test]
 fn a_key_with_another_request_is_refused() {
     let mut bed = bed(2);
@@ -69,8 +69,8 @@
     assert_eq!(judge(&bed).ran_twice, 0);
 }
 
-/// The answers to four in ten writes are lost, so nodes can't tell whether they hold a claim; they
-/// read the row back. Callers repeat through other nodes until they have an answer.
+/// Results of writes are lost, so nodes must read the row to learn whether they hold a claim. Every
+/// repeated action must end with an answer, and none may run twice.
 #[test]
 fn lost_write_answers() {
     let mut bed = bed(3);
@@ -81,9 +81,8 @@
     assert_eq!(verdict.answered, 200, "{verdict:?}");
 }
 
-/// Every fifth write lands seconds later and its answer never comes, and one upstream's answers are
-/// lost. A node that took a lost answer for a claim would send, and so would the node that its
-/// caller turns to, since the table shows nothing yet.
+/// Writes are applied late with their results lost. An action would run twice if a node took a lost
+/// result for a claim while the caller repeats its request through another node.
 #[test]
 fn late_writes() {
     let mut bed = bed(4);
@@ -97,9 +96,8 @@
     assert!(verdict.unknown > 0 && verdict.answered > 50, "{verdict:?}");
 }
 
-/// An insert's answer is lost and the platform goes down before the node can read the row: the
-/// caller hears *not run*. The insert lands while the platform still refuses all else. When it is
-/// back, the node puts a tombstone in place of its own claim, so the caller's repeat runs.
+/// A claim is applied after its caller was told *not run*, while the platform is down. The node must
+/// release it when the platform is back, so that the caller's repeat can run.
 #[test]
 fn a_late_claim_of_a_denied_request_is_released() {
     let mut bed = bed(12);
@@ -121,9 +119,8 @@
     assert_eq!(verdict, Verdict { answered: 1, ..Verdict::default() });
 }
 
-/// Inserts land seconds after they were given up, and the platform is down on and off, so that
-/// nodes often can't read a row back. No action runs that was denied, and every caller that goes on
-/// gets its answer in the end.
+/// Claims are applied after they were given up, while rows can't be read. No action may run after
+/// *not run*, and every caller that repeats must get its answer in the end.
 #[test]
 fn late_writes_while_the_table_cannot_be_read() {
     let mut bed = bed(13);
@@ -139,8 +136,8 @@
     assert_eq!(verdict.answered, 200, "{verdict:?}");
 }
 
-/// Nodes die while they hold claims. Nobody can tell whether these actions ran: repeats hear
-/// *unknown*, for a dead holder's claim is never taken over, and nothing runs twice.
+/// Nodes are killed while they hold claims. No other node may take these claims over, since the
+/// actions may have run.
 #[test]
 fn killed_holders() {
     let mut bed = bed(5);
@@ -150,9 +147,8 @@
     assert!(verdict.answered > 150, "{verdict:?}");
 }
 
-/// Two nodes are paused with claims in hand and requests on their way to them. Their callers repeat
-/// through the other nodes after a second; then the paused ones wake, and what they had taken up or
-/// find waiting must not run once more, though its deadline has not passed.
+/// Paused nodes resume with claims and delayed requests after callers have repeated through other
+/// nodes. Nothing may run a second time.
 #[test]
 fn paused_holders() {
     let mut bed = bed(6);
@@ -162,8 +158,8 @@
     assert!(verdict.answered > 150, "{verdict:?}");
 }
 
-/// Upstreams refuse half of the requests before they start them. The claims are released, so that
-/// a repeat through another node claims anew, and every action runs once in the end.
+/// Upstreams reject requests before they start them. The claims must be released, so that a repeat
+/// through another node can run.
 #[test]
 fn refused_requests_release_their_claims() {
     let mut bed = bed(7);
@@ -176,9 +172,8 @@
     assert_eq!(verdict.answered, 100, "{verdict:?}");
 }
 
-/// The first request is on its way to a paused node when its caller repeats it elsewhere, where the
-/// upstreams refuse it, and hears *not run*. The paused node wakes and finds the first request, and
-/// the upstreams are ready again; but the caller has been told, so it must not run any more.
+/// An earlier attempt, delayed at a paused node, arrives after a later attempt was answered
+/// *not run*. It must not run.
 #[test]
 fn a_delayed_request_does_not_run_after_a_later_one_was_denied() {
     let mut bed = bed(11);
@@ -200,9 +195,8 @@
     assert_holds(&judge(&bed));
 }
 
-/// A request is refused by the upstreams and its caller hears *not run*. Something on the way sends
-/// the very same attempt once more, to another node, when the upstreams are ready again. It must not
-/// run, for its caller has been told; the caller's next attempt does.
+/// A duplicate of an attempt that was answered *not run* reaches another node. It must not run, but
+/// the caller's next attempt must.
 #[test]
 fn an_attempt_that_was_denied_does_not_run_when_it_is_sent_again() {
     let mut bed = bed(12);
@@ -220,9 +214,8 @@
     assert_holds(&judge(&bed));
 }
 
-/// The release of a refused request's claim lands seconds late, after the node has released it again
-/// and its caller's repeat has claimed anew and run with its answer lost. The late release names
-/// the version that it replaces, so it can't free the new claim for a third request.
+/// The release of a claim is applied late, after a repeat has claimed the key and may have run. It
+/// must not release the new claim.
 #[test]
 fn a_late_release_does_not_free_a_later_claim() {
     let mut bed = bed(15);
@@ -250,8 +243,8 @@
     assert_eq!(bed.upstreams.runs_by_key().values().sum::<u32>(), 1);
 }
 
-/// Links to upstreams break under running requests: their ends are unknown, and stay so, since
-/// nothing proves that they did not run.
+/// Answers of an upstream are lost after requests were sent. Their outcomes must stay unknown, since
+/// they may have run.
 #[test]
 fn lost_answers_of_upstreams() {
     let mut bed = bed(8);
@@ -262,8 +255,8 @@
     assert!(verdict.unknown > 0 && verdict.answered > 0, "{verdict:?}");
 }
 
-/// The platform is down from start to end. First attempts hear at once that they were not run;
-/// repeats hear *unknown*, because the table alone could tell; nothing runs.
+/// While the platform is down, first attempts must be answered *not run* and repeats *unknown*, both
+/// at once, and nothing may run.
 #[test]
 fn platform_down() {
     let mut bed = bed(9);
@@ -284,8 +277,8 @@
     assert!(bed.upstreams.runs_by_key().is_empty());
 }
 
-/// A hundred actions come at once, and so do repeats of sixty of them through other nodes. A repeat
-/// fails its whole transaction; the others must not be refused for it, and few transactions must do.
+/// A repeat's conflict fails its whole transaction. The other requests of the transaction must not
+/// be rejected, and the number of transactions must stay small.
 #[test]
 fn a_conflict_does_not_fail_the_others_of_its_transaction() {
     let mut bed = bed(10);
--- a/crates/sedgepath-core/tests/configuration.rs
+++ b/crates/sedgepath-core/tests/configuration.rs
@@ -1,6 +1,6 @@
-//! A configuration that was accepted is in force at all nodes within seconds and never lower again.
+//! Replication of the configuration: an accepted revision reaches all nodes and is never reverted.
 //!
-//! What is in force is read from the look-ups that each node answers, as a caller sees it.
+//! The revision in force on a node is taken from its answers to look-ups.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -28,7 +28,7 @@
     bed.write_records(&[records::steering("browse", &shares, 100.0, 10_000)])
 }
 
-/// Adds as many nodes to each of the first failure domains.
+/// Adds `each` nodes to each of the first `domains` failure domains.
 fn add_nodes(bed: &mut Bed, domains: usize, each: usize) {
     for domain in &DOMAINS[..domains] {
         for number in 0..each {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Returns the revision by which a node answers look-ups; 0 if it answers none.
+/// Returns the revision by which a node answers look-ups, or 0 if it rejects them.
 fn in_force(bed: &mut Bed, node: usize) -> u64 {
     let look_up = LookUp {
         service: "browse".into(),
@@ -56,9 +56,8 @@
     (0..bed.node_count()).map(|node| bed.traffic(node).table_reads).sum()
 }
 
-/// Thirty nodes of three failure domains run for ten seconds without a change. The platform is
-/// asked for its head by two readers in each domain, not by every node, since the rest hear from
-/// them; so its reads grow with the domains and stay within its means at any number of nodes.
+/// Only two readers per failure domain may poll the platform's head, or the load on the platform
+/// would grow with the number of nodes.
 #[test]
 fn reads_at_the_platform_grow_with_domains_and_not_with_nodes() {
     let mut bed = Bed::new(1);
@@ -71,9 +70,7 @@
     assert!((50..=70).contains(&reads), "{reads} reads in 10 s by 30 nodes of 3 domains");
 }
 
-/// One failure domain can't reach the platform while a change is accepted, but its links to the
-/// other domains work. Its nodes have the change in force within seconds, since they fetch it from
-/// peers; callers that come by them are steered as everywhere else.
+/// A failure domain that can't reach the platform must get a change from its peers in other domains.
 #[test]
 fn nodes_cut_off_from_the_platform_learn_a_change_from_peers() {
     let mut bed = Bed::new(2);
@@ -88,9 +85,8 @@
     assert_eq!(all_in_force(&mut bed), vec![revision; 12]);
 }
 
-/// The platform is down, and all nodes but one die and come back with empty memories. Callers are
-/// answered by all of them again within seconds, by the revision that had been accepted, since the
-/// one that is left hands it on.
+/// While the platform is down, nodes that restart must get the configuration from the only node that
+/// kept running.
 #[test]
 fn all_nodes_but_one_restart_while_the_platform_is_down() {
     let mut bed = Bed::new(3);
@@ -111,9 +107,8 @@
     assert_eq!(all_in_force(&mut bed), vec![revision; 12]);
 }
 
-/// A node is cut off from everything while changes are accepted, and answers callers by what it
-/// has. Within seconds of its return it answers by the newest one, and no caller of any node ever
-/// sees a revision lower than one that the same node has answered by before.
+/// A node that was partitioned during changes must catch up soon after the partition heals, and no
+/// node's revision may ever decrease.
 #[test]
 fn a_node_cut_off_catches_up_within_seconds_of_its_return() {
     let mut bed = Bed::new(4);
@@ -139,8 +134,8 @@
     assert_eq!(all_in_force(&mut bed), vec![newest; 12]);
 }
 
-/// A page that a peer sent before a newer revision came from elsewhere arrives after it, and so does
-/// a difference that builds on a revision which this node has not. Neither changes what is in force.
+/// An outdated difference, or one that builds on a revision the node does not have, must not be
+/// applied.
 #[test]
 fn a_late_or_unconnected_difference_changes_nothing() {
     let row = |revision, weight| RecordRow {
@@ -158,9 +153,8 @@
     assert_eq!(store.page(&RecordPosition::default()), before);
 }
 
-/// A change of two records is accepted while a node that starts turns the pages of all records: it
-/// may read the one record before the change and the other one after it. Whenever the change comes,
-/// peers that fetch from the node never get the one without the other.
+/// A change of two records commits while a node scans all records. The node must never have one of
+/// the two without the other in force.
 #[test]
 fn a_scan_during_a_change_gives_one_revision() {
     let service =
@@ -188,9 +182,8 @@
     assert_eq!(mixed, 0, "pages with one record of a change and without the other");
 }
 
-/// All members of the only failure domain but one lose the platform while they go on hearing each
-/// other, the two that poll it among them in most of the six cases. The one that is left steps in
-/// once the others' figures have aged, and a change is in force at all of them within seconds.
+/// Only one member of a failure domain can still reach the platform. Whatever its rank, it must start
+/// to poll, and a change must reach all members.
 #[test]
 fn whoever_still_reaches_the_platform_steps_in_as_a_reader() {
     for left in 0..6 {
@@ -208,8 +201,8 @@
     }
 }
 
-/// The platform is down for a minute. The thirty nodes go on trying, but not all of them at the pace
-/// of a reader, so that the platform is not met by all of them when it comes back.
+/// During a long outage the nodes must not all poll at the rate of a reader, which would overload
+/// the platform when it recovers.
 #[test]
 fn an_outage_does_not_make_every_node_a_reader() {
     let mut bed = Bed::new(7);
--- a/crates/sedgepath-core/tests/configuration_change.rs
+++ b/crates/sedgepath-core/tests/configuration_change.rs
@@ -1,5 +1,4 @@
-//! Operators' changes of the configuration, as their commands see them: accepted, in conflict, not
-//! accepted, or unknown until asked again.
+//! Outcomes of operators' configuration changes: accepted, conflict, not accepted or unknown.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -15,7 +14,7 @@
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use serde_json::json;
 
-/// Starts six nodes of two failure domains with a first configuration of revision 1.
+/// Starts six nodes in two failure domains with a configuration of revision 1.
 fn bed(seed: u64) -> Bed {
     let mut bed = Bed::new(seed);
     bed.write_records(&[
@@ -63,7 +62,7 @@
     bed.change_outcome(reply).cloned().expect("the node has told the outcome")
 }
 
-/// Returns the changes in the table's log with the identifier.
+/// Returns the revisions in the table's log that have the change identifier.
 fn logged(bed: &Bed, change_id: &str) -> Vec<u64> {
     let rows = bed.table().rows();
     let changes = rows.iter().filter(|row| row.key.starts_with("log/"));
@@ -71,9 +70,8 @@
     changes.filter(|change| &*change.change_id == change_id).map(|change| change.revision).collect()
 }
 
-/// Six operators ask for a change at six nodes in the same moment, each expecting the revision that
-/// it has seen. One is accepted; the five others are shown that one's change, so that they can look
-/// at it before they ask again; and the accepted one is in force at all nodes.
+/// Of concurrent changes that expect the same revision exactly one must be accepted; the others must
+/// get a conflict with the accepted change.
 #[test]
 fn of_racing_operators_one_wins_and_the_others_see_its_change() {
     let mut bed = bed(1);
@@ -97,8 +95,8 @@
     assert_eq!(in_force(&mut bed), [2; 6]);
 }
 
-/// Every answer to a commit is lost, and half of the operators race. Each command still ends with
-/// what really happened: the log holds the changes that were accepted, once, and no others.
+/// All results of commits are lost. The outcomes must still agree with the log: accepted changes are
+/// in it once, all others not at all.
 #[test]
 fn a_lost_answer_is_settled_by_the_log() {
     let mut bed = bed(2);
@@ -129,9 +127,8 @@
     assert_eq!(in_force(&mut bed), [1 + accepted; 6]);
 }
 
-/// A commit takes effect two seconds late and its answer is lost. Meanwhile the node finds nothing
-/// in the log and sends the same transaction again. The operator hears "accepted" once, and the
-/// late write finds the head moved on: the log holds the change once.
+/// A commit is applied late, after the node has sent the same transaction again. The change must be
+/// committed once only.
 #[test]
 fn a_write_that_arrives_late_takes_effect_once() {
     let mut bed = bed(3);
@@ -145,9 +142,8 @@
     assert_eq!(in_force(&mut bed), [2; 6]);
 }
 
-/// The answer is lost and the platform goes down at once, so the command ends with "unknown". Once
-/// the platform is back the operator asks another node with the same identifier and hears
-/// "accepted" with the revision that was made, also after others have changed the configuration.
+/// A repeated request for a change whose outcome was unknown must return the revision that the change
+/// created, also after later changes, and must not commit it again.
 #[test]
 fn asking_again_tells_and_never_changes_twice() {
     let mut bed = bed(4);
@@ -173,8 +169,7 @@
     assert_eq!(in_force(&mut bed), [3; 6]);
 }
 
-/// The platform refuses everything. The command hears "not accepted", and that stays true: nothing
-/// of the change is in force later, when the platform is back.
+/// A change that is not accepted during an outage of the platform must not take effect after it.
 #[test]
 fn a_change_during_an_outage_is_not_accepted_and_stays_so() {
     let mut bed = bed(5);
@@ -189,8 +184,8 @@
     assert_eq!(in_force(&mut bed), [1; 6]);
 }
 
-/// An operator sends more records, or more text, than the store takes in one transaction. The command
-/// hears at once how far to split them; a change of as many records as fit is accepted.
+/// A change that exceeds the size of a transaction must be rejected with the limit; a change at the
+/// limit must be accepted.
 #[test]
 fn a_change_that_fits_no_transaction_is_refused_at_once() {
     let mut bed = bed(6);
@@ -213,8 +208,7 @@
     assert_eq!(outcome(&bed, reply), ChangeOutcome::Accepted { revision: 2 });
 }
 
-/// An operator names a failure domain that is in no record. The node refuses the change before it
-/// reaches the table and names the place of the mistake.
+/// A change that refers to an unknown failure domain must be rejected with the path of the error.
 #[test]
 fn a_change_that_would_leave_records_out_of_order_is_refused() {
     let mut bed = bed(6);
@@ -231,9 +225,8 @@
     assert_eq!(in_force(&mut bed), [1; 6]);
 }
 
-/// A newer node has accepted a record of schema 3 for one service. Older nodes refuse that service
-/// only, go on with records of schemas 1 and 2 side by side, and pass the record on as it is: a
-/// node that starts while the platform is down has it, to the letter, from its peers.
+/// A node must reject only the service that a record of an unknown schema configures, and must relay
+/// the record unchanged.
 #[test]
 fn an_unknown_schema_is_kept_relayed_and_refused_for_its_service_only() {
     let mut bed = bed(7);
@@ -259,10 +252,8 @@
     }
 }
 
-/// While the platform is down a node restarts, and its links come up one after another: first the
-/// one to a member that was cut off and still has an old revision, half a second later the others.
-/// It answers callers only by the revision that it had before it restarted, which its peers have,
-/// because it listens for a second before it serves by what a peer gave it.
+/// A node restarts while the platform is down and first hears of a peer with an outdated revision.
+/// It must not serve by that revision before it has heard of its other peers.
 #[test]
 fn a_restarted_node_never_serves_by_an_older_revision_than_before() {
     let mut lower = 0;
@@ -295,8 +286,8 @@
     assert_eq!(lower, 0, "look-ups answered by the older revision");
 }
 
-/// A node has just started and knows no record yet. A caller is told that its request was not run
-/// and when to come back, not that there is no such service, which would make it give up.
+/// A node that has no configuration yet must answer *not run* with a retry delay, and not that the
+/// service does not exist.
 #[test]
 fn a_node_without_a_configuration_says_so() {
     let mut bed = bed(8);
--- a/crates/sedgepath-core/tests/fuzz_configuration.rs
+++ b/crates/sedgepath-core/tests/fuzz_configuration.rs
@@ -1,11 +1,10 @@
-//! Stateful fuzzing of the configuration over five node cores of two failure domains.
+//! Stateful fuzzing of configuration changes over five node cores in two failure domains.
 //!
-//! Operators ask for changes at any node and ask again at others, while nodes die, start, pause and
-//! wake, links between them and to the platform are cut, the table is down, loses answers or applies
-//! writes late, and newer nodes write records of an unknown schema. The oracle reads look-ups, the
-//! outcomes that operators were told, and the table's log.
+//! Operators send and repeat changes at any node under faults of nodes, links and the table, while
+//! newer nodes write records of an unknown schema. The oracle uses look-ups, the outcomes of changes
+//! and the table's log.
 //!
-//! CI runs a fixed seed; `FUZZ_CASES` and `FUZZ_SEED` in the environment make long runs.
+//! CI runs a fixed seed; `FUZZ_CASES` and `FUZZ_SEED` in the environment allow longer runs.
 
 mod fuzz_support;
 
@@ -28,23 +27,24 @@
 
 const NODES: usize = 5;
 
-/// After the last fault a change is worked on for up to 8 s, and then spreads within seconds.
+/// The time in milliseconds for pending changes to finish and replicate after the last fault.
 const SETTLE_MS: u64 = 15_000;
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// An operator asks for a change; with `expects` on top of the revision that the node answers by.
+    /// An operator requests a change; with `expects`, it expects the revision in force on the node.
     Change {
         node: usize,
         expects: bool,
     },
-    /// An operator asks again about an earlier change, as before or on top of what is newest now.
+    /// An operator repeats the request of an earlier change; with `expects`, it expects the revision
+    /// now in force on the node.
     AskAgain {
         node: usize,
         change: prop::sample::Index,
         expects: bool,
     },
-    /// A newer node writes a record of a schema that these nodes don't know.
+    /// A newer node writes a record of an unknown schema.
     Newer,
     Kill(usize),
     Start(usize),
@@ -62,7 +62,7 @@
     Pass(u64),
 }
 
-/// What decides which steps make sense: nothing, as each is defined in every state.
+/// The reference model; stateless, since every step is valid in every state.
 struct Steps;
 
 impl ReferenceStateMachine for Steps {
@@ -100,7 +100,7 @@
     fn apply((): (), _transition: &Step) {}
 }
 
-/// A change and the questions that operators asked about it.
+/// A requested change, and the replies to its first and repeated requests.
 struct Asked {
     record: RawRecord,
     expected_revision: Option<u64>,
@@ -110,7 +110,7 @@
 struct Run {
     bed: Bed,
     asked: Vec<Asked>,
-    /// The highest revision that each node has answered by since its start.
+    /// The last revision by which each node answered look-ups since its start.
     answered: [u64; NODES],
 }
 
@@ -197,7 +197,7 @@
         self.check_look_ups();
     }
 
-    /// No node answers by a lower revision than it has answered by before.
+    /// Asserts that no node's revision decreases between restarts.
     fn check_look_ups(&mut self) {
         for node in 0..NODES {
             let now = self.in_force(node);
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Returns the revisions of each change in the log.
+    /// Returns the revisions in the log by change identifier.
     fn logged(&self) -> BTreeMap<Box<str>, Vec<u64>> {
         let mut logged: BTreeMap<_, Vec<_>> = BTreeMap::new();
         for row in self.bed.table().rows().iter().filter(|row| row.key.starts_with("log/")) {
@@ -216,7 +216,7 @@
         logged
     }
 
-    /// What operators were told is what the log holds, and holds at the end too.
+    /// Asserts that the outcomes of changes agree with the log.
     fn check_outcomes(&self) {
         let logged = self.logged();
         for (number, asked) in self.asked.iter().enumerate() {
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Ends all faults; within seconds all nodes answer by the newest revision.
+    /// Ends all faults and asserts that all nodes then have the newest revision in force.
     fn settle(&mut self) {
         self.bed.faults.heal_all();
         self.bed.faults.platform_down = false;
@@ -290,8 +290,8 @@
 prop_state_machine! {
     #![proptest_config(config(32))]
 
-    /// Whatever happens, operators are told the truth, no node goes back to a lower revision, and all
-    /// nodes have the newest one in force soon after the faults end.
+    /// Under all faults, outcomes must agree with the log, no node's revision may decrease, and all
+    /// nodes must have the newest revision soon after the faults end.
     #[test]
     fn accepted_is_in_force_and_never_reverts(sequential 1..60 => Run);
 }
--- a/crates/sedgepath-core/tests/fuzz_once.rs
+++ b/crates/sedgepath-core/tests/fuzz_once.rs
@@ -1,11 +1,9 @@
-//! Stateful fuzzing of at most once over four node cores.
+//! Stateful fuzzing of at-most-once execution over four node cores.
 //!
-//! Callers use keys and tickets through any node, repeat them, and change the request under a key,
-//! while nodes die, start, pause, wake, stop as planned and have clocks that are off, links are cut,
-//! upstreams refuse or lose answers, and the table is down, loses answers or applies writes late. The
-//! oracle reads only what callers and upstreams saw.
+//! Callers send, repeat and reuse keys and tickets through any node under faults of nodes, clocks,
+//! links, upstreams and the table. The oracle uses only what callers and upstreams observed.
 //!
-//! CI runs a fixed seed; `FUZZ_CASES` and `FUZZ_SEED` in the environment make long runs.
+//! CI runs a fixed seed; `FUZZ_CASES` and `FUZZ_SEED` in the environment allow longer runs.
 
 mod fuzz_support;
 mod once_support;
@@ -24,25 +22,25 @@
 use sedgepath_test_support::bed::faults::Place;
 
 const NODES: usize = 4;
-/// The actions; those with odd numbers use tickets.
+/// The number of actions; those with odd indexes use tickets.
 const ACTIONS: usize = 5;
-/// The actions whose callers number their attempts.
+/// The number of actions whose callers number their attempts.
 const NUMBERED: usize = 3;
-/// How long callers wait, in milliseconds: longer than most pauses, so that what was delayed still counts.
+/// The time that callers wait, in milliseconds; long, so that delayed requests are still in time.
 const DEADLINE_MS: u64 = 30_000;
 const UPSTREAMS: [&str; 2] = ["d1", "d2"];
 
 /// One step of a run.
 #[derive(Debug, Clone)]
 enum Step {
-    /// A caller asks for an action, the first time or again; odd actions use tickets.
+    /// A caller sends the next attempt of an action.
     Call {
         node: usize,
         action: usize,
     },
-    /// A caller takes tickets that it does not use.
+    /// A caller requests tickets that it does not use.
     Mint(usize),
-    /// A caller sends another request under the key or ticket of an action.
+    /// A caller reuses the key or ticket of an action for another request.
     Change {
         node: usize,
         action: usize,
@@ -68,7 +66,7 @@
     Pass(u64),
 }
 
-/// What decides which steps make sense: nothing, as each is defined in every state.
+/// The reference model; stateless, since every step is valid in every state.
 struct Steps;
 
 impl ReferenceStateMachine for Steps {
@@ -111,7 +109,7 @@
     fn apply((): (), _transition: &Step) {}
 }
 
-/// The nodes, and what their callers remember.
+/// The nodes, and the keys and attempt numbers of their callers.
 struct Run {
     bed: Bed,
     keys: BTreeMap<usize, Deduplication>,
@@ -119,7 +117,7 @@
 }
 
 impl Run {
-    /// Returns the key or ticket of an action; none if no ticket can be had now.
+    /// Returns the key or ticket of an action, or `None` if no ticket can be minted now.
     fn once(&mut self, node: usize, action: usize) -> Option<Deduplication> {
         if let Some(once) = self.keys.get(&action) {
             return Some(*once);
@@ -208,8 +206,8 @@
 prop_state_machine! {
     #![proptest_config(config(48))]
 
-    /// Whatever happens, no key or ticket runs twice, nothing runs that was denied, and no repeat
-    /// gets another action's answer.
+    /// Under all faults, no key or ticket may run twice, nothing may run after *not run*, and no
+    /// repeat may get the answer of another action.
     #[test]
     fn at_most_once(sequential 1..100 => Run);
 }
--- a/crates/sedgepath-core/tests/once_support/callers.rs
+++ b/crates/sedgepath-core/tests/once_support/callers.rs
@@ -1,11 +1,11 @@
-//! Callers that repeat their actions.
+//! Callers that repeat their actions through other nodes.
 
 use sedgepath_core::request::Deduplication;
 use sedgepath_test_support::bed::{Bed, CallIndex, NodeIndex};
 
 use super::once_support::{head, is_answer};
 
-/// A caller that repeats an action through one node after the other until it knows its end.
+/// A caller that repeats an action through one node after the other until it has an answer.
 #[derive(Debug)]
 pub struct Action {
     once: Deduplication,
@@ -15,14 +15,14 @@
 }
 
 impl Action {
-    /// Asks for the action the first time.
+    /// Sends the first attempt of an action.
     pub fn new(bed: &mut Bed, node: NodeIndex, once: Deduplication) -> Self {
         let head = head(bed, once, 1);
         let call = bed.call(node, head);
         Self { once, attempt: 1, call, repeat_at_ms: bed.now_ms() + 1_000 }
     }
 
-    /// Repeats the request if its end is not known; a caller that hears nothing repeats it too.
+    /// Sends the next attempt if the caller has no answer one second after the last one.
     pub fn poll(&mut self, bed: &mut Bed) {
         if bed.now_ms() < self.repeat_at_ms || is_answer(&bed.calls()[self.call].seen) {
             return;
@@ -35,7 +35,7 @@
     }
 }
 
-/// Starts `count` actions, one every `gap_ms`, over all nodes, and lets the callers repeat.
+/// Starts `count` actions, one every `gap_ms`, at the nodes in turn, while callers repeat theirs.
 pub fn run_actions(
     bed: &mut Bed,
     count: usize,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Pauses two nodes with work in hand and wakes them long after.
+/// Pauses two nodes while requests are in progress and wakes them much later.
 pub fn pause_two(bed: &mut Bed, number: usize) {
     match number {
         20 | 40 => bed.pause(number / 20),
--- a/crates/sedgepath-core/tests/once_support/mod.rs
+++ b/crates/sedgepath-core/tests/once_support/mod.rs
@@ -1,5 +1,5 @@
-//! A small system with a once-only service, callers that repeat their requests, and the oracle of
-//! at most once. The oracle reads only what callers, upstreams and the table saw.
+//! A test system with a once-only service, and an oracle for at-most-once execution that uses only
+//! what callers and upstreams observed.
 
 use std::collections::BTreeMap;
 
@@ -31,7 +31,7 @@
     bed
 }
 
-/// Returns a request; its digest is that of the action alone, as in a repeat.
+/// Returns a request whose digest depends only on its key or ticket, so that repeats share it.
 pub fn head(bed: &Bed, once: Deduplication, attempt: u32) -> RequestHead {
     RequestHead {
         deduplication: once,
@@ -52,33 +52,33 @@
     matches!(seen, Seen::Concluded(Outcome::NotRun { .. }))
 }
 
-/// What the oracle counted.
+/// The counts of the oracle.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
     /// Keys that ran more than once.
     pub ran_twice: usize,
-    /// Requests that ran although their caller was told that they did not.
+    /// Requests that ran although their caller was told *not run*.
     pub ran_after_not_run: usize,
-    /// Requests that were told *not run* although an earlier attempt ran, before or later.
+    /// Requests answered *not run* although an earlier or the same attempt ran, before or after.
     pub denied_after_run: usize,
-    /// Repeats that got another action's answer.
+    /// Repeats that got the answer of another action.
     pub wrong_answers: usize,
-    /// Keys whose newest request was told *unknown*, or nothing.
+    /// Keys whose newest request got any other outcome, such as *unknown*, or none.
     pub unknown: usize,
     /// Keys whose newest request was answered.
     pub answered: usize,
-    /// Keys whose newest request was told *not run*.
+    /// Keys whose newest request was answered *not run*.
     pub not_run: usize,
 }
 
 impl Verdict {
-    /// Whether every promise was kept.
+    /// Whether no guarantee was violated.
     pub fn holds(&self) -> bool {
         self.ran_twice + self.ran_after_not_run + self.denied_after_run + self.wrong_answers == 0
     }
 }
 
-/// Judges all calls so far.
+/// Evaluates all calls so far.
 pub fn judge(bed: &Bed) -> Verdict {
     let ran_twice = bed.upstreams.runs_by_key().values().filter(|runs| **runs > 1).count();
     let mut verdict = Verdict { ran_twice, ..Verdict::default() };
@@ -103,7 +103,7 @@
             verdict.wrong_answers += usize::from(own.as_deref() != Some(&*stored.body));
         }
     }
-    // Only a caller that numbers its attempts is told of the action and not of its request alone.
+    // Without an attempt number, *not run* is about the request alone and not about the action.
     let attempt = |call: &CallIndex| bed.calls()[*call].head.attempt;
     let ran_from =
         calls.iter().filter(|call| attempt(call) > 0 && bed.upstreams.runs_of(**call) > 0);
@@ -118,7 +118,7 @@
     }
 }
 
-/// Ends all faults, lets late writes land and repeats go on, and judges.
+/// Ends all faults, lets late writes and pending work finish, and evaluates all calls.
 pub fn settle(bed: &mut Bed) -> Verdict {
     bed.faults.platform_down = false;
     bed.faults.lost_answers_percent = 0;
@@ -133,7 +133,7 @@
     judge(bed)
 }
 
-/// Asserts that every promise was kept.
+/// Asserts that no guarantee was violated.
 pub fn assert_holds(verdict: &Verdict) {
     assert!(verdict.holds(), "{verdict:?}");
 }
--- a/crates/sedgepath-core/tests/tickets.rs
+++ b/crates/sedgepath-core/tests/tickets.rs
@@ -1,4 +1,4 @@
-//! Actions under tickets: at most one run, with no table on the path.
+//! At-most-once execution under tickets, which does not depend on the table.
 
 #[path = "once_support/callers.rs"]
 mod once_callers;
@@ -16,7 +16,7 @@
     Deduplication::Ticket(*tickets.first().expect("a ticket"))
 }
 
-/// Mints at the nodes in turn; one that is down or has just started gives none.
+/// Mints a ticket at the first node, in turn, that gives one; nodes that are down give none.
 fn ticket_of(bed: &mut Bed, number: usize) -> Deduplication {
     let nodes = bed.node_count();
     let mut minted =
@@ -35,8 +35,8 @@
     matches!(seen, Seen::Concluded(Outcome::NotRun { refusal, .. }) if refusal.reason == reason)
 }
 
-/// The platform is down from start to end. Tickets are minted, forwarded to their homes, run and
-/// repeated all the same: every action is answered, and each runs once.
+/// While the platform is down, tickets must still be minted, forwarded to their homes, run once and
+/// answered on repeats.
 #[test]
 fn platform_down_from_start_to_end() {
     let mut bed = bed(1);
@@ -52,8 +52,7 @@
     assert_eq!(bed.table_commits, commits);
 }
 
-/// A ticket comes back with another request, at its home and elsewhere: it is refused, as its answer
-/// would belong to another action.
+/// A ticket that is reused with another request must be rejected at its home and elsewhere.
 #[test]
 fn a_ticket_with_another_request_is_refused() {
     let mut bed = bed(2);
@@ -69,8 +68,7 @@
     assert_eq!(judge(&bed).ran_twice, 0);
 }
 
-/// Homes die and start again with empty memories. What became of their tickets is unknown, at the
-/// new boot too, and no ticket runs a second time.
+/// Homes are killed and restart without their tickets' state. No ticket may run twice.
 #[test]
 fn killed_homes() {
     let mut bed = bed(3);
@@ -80,9 +78,8 @@
     assert!(verdict.answered > 120, "{verdict:?}");
 }
 
-/// A ticket's run ends with its answer lost, and its home dies and starts again. The new boot mints
-/// tickets of the same numbers, but it does not know what the last one spent: the repeat ends
-/// unknown wherever it is sent, and does not run.
+/// A new boot mints the same ticket numbers as the last one. A ticket of the last boot must stay
+/// unknown on every node and not run.
 #[test]
 fn a_restarted_home_does_not_run_the_tickets_of_its_last_boot() {
     let mut bed = bed(10);
@@ -101,8 +98,8 @@
     assert_holds(&judge(&bed));
 }
 
-/// Homes are paused with requests on their way to them, and wake after their callers have turned
-/// to other nodes, which can only forward.
+/// Paused homes resume with delayed requests after callers have repeated through other nodes. No
+/// ticket may run twice.
 #[test]
 fn paused_homes() {
     let mut bed = bed(4);
@@ -112,8 +109,8 @@
     assert!(verdict.answered > 150, "{verdict:?}");
 }
 
-/// A home stops as planned with tickets used, refused and unused. Other nodes go on to answer for
-/// all of them, from what it left in the table: nothing is unknown, and what it had not run never is.
+/// Stops a home with used, rejected and unused tickets, and asserts that other nodes answer for all
+/// of them and run none.
 fn planned_stop(mut bed: Bed, platform_down: bool) {
     let tickets: Vec<_> = (0..60).map(|_| ticket(&mut bed, 1)).collect();
     for once in &tickets[..20] {
@@ -152,20 +149,19 @@
     assert_eq!(verdict, Verdict { answered: 20, not_run: 40, ..Verdict::default() });
 }
 
-/// See [`planned_stop`]; the rows in the table tell.
+/// After a planned stop, tickets must be answered from their rows in the table.
 #[test]
 fn a_planned_stop_leaves_nothing_unknown() {
     planned_stop(bed(5), false);
 }
 
-/// See [`planned_stop`]; the platform is down, and the successors' copies tell.
+/// After a planned stop without the platform, tickets must be answered from the successors' copies.
 #[test]
 fn a_planned_stop_leaves_nothing_unknown_while_the_platform_is_down() {
     planned_stop(bed(6), true);
 }
 
-/// A ticket lapses unused, and another one used. The home knows that the first was never run and
-/// refuses it for good; of the second it gives the answer.
+/// An expired unused ticket must be answered *not run*, and an expired used one with its answer.
 #[test]
 fn a_lapsed_ticket_is_not_run() {
     let mut bed = bed(7);
@@ -179,8 +175,8 @@
     assert_holds(&judge(&bed));
 }
 
-/// Callers take tickets without end: a boot stops minting at its bound, for it has to remember each
-/// until it lapses, and goes on when the first have lapsed.
+/// Minting must stop at the maximum number of valid tickets, which bounds the node's memory, and
+/// continue when tickets expire.
 #[test]
 fn minting_is_bounded() {
     let mut bed = bed(8);
@@ -192,9 +188,8 @@
     assert!(bed.mint(0, "no such service", 1).is_empty());
 }
 
-/// The first request waits at a paused node when its caller repeats it at the ticket's home, where
-/// the upstreams refuse it, and hears *not run*. The paused node wakes and forwards the first; the
-/// caller has been told, so it must not run any more.
+/// An earlier attempt, delayed at a paused node, is forwarded after a later attempt was answered
+/// *not run*. It must not run.
 #[test]
 fn a_delayed_request_does_not_run_after_a_later_one_was_denied() {
     let mut bed = bed(9);
