--- a/crates/sedgepath-core/src/catalogue.rs
+++ b/crates/sedgepath-core/src/catalogue.rs
@@ -142,7 +142,7 @@
     ///
     /// Client blocks make up most of the records' text. Reusing the parsed block table keeps a
     /// change from blocking the node's thread, and thus look-ups.
-    pub fn with_blocks_of<'a>(
+    pub fn with_client_blocks_of<'a>(
         records: impl IntoIterator<Item = &'a RawRecord>,
         previous: &Self,
     ) -> Self {
@@ -277,7 +277,7 @@
         for group in &record.groups {
             let origin = OriginKey::of(&group.origin);
             self.origins.insert(origin, group.origin.clone());
-            shares.insert(origin, normalised(&group.shares));
+            shares.insert(origin, normalize_shares(&group.shares));
         }
         if let Some(service) = self.services.get_mut(&ServiceKey::of(&raw.name)) {
             service.steering = Some(SteeringEntry {
@@ -342,7 +342,7 @@
     }
 }
 
-fn normalised(shares: &[record::Share]) -> Vec<(DomainKey, f64)> {
+fn normalize_shares(shares: &[record::DomainShare]) -> Vec<(DomainKey, f64)> {
     let sum = shares.iter().map(|share| share.weight).sum::<f64>();
     let mut weights: Vec<_> = shares
         .iter()
--- a/crates/sedgepath-core/src/configuration.rs
+++ b/crates/sedgepath-core/src/configuration.rs
@@ -26,20 +26,20 @@
 use crate::timeline::Topic;
 
 pub mod change;
+mod gossip;
 mod reader;
 pub mod rows;
-mod spread;
 pub mod store;
 
-use change::{ChangeDesk, ChangeOutcome, ChangeRequest, Concluded};
-use reader::{ReadResult, Reader};
+use change::{ChangeOutcome, ChangeRequest, FinishedChange, PendingChanges};
+use gossip::{FetchProgress, Gossip};
+use reader::{ReadResult, TableReader};
 use rows::RecordRow;
-use spread::{Fetched, Spread};
-use store::{Changes, RecordPage, RecordPosition, Store};
+use store::{RecordChanges, RecordPage, RecordPosition, RecordStore};
 
 /// The interval at which the head is read while a change waits for this node to catch up, in
 /// milliseconds.
-const HURRY_EVERY_MS: u64 = 250;
+const CATCH_UP_READ_INTERVAL_MS: u64 = 250;
 
 /// Where a revision was received from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -64,13 +64,13 @@
 pub struct Configuration {
     settings: NodeSettings,
     random: fastrand::Rng,
-    store: Store,
-    reader: Reader,
-    spread: Spread,
-    desk: ChangeDesk,
+    store: RecordStore,
+    reader: TableReader,
+    spread: Gossip,
+    pending_changes: PendingChanges,
     started_at_ms: Option<u64>,
     ready: bool,
-    hurry_at_ms: u64,
+    next_catch_up_read_at_ms: u64,
 }
 
 impl Configuration {
@@ -79,13 +79,13 @@
         Self {
             random: fastrand::Rng::with_seed(settings.seed),
             settings,
-            store: Store::default(),
-            reader: Reader::default(),
-            spread: Spread::default(),
-            desk: ChangeDesk::default(),
+            store: RecordStore::default(),
+            reader: TableReader::default(),
+            spread: Gossip::default(),
+            pending_changes: PendingChanges::default(),
             started_at_ms: None,
             ready: false,
-            hurry_at_ms: 0,
+            next_catch_up_read_at_ms: 0,
         }
     }
 
@@ -128,12 +128,12 @@
 
     /// Handles the age of the newest successful read of the head that a member knows of.
     pub fn observe_head_age(&mut self, age_ms: u64, out: &Outbox) {
-        self.reader.hear_head_age(age_ms, out.now_ms());
+        self.reader.observe_head_age(age_ms, out.now_ms());
     }
 
     /// Handles the revision that a member reports to be in force there.
     pub fn observe_revision(&mut self, vm: VmKey, operators: SocketAddr, revision: u64) {
-        self.spread.hear(vm, operators, revision, self.store.revision());
+        self.spread.observe_revision(vm, operators, revision, self.store.revision());
     }
 
     /// Polls the head, gossips, fetches from peers and advances changes as they are due.
@@ -142,20 +142,20 @@
             self.started_at_ms = Some(out.now_ms());
             // Jitter, so that members that start together don't all read the table at once.
             let wait_ms = self.random.u64(0..=self.settings.head_every_ms / 2);
-            self.reader.wait(wait_ms, out.now_ms());
+            self.reader.delay_first_poll(wait_ms, out.now_ms());
         }
         if self.reader.is_due(out.now_ms()) {
-            self.reader.poll(rank(members, out), &self.settings, out);
+            self.reader.poll(reader_rank(members, out), &self.settings, out);
         }
         let news = self.status(out.now_ms());
         self.spread.tick(news, members, &self.settings, &mut self.random, out);
-        if self.desk.waits_for_store() && self.hurry_at_ms <= out.now_ms() {
-            self.hurry_at_ms = out.now_ms() + HURRY_EVERY_MS;
-            self.reader.hurry(out);
+        if self.pending_changes.waits_for_store() && self.next_catch_up_read_at_ms <= out.now_ms() {
+            self.next_catch_up_read_at_ms = out.now_ms() + CATCH_UP_READ_INTERVAL_MS;
+            self.reader.read_head_now(out);
         }
-        let concluded = self.desk.tick(&self.store, out);
-        self.conclude(concluded, out);
-        self.become_ready(out);
+        let concluded = self.pending_changes.tick(&self.store, out);
+        self.finish_changes(concluded, out);
+        self.update_readiness(out);
     }
 
     /// Handles a table result; returns false if the configuration did not send the request.
@@ -167,17 +167,18 @@
     ) -> bool {
         let revision = self.store.revision();
         match self.reader.take_result(operation, result, revision, out) {
-            ReadResult::NotMine => {}
-            ReadResult::Nothing => return true,
+            ReadResult::NotOwn => {}
+            ReadResult::NoChanges => return true,
             ReadResult::Changes(changes) => {
                 self.apply(changes, Source::Table, out);
                 return true;
             }
         }
-        let Some(concluded) = self.desk.take_result(operation, result, &self.store, out) else {
+        let Some(concluded) = self.pending_changes.take_result(operation, result, &self.store, out)
+        else {
             return false;
         };
-        self.conclude(concluded, out);
+        self.finish_changes(concluded, out);
         true
     }
 
@@ -189,9 +190,9 @@
         out: &mut Outbox,
     ) {
         match self.spread.take_page(operation, page, out) {
-            Fetched::Changes(changes) => self.apply(changes, Source::Peer, out),
-            Fetched::Pending => {}
-            Fetched::NoPeer => self.reader.hurry(out),
+            FetchProgress::Changes(changes) => self.apply(changes, Source::Peer, out),
+            FetchProgress::Pending => {}
+            FetchProgress::NoPeerLeft => self.reader.read_head_now(out),
         }
     }
 
@@ -200,28 +201,32 @@
         let fields: [(&str, &dyn std::fmt::Display); 2] =
             [("change", &request.change_id), ("note", &request.note)];
         out.log(Topic::Configuration, "change_asked", &fields);
-        let concluded = self.desk.begin(reply, request, out.now_ms());
-        self.conclude(concluded, out);
+        let concluded = self.pending_changes.start(reply, request, out.now_ms());
+        self.finish_changes(concluded, out);
     }
 
-    fn conclude(&mut self, concluded: impl IntoIterator<Item = Concluded>, out: &mut Outbox) {
-        for Concluded { reply, outcome, changes } in concluded {
+    fn finish_changes(
+        &mut self,
+        concluded: impl IntoIterator<Item = FinishedChange>,
+        out: &mut Outbox,
+    ) {
+        for FinishedChange { reply, outcome, changes } in concluded {
             if let Some(changes) = changes {
                 self.apply(changes, Source::Change, out);
             } else if matches!(outcome, ChangeOutcome::Accepted { .. }) {
-                self.reader.hurry(out);
+                self.reader.read_head_now(out);
             }
             out.log(Topic::Configuration, "change_concluded", &[("outcome", &outcome.name())]);
             out.push(Action::AnswerChange { reply, outcome });
         }
     }
 
-    fn apply(&mut self, changes: Changes, source: Source, out: &mut Outbox) {
+    fn apply(&mut self, changes: RecordChanges, source: Source, out: &mut Outbox) {
         if !self.store.apply(changes) {
             return;
         }
         let revision = self.store.revision();
-        self.spread.applied(revision);
+        self.spread.handle_applied_revision(revision);
         let fields: [(&str, &dyn std::fmt::Display); 2] =
             [("revision", &revision), ("source", &source.name())];
         out.log(Topic::Configuration, "revision_applied", &fields);
@@ -232,7 +237,7 @@
         }
     }
 
-    fn become_ready(&mut self, out: &mut Outbox) {
+    fn update_readiness(&mut self, out: &mut Outbox) {
         let revision = self.store.revision();
         let head = self.reader.head();
         let highest = self.spread.highest_heard().max(head.unwrap_or(0));
@@ -249,7 +254,7 @@
 }
 
 /// Returns this node's rank among the members of its failure domain, from 0, by rendezvous hashing.
-fn rank(members: &Membership, out: &Outbox) -> u64 {
+fn reader_rank(members: &Membership, out: &Outbox) -> u64 {
     let identity = out.identity();
     let domain = identity.card.domain;
     let order = |vm: VmKey| (rendezvous::score(u64::from(domain.0), vm.0), vm);
--- a/crates/sedgepath-core/src/configuration/change.rs
+++ b/crates/sedgepath-core/src/configuration/change.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::rows::LoggedChange;
-use super::store::{Changes, Store};
+use super::store::{RecordChanges, RecordStore};
 use crate::key::{OperationKey, ReplyKey};
 use crate::outbox::Outbox;
 use crate::record::RawRecord;
@@ -34,7 +34,7 @@
 const MAX_CHANGE_RECORDS: usize = 96;
 
 /// The maximum number of concurrent changes on a node.
-const MAX_CHANGES: usize = 32;
+const MAX_PENDING_CHANGES: usize = 32;
 
 /// An operator's request to write records.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -116,7 +116,8 @@
     Empty,
     /// The change has too many records.
     #[error("the change has {records} records; split it into changes of at most {most}")]
-    Many {
+    #[serde(rename = "many")]
+    TooManyRecords {
         /// The number of records.
         records: usize,
         /// The maximum number of records.
@@ -126,7 +127,8 @@
     #[error(
         "the records of the change have {bytes} bytes; split it into changes of at most {most}"
     )]
-    Large {
+    #[serde(rename = "large")]
+    TooLarge {
         /// The total length in bytes.
         bytes: usize,
         /// The maximum total length in bytes.
@@ -136,45 +138,45 @@
 
 /// A finished change: its outcome, and the records that it wrote.
 #[derive(Debug)]
-pub struct Concluded {
+pub struct FinishedChange {
     /// Identifies the operator's request to answer.
     pub reply: ReplyKey,
     /// The outcome to send.
     pub outcome: ChangeOutcome,
     /// The committed records, for this node to apply without reading them from the table.
-    pub changes: Option<Changes>,
+    pub changes: Option<RecordChanges>,
 }
 
 /// The changes in progress on a node.
 #[derive(Debug, Default)]
-pub struct ChangeDesk {
+pub struct PendingChanges {
     changes: Vec<Change>,
 }
 
-impl ChangeDesk {
+impl PendingChanges {
     /// Starts a change; returns it as finished if a limit is exceeded.
-    pub fn begin(
+    pub fn start(
         &mut self,
         reply: ReplyKey,
         request: ChangeRequest,
         now_ms: u64,
-    ) -> Option<Concluded> {
+    ) -> Option<FinishedChange> {
         let bytes = request.records.iter().map(|record| record.body.len()).sum();
         let refusal = if request.records.is_empty() {
             Some(ChangeRefusal::Empty)
         } else if bytes > MAX_CHANGE_BYTES {
-            Some(ChangeRefusal::Large { bytes, most: MAX_CHANGE_BYTES })
+            Some(ChangeRefusal::TooLarge { bytes, most: MAX_CHANGE_BYTES })
         } else if request.records.len() > MAX_CHANGE_RECORDS {
             let records = request.records.len();
-            Some(ChangeRefusal::Many { records, most: MAX_CHANGE_RECORDS })
-        } else if self.changes.len() >= MAX_CHANGES {
+            Some(ChangeRefusal::TooManyRecords { records, most: MAX_CHANGE_RECORDS })
+        } else if self.changes.len() >= MAX_PENDING_CHANGES {
             Some(ChangeRefusal::Busy)
         } else {
             None
         };
         if let Some(refusal) = refusal {
             let outcome = ChangeOutcome::NotAccepted { refusal };
-            return Some(Concluded { reply, outcome, changes: None });
+            return Some(FinishedChange { reply, outcome, changes: None });
         }
         self.changes.push(Change::new(reply, request, now_ms));
         None
@@ -186,13 +188,13 @@
     }
 
     /// Sends requests that are due and finishes changes whose time limit has passed.
-    pub fn tick(&mut self, store: &Store, out: &mut Outbox) -> Vec<Concluded> {
+    pub fn tick(&mut self, store: &RecordStore, out: &mut Outbox) -> Vec<FinishedChange> {
         let mut concluded = Vec::new();
         for change in &mut self.changes {
             let outcome = change.tick(store, out);
             concluded.extend(outcome.map(|outcome| change.conclude(outcome)));
         }
-        self.forget(&concluded);
+        self.remove_finished(&concluded);
         concluded
     }
 
@@ -201,20 +203,20 @@
         &mut self,
         operation: OperationKey,
         result: &TableResult,
-        store: &Store,
+        store: &RecordStore,
         out: &mut Outbox,
-    ) -> Option<Vec<Concluded>> {
+    ) -> Option<Vec<FinishedChange>> {
         let change = self
             .changes
             .iter_mut()
-            .find_map(|change| change.take_operation(operation).then_some(change))?;
+            .find_map(|change| change.clear_operation(operation).then_some(change))?;
         let outcome = change.take_result(result, store, out);
         let concluded = Vec::from_iter(outcome.map(|outcome| change.conclude(outcome)));
-        self.forget(&concluded);
+        self.remove_finished(&concluded);
         Some(concluded)
     }
 
-    fn forget(&mut self, concluded: &[Concluded]) {
+    fn remove_finished(&mut self, concluded: &[FinishedChange]) {
         self.changes.retain(|change| concluded.iter().all(|done| done.reply != change.reply()));
     }
 }
--- a/crates/sedgepath-core/src/configuration/change/progress.rs
+++ b/crates/sedgepath-core/src/configuration/change/progress.rs
@@ -2,11 +2,11 @@
 
 use serde::Serialize;
 
-use super::{ChangeOutcome, ChangeRefusal, ChangeRequest, Concluded};
+use super::{ChangeOutcome, ChangeRefusal, ChangeRequest, FinishedChange};
 use crate::configuration::rows::{
-    HEAD_KEY, KEPT_CHANGES, LOG_KEY_PREFIX, LoggedChange, RecordRow, log_key, record_key,
+    HEAD_KEY, LOG_KEY_PREFIX, LoggedChange, MAX_LOGGED_CHANGES, RecordRow, log_key, record_key,
 };
-use crate::configuration::store::{Changes, Store};
+use crate::configuration::store::{RecordChanges, RecordStore};
 use crate::key::{OperationKey, ReplyKey};
 use crate::outbox::Outbox;
 use crate::record::check;
@@ -15,13 +15,13 @@
 };
 
 /// The time limit of a change, in milliseconds.
-const CHANGE_LIMIT_MS: u64 = 8_000;
+const CHANGE_TIMEOUT_MS: u64 = 8_000;
 
 /// The delay before a failed table request is retried, in milliseconds.
-const RETRY_MS: u64 = 250;
+const RETRY_DELAY_MS: u64 = 250;
 
 /// The number of newest log rows that are searched for a change's identifier.
-const REMEMBERED_CHANGES: u64 = 256;
+const SEARCHED_LOG_ROWS: u64 = 256;
 
 /// The head row that a change builds on; `version` is `None` if the row does not exist.
 #[derive(Debug, Clone, Copy)]
@@ -44,11 +44,11 @@
     /// The result of the transaction.
     AwaitCommit { head: Head },
     /// The time at which to read the log row that resolves an unknown commit result.
-    Settle { head: Head, at_ms: u64 },
+    ResolveCommit { head: Head, at_ms: u64 },
     /// The log row that resolves an unknown commit result.
-    AwaitSettle { head: Head },
+    AwaitResolution { head: Head },
     /// The log row of the change that won a conflict.
-    AwaitOther { head: Head },
+    AwaitWinner { head: Head },
 }
 
 /// A change in progress.
@@ -58,11 +58,11 @@
     request: ChangeRequest,
     give_up_at_ms: u64,
     /// Whether the result of a sent transaction is unknown.
-    in_doubt: bool,
+    commit_result_unknown: bool,
     operation: Option<OperationKey>,
     step: Step,
     /// The records of the transaction, if this node got the result that it was committed.
-    committed: Option<Changes>,
+    committed: Option<RecordChanges>,
 }
 
 impl Change {
@@ -70,8 +70,8 @@
         Self {
             reply,
             request,
-            give_up_at_ms: now_ms + CHANGE_LIMIT_MS,
-            in_doubt: false,
+            give_up_at_ms: now_ms + CHANGE_TIMEOUT_MS,
+            commit_result_unknown: false,
             operation: None,
             step: Step::ReadHead { at_ms: now_ms },
             committed: None,
@@ -83,7 +83,7 @@
     }
 
     /// Clears the pending table request if it is the given one; returns whether it was.
-    pub(super) fn take_operation(&mut self, operation: OperationKey) -> bool {
+    pub(super) fn clear_operation(&mut self, operation: OperationKey) -> bool {
         self.operation.take_if(|waited| *waited == operation).is_some()
     }
 
@@ -91,12 +91,12 @@
         matches!(self.step, Step::AwaitStore { .. })
     }
 
-    pub(super) fn tick(&mut self, store: &Store, out: &mut Outbox) -> Option<ChangeOutcome> {
+    pub(super) fn tick(&mut self, store: &RecordStore, out: &mut Outbox) -> Option<ChangeOutcome> {
         match &self.step {
             Step::ReadHead { at_ms } if *at_ms <= out.now_ms() => self.read_head(out),
-            Step::Settle { head, at_ms } if *at_ms <= out.now_ms() => {
+            Step::ResolveCommit { head, at_ms } if *at_ms <= out.now_ms() => {
                 let head = *head;
-                self.read(vec![log_key(head.revision + 1)], Step::AwaitSettle { head }, out);
+                self.read(vec![log_key(head.revision + 1)], Step::AwaitResolution { head }, out);
             }
             Step::AwaitStore { head } if store.revision() >= head.revision => {
                 let head = *head;
@@ -107,13 +107,13 @@
         (self.give_up_at_ms <= out.now_ms()).then(|| self.give_up(store))
     }
 
-    fn give_up(&self, store: &Store) -> ChangeOutcome {
-        if self.in_doubt {
+    fn give_up(&self, store: &RecordStore) -> ChangeOutcome {
+        if self.commit_result_unknown {
             return ChangeOutcome::Unknown;
         }
         let refusal = match &self.step {
             Step::AwaitCommit { .. } => return ChangeOutcome::Unknown,
-            Step::AwaitOther { head } => {
+            Step::AwaitWinner { head } => {
                 return ChangeOutcome::Conflict { revision: head.revision + 1, other: None };
             }
             Step::AwaitStore { head } => {
@@ -124,14 +124,14 @@
         ChangeOutcome::NotAccepted { refusal }
     }
 
-    pub(super) fn conclude(&mut self, outcome: ChangeOutcome) -> Concluded {
-        Concluded { reply: self.reply, outcome, changes: self.committed.take() }
+    pub(super) fn conclude(&mut self, outcome: ChangeOutcome) -> FinishedChange {
+        FinishedChange { reply: self.reply, outcome, changes: self.committed.take() }
     }
 
-    fn changes(&self, revision: u64) -> Changes {
+    fn changes(&self, revision: u64) -> RecordChanges {
         let records = self.request.records.iter();
         let records = records.map(|record| RecordRow { revision, record: record.clone() });
-        Changes { revision, after: revision - 1, records: records.collect() }
+        RecordChanges { revision, after: revision - 1, records: records.collect() }
     }
 
     fn read(&mut self, keys: Vec<Box<str>>, step: Step, out: &mut Outbox) {
@@ -146,10 +146,10 @@
     pub(super) fn take_result(
         &mut self,
         result: &TableResult,
-        store: &Store,
+        store: &RecordStore,
         out: &mut Outbox,
     ) -> Option<ChangeOutcome> {
-        let retry_at_ms = out.now_ms() + RETRY_MS;
+        let retry_at_ms = out.now_ms() + RETRY_DELAY_MS;
         let step = std::mem::replace(&mut self.step, Step::ReadHead { at_ms: retry_at_ms });
         match (step, result) {
             (Step::AwaitHead, TableResult::Rows(rows)) => {
@@ -160,14 +160,14 @@
                 self.take_log(head, rows, store, out)
             }
             (Step::AwaitCommit { head }, result) => self.take_commit(head, result, out),
-            (Step::AwaitSettle { head }, TableResult::Rows(rows)) => {
-                self.take_settle(head, rows, out)
+            (Step::AwaitResolution { head }, TableResult::Rows(rows)) => {
+                self.take_resolution(head, rows, out)
             }
-            (Step::AwaitOther { head }, TableResult::Rows(rows)) => {
-                Some(self.standing(head.revision + 1, rows))
+            (Step::AwaitWinner { head }, TableResult::Rows(rows)) => {
+                Some(self.outcome_by_log(head.revision + 1, rows))
             }
-            (Step::AwaitSettle { head } | Step::AwaitOther { head }, _) => {
-                self.step = Step::Settle { head, at_ms: retry_at_ms };
+            (Step::AwaitResolution { head } | Step::AwaitWinner { head }, _) => {
+                self.step = Step::ResolveCommit { head, at_ms: retry_at_ms };
                 None
             }
             // A read failed; start again with the head after a delay.
@@ -176,14 +176,14 @@
     }
 
     /// Returns the outcome by the log row of the revision that the change would have created.
-    fn standing(&self, revision: u64, rows: &[Row]) -> ChangeOutcome {
-        match rows.iter().find_map(logged) {
-            Some(own) if self.is_mine(&own) => ChangeOutcome::Accepted { revision: own.revision },
+    fn outcome_by_log(&self, revision: u64, rows: &[Row]) -> ChangeOutcome {
+        match rows.iter().find_map(parse_logged_change) {
+            Some(own) if self.is_own(&own) => ChangeOutcome::Accepted { revision: own.revision },
             other => ChangeOutcome::Conflict { revision, other },
         }
     }
 
-    fn is_mine(&self, logged: &LoggedChange) -> bool {
+    fn is_own(&self, logged: &LoggedChange) -> bool {
         logged.change_id == self.request.change_id
     }
 
@@ -197,8 +197,8 @@
         };
         let request = TableRequest::Scan {
             prefix: LOG_KEY_PREFIX.into(),
-            after: log_key(head.revision.saturating_sub(REMEMBERED_CHANGES)),
-            limit: REMEMBERED_CHANGES as u32,
+            after: log_key(head.revision.saturating_sub(SEARCHED_LOG_ROWS)),
+            limit: SEARCHED_LOG_ROWS as u32,
         };
         self.operation = Some(out.request_table(request));
         self.step = Step::AwaitLog { head };
@@ -208,11 +208,11 @@
         &mut self,
         head: Head,
         rows: &[Row],
-        store: &Store,
+        store: &RecordStore,
         out: &mut Outbox,
     ) -> Option<ChangeOutcome> {
-        let mut changes: Vec<_> = rows.iter().filter_map(logged).collect();
-        if let Some(own) = changes.iter().find(|change| self.is_mine(change)) {
+        let mut changes: Vec<_> = rows.iter().filter_map(parse_logged_change).collect();
+        if let Some(own) = changes.iter().find(|change| self.is_own(change)) {
             return Some(ChangeOutcome::Accepted { revision: own.revision });
         }
         match self.request.expected_revision {
@@ -227,7 +227,7 @@
     fn await_store(
         &mut self,
         head: Head,
-        store: &Store,
+        store: &RecordStore,
         out: &mut Outbox,
     ) -> Option<ChangeOutcome> {
         if store.revision() >= head.revision {
@@ -240,12 +240,12 @@
     fn check_and_commit(
         &mut self,
         head: Head,
-        store: &Store,
+        store: &RecordStore,
         out: &mut Outbox,
     ) -> Option<ChangeOutcome> {
         if store.revision() > head.revision {
             if self.request.expected_revision.is_some() {
-                self.read(vec![log_key(head.revision + 1)], Step::AwaitOther { head }, out);
+                self.read(vec![log_key(head.revision + 1)], Step::AwaitWinner { head }, out);
             } else {
                 self.read_head(out);
             }
@@ -279,13 +279,13 @@
         };
         let mut writes = vec![
             put(HEAD_KEY.into(), condition, revision.to_string()),
-            put(log_key(revision), RowCondition::Any, json(&logged)),
+            put(log_key(revision), RowCondition::Any, to_json(&logged)),
         ];
         for record in &self.request.records {
             let row = RecordRow { revision, record: record.clone() };
-            writes.push(put(record_key(record), RowCondition::Any, json(&row)));
+            writes.push(put(record_key(record), RowCondition::Any, to_json(&row)));
         }
-        if let Some(outdated) = revision.checked_sub(KEPT_CHANGES) {
+        if let Some(outdated) = revision.checked_sub(MAX_LOGGED_CHANGES) {
             writes.push(RowWrite {
                 key: log_key(outdated),
                 condition: RowCondition::Any,
@@ -310,34 +310,39 @@
             TableResult::Conflict { .. } => {
                 // The log row may be this change's own, if an earlier attempt committed and its
                 // response was lost.
-                self.read(vec![log_key(head.revision + 1)], Step::AwaitOther { head }, out);
+                self.read(vec![log_key(head.revision + 1)], Step::AwaitWinner { head }, out);
             }
             TableResult::Unavailable => {
-                self.step = Step::Settle { head, at_ms: out.now_ms() + RETRY_MS };
+                self.step = Step::ResolveCommit { head, at_ms: out.now_ms() + RETRY_DELAY_MS };
             }
             TableResult::Unknown | TableResult::Rows(_) => {
-                self.in_doubt = true;
-                self.step = Step::Settle { head, at_ms: out.now_ms() };
+                self.commit_result_unknown = true;
+                self.step = Step::ResolveCommit { head, at_ms: out.now_ms() };
             }
         }
         None
     }
 
-    fn take_settle(&mut self, head: Head, rows: &[Row], out: &mut Outbox) -> Option<ChangeOutcome> {
+    fn take_resolution(
+        &mut self,
+        head: Head,
+        rows: &[Row],
+        out: &mut Outbox,
+    ) -> Option<ChangeOutcome> {
         if rows.is_empty() {
             // Sending the transaction again is safe: both attempts are conditional on the same
             // version of the head, so at most one commits.
             self.commit(head, out);
             return None;
         }
-        Some(self.standing(head.revision + 1, rows))
+        Some(self.outcome_by_log(head.revision + 1, rows))
     }
 }
 
-fn logged(row: &Row) -> Option<LoggedChange> {
+fn parse_logged_change(row: &Row) -> Option<LoggedChange> {
     row.key.starts_with(LOG_KEY_PREFIX).then(|| serde_json::from_str(&row.value).ok()).flatten()
 }
 
-fn json<T: Serialize>(row: &T) -> String {
+fn to_json<T: Serialize>(row: &T) -> String {
     serde_json::to_string(row).expect("rows hold text and numbers only")
 }
--- a/crates/sedgepath-core/src/configuration/spread.rs
+++ b/crates/sedgepath-core/src/configuration/gossip.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 
 use super::rows::RecordRow;
-use super::store::{Changes, RecordPage, RecordPosition};
+use super::store::{RecordChanges, RecordPage, RecordPosition};
 use crate::hash::Map;
 use crate::identity::NodeSettings;
 use crate::key::{OperationKey, VmKey};
@@ -21,24 +21,24 @@
 use crate::outbox::Outbox;
 
 /// The number of members in the own failure domain that are notified of a new revision.
-const TOLD_NEAR: usize = 4;
+const NOTIFIED_IN_OWN_DOMAIN: usize = 4;
 
 /// The number of members in other failure domains that are notified of a new revision.
-const TOLD_FAR: usize = 2;
+const NOTIFIED_IN_OTHER_DOMAINS: usize = 2;
 
 /// The maximum number of peers ahead of this node that are remembered.
-const MAX_AHEAD: usize = 64;
+const MAX_PEERS_AHEAD: usize = 64;
 
 /// The address and revision of a peer that is ahead of this node.
 #[derive(Debug, Clone, Copy)]
-struct Ahead {
+struct PeerAhead {
     operators: SocketAddr,
     revision: u64,
 }
 
 /// A fetch in progress.
 #[derive(Debug)]
-struct Fetching {
+struct PendingFetch {
     operation: OperationKey,
     vm: VmKey,
     from: SocketAddr,
@@ -48,43 +48,45 @@
 
 /// The effect of a fetched page.
 #[derive(Debug)]
-pub enum Fetched {
+pub enum FetchProgress {
     /// The fetch is complete.
-    Changes(Changes),
+    Changes(RecordChanges),
     /// The next page was requested, or another peer will be asked.
     Pending,
     /// No peer that is ahead is left to ask.
-    NoPeer,
+    NoPeerLeft,
 }
 
 /// Tracks peers' revisions, fetches newer ones and announces its own.
 #[derive(Debug, Default)]
-pub struct Spread {
+pub struct Gossip {
     highest_heard: u64,
-    ahead: Map<VmKey, Ahead>,
-    fetching: Option<Fetching>,
+    peers_ahead: Map<VmKey, PeerAhead>,
+    pending_fetch: Option<PendingFetch>,
     fetch_at_ms: Option<u64>,
     tell: bool,
 }
 
-impl Spread {
+impl Gossip {
     /// Returns the highest revision that a member reported or that this node applied.
     pub fn highest_heard(&self) -> u64 {
         self.highest_heard
     }
 
     /// Handles the revision that a member reports; `own` is the one in force on this node.
-    pub fn hear(&mut self, vm: VmKey, operators: SocketAddr, revision: u64, own: u64) {
+    pub fn observe_revision(&mut self, vm: VmKey, operators: SocketAddr, revision: u64, own: u64) {
         self.highest_heard = self.highest_heard.max(revision);
-        if revision > own && (self.ahead.len() < MAX_AHEAD || self.ahead.contains_key(&vm)) {
-            self.ahead.insert(vm, Ahead { operators, revision });
+        if revision > own
+            && (self.peers_ahead.len() < MAX_PEERS_AHEAD || self.peers_ahead.contains_key(&vm))
+        {
+            self.peers_ahead.insert(vm, PeerAhead { operators, revision });
         }
     }
 
     /// Handles that this node applied a revision; the next tick announces it.
-    pub fn applied(&mut self, revision: u64) {
+    pub fn handle_applied_revision(&mut self, revision: u64) {
         self.highest_heard = self.highest_heard.max(revision);
-        self.ahead.retain(|_, peer| peer.revision > revision);
+        self.peers_ahead.retain(|_, peer| peer.revision > revision);
         self.tell = true;
     }
 
@@ -100,7 +102,7 @@
         if std::mem::take(&mut self.tell) {
             tell(news, members, random, out);
         }
-        if self.fetching.is_some() || self.ahead.is_empty() {
+        if self.pending_fetch.is_some() || self.peers_ahead.is_empty() {
             return;
         }
         match self.fetch_at_ms {
@@ -117,9 +119,9 @@
 
     /// Requests the first page from a random peer among those with the highest revision.
     fn fetch(&mut self, revision: u64, random: &mut fastrand::Rng, out: &mut Outbox) {
-        let highest = self.ahead.values().map(|peer| peer.revision).max();
+        let highest = self.peers_ahead.values().map(|peer| peer.revision).max();
         let mut peers: Vec<_> = self
-            .ahead
+            .peers_ahead
             .iter()
             .filter(|(_, peer)| Some(peer.revision) == highest)
             .map(|(vm, peer)| (*vm, peer.operators))
@@ -127,8 +129,8 @@
         peers.sort_unstable();
         let Some((vm, from)) = random.choice(peers) else { return };
         let operation = out.fetch_page(from, RecordPosition::after_revision(revision));
-        self.fetching =
-            Some(Fetching { operation, vm, from, after: revision, records: Vec::new() });
+        self.pending_fetch =
+            Some(PendingFetch { operation, vm, from, after: revision, records: Vec::new() });
     }
 
     /// Handles a fetched page; `None` if the peer did not answer.
@@ -137,26 +139,31 @@
         operation: OperationKey,
         page: Option<RecordPage>,
         out: &mut Outbox,
-    ) -> Fetched {
-        let Some(mut fetching) = self.fetching.take_if(|known| known.operation == operation) else {
-            return Fetched::Pending;
+    ) -> FetchProgress {
+        let Some(mut fetching) = self.pending_fetch.take_if(|known| known.operation == operation)
+        else {
+            return FetchProgress::Pending;
         };
         let Some(page) = page.filter(|page| page.revision > fetching.after) else {
-            self.ahead.remove(&fetching.vm);
-            return if self.ahead.is_empty() { Fetched::NoPeer } else { Fetched::Pending };
+            self.peers_ahead.remove(&fetching.vm);
+            return if self.peers_ahead.is_empty() {
+                FetchProgress::NoPeerLeft
+            } else {
+                FetchProgress::Pending
+            };
         };
         fetching.records.extend(page.records);
         if page.complete {
-            return Fetched::Changes(Changes {
+            return FetchProgress::Changes(RecordChanges {
                 revision: page.revision,
                 after: fetching.after,
                 records: fetching.records,
             });
         }
-        let Some(last) = fetching.records.last() else { return Fetched::NoPeer };
+        let Some(last) = fetching.records.last() else { return FetchProgress::NoPeerLeft };
         fetching.operation = out.fetch_page(fetching.from, RecordPosition::of_row(last));
-        self.fetching = Some(fetching);
-        Fetched::Pending
+        self.pending_fetch = Some(fetching);
+        FetchProgress::Pending
     }
 }
 
@@ -177,7 +184,10 @@
         configuration: news,
         operator_address: out.identity().card.operator_address,
     };
-    let told = near.into_iter().take(TOLD_NEAR).chain(far.into_iter().take(TOLD_FAR));
+    let told = near
+        .into_iter()
+        .take(NOTIFIED_IN_OWN_DOMAIN)
+        .chain(far.into_iter().take(NOTIFIED_IN_OTHER_DOMAINS));
     for (_, address) in told {
         out.send(address, Message::Revision(notice));
     }
--- a/crates/sedgepath-core/src/configuration/reader.rs
+++ b/crates/sedgepath-core/src/configuration/reader.rs
@@ -11,28 +11,28 @@
 //! it, the log from H + 1 up to at least the highest revision that the scan returned. A record
 //! changed after H is in that log, any other was scanned unchanged: the result is one revision.
 
-use super::rows::{HEAD_KEY, LoggedChange, RECORD_PREFIX, RecordRow, log_key};
-use super::store::Changes;
+use super::rows::{HEAD_KEY, LoggedChange, RECORD_KEY_PREFIX, RecordRow, log_key};
+use super::store::RecordChanges;
 use crate::identity::NodeSettings;
 use crate::key::OperationKey;
 use crate::outbox::Outbox;
 use crate::table::{Row, TableRequest, TableResult};
 
 /// The number of members in a failure domain that regularly poll the head.
-const READERS: u64 = 2;
+const READERS_PER_DOMAIN: u64 = 2;
 
 /// The maximum number of rows in a page of a scan.
-const PAGE_ROWS: u32 = 64;
+const MAX_SCAN_PAGE_ROWS: u32 = 64;
 
 /// The number of log rows in one read; a reader that is further behind scans all records.
-const LOG_ROWS: u64 = 64;
+const MAX_LOG_ROWS_PER_READ: u64 = 64;
 
 /// The additional age of the head per rank at which a member starts to poll, in milliseconds.
-const STEP_IN_MS: u64 = 100;
+const STEP_IN_DELAY_PER_RANK_MS: u64 = 100;
 
 /// The read in progress, with the data that its result is combined with.
 #[derive(Debug)]
-enum Reading {
+enum PendingRead {
     Head,
     Log { after: u64, head: u64 },
     Scan { head: u64, rows: Vec<RecordRow> },
@@ -43,33 +43,33 @@
 #[derive(Debug)]
 pub enum ReadResult {
     /// The reader did not send the request.
-    NotMine,
+    NotOwn,
     /// There is nothing new, or the read continues.
-    Nothing,
+    NoChanges,
     /// Records to apply to the store.
-    Changes(Changes),
+    Changes(RecordChanges),
 }
 
-impl From<Option<Changes>> for ReadResult {
-    fn from(changes: Option<Changes>) -> Self {
-        changes.map_or(Self::Nothing, Self::Changes)
+impl From<Option<RecordChanges>> for ReadResult {
+    fn from(changes: Option<RecordChanges>) -> Self {
+        changes.map_or(Self::NoChanges, Self::Changes)
     }
 }
 
 /// Polls the head and reads records that changed.
 #[derive(Debug, Default)]
-pub struct Reader {
-    reading: Option<(OperationKey, Reading)>,
-    sent_at_ms: u64,
-    next_at_ms: u64,
-    confirmed_at_ms: u64,
+pub struct TableReader {
+    reading: Option<(OperationKey, PendingRead)>,
+    head_read_sent_at_ms: u64,
+    next_poll_at_ms: u64,
+    head_confirmed_at_ms: u64,
     head: Option<u64>,
 }
 
-impl Reader {
+impl TableReader {
     /// Returns the age of the newest successful read of the head, by any node, that is known here.
     pub fn head_age_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.confirmed_at_ms)
+        now_ms.saturating_sub(self.head_confirmed_at_ms)
     }
 
     /// Returns the head revision that this node last read itself; `None` if it has not read it.
@@ -78,12 +78,12 @@
     }
 
     /// Handles the age of the newest successful read that a peer knows of.
-    pub fn hear_head_age(&mut self, age_ms: u64, now_ms: u64) {
-        self.confirmed_at_ms = self.confirmed_at_ms.max(now_ms.saturating_sub(age_ms));
+    pub fn observe_head_age(&mut self, age_ms: u64, now_ms: u64) {
+        self.head_confirmed_at_ms = self.head_confirmed_at_ms.max(now_ms.saturating_sub(age_ms));
     }
 
     /// Reads the head now, whatever this node's rank, unless a read is in progress.
-    pub fn hurry(&mut self, out: &mut Outbox) {
+    pub fn read_head_now(&mut self, out: &mut Outbox) {
         if self.reading.is_none() {
             self.read_head(out);
         }
@@ -91,51 +91,55 @@
 
     /// Whether it is time for [`Self::poll`].
     pub fn is_due(&self, now_ms: u64) -> bool {
-        self.reading.is_none() && now_ms >= self.next_at_ms
+        self.reading.is_none() && now_ms >= self.next_poll_at_ms
     }
 
     /// Delays the first poll by `wait_ms`.
-    pub fn wait(&mut self, wait_ms: u64, now_ms: u64) {
-        self.next_at_ms = now_ms + wait_ms;
+    pub fn delay_first_poll(&mut self, wait_ms: u64, now_ms: u64) {
+        self.next_poll_at_ms = now_ms + wait_ms;
     }
 
     /// Reads the head if this node is one of the first of its domain by `rank`, or if the last
     /// known read is too old.
     pub fn poll(&mut self, rank: u64, settings: &NodeSettings, out: &mut Outbox) {
         let every_ms = settings.head_every_ms;
-        let Some(behind) = rank.checked_sub(READERS) else {
-            self.next_at_ms = out.now_ms() + every_ms;
+        let Some(behind) = rank.checked_sub(READERS_PER_DOMAIN) else {
+            self.next_poll_at_ms = out.now_ms() + every_ms;
             self.read_head(out);
             return;
         };
-        let step_in_at_ms = settings.head_stale_ms + behind * STEP_IN_MS;
+        let step_in_at_ms = settings.head_stale_ms + behind * STEP_IN_DELAY_PER_RANK_MS;
         if self.head_age_ms(out.now_ms()) < step_in_at_ms {
-            self.next_at_ms = out.now_ms() + every_ms / 4;
+            self.next_poll_at_ms = out.now_ms() + every_ms / 4;
             return;
         }
-        self.next_at_ms = out.now_ms() + every_ms * (behind + 1);
+        self.next_poll_at_ms = out.now_ms() + every_ms * (behind + 1);
         self.read_head(out);
     }
 
     fn read_head(&mut self, out: &mut Outbox) {
-        self.sent_at_ms = out.now_ms();
-        self.read(vec![HEAD_KEY.into()], Reading::Head, out);
+        self.head_read_sent_at_ms = out.now_ms();
+        self.read(vec![HEAD_KEY.into()], PendingRead::Head, out);
     }
 
-    fn read(&mut self, keys: Vec<Box<str>>, reading: Reading, out: &mut Outbox) {
+    fn read(&mut self, keys: Vec<Box<str>>, reading: PendingRead, out: &mut Outbox) {
         let operation = out.request_table(TableRequest::Read(keys));
         self.reading = Some((operation, reading));
     }
 
-    fn read_log(&mut self, after: u64, reading: Reading, out: &mut Outbox) {
-        let keys = (after + 1..=after + LOG_ROWS).map(log_key).collect();
+    fn read_log(&mut self, after: u64, reading: PendingRead, out: &mut Outbox) {
+        let keys = (after + 1..=after + MAX_LOG_ROWS_PER_READ).map(log_key).collect();
         self.read(keys, reading, out);
     }
 
     fn scan(&mut self, head: u64, rows: Vec<RecordRow>, after: Box<str>, out: &mut Outbox) {
-        let request = TableRequest::Scan { prefix: RECORD_PREFIX.into(), after, limit: PAGE_ROWS };
+        let request = TableRequest::Scan {
+            prefix: RECORD_KEY_PREFIX.into(),
+            after,
+            limit: MAX_SCAN_PAGE_ROWS,
+        };
         let operation = out.request_table(request);
-        self.reading = Some((operation, Reading::Scan { head, rows }));
+        self.reading = Some((operation, PendingRead::Scan { head, rows }));
     }
 
     /// Handles a table result; `revision` is the one in force on this node.
@@ -147,36 +151,36 @@
         out: &mut Outbox,
     ) -> ReadResult {
         let Some((_, reading)) = self.reading.take_if(|(key, _)| *key == operation) else {
-            return ReadResult::NotMine;
+            return ReadResult::NotOwn;
         };
         let TableResult::Rows(rows) = result else {
-            return ReadResult::Nothing;
+            return ReadResult::NoChanges;
         };
         match reading {
-            Reading::Head => {
+            PendingRead::Head => {
                 self.take_head(rows, revision, out);
-                ReadResult::Nothing
+                ReadResult::NoChanges
             }
-            Reading::Log { after, head } => self.take_log(after, head, rows, out).into(),
-            Reading::Scan { head, rows: known } => {
+            PendingRead::Log { after, head } => self.take_log(after, head, rows, out).into(),
+            PendingRead::Scan { head, rows: known } => {
                 self.take_scan(head, known, rows, out);
-                ReadResult::Nothing
+                ReadResult::NoChanges
             }
-            Reading::LogAfterScan { head, rows: known } => {
+            PendingRead::LogAfterScan { head, rows: known } => {
                 self.take_log_after_scan(head, known, rows, out).into()
             }
         }
     }
 
     fn take_head(&mut self, rows: &[Row], revision: u64, out: &mut Outbox) {
-        self.confirmed_at_ms = self.confirmed_at_ms.max(self.sent_at_ms);
+        self.head_confirmed_at_ms = self.head_confirmed_at_ms.max(self.head_read_sent_at_ms);
         let head = rows.first().and_then(|row| row.value.parse().ok()).unwrap_or(0);
         self.head = Some(head);
         if head <= revision {
             return;
         }
-        if revision > 0 && head - revision <= LOG_ROWS {
-            self.read_log(revision, Reading::Log { after: revision, head }, out);
+        if revision > 0 && head - revision <= MAX_LOG_ROWS_PER_READ {
+            self.read_log(revision, PendingRead::Log { after: revision, head }, out);
         } else {
             self.scan(head, Vec::new(), Box::default(), out);
         }
@@ -188,23 +192,23 @@
         head: u64,
         rows: &[Row],
         out: &mut Outbox,
-    ) -> Option<Changes> {
-        let (reached, records) = follow_log(after, rows);
+    ) -> Option<RecordChanges> {
+        let (reached, records) = collect_log_records(after, rows);
         if reached == after {
             // The log no longer has the next revision, or its row can't be parsed.
             self.scan(head, Vec::new(), Box::default(), out);
             return None;
         }
-        Some(Changes { revision: reached, after, records })
+        Some(RecordChanges { revision: reached, after, records })
     }
 
     fn take_scan(&mut self, head: u64, mut known: Vec<RecordRow>, rows: &[Row], out: &mut Outbox) {
         known.extend(rows.iter().filter_map(|row| serde_json::from_str(&row.value).ok()));
         match rows.last() {
-            Some(last) if rows.len() >= PAGE_ROWS as usize => {
+            Some(last) if rows.len() >= MAX_SCAN_PAGE_ROWS as usize => {
                 self.scan(head, known, last.key.clone(), out);
             }
-            _ => self.read_log(head, Reading::LogAfterScan { head, rows: known }, out),
+            _ => self.read_log(head, PendingRead::LogAfterScan { head, rows: known }, out),
         }
     }
 
@@ -214,15 +218,15 @@
         mut known: Vec<RecordRow>,
         rows: &[Row],
         out: &mut Outbox,
-    ) -> Option<Changes> {
+    ) -> Option<RecordChanges> {
         let highest = known.iter().map(|row| row.revision).max().unwrap_or(0).max(head);
-        let (reached, records) = follow_log(head, rows);
+        let (reached, records) = collect_log_records(head, rows);
         known.extend(records);
         if reached >= highest {
-            return Some(Changes { revision: reached, after: 0, records: known });
+            return Some(RecordChanges { revision: reached, after: 0, records: known });
         }
         if reached > head {
-            self.read_log(reached, Reading::LogAfterScan { head: reached, rows: known }, out);
+            self.read_log(reached, PendingRead::LogAfterScan { head: reached, rows: known }, out);
         }
         // Otherwise the log lacks a revision that the scan returned; the next poll starts over.
         None
@@ -230,7 +234,7 @@
 }
 
 /// Returns the last revision of the gapless run of log rows after `after`, and its records.
-fn follow_log(after: u64, rows: &[Row]) -> (u64, Vec<RecordRow>) {
+fn collect_log_records(after: u64, rows: &[Row]) -> (u64, Vec<RecordRow>) {
     let mut reached = after;
     let mut records = Vec::new();
     for row in rows {
--- a/crates/sedgepath-core/src/configuration/rows.rs
+++ b/crates/sedgepath-core/src/configuration/rows.rs
@@ -16,13 +16,13 @@
 pub const HEAD_KEY: &str = "head";
 
 /// The key prefix of record rows.
-pub const RECORD_PREFIX: &str = "record/";
+pub const RECORD_KEY_PREFIX: &str = "record/";
 
 /// The key prefix of log rows.
 pub const LOG_KEY_PREFIX: &str = "log/";
 
 /// The number of log rows kept; each change removes the row that exceeds it.
-pub const KEPT_CHANGES: u64 = 10_000;
+pub const MAX_LOGGED_CHANGES: u64 = 10_000;
 
 /// The value of a record's row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,7 +52,7 @@
 
 /// Returns the key of a record's row.
 pub fn record_key(record: &RawRecord) -> Box<str> {
-    format!("{RECORD_PREFIX}{}/{}", record.kind, record.name).into()
+    format!("{RECORD_KEY_PREFIX}{}/{}", record.kind, record.name).into()
 }
 
 /// Returns the key of a revision's log row; keys sort in the order of their revisions.
--- a/crates/sedgepath-core/src/configuration/store.rs
+++ b/crates/sedgepath-core/src/configuration/store.rs
@@ -11,7 +11,7 @@
 
 /// The maximum total length of the record bodies in a page, in bytes; a longer record gets its own
 /// page.
-const PAGE_BYTES: usize = 256 * 1024;
+const MAX_PAGE_BYTES: usize = 256 * 1024;
 
 /// A position in the order of records by revision, kind and name.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -66,7 +66,7 @@
 
 /// The records written after one revision and up to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Changes {
+pub struct RecordChanges {
     /// The last revision included.
     pub revision: u64,
     /// The revision that the records build on; 0 if all records are included.
@@ -77,13 +77,13 @@
 
 /// The node's copy of the records in force.
 #[derive(Debug, Default)]
-pub struct Store {
+pub struct RecordStore {
     revision: u64,
     records: BTreeMap<(Box<str>, Box<str>), RecordRow>,
     catalogue: Arc<Catalogue>,
 }
 
-impl Store {
+impl RecordStore {
     /// Returns the revision in force, or 0 if there is none yet.
     pub fn revision(&self) -> u64 {
         self.revision
@@ -103,7 +103,7 @@
     /// force yet.
     ///
     /// The revision never decreases, though peers and late table results may deliver older ones.
-    pub fn apply(&mut self, changes: Changes) -> bool {
+    pub fn apply(&mut self, changes: RecordChanges) -> bool {
         if changes.revision <= self.revision || changes.after > self.revision {
             return false;
         }
@@ -122,7 +122,7 @@
         self.catalogue = Arc::new(if blocks_changed {
             Catalogue::new(records)
         } else {
-            Catalogue::with_blocks_of(records, &previous)
+            Catalogue::with_client_blocks_of(records, &previous)
         });
         true
     }
@@ -138,7 +138,7 @@
         rows.sort_unstable_by(|a, b| a.0.cmp(&b.0));
         let mut bytes = 0;
         let taken = rows.iter().take_while(|(_, row)| {
-            let fits = bytes == 0 || bytes + row.record.body.len() <= PAGE_BYTES;
+            let fits = bytes == 0 || bytes + row.record.body.len() <= MAX_PAGE_BYTES;
             bytes += row.record.body.len();
             fits
         });
--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -19,18 +19,18 @@
 pub mod batch;
 pub mod claim;
 pub mod claims;
+mod expiry;
+pub mod forwarding;
 pub mod handover;
 pub mod row;
-mod sweep;
 pub mod tickets;
-pub mod visitors;
 
-use batch::{Batcher, Job, Reply};
+use batch::{Batcher, Reply, Requester};
 use claims::Claims;
-use handover::HandOver;
+use forwarding::ForwardedRequests;
+use handover::Handover;
 use row::TicketHandover;
 use tickets::{MintError, Tickets};
-use visitors::Visitors;
 
 /// The delay after which a caller should ask again for an outcome, in milliseconds.
 const RETRY_AFTER_MS: u64 = 500;
@@ -41,8 +41,8 @@
     batcher: Batcher,
     claims: Claims,
     tickets: Tickets,
-    visitors: Visitors,
-    poll_handover: Option<HandOver>,
+    visitors: ForwardedRequests,
+    poll_handover: Option<Handover>,
 }
 
 impl DeduplicationSystem {
@@ -95,7 +95,7 @@
     ) {
         self.visitors.forget(request);
         self.tickets.answered(request, stored.clone());
-        self.claims.answered(request, stored, &mut self.batcher);
+        self.claims.handle_answer(request, stored, &mut self.batcher);
         self.batcher.flush(out);
     }
 
@@ -103,7 +103,7 @@
     pub fn handle_caller_disconnect(&mut self, request: RequestKey, out: &mut Outbox) {
         self.visitors.forget(request);
         self.tickets.caller_gone(request);
-        self.claims.caller_gone(request, &mut self.batcher);
+        self.claims.handle_caller_gone(request, &mut self.batcher);
         self.batcher.flush(out);
     }
 
@@ -124,13 +124,13 @@
         true
     }
 
-    fn replied(&mut self, job: Job, reply: Reply, out: &mut Outbox) {
+    fn replied(&mut self, job: Requester, reply: Reply, out: &mut Outbox) {
         match job {
-            Job::Claim(request) => {
-                self.claims.replied(request, reply, &mut self.batcher, out);
+            Requester::Claim(request) => {
+                self.claims.handle_reply(request, reply, &mut self.batcher, out);
             }
-            Job::Ticket(request) => self.visitors.replied(request, &reply, out),
-            Job::HandOver(index) => {
+            Requester::Ticket(request) => self.visitors.replied(request, &reply, out),
+            Requester::Handover(index) => {
                 if let Some(hand_over) = &mut self.poll_handover {
                     hand_over.replied(index, &reply, &mut self.batcher, out);
                 }
@@ -179,7 +179,7 @@
     /// Handles whether a successor accepted the copy of this node's tickets.
     pub fn handle_copy_result(&mut self, operation: OperationKey, taken: bool) {
         if let Some(hand_over) = &mut self.poll_handover {
-            hand_over.copied(operation, taken);
+            hand_over.handle_copy_result(operation, taken);
         }
     }
 
@@ -193,11 +193,11 @@
             return false;
         }
         if self.poll_handover.is_none() {
-            let tickets = self.tickets.handed_over(out);
-            self.poll_handover = Some(HandOver::new(tickets, membership, &mut self.batcher, out));
+            let tickets = self.tickets.handover(out);
+            self.poll_handover = Some(Handover::new(tickets, membership, &mut self.batcher, out));
             self.batcher.flush(out);
         }
-        let claims = self.claims.unsettled();
+        let claims = self.claims.unsettled_count();
         self.poll_handover.as_ref().is_some_and(|hand_over| hand_over.is_done(claims, out))
     }
 
@@ -205,7 +205,7 @@
     pub fn tick(&mut self, out: &mut Outbox) {
         self.claims.tick(&mut self.batcher, out);
         self.visitors.tick(out);
-        self.tickets.lapse(out.now_ms());
+        self.tickets.expire(out.now_ms());
         if let Some(hand_over) = &mut self.poll_handover {
             hand_over.tick(&mut self.batcher, out);
         }
@@ -223,7 +223,8 @@
             match action {
                 Action::Conclude { request, outcome } => {
                     self.tickets.concluded(request, &outcome);
-                    let outcome = self.claims.concluded(request, outcome, &mut self.batcher, out);
+                    let outcome =
+                        self.claims.handle_outcome(request, outcome, &mut self.batcher, out);
                     kept.extend(outcome.map(|outcome| Action::Conclude { request, outcome }));
                 }
                 other => kept.push(other),
--- a/crates/sedgepath-core/src/deduplication/batch.rs
+++ b/crates/sedgepath-core/src/deduplication/batch.rs
@@ -13,27 +13,27 @@
 use crate::table::{Row, RowChange, RowWrite, TableRequest, TableResult, Transaction};
 
 /// The minimum interval between two transactions, and between two reads, of a node, in milliseconds.
-const FLUSH_EVERY_MS: u64 = 40;
+const MIN_FLUSH_INTERVAL_MS: u64 = 40;
 
 /// The maximum number of transactions, and of reads, that are in flight at once.
-const MAX_IN_FLIGHT: usize = 2;
+const MAX_REQUESTS_IN_FLIGHT: usize = 2;
 
 /// The maximum number of rows in a transaction, and of queued reads in one read. The platform's
 /// store takes 100 entries per transaction; a row with a condition and a change counts as 2.
-const MAX_ROWS: usize = 50;
+const MAX_BATCH_ROWS: usize = 50;
 
 /// The maximum total size of the rows in a transaction, in bytes; a larger row is sent alone.
-const MAX_BYTES: usize = 256 * 1024;
+const MAX_TRANSACTION_BYTES: usize = 256 * 1024;
 
 /// The sender of a table request, to which the result is returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Job {
+pub enum Requester {
     /// The claim of a request.
     Claim(RequestKey),
     /// The read of a ticket's rows, if its home can't be reached.
     Ticket(RequestKey),
     /// A row of the handover, by its index.
-    HandOver(usize),
+    Handover(usize),
 }
 
 /// The result of a table request for one sender.
@@ -44,51 +44,51 @@
     /// The row was not written: its condition did not hold for the row's current value.
     Conflict(Option<Row>),
     /// The row was not written, since the condition of another row did not hold.
-    LeftOut,
+    NotWritten,
     /// The write was certainly not carried out, or the read failed.
     Refused,
     /// The row may have been written or may still be written later.
-    Lost,
+    Unknown,
     /// The rows that were read.
     Rows(Vec<Row>),
 }
 
 #[derive(Debug)]
-struct Write {
-    job: Job,
+struct QueuedWrite {
+    job: Requester,
     write: RowWrite,
 }
 
 #[derive(Debug)]
 struct Reading {
-    job: Job,
+    job: Requester,
     keys: Vec<Box<str>>,
 }
 
 /// Batches table requests and returns their results by sender.
 #[derive(Debug, Default)]
 pub struct Batcher {
-    writes: VecDeque<Write>,
-    readings: VecDeque<Reading>,
-    commits_in_flight: Map<OperationKey, Vec<Write>>,
-    readings_in_flight: Map<OperationKey, Vec<Reading>>,
+    writes: VecDeque<QueuedWrite>,
+    reads: VecDeque<Reading>,
+    commits_in_flight: Map<OperationKey, Vec<QueuedWrite>>,
+    reads_in_flight: Map<OperationKey, Vec<Reading>>,
     next_commit_at_ms: u64,
-    next_reading_at_ms: u64,
+    next_read_at_ms: u64,
 }
 
 impl Batcher {
     /// Queues a row to be written.
-    pub fn write(&mut self, job: Job, write: RowWrite) {
-        self.writes.push_back(Write { job, write });
+    pub fn write(&mut self, job: Requester, write: RowWrite) {
+        self.writes.push_back(QueuedWrite { job, write });
     }
 
     /// Queues rows to be read.
-    pub fn read(&mut self, job: Job, keys: Vec<Box<str>>) {
-        self.readings.push_back(Reading { job, keys });
+    pub fn read(&mut self, job: Requester, keys: Vec<Box<str>>) {
+        self.reads.push_back(Reading { job, keys });
     }
 
     /// Removes a sender's write from the queue; returns false if it was not queued.
-    pub fn take_back(&mut self, job: Job) -> bool {
+    pub fn cancel_write(&mut self, job: Requester) -> bool {
         let before = self.writes.len();
         self.writes.retain(|write| write.job != job);
         self.writes.len() < before
@@ -96,23 +96,23 @@
 
     /// Sends queued requests as far as the rate and in-flight limits allow.
     pub fn flush(&mut self, out: &mut Outbox) {
-        if self.commits_in_flight.len() < MAX_IN_FLIGHT
+        if self.commits_in_flight.len() < MAX_REQUESTS_IN_FLIGHT
             && self.next_commit_at_ms <= out.now_ms()
             && !self.writes.is_empty()
         {
-            self.next_commit_at_ms = out.now_ms() + FLUSH_EVERY_MS;
+            self.next_commit_at_ms = out.now_ms() + MIN_FLUSH_INTERVAL_MS;
             self.commit(out);
         }
-        if self.readings_in_flight.len() < MAX_IN_FLIGHT
-            && self.next_reading_at_ms <= out.now_ms()
-            && !self.readings.is_empty()
+        if self.reads_in_flight.len() < MAX_REQUESTS_IN_FLIGHT
+            && self.next_read_at_ms <= out.now_ms()
+            && !self.reads.is_empty()
         {
-            self.next_reading_at_ms = out.now_ms() + FLUSH_EVERY_MS;
-            let count = self.readings.len().min(MAX_ROWS);
-            let batch: Vec<_> = self.readings.drain(..count).collect();
+            self.next_read_at_ms = out.now_ms() + MIN_FLUSH_INTERVAL_MS;
+            let count = self.reads.len().min(MAX_BATCH_ROWS);
+            let batch: Vec<_> = self.reads.drain(..count).collect();
             let keys = batch.iter().flat_map(|reading| reading.keys.iter().cloned());
             let operation = out.request_table(TableRequest::Read(keys.collect()));
-            self.readings_in_flight.insert(operation, batch);
+            self.reads_in_flight.insert(operation, batch);
         }
     }
 
@@ -123,7 +123,8 @@
         let mut bytes = 0;
         for write in self.writes.drain(..) {
             let size = size_bytes(&write.write);
-            let fits = batch.len() < MAX_ROWS && (batch.is_empty() || bytes + size <= MAX_BYTES);
+            let fits = batch.len() < MAX_BATCH_ROWS
+                && (batch.is_empty() || bytes + size <= MAX_TRANSACTION_BYTES);
             // Writes of the same row must keep their order, so they never share a transaction.
             if fits && later.is_empty() && keys.insert(write.write.key.clone()) {
                 bytes += size;
@@ -143,34 +144,34 @@
         &mut self,
         operation: OperationKey,
         result: &TableResult,
-    ) -> Option<Vec<(Job, Reply)>> {
+    ) -> Option<Vec<(Requester, Reply)>> {
         if let Some(batch) = self.commits_in_flight.remove(&operation) {
-            return Some(Self::committed(batch, result));
+            return Some(Self::commit_replies(batch, result));
         }
-        let batch = self.readings_in_flight.remove(&operation)?;
-        let replies = batch.into_iter().map(|reading| (reading.job, rows_of(&reading, result)));
+        let batch = self.reads_in_flight.remove(&operation)?;
+        let replies = batch.into_iter().map(|reading| (reading.job, read_reply(&reading, result)));
         Some(replies.collect())
     }
 
-    fn committed(batch: Vec<Write>, result: &TableResult) -> Vec<(Job, Reply)> {
+    fn commit_replies(batch: Vec<QueuedWrite>, result: &TableResult) -> Vec<(Requester, Reply)> {
         if let TableResult::Conflict { key, current } = result {
-            let reply = |write: Write| {
+            let reply = |write: QueuedWrite| {
                 let conflicts = write.write.key == *key;
                 let conflict = || Reply::Conflict(current.clone());
-                (write.job, if conflicts { conflict() } else { Reply::LeftOut })
+                (write.job, if conflicts { conflict() } else { Reply::NotWritten })
             };
             return batch.into_iter().map(reply).collect();
         }
         let reply = || match result {
             TableResult::Committed => Reply::Written,
             TableResult::Unavailable => Reply::Refused,
-            _ => Reply::Lost,
+            _ => Reply::Unknown,
         };
         batch.into_iter().map(|write| (write.job, reply())).collect()
     }
 }
 
-fn rows_of(reading: &Reading, result: &TableResult) -> Reply {
+fn read_reply(reading: &Reading, result: &TableResult) -> Reply {
     let TableResult::Rows(rows) = result else {
         return Reply::Refused;
     };
--- a/crates/sedgepath-core/src/deduplication/claim.rs
+++ b/crates/sedgepath-core/src/deduplication/claim.rs
@@ -7,17 +7,17 @@
 use super::row::{ClaimRow, ClaimState, Holder};
 
 /// How long the row of a finished claim is kept, in milliseconds.
-pub const KEPT_MS: u64 = 3_600_000;
+pub const CLAIM_RETENTION_MS: u64 = 3_600_000;
 
 /// The end of a claim that is to be written to its row.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum End {
+pub enum ClaimEnd {
     /// The action was not run under the claim.
     NotRun,
     /// The action ran; the answer is `None` if it is not stored for repeats.
     Answered(Option<StoredAnswer>),
     /// The row has expired and is removed.
-    Swept,
+    Expired,
 }
 
 /// What a claim waits for next.
@@ -32,7 +32,7 @@
     /// The end of the request.
     Running,
     /// The write of the end to the row.
-    Ending(End),
+    Ending(ClaimEnd),
 }
 
 /// A claim of this node.
@@ -49,12 +49,12 @@
     /// What the claim waits for next.
     pub step: Step,
     /// The condition of a write of the claim whose result is unknown; it may still be applied.
-    pub may_land: Option<RowCondition>,
+    pub unconfirmed_write: Option<RowCondition>,
     /// When the request stops waiting for the claim, in milliseconds.
     pub give_up_at_ms: u64,
     /// An outcome that is held back until the claim is released, at most until the time in
     /// milliseconds.
-    pub held_back: Option<(Outcome, u64)>,
+    pub held_outcome: Option<(Outcome, u64)>,
     /// When the write of the end is retried, in milliseconds.
     pub retry_at_ms: Option<u64>,
 }
@@ -68,24 +68,24 @@
             attempt: head.attempt,
             head: Some(head.clone()),
             step: Step::Reading,
-            may_land: None,
+            unconfirmed_write: None,
             give_up_at_ms,
-            held_back: None,
+            held_outcome: None,
             retry_at_ms: None,
         }
     }
 
     /// Creates a claim that removes its expired row.
-    pub fn swept(key: Digest, now_ms: u64) -> Self {
+    pub fn expired(key: Digest, now_ms: u64) -> Self {
         Self {
             key,
             digest: Digest([0; 16]),
             attempt: 0,
             head: None,
-            step: Step::Ending(End::Swept),
-            may_land: None,
+            step: Step::Ending(ClaimEnd::Expired),
+            unconfirmed_write: None,
             give_up_at_ms: now_ms,
-            held_back: None,
+            held_outcome: None,
             retry_at_ms: Some(now_ms),
         }
     }
@@ -94,8 +94,8 @@
     pub fn is_given_up(&self) -> bool {
         match self.step {
             Step::Claiming(_) | Step::Reading => self.head.is_none(),
-            Step::Ending(End::NotRun | End::Swept) => true,
-            Step::Ending(End::Answered(_)) | Step::Granted | Step::Running => false,
+            Step::Ending(ClaimEnd::NotRun | ClaimEnd::Expired) => true,
+            Step::Ending(ClaimEnd::Answered(_)) | Step::Granted | Step::Running => false,
         }
     }
 
@@ -104,14 +104,14 @@
         matches!(self.step, Step::Granted | Step::Running)
     }
 
-    /// Returns the claim's row in the given state, expiring [`KEPT_MS`] from now.
+    /// Returns the claim's row in the given state, expiring [`CLAIM_RETENTION_MS`] from now.
     pub fn row(&self, holder: Holder, state: ClaimState, now_ms: u64) -> ClaimRow {
         ClaimRow {
             holder,
             digest: self.digest,
             attempt: self.attempt,
             state,
-            expires_at_ms: now_ms + KEPT_MS,
+            expires_at_ms: now_ms + CLAIM_RETENTION_MS,
         }
     }
 }
--- a/crates/sedgepath-core/src/deduplication/claims.rs
+++ b/crates/sedgepath-core/src/deduplication/claims.rs
@@ -26,19 +26,19 @@
 use crate::request::{Outcome, RejectionReason, RequestHead, StoredAnswer};
 use crate::table::{Row, RowCondition};
 
-use super::batch::{Batcher, Job, Reply};
-use super::claim::{Claim, End, Step};
+use super::batch::{Batcher, Reply, Requester};
+use super::claim::{Claim, ClaimEnd, Step};
+use super::expiry::ExpiryQueue;
 use super::row::{ClaimRow, ClaimState, Holder};
-use super::sweep::Sweep;
 use super::{RETRY_AFTER_MS, conclude, is_denied, not_run, unsettled};
 
 mod ending;
 
 /// The maximum time that a request waits for its claim, in milliseconds.
-const CLAIM_WAIT_MS: u64 = 1_000;
+const MAX_CLAIM_WAIT_MS: u64 = 1_000;
 
 /// The maximum time that an outcome waits for the release of its claim, in milliseconds.
-const RELEASE_WAIT_MS: u64 = 250;
+const MAX_RELEASE_WAIT_MS: u64 = 250;
 
 /// The delay before a rejected write is retried, in milliseconds.
 const RETRY_MS: u64 = 500;
@@ -52,7 +52,7 @@
     by_request: Map<RequestKey, Claim>,
     by_key: Map<Digest, RequestKey>,
     granted: Vec<(RequestKey, RequestHead)>,
-    sweep: Sweep,
+    expiry_queue: ExpiryQueue,
 }
 
 impl Claims {
@@ -76,13 +76,13 @@
             conclude(request, unsettled(head.attempt, RejectionReason::Claim), out);
             return false;
         }
-        let give_up_at_ms = head.deadline_at_ms.min(out.now_ms() + CLAIM_WAIT_MS);
+        let give_up_at_ms = head.deadline_at_ms.min(out.now_ms() + MAX_CLAIM_WAIT_MS);
         let claim = Claim::new(key, head, give_up_at_ms);
         self.by_request.insert(request, claim);
         self.by_key.insert(key, request);
         // The row of a repeat probably exists; a read, unlike a write, can't fail a transaction.
         if head.attempt > 1 {
-            batcher.read(Job::Claim(request), vec![ClaimRow::key(key)]);
+            batcher.read(Requester::Claim(request), vec![ClaimRow::key(key)]);
         } else {
             self.claim(request, RowCondition::Absent, batcher, out);
         }
@@ -104,7 +104,7 @@
         let outcome = match &known.step {
             _ if known.digest != head.digest => Outcome::KeyReused,
             _ if known.is_given_up() => return false,
-            Step::Ending(End::Answered(Some(stored))) => Outcome::Repeated(stored.clone()),
+            Step::Ending(ClaimEnd::Answered(Some(stored))) => Outcome::Repeated(stored.clone()),
             _ => Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS },
         };
         conclude(request, outcome, out);
@@ -117,12 +117,15 @@
     }
 
     /// Returns the number of claims whose end is not written yet.
-    pub fn unsettled(&self) -> usize {
-        self.by_request.values().filter(|claim| claim.step != Step::Ending(End::Swept)).count()
+    pub fn unsettled_count(&self) -> usize {
+        self.by_request
+            .values()
+            .filter(|claim| claim.step != Step::Ending(ClaimEnd::Expired))
+            .count()
     }
 
     /// Handles the outcome of a request; returns it unless it has to wait for the claim's release.
-    pub fn concluded(
+    pub fn handle_outcome(
         &mut self,
         request: RequestKey,
         outcome: Outcome,
@@ -138,25 +141,25 @@
             return Some(outcome);
         }
         // An immediate retry of the caller should find the claim released.
-        claim.held_back = Some((outcome, out.now_ms() + RELEASE_WAIT_MS));
-        self.end(request, End::NotRun, batcher);
+        claim.held_outcome = Some((outcome, out.now_ms() + MAX_RELEASE_WAIT_MS));
+        self.start_end(request, ClaimEnd::NotRun, batcher);
         None
     }
 
     /// Handles the answer of a request, to be stored for repeats.
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
         request: RequestKey,
         stored: Option<StoredAnswer>,
         batcher: &mut Batcher,
     ) {
         if self.by_request.get(&request).is_some_and(|claim| claim.step == Step::Running) {
-            self.end(request, End::Answered(stored), batcher);
+            self.start_end(request, ClaimEnd::Answered(stored), batcher);
         }
     }
 
     /// Handles that a request's caller disconnected.
-    pub fn caller_gone(&mut self, request: RequestKey, batcher: &mut Batcher) {
+    pub fn handle_caller_gone(&mut self, request: RequestKey, batcher: &mut Batcher) {
         let Some(claim) = self.by_request.get_mut(&request) else {
             return;
         };
@@ -169,7 +172,7 @@
     }
 
     /// Handles the result of a claim's table request.
-    pub fn replied(
+    pub fn handle_reply(
         &mut self,
         request: RequestKey,
         reply: Reply,
@@ -182,26 +185,26 @@
         match (claim.step.clone(), reply) {
             (Step::Claiming(_), Reply::Written) => self.grant(request, batcher, out),
             (Step::Claiming(_), Reply::Conflict(row)) => self.resolve(request, row, batcher, out),
-            (Step::Claiming(against), reply @ (Reply::Lost | Reply::LeftOut)) => {
-                if matches!(reply, Reply::Lost) {
-                    claim.may_land = Some(against);
+            (Step::Claiming(against), reply @ (Reply::Unknown | Reply::NotWritten)) => {
+                if matches!(reply, Reply::Unknown) {
+                    claim.unconfirmed_write = Some(against);
                 }
                 claim.step = Step::Reading;
-                batcher.read(Job::Claim(request), vec![ClaimRow::key(claim.key)]);
+                batcher.read(Requester::Claim(request), vec![ClaimRow::key(claim.key)]);
             }
             (Step::Reading, Reply::Rows(rows)) => {
                 self.resolve(request, rows.into_iter().next(), batcher, out);
             }
             (Step::Claiming(_) | Step::Reading, _) => {
-                self.tell_unsettled(request, out);
+                self.conclude_unsettled(request, out);
                 self.abandon(request, batcher);
             }
             (Step::Ending(end), Reply::Rows(rows)) => {
                 self.write_end(request, &end, rows.first(), batcher, out);
             }
-            (Step::Ending(end), Reply::Written) => self.ended(request, &end, out),
-            (Step::Ending(_), Reply::Conflict(_) | Reply::Lost | Reply::LeftOut) => {
-                batcher.read(Job::Claim(request), vec![ClaimRow::key(claim.key)]);
+            (Step::Ending(end), Reply::Written) => self.finish_end(request, &end, out),
+            (Step::Ending(_), Reply::Conflict(_) | Reply::Unknown | Reply::NotWritten) => {
+                batcher.read(Requester::Claim(request), vec![ClaimRow::key(claim.key)]);
             }
             (Step::Ending(_), Reply::Refused) => {
                 claim.retry_at_ms = Some(out.now_ms() + RETRY_MS);
@@ -222,17 +225,17 @@
             };
             let waits = matches!(claim.step, Step::Claiming(_) | Step::Reading);
             if waits && claim.head.is_some() && claim.give_up_at_ms <= now_ms {
-                self.tell_unsettled(request, out);
+                self.conclude_unsettled(request, out);
                 self.give_up(request, batcher);
             } else if claim.retry_at_ms.is_some_and(|retry_at_ms| retry_at_ms <= now_ms) {
                 claim.retry_at_ms = None;
-                batcher.read(Job::Claim(request), vec![ClaimRow::key(claim.key)]);
-            } else if claim.held_back.as_ref().is_some_and(|(_, by_ms)| *by_ms <= now_ms) {
+                batcher.read(Requester::Claim(request), vec![ClaimRow::key(claim.key)]);
+            } else if claim.held_outcome.as_ref().is_some_and(|(_, by_ms)| *by_ms <= now_ms) {
                 self.release_outcome(request, out);
             }
         }
-        for due in self.sweep.due(now_ms) {
-            let claim = Claim::swept(due.key, now_ms);
+        for due in self.expiry_queue.take_expired(now_ms) {
+            let claim = Claim::expired(due.key, now_ms);
             self.by_request.insert(due.request, claim);
         }
     }
@@ -249,7 +252,7 @@
         };
         claim.step = Step::Claiming(condition.clone());
         let row = claim.row(holder(request, out), ClaimState::Held, out.now_ms());
-        batcher.write(Job::Claim(request), row.write(claim.key, condition));
+        batcher.write(Requester::Claim(request), row.write(claim.key, condition));
     }
 
     /// Handles that the claim is in the table: the request may be started unless it was given up or
@@ -258,7 +261,7 @@
         let Some(claim) = self.by_request.get_mut(&request) else {
             return;
         };
-        claim.may_land = None;
+        claim.unconfirmed_write = None;
         match claim.head.take() {
             Some(head) if out.now_ms() < head.deadline_at_ms => {
                 claim.step = Step::Granted;
@@ -266,9 +269,9 @@
             }
             Some(_) => {
                 conclude(request, not_run(RejectionReason::Deadline), out);
-                self.end(request, End::NotRun, batcher);
+                self.start_end(request, ClaimEnd::NotRun, batcher);
             }
-            None => self.end(request, End::NotRun, batcher),
+            None => self.start_end(request, ClaimEnd::NotRun, batcher),
         }
     }
 
@@ -340,7 +343,7 @@
         self.drop_claim(request);
     }
 
-    fn tell_unsettled(&mut self, request: RequestKey, out: &mut Outbox) {
+    fn conclude_unsettled(&mut self, request: RequestKey, out: &mut Outbox) {
         let Some(claim) = self.by_request.get_mut(&request) else {
             return;
         };
@@ -352,7 +355,7 @@
     /// Ends the wait for a claim. A table request in flight is completed; the handler of its result
     /// then releases the claim.
     fn give_up(&mut self, request: RequestKey, batcher: &mut Batcher) {
-        if batcher.take_back(Job::Claim(request)) {
+        if batcher.cancel_write(Requester::Claim(request)) {
             self.abandon(request, batcher);
         }
     }
@@ -360,8 +363,8 @@
     /// Ends a claim that is not granted and has no table request in flight. If a write of unknown
     /// result may still be applied, this writes a tombstone.
     fn abandon(&mut self, request: RequestKey, batcher: &mut Batcher) {
-        if self.by_request.get(&request).is_some_and(|claim| claim.may_land.is_some()) {
-            self.end(request, End::NotRun, batcher);
+        if self.by_request.get(&request).is_some_and(|claim| claim.unconfirmed_write.is_some()) {
+            self.start_end(request, ClaimEnd::NotRun, batcher);
         } else {
             self.drop_claim(request);
         }
--- a/crates/sedgepath-core/src/deduplication/claims/ending.rs
+++ b/crates/sedgepath-core/src/deduplication/claims/ending.rs
@@ -1,7 +1,7 @@
 //! Writes the end of a claim to its row, with reads and retries until the row says so.
 
-use crate::deduplication::batch::{Batcher, Job};
-use crate::deduplication::claim::{End, KEPT_MS, Step};
+use crate::deduplication::batch::{Batcher, Requester};
+use crate::deduplication::claim::{CLAIM_RETENTION_MS, ClaimEnd, Step};
 use crate::deduplication::row::{self, ClaimRow, ClaimState};
 use crate::event::Action;
 use crate::key::RequestKey;
@@ -12,10 +12,10 @@
 
 impl Claims {
     /// Starts to write the end of a claim by reading its row's version.
-    pub(super) fn end(&mut self, request: RequestKey, end: End, batcher: &mut Batcher) {
+    pub(super) fn start_end(&mut self, request: RequestKey, end: ClaimEnd, batcher: &mut Batcher) {
         if let Some(claim) = self.by_request.get_mut(&request) {
             claim.step = Step::Ending(end);
-            batcher.read(Job::Claim(request), vec![ClaimRow::key(claim.key)]);
+            batcher.read(Requester::Claim(request), vec![ClaimRow::key(claim.key)]);
         }
     }
 
@@ -23,7 +23,7 @@
     pub(super) fn write_end(
         &mut self,
         request: RequestKey,
-        end: &End,
+        end: &ClaimEnd,
         row: Option<&Row>,
         batcher: &mut Batcher,
         out: &mut Outbox,
@@ -36,37 +36,37 @@
         let is_own = known.as_ref().is_some_and(|known| known.holder == own);
         let condition = row.map_or(RowCondition::Absent, |row| RowCondition::Version(row.version));
         let state = match end {
-            End::Swept if is_own => {
-                batcher.write(Job::Claim(request), row::delete(claim.key, condition));
+            ClaimEnd::Expired if is_own => {
+                batcher.write(Requester::Claim(request), row::delete(claim.key, condition));
                 return;
             }
-            End::Swept => {
-                self.ended(request, end, out);
+            ClaimEnd::Expired => {
+                self.finish_end(request, end, out);
                 return;
             }
-            End::NotRun => ClaimState::NotRun,
-            End::Answered(stored) => ClaimState::Answered(stored.clone()),
+            ClaimEnd::NotRun => ClaimState::NotRun,
+            ClaimEnd::Answered(stored) => ClaimState::Answered(stored.clone()),
         };
         let done = match &known {
             Some(known) if is_own => known.state == state,
             // A write of this claim with unknown result may still replace the row's version.
-            Some(_) => claim.may_land.as_ref() != Some(&condition),
+            Some(_) => claim.unconfirmed_write.as_ref() != Some(&condition),
             None => row.is_some(),
         };
         if done {
-            self.ended(request, end, out);
+            self.finish_end(request, end, out);
         } else {
             let row = claim.row(own, state, out.now_ms());
-            batcher.write(Job::Claim(request), row.write(claim.key, condition));
+            batcher.write(Requester::Claim(request), row.write(claim.key, condition));
         }
     }
 
-    pub(super) fn ended(&mut self, request: RequestKey, end: &End, out: &mut Outbox) {
+    pub(super) fn finish_end(&mut self, request: RequestKey, end: &ClaimEnd, out: &mut Outbox) {
         self.release_outcome(request, out);
         if let Some(claim) = self.by_request.get(&request)
-            && *end != End::Swept
+            && *end != ClaimEnd::Expired
         {
-            self.sweep.push(out.now_ms() + KEPT_MS, claim.key, request);
+            self.expiry_queue.push(out.now_ms() + CLAIM_RETENTION_MS, claim.key, request);
         }
         self.drop_claim(request);
     }
@@ -76,7 +76,7 @@
         let Some(claim) = self.by_request.get_mut(&request) else {
             return;
         };
-        if let Some((outcome, _)) = claim.held_back.take() {
+        if let Some((outcome, _)) = claim.held_outcome.take() {
             out.push(Action::Conclude { request, outcome });
         }
     }
--- a/crates/sedgepath-core/src/deduplication/sweep.rs
+++ b/crates/sedgepath-core/src/deduplication/expiry.rs
@@ -11,11 +11,11 @@
 const MAX_ROWS: usize = 50_000;
 
 /// The maximum number of rows whose removal starts in one tick.
-const MAX_PER_TICK: usize = 16;
+const MAX_REMOVALS_PER_TICK: usize = 16;
 
 /// A row in the queue.
 #[derive(Debug, Clone, Copy)]
-pub struct Due {
+pub struct ExpiringRow {
     /// The digest of the caller's key.
     pub key: Digest,
     /// The request that wrote the row.
@@ -25,22 +25,23 @@
 
 /// The rows to remove, sorted by expiry time.
 #[derive(Debug, Default)]
-pub struct Sweep {
-    rows: VecDeque<Due>,
+pub struct ExpiryQueue {
+    rows: VecDeque<ExpiringRow>,
 }
 
-impl Sweep {
+impl ExpiryQueue {
     /// Adds a row; `at_ms` must not be earlier than that of the row added before.
     pub fn push(&mut self, at_ms: u64, key: Digest, request: RequestKey) {
         if self.rows.len() == MAX_ROWS {
             self.rows.pop_front();
         }
-        self.rows.push_back(Due { key, request, at_ms });
+        self.rows.push_back(ExpiringRow { key, request, at_ms });
     }
 
     /// Takes the expired rows out of the queue, a limited number at once.
-    pub fn due(&mut self, now_ms: u64) -> Vec<Due> {
-        let ready = self.rows.iter().take(MAX_PER_TICK).take_while(|row| row.at_ms <= now_ms);
+    pub fn take_expired(&mut self, now_ms: u64) -> Vec<ExpiringRow> {
+        let ready =
+            self.rows.iter().take(MAX_REMOVALS_PER_TICK).take_while(|row| row.at_ms <= now_ms);
         let count = ready.count();
         self.rows.drain(..count).collect()
     }
--- a/crates/sedgepath-core/src/deduplication/visitors.rs
+++ b/crates/sedgepath-core/src/deduplication/forwarding.rs
@@ -14,16 +14,16 @@
 use crate::request::{HopFailure, Outcome, RejectionReason, RequestHead, Ticket};
 use crate::table::Row;
 
-use super::batch::{Batcher, Job, Reply};
-use super::row::{HandOverRow, TicketHandover, TicketRow};
-use super::tickets::{Left, answer_for};
+use super::batch::{Batcher, Reply, Requester};
+use super::row::{HandoverRow, TicketHandover, TicketRow};
+use super::tickets::{HandedOverTicket, outcome_after_handover};
 use super::{RETRY_AFTER_MS, conclude, unsettled};
 
 /// The number of successors to which a node hands its tickets over.
-pub const SUCCESSORS: usize = 2;
+pub const SUCCESSOR_COUNT: usize = 2;
 
 /// The maximum number of handovers that a node stores for other boots; the oldest is dropped first.
-const MAX_KEPT: usize = 64;
+const MAX_STORED_HANDOVERS: usize = 64;
 
 /// What a forwarded request waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -37,7 +37,7 @@
 }
 
 #[derive(Debug)]
-struct Visitor {
+struct ForwardedRequest {
     ticket: Ticket,
     digest: Digest,
     attempt: u32,
@@ -47,12 +47,12 @@
 
 /// The requests with tickets of other boots, and the handovers of other boots.
 #[derive(Debug, Default)]
-pub struct Visitors {
-    visitors: Map<RequestKey, Visitor>,
-    kept: Vec<TicketHandover>,
+pub struct ForwardedRequests {
+    requests: Map<RequestKey, ForwardedRequest>,
+    handovers: Vec<TicketHandover>,
 }
 
-impl Visitors {
+impl ForwardedRequests {
     /// Handles a request with a ticket that this boot did not mint.
     pub fn take(
         &mut self,
@@ -67,14 +67,14 @@
             conclude(request, outcome, out);
             return;
         }
-        let visitor = Visitor {
+        let visitor = ForwardedRequest {
             ticket,
             digest: head.digest,
             attempt: head.attempt,
             deadline_at_ms: head.deadline_at_ms,
             step: Step::AtHome,
         };
-        self.visitors.insert(request, visitor);
+        self.requests.insert(request, visitor);
         // A request is forwarded at most once, which rules out forwarding loops.
         let forwarded = head.forwarded_by.is_some();
         let home = membership.member(ticket.home).filter(|home| home.boot == ticket.boot);
@@ -89,16 +89,16 @@
 
     /// Stores the handover of another boot, in place of an earlier one of the same boot.
     pub fn keep(&mut self, tickets: TicketHandover) {
-        self.kept.retain(|kept| (kept.vm, kept.boot) != (tickets.vm, tickets.boot));
-        if self.kept.len() == MAX_KEPT {
-            self.kept.remove(0);
+        self.handovers.retain(|kept| (kept.vm, kept.boot) != (tickets.vm, tickets.boot));
+        if self.handovers.len() == MAX_STORED_HANDOVERS {
+            self.handovers.remove(0);
         }
-        self.kept.push(tickets);
+        self.handovers.push(tickets);
     }
 
     /// Relays the answer to a forwarded request; returns false if the request was not forwarded.
     pub fn hop_answered(&self, request: RequestKey, attempt: u32, out: &mut Outbox) -> bool {
-        let known = self.visitors.contains_key(&request);
+        let known = self.requests.contains_key(&request);
         if known {
             out.push(Action::RelayResponse { request, attempt });
         }
@@ -114,7 +114,7 @@
         batcher: &mut Batcher,
         out: &mut Outbox,
     ) -> bool {
-        let Some(visitor) = self.visitors.get(&request) else {
+        let Some(visitor) = self.requests.get(&request) else {
             return false;
         };
         match (visitor.step, end) {
@@ -136,15 +136,15 @@
 
     /// Handles the result of reading the home's rows.
     pub fn replied(&mut self, request: RequestKey, reply: &Reply, out: &mut Outbox) {
-        let Some(visitor) = self.visitors.get(&request) else {
+        let Some(visitor) = self.requests.get(&request) else {
             return;
         };
         let left = match reply {
-            Reply::Rows(rows) => left_in(rows, visitor.ticket),
+            Reply::Rows(rows) => parse_handover_rows(rows, visitor.ticket),
             _ => None,
         };
         let outcome = match left {
-            Some(left) => answer_for(visitor.ticket, visitor.digest, &left),
+            Some(left) => outcome_after_handover(visitor.ticket, visitor.digest, &left),
             None => unsettled(visitor.attempt, RejectionReason::PeerUnreachable),
         };
         self.conclude(request, outcome, out);
@@ -153,7 +153,7 @@
     /// Ends requests whose deadline passes while the home's rows are read.
     pub fn tick(&mut self, out: &mut Outbox) {
         let mut late: Vec<_> = self
-            .visitors
+            .requests
             .iter()
             .filter(|(_, visitor)| visitor.step == Step::Reading)
             .filter(|(_, visitor)| visitor.deadline_at_ms <= out.now_ms())
@@ -167,17 +167,20 @@
 
     /// Whether no request with another boot's ticket is in progress.
     pub fn is_idle(&self) -> bool {
-        self.visitors.is_empty()
+        self.requests.is_empty()
     }
 
     /// Forgets a request that was answered or whose caller disconnected.
     pub fn forget(&mut self, request: RequestKey) {
-        self.visitors.remove(&request);
+        self.requests.remove(&request);
     }
 
     fn answer(&self, ticket: Ticket, digest: Digest) -> Option<Outcome> {
-        let kept = self.kept.iter().find(|kept| (kept.vm, kept.boot) == (ticket.home, ticket.boot));
-        kept.map(|kept| answer_for(ticket, digest, &Left::of(kept, ticket.number)))
+        let kept =
+            self.handovers.iter().find(|kept| (kept.vm, kept.boot) == (ticket.home, ticket.boot));
+        kept.map(|kept| {
+            outcome_after_handover(ticket, digest, &HandedOverTicket::find(kept, ticket.number))
+        })
     }
 
     fn ask_successor(
@@ -187,7 +190,7 @@
         batcher: &mut Batcher,
         out: &mut Outbox,
     ) {
-        let Some(visitor) = self.visitors.get_mut(&request) else {
+        let Some(visitor) = self.requests.get_mut(&request) else {
             return;
         };
         let own = out.identity().vm;
@@ -212,7 +215,7 @@
         attempt: u32,
         out: &mut Outbox,
     ) {
-        if let Some(visitor) = self.visitors.get(&request) {
+        if let Some(visitor) = self.requests.get(&request) {
             out.push(Action::ForwardHome {
                 request,
                 attempt,
@@ -225,16 +228,16 @@
     }
 
     fn read(&mut self, request: RequestKey, batcher: &mut Batcher) {
-        if let Some(visitor) = self.visitors.get_mut(&request) {
+        if let Some(visitor) = self.requests.get_mut(&request) {
             visitor.step = Step::Reading;
             let Ticket { home, boot, number, .. } = visitor.ticket;
-            let keys = vec![HandOverRow::key(home, boot), TicketRow::key(home, boot, number)];
-            batcher.read(Job::Ticket(request), keys);
+            let keys = vec![HandoverRow::key(home, boot), TicketRow::key(home, boot, number)];
+            batcher.read(Requester::Ticket(request), keys);
         }
     }
 
     fn conclude(&mut self, request: RequestKey, outcome: Outcome, out: &mut Outbox) {
-        self.visitors.remove(&request);
+        self.requests.remove(&request);
         conclude(request, outcome, out);
     }
 }
@@ -252,17 +255,17 @@
     let mut ranked: Vec<_> = serving.map(|(vm, _)| vm).chain(own).collect();
     ranked.retain(|vm| *vm != home);
     ranked.sort_unstable_by_key(|vm| std::cmp::Reverse((rendezvous::score(boot.0, vm.0), vm.0)));
-    ranked.truncate(SUCCESSORS);
+    ranked.truncate(SUCCESSOR_COUNT);
     ranked
 }
 
-fn left_in(rows: &[Row], ticket: Ticket) -> Option<Left> {
+fn parse_handover_rows(rows: &[Row], ticket: Ticket) -> Option<HandedOverTicket> {
     let value = |key: Box<str>| rows.iter().find(|row| row.key == key).map(|row| &*row.value);
-    let head = value(HandOverRow::key(ticket.home, ticket.boot))?;
-    let HandOverRow { next_number, handed_over_at_ms } = serde_json::from_str(head).ok()?;
+    let head = value(HandoverRow::key(ticket.home, ticket.boot))?;
+    let HandoverRow { next_number, handed_over_at_ms } = serde_json::from_str(head).ok()?;
     let row = match value(TicketRow::key(ticket.home, ticket.boot, ticket.number)) {
         Some(row) => Some(serde_json::from_str(row).ok()?),
         None => None,
     };
-    Some(Left { next_number, handed_over_at_ms, row })
+    Some(HandedOverTicket { next_number, handed_over_at_ms, row })
 }
--- a/crates/sedgepath-core/src/deduplication/handover.rs
+++ b/crates/sedgepath-core/src/deduplication/handover.rs
@@ -11,39 +11,39 @@
 use crate::table::RowWrite;
 use crate::timeline::Topic;
 
-use super::batch::{Batcher, Job, Reply};
-use super::row::{HandOverRow, TicketHandover, TicketRow, put};
-use super::visitors::successors;
+use super::batch::{Batcher, Reply, Requester};
+use super::forwarding::successors;
+use super::row::{HandoverRow, TicketHandover, TicketRow, put};
 
 /// The delay before a failed row write is retried, in milliseconds.
 const RETRY_MS: u64 = 500;
 
 /// The maximum time to wait for the table if a successor has a copy, in milliseconds.
-const TABLE_WAIT_MS: u64 = 2_000;
+const MAX_TABLE_WAIT_MS: u64 = 2_000;
 
 /// The maximum duration of a handover, in milliseconds; unwritten tickets are lost after it.
-const GIVE_UP_MS: u64 = 10_000;
+const HANDOVER_TIMEOUT_MS: u64 = 10_000;
 
 /// A copy that was sent to a successor.
 #[derive(Debug)]
-struct Copy {
+struct SuccessorCopy {
     operation: OperationKey,
     taken: bool,
 }
 
 /// A handover in progress.
 #[derive(Debug)]
-pub struct HandOver {
+pub struct Handover {
     tickets: Option<TicketHandover>,
     rows: Vec<RowWrite>,
     unwritten: usize,
     retries: Vec<usize>,
     retry_at_ms: u64,
-    copies: Vec<Copy>,
-    begun_at_ms: u64,
+    copies: Vec<SuccessorCopy>,
+    started_at_ms: u64,
 }
 
-impl HandOver {
+impl Handover {
     /// Starts the handover: queues the rows and sends the copies. There may be no tickets.
     pub fn new(
         tickets: Option<TicketHandover>,
@@ -59,7 +59,7 @@
             retries: Vec::new(),
             retry_at_ms: 0,
             copies: Vec::new(),
-            begun_at_ms: out.now_ms(),
+            started_at_ms: out.now_ms(),
         };
         hand_over.write_all(batcher);
         hand_over.send_copies(membership, out);
@@ -69,10 +69,10 @@
     fn write_all(&self, batcher: &mut Batcher) {
         // The last row marks the others as complete, so it is written after them.
         for index in 0..self.rows.len().saturating_sub(1) {
-            batcher.write(Job::HandOver(index), self.rows[index].clone());
+            batcher.write(Requester::Handover(index), self.rows[index].clone());
         }
         if self.rows.len() == 1 {
-            batcher.write(Job::HandOver(0), self.rows[0].clone());
+            batcher.write(Requester::Handover(0), self.rows[0].clone());
         }
     }
 
@@ -85,7 +85,7 @@
                 let operation = out.next_operation();
                 let (address, tickets) = (member.card.peer_address, tickets.clone());
                 out.push(Action::HandOverTickets { operation, to: vm, address, tickets });
-                self.copies.push(Copy { operation, taken: false });
+                self.copies.push(SuccessorCopy { operation, taken: false });
             }
         }
     }
@@ -100,12 +100,12 @@
         self.unwritten -= 1;
         if self.unwritten == 1 && index + 1 != self.rows.len() {
             let last = self.rows.len() - 1;
-            batcher.write(Job::HandOver(last), self.rows[last].clone());
+            batcher.write(Requester::Handover(last), self.rows[last].clone());
         }
     }
 
     /// Handles whether a successor accepted its copy.
-    pub fn copied(&mut self, operation: OperationKey, taken: bool) {
+    pub fn handle_copy_result(&mut self, operation: OperationKey, taken: bool) {
         for copy in self.copies.iter_mut().filter(|copy| copy.operation == operation) {
             copy.taken = taken;
         }
@@ -115,7 +115,7 @@
     pub fn tick(&mut self, batcher: &mut Batcher, out: &Outbox) {
         if self.retry_at_ms <= out.now_ms() {
             for index in std::mem::take(&mut self.retries) {
-                batcher.write(Job::HandOver(index), self.rows[index].clone());
+                batcher.write(Requester::Handover(index), self.rows[index].clone());
             }
         }
     }
@@ -124,15 +124,15 @@
     ///
     /// `claims` is the number of unsettled claims.
     pub fn is_done(&self, claims: usize, out: &mut Outbox) -> bool {
-        let took_ms = out.now_ms() - self.begun_at_ms;
+        let took_ms = out.now_ms() - self.started_at_ms;
         let copied = self.copies.iter().any(|copy| copy.taken);
-        let placed = self.unwritten == 0 || (copied && took_ms >= TABLE_WAIT_MS);
+        let placed = self.unwritten == 0 || (copied && took_ms >= MAX_TABLE_WAIT_MS);
         if placed && claims == 0 {
             let rows = self.rows.len() - self.unwritten;
             out.log(Topic::Once, "handed_over", &[("rows", &rows), ("copied", &copied)]);
             return true;
         }
-        let given_up = took_ms >= GIVE_UP_MS;
+        let given_up = took_ms >= HANDOVER_TIMEOUT_MS;
         if given_up {
             let tickets = if placed { 0 } else { self.unwritten };
             out.log(Topic::Once, "hand_over_failed", &[("tickets", &tickets), ("claims", &claims)]);
@@ -143,10 +143,9 @@
 
 fn rows(tickets: &TicketHandover) -> Vec<RowWrite> {
     let TicketHandover { vm, boot, next_number, handed_over_at_ms, ref used } = *tickets;
-    let ticket = |ticket: &super::row::HandedTicket| {
-        put(TicketRow::key(vm, boot, ticket.number), &ticket.row)
-    };
-    let head = HandOverRow { next_number, handed_over_at_ms };
-    let head = put(HandOverRow::key(vm, boot), &head);
+    let ticket =
+        |ticket: &super::row::UsedTicket| put(TicketRow::key(vm, boot, ticket.number), &ticket.row);
+    let head = HandoverRow { next_number, handed_over_at_ms };
+    let head = put(HandoverRow::key(vm, boot), &head);
     used.iter().map(ticket).chain(std::iter::once(head)).collect()
 }
--- a/crates/sedgepath-core/src/deduplication/row.rs
+++ b/crates/sedgepath-core/src/deduplication/row.rs
@@ -84,7 +84,7 @@
 
 /// A used ticket in a handover.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandedTicket {
+pub struct UsedTicket {
     /// The ticket's number within its boot.
     pub number: u64,
     /// The ticket's state.
@@ -103,7 +103,7 @@
     /// The start of the handover, in milliseconds by the boot's clock.
     pub handed_over_at_ms: u64,
     /// The used tickets that the boot still remembers, sorted by number.
-    pub used: Vec<HandedTicket>,
+    pub used: Vec<UsedTicket>,
 }
 
 /// The value of the row `ticket/<vm>/<boot>`.
@@ -111,14 +111,14 @@
 /// The row is written after the rows of the boot's used tickets, so a ticket without a row was not
 /// used, or was forgotten before the handover.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandOverRow {
+pub struct HandoverRow {
     /// The first ticket number that the boot did not mint.
     pub next_number: u64,
     /// The start of the handover, in milliseconds by the boot's clock.
     pub handed_over_at_ms: u64,
 }
 
-impl HandOverRow {
+impl HandoverRow {
     /// Returns the row's key for a boot.
     pub fn key(vm: VmKey, boot: BootId) -> Box<str> {
         format!("ticket/{:016x}/{:016x}", vm.0, boot.0).into()
@@ -128,7 +128,7 @@
 impl TicketRow {
     /// Returns the row's key for a ticket.
     pub fn key(vm: VmKey, boot: BootId, number: u64) -> Box<str> {
-        format!("{}/{number}", HandOverRow::key(vm, boot)).into()
+        format!("{}/{number}", HandoverRow::key(vm, boot)).into()
     }
 }
 
--- a/crates/sedgepath-core/src/deduplication/tickets.rs
+++ b/crates/sedgepath-core/src/deduplication/tickets.rs
@@ -7,11 +7,13 @@
 //! # Invariants
 //!
 //! - Only the boot that minted a ticket runs it, and it marks the ticket as used before it sends the
-//!   request. Every other process forwards the request; see [`super::visitors`].
-//! - A used ticket is remembered for [`GRACE_MS`] after it expires, so that an expired ticket that is
-//!   not remembered can be reported as *not run* until then. After that it is *unknown*.
-//! - At most [`MAX_LIVE`] tickets are valid at once, and at most [`MAX_ANSWER_BYTES`] of answers are
-//!   stored. A repeat whose answer was not stored is *unknown*.
+//!   request. Every other process forwards the request; see [`super::forwarding`].
+//! - A used ticket is remembered for [`USED_TICKET_GRACE_MS`] after it expires, so that an expired
+//!   ticket that is not remembered can be reported as *not run* until then. After that it is
+//!   *unknown*.
+//! - At most [`MAX_VALID_TICKETS`] tickets are valid at once, and at most
+//!   [`MAX_STORED_ANSWER_BYTES`] of answers are stored. A repeat whose answer was not stored is
+//!   *unknown*.
 //! - If the process is killed, the state of its tickets, used or not, is lost for good.
 
 use std::collections::VecDeque;
@@ -21,23 +23,23 @@
 use crate::outbox::Outbox;
 use crate::request::{Outcome, RejectionReason, RequestHead, StoredAnswer, Ticket};
 
-use super::row::{ClaimState, HandedTicket, TicketHandover, TicketRow};
+use super::row::{ClaimState, TicketHandover, TicketRow, UsedTicket};
 use super::{RETRY_AFTER_MS, conclude, is_denied, not_run};
 
 /// How long a ticket is valid, in milliseconds.
 pub const TICKET_VALIDITY_MS: u64 = 600_000;
 
 /// How long a used ticket is remembered after it expires, in milliseconds.
-pub const GRACE_MS: u64 = 60_000;
+pub const USED_TICKET_GRACE_MS: u64 = 60_000;
 
 /// The maximum number of valid tickets of a boot.
-pub const MAX_LIVE: usize = 20_000;
+pub const MAX_VALID_TICKETS: usize = 20_000;
 
 /// The maximum total size of the answers stored for repeats, in bytes.
-pub const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
+pub const MAX_STORED_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
 /// The maximum number of tickets in one mint request.
-pub const MAX_MINTED: u32 = 100;
+pub const MAX_TICKETS_PER_MINT: u32 = 100;
 
 /// Why no tickets were minted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -46,7 +48,7 @@
     #[error("no service has this name")]
     NoService,
     /// The requested number is 0 or too large.
-    #[error("the number of tickets must be between 1 and {MAX_MINTED}")]
+    #[error("the number of tickets must be between 1 and {MAX_TICKETS_PER_MINT}")]
     CountOutOfRange,
     /// The number of valid tickets would exceed the maximum.
     #[error("this node has too many valid tickets")]
@@ -70,14 +72,14 @@
 
 /// The number of tickets that were minted together, and their expiry time.
 #[derive(Debug)]
-struct Minted {
+struct MintedBatch {
     expires_at_ms: u64,
     count: usize,
 }
 
 /// The time at which a used ticket is forgotten.
 #[derive(Debug)]
-struct Lapse {
+struct UsedTicketExpiry {
     forget_at_ms: u64,
     number: u64,
 }
@@ -86,10 +88,10 @@
 #[derive(Debug, Default)]
 pub struct Tickets {
     next_number: u64,
-    minted: VecDeque<Minted>,
-    live: usize,
+    minted_batches: VecDeque<MintedBatch>,
+    valid_count: usize,
     used: Map<u64, TicketRow>,
-    lapses: VecDeque<Lapse>,
+    used_expiries: VecDeque<UsedTicketExpiry>,
     running: Map<RequestKey, u64>,
     answer_bytes: usize,
     closed: bool,
@@ -108,19 +110,19 @@
         count: u32,
         out: &Outbox,
     ) -> Result<Vec<Ticket>, MintError> {
-        self.lapse(out.now_ms());
-        if count == 0 || count > MAX_MINTED {
+        self.expire(out.now_ms());
+        if count == 0 || count > MAX_TICKETS_PER_MINT {
             return Err(MintError::CountOutOfRange);
         }
         if self.closed {
             return Err(MintError::Stopping);
         }
-        if self.live + count as usize > MAX_LIVE {
+        if self.valid_count + count as usize > MAX_VALID_TICKETS {
             return Err(MintError::TooManyValidTickets);
         }
         let expires_at_ms = out.now_ms() + TICKET_VALIDITY_MS;
-        self.live += count as usize;
-        self.minted.push_back(Minted { expires_at_ms, count: count as usize });
+        self.valid_count += count as usize;
+        self.minted_batches.push_back(MintedBatch { expires_at_ms, count: count as usize });
         let first = self.next_number;
         self.next_number += u64::from(count);
         let identity = out.identity();
@@ -142,7 +144,7 @@
         head: &RequestHead,
         out: &mut Outbox,
     ) -> bool {
-        if let Some(outcome) = self.answer(ticket, head, out.now_ms()) {
+        if let Some(outcome) = self.denied_outcome(ticket, head, out.now_ms()) {
             conclude(request, outcome, out);
             return false;
         }
@@ -151,7 +153,7 @@
     }
 
     /// Returns the outcome of a request that must not be started, or `None` if it may be.
-    fn answer(&self, ticket: Ticket, head: &RequestHead, now_ms: u64) -> Option<Outcome> {
+    fn denied_outcome(&self, ticket: Ticket, head: &RequestHead, now_ms: u64) -> Option<Outcome> {
         if ticket.service != ServiceKey::of(&head.service) {
             return Some(Outcome::KeyReused);
         }
@@ -168,7 +170,7 @@
                 }
             },
             None if ticket.number >= self.next_number
-                || ticket.expires_at_ms + GRACE_MS <= now_ms =>
+                || ticket.expires_at_ms + USED_TICKET_GRACE_MS <= now_ms =>
             {
                 Some(Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS })
             }
@@ -190,8 +192,8 @@
     fn spend(&mut self, request: RequestKey, ticket: Ticket, head: &RequestHead) {
         let row = TicketRow { digest: head.digest, attempt: head.attempt, state: ClaimState::Held };
         if self.used.insert(ticket.number, row).is_none() {
-            let forget_at_ms = ticket.expires_at_ms + GRACE_MS;
-            self.lapses.push_back(Lapse { forget_at_ms, number: ticket.number });
+            let forget_at_ms = ticket.expires_at_ms + USED_TICKET_GRACE_MS;
+            self.used_expiries.push_back(UsedTicketExpiry { forget_at_ms, number: ticket.number });
         }
         self.running.insert(request, ticket.number);
     }
@@ -208,7 +210,7 @@
     /// Handles the answer of a request, to be stored for repeats.
     pub fn answered(&mut self, request: RequestKey, stored: Option<StoredAnswer>) {
         let size = stored.as_ref().map_or(0, |stored| stored.body.len());
-        let fits = self.answer_bytes + size <= MAX_ANSWER_BYTES;
+        let fits = self.answer_bytes + size <= MAX_STORED_ANSWER_BYTES;
         if let Some(row) = self.ended(request) {
             row.state = ClaimState::Answered(stored.filter(|_| fits));
             self.answer_bytes += if fits { size } else { 0 };
@@ -225,12 +227,16 @@
         self.used.get_mut(&number)
     }
 
-    /// Stops counting expired tickets as valid, and forgets used ones after [`GRACE_MS`].
-    pub fn lapse(&mut self, now_ms: u64) {
-        while let Some(minted) = self.minted.pop_front_if(|minted| minted.expires_at_ms <= now_ms) {
-            self.live -= minted.count;
+    /// Stops counting expired tickets as valid, and forgets used ones after [`USED_TICKET_GRACE_MS`].
+    pub fn expire(&mut self, now_ms: u64) {
+        while let Some(minted) =
+            self.minted_batches.pop_front_if(|minted| minted.expires_at_ms <= now_ms)
+        {
+            self.valid_count -= minted.count;
         }
-        while let Some(lapse) = self.lapses.pop_front_if(|lapse| lapse.forget_at_ms <= now_ms) {
+        while let Some(lapse) =
+            self.used_expiries.pop_front_if(|lapse| lapse.forget_at_ms <= now_ms)
+        {
             if let Some(row) = self.used.remove(&lapse.number) {
                 self.answer_bytes -= answer_bytes(&row);
             }
@@ -248,12 +254,12 @@
     }
 
     /// Returns the state to hand over, or `None` if no ticket is valid or remembered.
-    pub fn handed_over(&self, out: &Outbox) -> Option<TicketHandover> {
-        if self.live == 0 && self.used.is_empty() {
+    pub fn handover(&self, out: &Outbox) -> Option<TicketHandover> {
+        if self.valid_count == 0 && self.used.is_empty() {
             return None;
         }
         let ticket =
-            |(number, row): (&u64, &TicketRow)| HandedTicket { number: *number, row: row.clone() };
+            |(number, row): (&u64, &TicketRow)| UsedTicket { number: *number, row: row.clone() };
         let mut used: Vec<_> = self.used.iter().map(ticket).collect();
         used.sort_unstable_by_key(|ticket| ticket.number);
         Some(TicketHandover {
@@ -276,7 +282,7 @@
 /// Returns the outcome of a request whose ticket's home has handed its tickets over.
 ///
 /// A home hands over only when it runs no tickets any more, so an unused ticket never runs.
-pub fn answer_for(ticket: Ticket, digest: Digest, left: &Left) -> Outcome {
+pub fn outcome_after_handover(ticket: Ticket, digest: Digest, left: &HandedOverTicket) -> Outcome {
     let outcome = match (&left.row, left.next_number) {
         (Some(row), _) if row.digest != digest => return Outcome::KeyReused,
         (Some(TicketRow { state: ClaimState::Answered(Some(stored)), .. }), _) => {
@@ -285,7 +291,7 @@
         (Some(TicketRow { state: ClaimState::NotRun, .. }), _) => Some(RejectionReason::TicketVoid),
         (None, next_number)
             if ticket.number < next_number
-                && left.handed_over_at_ms < ticket.expires_at_ms + GRACE_MS =>
+                && left.handed_over_at_ms < ticket.expires_at_ms + USED_TICKET_GRACE_MS =>
         {
             Some(RejectionReason::TicketVoid)
         }
@@ -296,7 +302,7 @@
 
 /// The state of one ticket in a handover.
 #[derive(Debug)]
-pub struct Left {
+pub struct HandedOverTicket {
     /// The first ticket number that the home did not mint.
     pub next_number: u64,
     /// The start of the handover, in milliseconds by the home's clock.
@@ -305,9 +311,9 @@
     pub row: Option<TicketRow>,
 }
 
-impl Left {
+impl HandedOverTicket {
     /// Returns the state of the ticket with the given number.
-    pub fn of(tickets: &TicketHandover, number: u64) -> Self {
+    pub fn find(tickets: &TicketHandover, number: u64) -> Self {
         let found = tickets.used.binary_search_by_key(&number, |ticket| ticket.number);
         Self {
             next_number: tickets.next_number,
--- a/crates/sedgepath-core/src/record.rs
+++ b/crates/sedgepath-core/src/record.rs
@@ -171,7 +171,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Steering {
     /// The shares by origin group; the group `any` applies to callers of all other groups.
-    pub groups: Vec<Group>,
+    pub groups: Vec<OriginGroup>,
     /// The most traffic that a shift may move.
     pub cap: TrafficCap,
     /// The most traffic that a failover may move; defaults to `cap`. Since schema 2.
@@ -186,17 +186,17 @@
 /// How the traffic of an origin group is split among failure domains.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Group {
+pub struct OriginGroup {
     /// The origin group's name.
     pub origin: Box<str>,
     /// The weights of the failure domains.
-    pub shares: Vec<Share>,
+    pub shares: Vec<DomainShare>,
 }
 
 /// The weight of a failure domain.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Share {
+pub struct DomainShare {
     /// The failure domain's name.
     pub domain: Box<str>,
     /// The weight relative to the other domains of the group.
@@ -248,13 +248,13 @@
 #[serde(deny_unknown_fields)]
 pub struct Clients {
     /// The blocks of client addresses.
-    pub blocks: Vec<Block>,
+    pub blocks: Vec<ClientBlock>,
 }
 
 /// A block of client addresses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Block {
+pub struct ClientBlock {
     /// The block in CIDR notation, such as `192.0.2.0/24`.
     pub block: Box<str>,
     /// The name of the block's origin group.
--- a/crates/sedgepath-core/src/record/check.rs
+++ b/crates/sedgepath-core/src/record/check.rs
@@ -8,13 +8,13 @@
 use super::{NEWEST_SCHEMA, RawRecord, fields};
 use crate::schema::{self, ValuePath};
 
-mod whole;
+mod record_set;
 
-use whole::Whole;
+use record_set::RecordSet;
 
 /// The maximum length of a record's body in bytes. Table rows and pages between nodes carry each
 /// body whole.
-pub const MAX_BODY_BYTES: usize = 512 * 1024;
+pub const MAX_RECORD_BODY_BYTES: usize = 512 * 1024;
 
 /// What is wrong with a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
@@ -56,7 +56,8 @@
     },
     /// The body is too long.
     #[error("the record has {bytes} bytes; at most {most} are kept in one, so split it")]
-    Long {
+    #[serde(rename = "long")]
+    BodyTooLong {
         /// The body's length in bytes.
         bytes: usize,
         /// The maximum length in bytes.
@@ -87,7 +88,8 @@
     },
     /// A name refers to something that does not exist.
     #[error("there is no {what} `{name}`; known are {known}")]
-    Dangling {
+    #[serde(rename = "dangling")]
+    UnknownReference {
         /// The type of thing that the name should refer to.
         what: Box<str>,
         /// The name.
@@ -143,9 +145,9 @@
 pub fn check_records(records: &[RawRecord]) -> Vec<Problem> {
     let mut problems = Vec::new();
     for (index, record) in records.iter().enumerate() {
-        let found = alone(record).into_iter();
+        let found = check_record(record).into_iter();
         problems.extend(found.map(|(path, error)| problem(record, Some(index), path, error)));
-        let repeated = records[..index].iter().any(|earlier| same(earlier, record));
+        let repeated = records[..index].iter().any(|earlier| has_same_key(earlier, record));
         if repeated {
             problems.push(problem(record, Some(index), ValuePath::default(), CheckError::Repeated));
         }
@@ -165,18 +167,18 @@
     let mut after: Vec<_> = before
         .iter()
         .copied()
-        .filter(|(_, old)| !records.iter().any(|new| same(old, new)))
+        .filter(|(_, old)| !records.iter().any(|new| has_same_key(old, new)))
         .collect();
     after.extend(records.iter().enumerate().map(|(index, record)| (Some(index), record)));
-    let old: BTreeSet<_> = Whole::new(&before).check().into_iter().collect();
-    let new = Whole::new(&after).check();
+    let old: BTreeSet<_> = RecordSet::new(&before).check().into_iter().collect();
+    let new = RecordSet::new(&after).check();
     problems.extend(
         new.into_iter().filter(|problem| problem.index.is_some() || !old.contains(problem)),
     );
     problems
 }
 
-fn same(a: &RawRecord, b: &RawRecord) -> bool {
+fn has_same_key(a: &RawRecord, b: &RawRecord) -> bool {
     a.kind == b.kind && a.name == b.name
 }
 
@@ -190,13 +192,14 @@
 }
 
 /// Validates a record without regard to other records.
-fn alone(record: &RawRecord) -> Vec<(ValuePath, CheckError)> {
+fn check_record(record: &RawRecord) -> Vec<(ValuePath, CheckError)> {
     let mut found = Vec::new();
     if !schema::is_name(&record.name) {
         found.push((ValuePath::field("name"), CheckError::Name { name: record.name.clone() }));
     }
-    if record.body.len() > MAX_BODY_BYTES {
-        let error = CheckError::Long { bytes: record.body.len(), most: MAX_BODY_BYTES };
+    if record.body.len() > MAX_RECORD_BODY_BYTES {
+        let error =
+            CheckError::BodyTooLong { bytes: record.body.len(), most: MAX_RECORD_BODY_BYTES };
         found.push((ValuePath::default(), error));
     }
     if !(1..=NEWEST_SCHEMA).contains(&record.schema) {
@@ -204,9 +207,9 @@
         found.push((ValuePath::field("schema"), error));
         return found;
     }
-    let Some(fields) = fields::of_kind(&record.kind) else {
+    let Some(fields) = fields::fields_of_kind(&record.kind) else {
         let known = fields::RECORD_KINDS.iter().map(|kind| kind.name);
-        let error = CheckError::Kind { kind: record.kind.clone(), known: list(known) };
+        let error = CheckError::Kind { kind: record.kind.clone(), known: quoted_list(known) };
         found.push((ValuePath::field("kind"), error));
         return found;
     };
@@ -226,15 +229,15 @@
 }
 
 /// The maximum number of names that an error message lists.
-const MAX_LISTED: usize = 12;
+const MAX_LISTED_NAMES: usize = 12;
 
-fn list<'a>(names: impl IntoIterator<Item = &'a str>) -> Box<str> {
+fn quoted_list<'a>(names: impl IntoIterator<Item = &'a str>) -> Box<str> {
     let names: Vec<_> = names.into_iter().map(|name| format!("`{name}`")).collect();
     if names.is_empty() {
         return "none".into();
     }
-    let shown = names[..names.len().min(MAX_LISTED)].join(", ");
-    match names.len().checked_sub(MAX_LISTED) {
+    let shown = names[..names.len().min(MAX_LISTED_NAMES)].join(", ");
+    match names.len().checked_sub(MAX_LISTED_NAMES) {
         Some(more @ 1..) => format!("{shown} and {more} more").into(),
         _ => shown.into(),
     }
--- a/crates/sedgepath-core/src/record/check/whole.rs
+++ b/crates/sedgepath-core/src/record/check/record_set.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{CheckError, Problem, list, problem};
+use super::{CheckError, Problem, problem, quoted_list};
 use crate::hash::Digest;
 use crate::key::{DomainKey, OrganisationKey, OriginKey, RegionKey, ServiceKey, UpstreamKey};
 use crate::record::{
@@ -12,7 +12,7 @@
 
 /// The namespaces of names: a name must be unique within its namespace.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum Namespace {
     Region,
     Domain,
     Service,
@@ -21,8 +21,8 @@
     Origin,
 }
 
-impl What {
-    fn word(self) -> &'static str {
+impl Namespace {
+    fn label(self) -> &'static str {
         match self {
             Self::Region => "region",
             Self::Domain => "failure domain",
@@ -46,18 +46,18 @@
 }
 
 /// A record with its index in the change; `None` for a record in force.
-pub(super) type Numbered<'a> = (Option<usize>, &'a RawRecord);
+pub(super) type IndexedRecord<'a> = (Option<usize>, &'a RawRecord);
 
 /// All records that would be in force.
-pub(super) struct Whole<'a> {
-    bodies: Vec<(Numbered<'a>, RecordBody)>,
-    names: BTreeMap<(What, Box<str>), &'a RawRecord>,
-    keys: BTreeMap<(What, u32), Box<str>>,
+pub(super) struct RecordSet<'a> {
+    bodies: Vec<(IndexedRecord<'a>, RecordBody)>,
+    names: BTreeMap<(Namespace, Box<str>), &'a RawRecord>,
+    keys: BTreeMap<(Namespace, u32), Box<str>>,
     problems: Vec<Problem>,
 }
 
-impl<'a> Whole<'a> {
-    pub(super) fn new(records: &[Numbered<'a>]) -> Self {
+impl<'a> RecordSet<'a> {
+    pub(super) fn new(records: &[IndexedRecord<'a>]) -> Self {
         // Unparsable records are reported by `check_records`, or have a newer schema.
         let bodies = records.iter().filter_map(|numbered| {
             let body = numbered.1.parse().ok()?;
@@ -78,16 +78,16 @@
             self.define(*record, body);
         }
         for (record, body) in &bodies {
-            self.refer(*record, body);
+            self.check_references(*record, body);
         }
         self.problems
     }
 
-    fn report(&mut self, record: Numbered<'a>, path: ValuePath, error: CheckError) {
+    fn report(&mut self, record: IndexedRecord<'a>, path: ValuePath, error: CheckError) {
         self.problems.push(problem(record.1, record.0, path, error));
     }
 
-    fn define(&mut self, record: Numbered<'a>, body: &RecordBody) {
+    fn define(&mut self, record: IndexedRecord<'a>, body: &RecordBody) {
         match body {
             RecordBody::Places(places) => self.define_places(record, places),
             RecordBody::Service(service) => self.define_service(record, service),
@@ -95,13 +95,13 @@
             RecordBody::Steering(steering) => {
                 for (index, group) in steering.groups.iter().enumerate() {
                     let path = ValuePath::field("groups").with_item(index).with_field("origin");
-                    self.key(record, path, What::Origin, &group.origin);
+                    self.key(record, path, Namespace::Origin, &group.origin);
                 }
             }
             RecordBody::Clients(clients) => {
                 for (index, block) in clients.blocks.iter().enumerate() {
                     let path = ValuePath::field("blocks").with_item(index).with_field("origin");
-                    self.key(record, path, What::Origin, &block.origin);
+                    self.key(record, path, Namespace::Origin, &block.origin);
                 }
             }
             RecordBody::Drain(_) => {}
@@ -109,10 +109,16 @@
     }
 
     /// Registers a name that must be unique.
-    fn name(&mut self, record: Numbered<'a>, path: ValuePath, what: What, name: &str) {
+    fn define_unique_name(
+        &mut self,
+        record: IndexedRecord<'a>,
+        path: ValuePath,
+        what: Namespace,
+        name: &str,
+    ) {
         if let Some(other) = self.names.insert((what, name.into()), record.1) {
             let error = CheckError::Duplicate {
-                what: what.word().into(),
+                what: what.label().into(),
                 name: name.into(),
                 other: format!("{} `{}`", other.kind, other.name).into(),
             };
@@ -125,11 +131,11 @@
     /// Registers the key of a name, and reports a collision with the key of another name.
     ///
     /// Messages carry keys instead of names, so a collision would misroute traffic.
-    fn key(&mut self, record: Numbered<'a>, path: ValuePath, what: What, name: &str) {
+    fn key(&mut self, record: IndexedRecord<'a>, path: ValuePath, what: Namespace, name: &str) {
         let known = self.keys.entry((what, what.key(name))).or_insert_with(|| name.into());
         if &**known != name {
             let error = CheckError::Collision {
-                what: what.word().into(),
+                what: what.label().into(),
                 name: name.into(),
                 other: known.clone(),
             };
@@ -137,22 +143,37 @@
         }
     }
 
-    fn define_places(&mut self, record: Numbered<'a>, places: &Places) {
+    fn define_places(&mut self, record: IndexedRecord<'a>, places: &Places) {
         for (index, region) in places.regions.iter().enumerate() {
             let path = ValuePath::field("regions").with_item(index);
-            self.name(record, path.with_field("name"), What::Region, &region.name);
+            self.define_unique_name(
+                record,
+                path.with_field("name"),
+                Namespace::Region,
+                &region.name,
+            );
             for (item, domain) in region.domains.iter().enumerate() {
                 let path = path.with_field("domains").with_item(item);
-                self.name(record, path, What::Domain, domain);
+                self.define_unique_name(record, path, Namespace::Domain, domain);
             }
         }
     }
 
-    fn define_service(&mut self, record: Numbered<'a>, service: &Service) {
-        self.name(record, ValuePath::field("name"), What::Service, &record.1.name);
+    fn define_service(&mut self, record: IndexedRecord<'a>, service: &Service) {
+        self.define_unique_name(
+            record,
+            ValuePath::field("name"),
+            Namespace::Service,
+            &record.1.name,
+        );
         for (index, upstream) in service.upstreams.iter().enumerate() {
             let path = ValuePath::field("upstreams").with_item(index);
-            self.name(record, path.with_field("name"), What::Upstream, &upstream.name);
+            self.define_unique_name(
+                record,
+                path.with_field("name"),
+                Namespace::Upstream,
+                &upstream.name,
+            );
             if let Some(cold) = upstream.cold_slots.filter(|cold| *cold > upstream.slots) {
                 let error = CheckError::ColdSlots { cold, slots: upstream.slots };
                 self.report(record, path.with_field("cold_slots"), error);
@@ -160,11 +181,16 @@
         }
     }
 
-    fn define_organisations(&mut self, record: Numbered<'a>, body: &Organisations) {
+    fn define_organisations(&mut self, record: IndexedRecord<'a>, body: &Organisations) {
         let mut digests: BTreeMap<Digest, &str> = BTreeMap::new();
         for (index, organisation) in body.organisations.iter().enumerate() {
             let path = ValuePath::field("organisations").with_item(index);
-            self.name(record, path.with_field("name"), What::Organisation, &organisation.name);
+            self.define_unique_name(
+                record,
+                path.with_field("name"),
+                Namespace::Organisation,
+                &organisation.name,
+            );
             for (item, hex) in organisation.key_digests.iter().enumerate() {
                 let Some(digest) = Digest::from_hex(hex) else { continue };
                 if let Some(other) = digests.insert(digest, &organisation.name) {
@@ -180,45 +206,57 @@
         }
     }
 
-    fn refer(&mut self, record: Numbered<'a>, body: &RecordBody) {
+    fn check_references(&mut self, record: IndexedRecord<'a>, body: &RecordBody) {
         match body {
             RecordBody::Service(service) => {
                 for (index, upstream) in service.upstreams.iter().enumerate() {
                     let path = ValuePath::field("upstreams").with_item(index).with_field("domain");
-                    self.known(record, path, What::Domain, &upstream.domain);
+                    self.require_defined(record, path, Namespace::Domain, &upstream.domain);
                 }
             }
-            RecordBody::Steering(steering) => self.refer_steering(record, steering),
-            RecordBody::Drain(drain) => self.refer_drain(record, drain),
+            RecordBody::Steering(steering) => self.check_steering(record, steering),
+            RecordBody::Drain(drain) => self.check_drain(record, drain),
             RecordBody::Places(_) | RecordBody::Organisations(_) | RecordBody::Clients(_) => {}
         }
     }
 
-    fn known(&mut self, record: Numbered<'a>, path: ValuePath, what: What, name: &str) {
+    fn require_defined(
+        &mut self,
+        record: IndexedRecord<'a>,
+        path: ValuePath,
+        what: Namespace,
+        name: &str,
+    ) {
         if self.names.contains_key(&(what, name.into())) {
             return;
         }
         let known = self.names.keys().filter(|(known, _)| *known == what);
-        let known = list(known.map(|(_, name)| &**name));
-        let error = CheckError::Dangling { what: what.word().into(), name: name.into(), known };
+        let known = quoted_list(known.map(|(_, name)| &**name));
+        let error =
+            CheckError::UnknownReference { what: what.label().into(), name: name.into(), known };
         self.report(record, path, error);
     }
 
-    fn refer_steering(&mut self, record: Numbered<'a>, steering: &Steering) {
-        self.known(record, ValuePath::field("name"), What::Service, &record.1.name);
+    fn check_steering(&mut self, record: IndexedRecord<'a>, steering: &Steering) {
+        self.require_defined(record, ValuePath::field("name"), Namespace::Service, &record.1.name);
         let mut origins = BTreeSet::new();
         for (index, group) in steering.groups.iter().enumerate() {
             let path = ValuePath::field("groups").with_item(index);
             if !origins.insert(&group.origin) {
-                self.twice(record, path.with_field("origin"), What::Origin, &group.origin);
+                self.report_duplicate(
+                    record,
+                    path.with_field("origin"),
+                    Namespace::Origin,
+                    &group.origin,
+                );
             }
             let mut domains = BTreeSet::new();
             for (item, share) in group.shares.iter().enumerate() {
                 let path = path.with_field("shares").with_item(item).with_field("domain");
                 if !domains.insert(&share.domain) {
-                    self.twice(record, path.clone(), What::Domain, &share.domain);
+                    self.report_duplicate(record, path.clone(), Namespace::Domain, &share.domain);
                 }
-                self.known(record, path, What::Domain, &share.domain);
+                self.require_defined(record, path, Namespace::Domain, &share.domain);
             }
             let sum: f64 = group.shares.iter().map(|share| share.weight).sum();
             if !(sum > 0.0 && sum.is_finite()) {
@@ -228,23 +266,29 @@
         }
     }
 
-    fn twice(&mut self, record: Numbered<'a>, path: ValuePath, what: What, name: &str) {
+    fn report_duplicate(
+        &mut self,
+        record: IndexedRecord<'a>,
+        path: ValuePath,
+        what: Namespace,
+        name: &str,
+    ) {
         let error = CheckError::Duplicate {
-            what: what.word().into(),
+            what: what.label().into(),
             name: name.into(),
             other: "the same list".into(),
         };
         self.report(record, path, error);
     }
 
-    fn refer_drain(&mut self, record: Numbered<'a>, drain: &Drain) {
+    fn check_drain(&mut self, record: IndexedRecord<'a>, drain: &Drain) {
         let what = match drain.target {
-            DrainTargetKind::Upstream => What::Upstream,
-            DrainTargetKind::Domain => What::Domain,
+            DrainTargetKind::Upstream => Namespace::Upstream,
+            DrainTargetKind::Domain => Namespace::Domain,
         };
         // The record of an ended drain stays after its target is removed.
         if drain.active {
-            self.known(record, ValuePath::field("name"), what, &record.1.name);
+            self.require_defined(record, ValuePath::field("name"), what, &record.1.name);
         }
     }
 }
--- a/crates/sedgepath-core/src/record/fields.rs
+++ b/crates/sedgepath-core/src/record/fields.rs
@@ -5,14 +5,14 @@
 use crate::schema::{Field, Shape};
 
 /// The longest duration that a record may hold, in milliseconds: one day.
-const MAX_TIME_MS: u64 = 86_400_000;
+const MAX_DURATION_MS: u64 = 86_400_000;
 
 /// The maximum of an upstream's slots, connections and new connections per second.
 const MAX_COUNT: u64 = 1_000_000;
 
 /// The description of a record kind.
 #[derive(Debug, Clone, Copy)]
-pub struct Kind {
+pub struct RecordKind {
     /// The value of the record's `kind`.
     pub name: &'static str,
     /// What records of this kind configure.
@@ -22,29 +22,33 @@
 }
 
 /// All kinds that this version can parse.
-pub const RECORD_KINDS: &[Kind] = &[
-    Kind { name: "places", description: "The regions and their failure domains.", fields: PLACES },
-    Kind {
+pub const RECORD_KINDS: &[RecordKind] = &[
+    RecordKind {
+        name: "places",
+        description: "The regions and their failure domains.",
+        fields: PLACES,
+    },
+    RecordKind {
         name: "service",
         description: "A service and its upstreams; the record's name is the service's.",
         fields: SERVICE,
     },
-    Kind {
+    RecordKind {
         name: "steering",
         description: "Which callers of a service go where, and how much any shift may move; the record's name is the service's.",
         fields: STEERING,
     },
-    Kind {
+    RecordKind {
         name: "organisations",
         description: "The organisations that are admitted.",
         fields: ORGANISATIONS,
     },
-    Kind {
+    RecordKind {
         name: "clients",
         description: "The blocks of clients of each origin group.",
         fields: CLIENTS,
     },
-    Kind {
+    RecordKind {
         name: "drain",
         description: "A planned drain; the record's name is that of the upstream or failure domain.",
         fields: DRAIN,
@@ -52,7 +56,7 @@
 ];
 
 /// Returns the fields of a kind, or `None` if this version does not know the kind.
-pub fn of_kind(kind: &str) -> Option<&'static [Field]> {
+pub fn fields_of_kind(kind: &str) -> Option<&'static [Field]> {
     RECORD_KINDS.iter().find(|known| known.name == kind).map(|known| known.fields)
 }
 
@@ -128,7 +132,7 @@
     ),
     Field::optional(
         "warm_up_ms",
-        Shape::Integer { least: 0, most: MAX_TIME_MS },
+        Shape::Integer { least: 0, most: MAX_DURATION_MS },
         "0",
         "the time in milliseconds over which a cold upstream warms up",
     ),
@@ -142,7 +146,7 @@
     ),
     Field::required(
         "window_ms",
-        Shape::Integer { least: 1, most: MAX_TIME_MS },
+        Shape::Integer { least: 1, most: MAX_DURATION_MS },
         "the length of the window, in milliseconds",
     ),
 ];
@@ -162,7 +166,7 @@
     ),
     since_2(
         "hedge_after_ms",
-        Shape::Integer { least: 1, most: MAX_TIME_MS },
+        Shape::Integer { least: 1, most: MAX_DURATION_MS },
         "no hedging",
         "kept for later: after which time in milliseconds a second upstream may be asked as well",
     ),
--- a/crates/sedgepath-core/src/schema.rs
+++ b/crates/sedgepath-core/src/schema.rs
@@ -262,7 +262,7 @@
 
 /// Returns all mismatches between a document and its fields as of the given schema.
 pub fn check(document: &Value, fields: &'static [Field], schema: u32) -> Vec<LocatedFault<Fault>> {
-    let mut walk = Walk { schema, faults: Vec::new() };
+    let mut walk = Validator { schema, faults: Vec::new() };
     walk.value(document, &Shape::Object(fields), &ValuePath::default());
     walk.faults
 }
@@ -274,12 +274,12 @@
 }
 
 #[derive(Debug)]
-struct Walk {
+struct Validator {
     schema: u32,
     faults: Vec<LocatedFault<Fault>>,
 }
 
-impl Walk {
+impl Validator {
     fn fault(&mut self, path: &ValuePath, fault: Fault) {
         self.faults.push(LocatedFault { path: path.clone(), fault });
     }
--- a/crates/sedgepath-core/tests/configuration.rs
+++ b/crates/sedgepath-core/tests/configuration.rs
@@ -5,7 +5,7 @@
 use std::net::{IpAddr, Ipv4Addr};
 
 use sedgepath_core::configuration::rows::RecordRow;
-use sedgepath_core::configuration::store::{Changes, RecordPosition, Store};
+use sedgepath_core::configuration::store::{RecordChanges, RecordPosition, RecordStore};
 use sedgepath_core::event::LookUp;
 use sedgepath_test_support::bed::Bed;
 use sedgepath_test_support::bed::faults::Place;
@@ -142,13 +142,13 @@
         revision,
         record: records::steering("browse", &[("north-a", weight)], 100.0, 10_000),
     };
-    let mut store = Store::default();
-    let newest = Changes { revision: 7, after: 0, records: vec![row(7, 7.0)] };
+    let mut store = RecordStore::default();
+    let newest = RecordChanges { revision: 7, after: 0, records: vec![row(7, 7.0)] };
     assert!(store.apply(newest));
     let before = store.page(&RecordPosition::default());
-    let late = Changes { revision: 5, after: 0, records: vec![row(5, 5.0)] };
+    let late = RecordChanges { revision: 5, after: 0, records: vec![row(5, 5.0)] };
     assert!(!store.apply(late));
-    let unconnected = Changes { revision: 10, after: 9, records: vec![row(10, 10.0)] };
+    let unconnected = RecordChanges { revision: 10, after: 9, records: vec![row(10, 10.0)] };
     assert!(!store.apply(unconnected));
     assert_eq!(store.page(&RecordPosition::default()), before);
 }
--- a/crates/sedgepath-core/tests/configuration_change.rs
+++ b/crates/sedgepath-core/tests/configuration_change.rs
@@ -196,12 +196,12 @@
         request
     };
     let reply = bed.change(0, of_records(97));
-    let refusal = ChangeRefusal::Many { records: 97, most: 96 };
+    let refusal = ChangeRefusal::TooManyRecords { records: 97, most: 96 };
     assert_eq!(outcome(&bed, reply), ChangeOutcome::NotAccepted { refusal });
     let mut long = request("long", None, steering(2.0));
     long.records[0].body = " ".repeat(350 * 1024 + 1).into();
     let reply = bed.change(0, long);
-    let refusal = ChangeRefusal::Large { bytes: 350 * 1024 + 1, most: 350 * 1024 };
+    let refusal = ChangeRefusal::TooLarge { bytes: 350 * 1024 + 1, most: 350 * 1024 };
     assert_eq!(outcome(&bed, reply), ChangeOutcome::NotAccepted { refusal });
     let reply = bed.change(0, of_records(96));
     bed.run_for(3_000);
--- a/crates/sedgepath-core/tests/tickets.rs
+++ b/crates/sedgepath-core/tests/tickets.rs
@@ -6,7 +6,7 @@
 
 use once_callers::{kill_in_turn, pause_two, run_actions};
 use once_support::{Verdict, assert_holds, bed, head, is_not_run, judge, settle};
-use sedgepath_core::deduplication::tickets::{MAX_LIVE, TICKET_VALIDITY_MS};
+use sedgepath_core::deduplication::tickets::{MAX_VALID_TICKETS, TICKET_VALIDITY_MS};
 use sedgepath_core::hash::Digest;
 use sedgepath_core::request::{Deduplication, Outcome, RejectionReason};
 use sedgepath_test_support::bed::{Bed, NodeIndex, Seen};
@@ -181,7 +181,7 @@
 fn minting_is_bounded() {
     let mut bed = bed(8);
     let minted: usize = (0..300).map(|_| bed.mint(0, "deposit", 100).len()).sum();
-    assert_eq!(minted, MAX_LIVE);
+    assert_eq!(minted, MAX_VALID_TICKETS);
     bed.run_for(TICKET_VALIDITY_MS);
     assert_eq!(bed.mint(0, "deposit", 100).len(), 100);
     assert!(bed.mint(0, "deposit", 101).is_empty());
