--- a/crates/sedgepath-core/benches/look_up.rs
+++ b/crates/sedgepath-core/benches/look_up.rs
@@ -136,7 +136,7 @@
         assert!(answer.is_ok_and(|answer| answer.entry_vms.len() == 8));
     };
     group.bench_function("1.1 M blocks, 48 domains, 42 members", |bencher| {
-        bencher.iter(&mut look_up_once)
+        bencher.iter(&mut look_up_once);
     });
     group.finish();
 }
--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -375,7 +375,7 @@
     for truth in running.clone() {
         match truth.lost_at_ms {
             Some(lost_at_ms) if lost_at_ms <= now_ms => {
-                owner.end(truth.exchange, CallOutcome::Lost)
+                owner.end(truth.exchange, CallOutcome::Lost);
             }
             None if is_over(&truth) => {
                 running.retain(|other| other.exchange != truth.exchange);
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -55,7 +55,7 @@
 fn take(vm: &mut VmTable, message: PeerMessage) {
     match message {
         PeerMessage::Heartbeat(Heartbeat::Full(heartbeat)) => {
-            vm.record_heartbeat(heartbeat, NOW_MS)
+            vm.record_heartbeat(heartbeat, NOW_MS);
         }
         PeerMessage::Heartbeat(Heartbeat::StateOnly(state)) => {
             vm.record_state(([10, 0, 0, 2], 7_000).into(), state, NOW_MS);
--- a/crates/sedgepath-test-support/src/bed/faults.rs
+++ b/crates/sedgepath-test-support/src/bed/faults.rs
@@ -21,7 +21,7 @@
     /// The delay between failure domains, in milliseconds.
     pub hop_ms: u64,
     /// The delay between failure domains of different regions, in milliseconds, as far as
-    /// [`Faults::region_by_domain`] names them.
+    /// [`Faults::regions`] names them.
     pub region_hop_ms: u64,
     /// The regions of failure domains, by the domains' names.
     pub regions: BTreeMap<Box<str>, Box<str>>,
