--- a/crates/sedgepath-model/src/configuration.rs
+++ b/crates/sedgepath-model/src/configuration.rs
@@ -26,7 +26,7 @@
 //! at any later time and any number of times. A revision that any node has read may reach any node
 //! at any later time, which covers pushes, anti-entropy and late responses. Not modeled: time,
 //! several records, and unknown schemas. A new boot that reaches only a lagging peer serves that
-//! revision; only callers that carry a revision are protected from it.
+//! peer's revision, so only callers that carry a revision are protected from an older one.
 
 mod state;
 
--- a/crates/sedgepath-model/tests/claim.rs
+++ b/crates/sedgepath-model/tests/claim.rs
@@ -118,7 +118,7 @@
 }
 
 // The holder is paused or its response late, so a takeover runs the operation twice or reports *not
-// run* of an operation that ran.
+// run* for an operation that ran.
 #[test]
 fn claim_taken_over() {
     check(
@@ -183,7 +183,7 @@
     );
 }
 
-// A node without the table reports *not run* of a retry, although the first request ran elsewhere.
+// A node without the table reports *not run* for a retry, although the first request ran elsewhere.
 #[test]
 fn retry_not_settled_by_the_table() {
     check(
--- a/crates/sedgepath-model/tests/retry_budget.rs
+++ b/crates/sedgepath-model/tests/retry_budget.rs
@@ -34,8 +34,8 @@
     check(&RetryBudgetModel::new(2, 2).with_slack(3, 2), &expect!["224467 states, holds"]);
 }
 
-// Counts per process exceed the budget after a restart, or in a window that holds a part of a
-// burst.
+// Sliding windows counted by each process exceed the budget after a restart, or where a window
+// holds only a part of a burst.
 #[test]
 fn per_process_windows_exceed_the_budget() {
     let per_process_window =
