--- a/crates/sedgepath-emulator/src/lib.rs
+++ b/crates/sedgepath-emulator/src/lib.rs
@@ -1,19 +1,19 @@
-//! Plays scenarios of callers and upstreams on the core, under one clock, and compares policies.
+//! Discrete-event simulation of callers and upstreams around the core, for comparing steering policies.
 //!
-//! The core's [`Steering`](sedgepath_core::direct::Steering) of each entry VM decides as in the daemon;
-//! what surrounds it is modelled. A run of a minute of the scenario's time takes a fraction of a second,
-//! and gives the same figures for the same seed.
+//! Each entry VM runs the same [`Steering`](sedgepath_core::direct::Steering) as in the daemon;
+//! callers, upstreams and the network are modelled. A simulated minute takes a fraction of a second,
+//! and the same seed gives the same results.
 //!
-//! - [`scenario`]: what is played, read from YAML.
-//! - [`upstream`]: slots, a queue, warm objects, trouble.
-//! - [`run`]: the clock, the callers and the ways between them.
-//! - [`policy`]: the policies compared.
-//! - [`report`]: tables and plots over seeds.
+//! - [`scenario`]: the scenario files, in YAML.
+//! - [`upstream`]: the model of an upstream: slots, a queue, warm objects and faults.
+//! - [`run`]: the event loop, the callers and the network delays.
+//! - [`policy`]: the policies that are compared.
+//! - [`report`]: tables and plots over several seeds.
 //!
 //! # What is not modelled
 //!
-//! The time that a VM itself takes, lost datagrams between VMs, the store, and bytes on the way: an
-//! answer takes the same time whatever its size.
+//! The processing time of the VMs, lost datagrams between VMs, the store, and the transfer time of
+//! bodies: a response takes the same time whatever its size.
 
 pub mod policy;
 pub mod report;
--- a/crates/sedgepath-emulator/src/policy.rs
+++ b/crates/sedgepath-emulator/src/policy.rs
@@ -1,63 +1,63 @@
-//! The policies compared: those in force, and baselines.
+//! The policies that are compared: the default one and baselines.
 
 use sedgepath_core::direct::ablation::Mechanism;
 use sedgepath_core::direct::placement::PlacementWeights;
 use sedgepath_core::direct::queueing::QueueTolerance;
 use sedgepath_core::direct::steering::SteeringConfig;
 
-/// A policy with its name in reports.
+/// A steering configuration with the name that reports show.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Named {
-    /// The name.
+pub struct NamedPolicy {
+    /// The name in tables and plots.
     pub name: &'static str,
-    /// The figures.
-    pub policy: SteeringConfig,
+    /// The steering configuration of all VMs.
+    pub config: SteeringConfig,
 }
 
-fn without(name: &'static str, mechanism: Mechanism) -> Named {
-    Named { name, policy: SteeringConfig::default().without(mechanism) }
+fn without_mechanism(name: &'static str, mechanism: Mechanism) -> NamedPolicy {
+    NamedPolicy { name, config: SteeringConfig::default().without(mechanism) }
 }
 
-/// Returns all policies, the one in force first.
-pub fn all() -> Vec<Named> {
-    let of = |weights, patience| SteeringConfig {
+/// Returns all policies, the default one first.
+pub fn all() -> Vec<NamedPolicy> {
+    let config = |weights, queue_tolerance| SteeringConfig {
         weights,
-        queue_tolerance: patience,
+        queue_tolerance,
         ..SteeringConfig::default()
     };
     let weights = PlacementWeights::default();
-    let patience = QueueTolerance::default();
-    let long = QueueTolerance { idle_target_factor: 2.0, loaded_target_factor: 2.0 };
+    let queue_tolerance = QueueTolerance::default();
+    let long_queues = QueueTolerance { idle_target_factor: 2.0, loaded_target_factor: 2.0 };
     vec![
-        Named { name: "in force", policy: SteeringConfig::default() },
-        Named {
+        NamedPolicy { name: "in force", config: SteeringConfig::default() },
+        NamedPolicy {
             name: "first of the order only",
-            policy: of(PlacementWeights { candidate_count: 1, ..weights }, patience),
+            config: config(PlacementWeights { candidate_count: 1, ..weights }, queue_tolerance),
         },
-        Named {
+        NamedPolicy {
             name: "three of the order",
-            policy: of(PlacementWeights { candidate_count: 3, ..weights }, patience),
+            config: config(PlacementWeights { candidate_count: 3, ..weights }, queue_tolerance),
         },
-        Named {
+        NamedPolicy {
             name: "least expected time of all",
-            policy: of(
+            config: config(
                 PlacementWeights { candidate_count: usize::MAX, spill_cost_ms: 0.0, ..weights },
-                patience,
+                queue_tolerance,
             ),
         },
-        Named {
+        NamedPolicy {
             name: "two at random",
-            policy: of(
+            config: config(
                 PlacementWeights { object_affinity: false, spill_cost_ms: 0.0, ..weights },
-                patience,
+                queue_tolerance,
             ),
         },
-        Named {
+        NamedPolicy {
             name: "regions alike",
-            policy: of(PlacementWeights { own_region_weight: 1.0, ..weights }, patience),
+            config: config(PlacementWeights { own_region_weight: 1.0, ..weights }, queue_tolerance),
         },
-        Named { name: "waits twice the target", policy: of(weights, long) },
-        without("spills as cheap where upstreams forget", Mechanism::EvictionSpillCost),
-        without("no second sending", Mechanism::Hedging),
+        NamedPolicy { name: "waits twice the target", config: config(weights, long_queues) },
+        without_mechanism("spills as cheap where upstreams forget", Mechanism::EvictionSpillCost),
+        without_mechanism("no second sending", Mechanism::Hedging),
     ]
 }
--- a/crates/sedgepath-emulator/src/report.rs
+++ b/crates/sedgepath-emulator/src/report.rs
@@ -1,131 +1,135 @@
-//! Tables and plots of several policies over the same seeds.
+//! Tables and plots that compare policies over the same seeds.
 
 use std::path::Path;
 
 use plotters::prelude::*;
 
-use crate::policy::Named;
-use crate::run::{BIN_MS, Figures};
+use crate::policy::NamedPolicy;
+use crate::run::{BIN_WIDTH_MS, RunMetrics};
 use crate::scenario::Scenario;
 
-/// The size of a plot in pixels.
-const SIZE: (u32, u32) = (960, 420);
+/// The width and height of a plot.
+const PLOT_SIZE_PIXELS: (u32, u32) = (960, 420);
 
-/// The seconds over which a curve is smoothed, so that single requests don't show.
-const SMOOTHED_BINS: usize = 3;
+/// The window of the moving average over a curve, so that single requests don't dominate it.
+const SMOOTHING_WINDOW_BINS: usize = 3;
 
-/// Why a plot could not be drawn.
+/// An error from drawing a plot.
 #[derive(Debug, thiserror::Error)]
-#[error("can't draw the plot: {0}")]
+#[error("failed to draw plot: {0}")]
 pub struct PlotError(Box<str>);
 
-/// What a policy did with a scenario, over seeds.
+/// The runs of one policy on a scenario.
 #[derive(Debug, Clone)]
-pub struct Row {
-    /// The policy.
-    pub policy: Named,
-    /// The figures of each seed.
-    pub runs: Vec<Figures>,
+pub struct PolicyResults {
+    /// The policy that all runs used.
+    pub policy: NamedPolicy,
+    /// The metrics of the run with each seed.
+    pub runs: Vec<RunMetrics>,
 }
 
-impl Row {
-    /// Returns the mean, the least and the greatest of a figure over the seeds.
-    pub fn spread(&self, figure: impl Fn(&Figures) -> f64) -> (f64, f64, f64) {
-        let values = || self.runs.iter().map(&figure);
+impl PolicyResults {
+    /// Returns the mean, the minimum and the maximum of a metric over the seeds.
+    pub fn mean_min_max(&self, metric: impl Fn(&RunMetrics) -> f64) -> (f64, f64, f64) {
+        let values = || self.runs.iter().map(&metric);
         let mean = values().sum::<f64>() / self.runs.len().max(1) as f64;
         (mean, values().fold(f64::INFINITY, f64::min), values().fold(f64::NEG_INFINITY, f64::max))
     }
 
-    fn mean(&self, figure: impl Fn(&Figures) -> f64) -> f64 {
-        self.spread(figure).0
+    fn mean(&self, metric: impl Fn(&RunMetrics) -> f64) -> f64 {
+        self.mean_min_max(metric).0
     }
 
-    /// Returns what a request of each second was worth on average.
-    fn worth_by_second(&self) -> Vec<f64> {
+    /// Returns the mean utility of the requests in each bin, as a moving average.
+    fn utility_by_bin(&self) -> Vec<f64> {
         let bins = self.runs.iter().map(|run| run.bins.len()).min().unwrap_or(0);
-        let sum_of = |from: usize, to: usize| {
-            let mut sum = (0.0, 0);
+        let sums_of = |from: usize, to: usize| {
+            let mut sums = (0.0, 0);
             for run in &self.runs {
-                for (worth, asked) in &run.bins[from..to] {
-                    sum = (sum.0 + worth, sum.1 + asked);
+                for (utility, requests) in &run.bins[from..to] {
+                    sums = (sums.0 + utility, sums.1 + requests);
                 }
             }
-            sum
+            sums
         };
         let smoothed = |bin: usize| {
-            let (worth, asked) = sum_of(
-                bin.saturating_sub(SMOOTHED_BINS / 2),
-                (bin + SMOOTHED_BINS / 2 + 1).min(bins),
+            let (utility, requests) = sums_of(
+                bin.saturating_sub(SMOOTHING_WINDOW_BINS / 2),
+                (bin + SMOOTHING_WINDOW_BINS / 2 + 1).min(bins),
             );
-            worth / asked.max(1) as f64
+            utility / requests.max(1) as f64
         };
         (0..bins).map(smoothed).collect()
     }
 }
 
-/// Returns a table with a row for each policy.
-pub fn table(scenario: &Scenario, rows: &[Row]) -> String {
+/// Returns a Markdown table with a row for each policy.
+pub fn markdown_table(scenario: &Scenario, results: &[PolicyResults]) -> String {
     let mut text = format!(
-        "## {}\n\n| Policy | worth (least to most) | in time | refused | failed | p50 ms | p99 ms | \
-         sendings | warm | far | connections | crashes |\n\
+        "## {}\n\n| Policy | utility (min to max) | on time | rejected | failed | p50 ms | p99 ms | \
+         attempts | warm | cross-region | connections | crashes |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
         scenario.name
     );
-    for row in rows {
-        let (worth, least, most) = row.spread(Figures::mean_worth);
-        let percent = |part: fn(&Figures) -> usize, of: fn(&Figures) -> usize| {
-            100.0 * row.mean(|run| part(run) as f64 / of(run).max(1) as f64)
+    for result in results {
+        let (utility, min, max) = result.mean_min_max(RunMetrics::mean_utility);
+        let percent = |part: fn(&RunMetrics) -> usize, of: fn(&RunMetrics) -> usize| {
+            100.0 * result.mean(|run| part(run) as f64 / of(run).max(1) as f64)
         };
-        let asked: fn(&Figures) -> usize = |run| run.asked;
+        let requests: fn(&RunMetrics) -> usize = |run| run.requests;
         let line = format!(
-            "| {} | {worth:.3} ({least:.3} to {most:.3}) | {:.1}% | {:.1}% | {:.1}% | {:.0} | {:.0} | \
+            "| {} | {utility:.3} ({min:.3} to {max:.3}) | {:.1}% | {:.1}% | {:.1}% | {:.0} | {:.0} | \
              {:.2} | {:.0}% | {:.0}% | {:.3} | {:.1} |\n",
-            row.policy.name,
-            percent(|run| run.in_time, asked),
-            percent(|run| run.refused, asked),
-            percent(|run| run.failed, asked),
-            row.mean(|run| run.latency_ms(0.5) as f64),
-            row.mean(|run| run.latency_ms(0.99) as f64),
-            row.mean(|run| run.sendings as f64 / run.asked.max(1) as f64),
+            result.policy.name,
+            percent(|run| run.on_time, requests),
+            percent(|run| run.rejected, requests),
+            percent(|run| run.failed, requests),
+            result.mean(|run| run.latency_quantile_ms(0.5) as f64),
+            result.mean(|run| run.latency_quantile_ms(0.99) as f64),
+            result.mean(|run| run.attempts as f64 / run.requests.max(1) as f64),
             percent(|run| run.warm_runs, |run| run.runs),
-            percent(|run| run.far, |run| run.sendings),
-            row.mean(|run| run.connections as f64 / run.asked.max(1) as f64),
-            row.mean(|run| run.crashes as f64),
+            percent(|run| run.cross_region_attempts, |run| run.attempts),
+            result.mean(|run| run.opened_connections as f64 / run.requests.max(1) as f64),
+            result.mean(|run| run.crashes as f64),
         );
         text.push_str(&line);
     }
     text
 }
 
-/// Draws what requests were worth over time, a curve for each policy.
+/// Draws the mean utility of requests over time as SVG, with a curve for each policy.
 ///
 /// # Errors
 ///
-/// Fails if the file can't be written.
-pub fn plot(scenario: &Scenario, rows: &[Row], path: &Path) -> Result<(), PlotError> {
-    draw(scenario, rows, path).map_err(|error| PlotError(error.to_string().into()))
+/// Fails if the plot can't be drawn or the file can't be written.
+pub fn plot(scenario: &Scenario, results: &[PolicyResults], path: &Path) -> Result<(), PlotError> {
+    draw(scenario, results, path).map_err(|error| PlotError(error.to_string().into()))
 }
 
-fn draw(scenario: &Scenario, rows: &[Row], path: &Path) -> Result<(), Box<dyn std::error::Error>> {
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+fn draw(
+    scenario: &Scenario,
+    results: &[PolicyResults],
+    path: &Path,
+) -> Result<(), Box<dyn std::error::Error>> {
+    let area = SVGBackend::new(path, PLOT_SIZE_PIXELS).into_drawing_area();
     area.fill(&WHITE)?;
     let seconds = scenario.duration_ms as f64 / 1_000.0;
     let mut chart = ChartBuilder::on(&area)
-        .caption(format!("{}: worth of a request", scenario.name), ("sans-serif", 18))
+        .caption(format!("{}: mean utility of a request", scenario.name), ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(44)
         .build_cartesian_2d(0.0..seconds, 0.0..1.0)?;
-    chart.configure_mesh().x_desc("time asked, s").y_desc("worth").draw()?;
-    for (number, row) in rows.iter().enumerate() {
+    chart.configure_mesh().x_desc("arrival time, s").y_desc("utility").draw()?;
+    for (number, result) in results.iter().enumerate() {
         let color = Palette99::pick(number).to_rgba();
-        let points = row.worth_by_second().into_iter().enumerate();
-        let points =
-            points.map(|(bin, worth)| ((bin as f64 + 0.5) * BIN_MS as f64 / 1_000.0, worth));
+        let points = result.utility_by_bin().into_iter().enumerate();
+        let points = points
+            .map(|(bin, utility)| ((bin as f64 + 0.5) * BIN_WIDTH_MS as f64 / 1_000.0, utility));
         let width = if number == 0 { 3 } else { 1 };
         chart
             .draw_series(LineSeries::new(points, color.stroke_width(width)))?
-            .label(row.policy.name)
+            .label(result.policy.name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color.stroke_width(2)));
     }
     chart
--- a/crates/sedgepath-emulator/src/scenario.rs
+++ b/crates/sedgepath-emulator/src/scenario.rs
@@ -1,170 +1,179 @@
-//! What is played: regions, upstreams, callers and trouble.
+//! Scenario files: regions, upstreams, callers and faults.
 
 use std::path::{Path, PathBuf};
 
 use serde::Deserialize;
 
-/// Why a scenario can't be read.
+/// An error from reading a scenario file.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// The file can't be read.
-    #[error("can't read the scenario {path}")]
+    #[error("failed to read scenario `{path}`")]
     Read {
-        /// The file.
+        /// The scenario file.
         path: PathBuf,
-        /// The system's error.
+        /// The operating system's error.
         #[source]
         source: std::io::Error,
     },
-    /// The file is not in order.
-    #[error("the scenario {path} is not in order")]
+    /// The file is not a valid scenario.
+    #[error("failed to parse scenario `{path}`")]
     Parse {
-        /// The file.
+        /// The scenario file.
         path: PathBuf,
-        /// What is wrong, and where.
+        /// The parser's error, with the position in the file.
         #[source]
         source: Box<serde_saphyr::Error>,
     },
 }
 
-/// What is played.
+/// A simulated system and its load.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name in reports.
+    /// The name in reports.
     pub name: Box<str>,
-    /// How long callers ask, in milliseconds.
+    /// How long callers send requests, in milliseconds.
     pub duration_ms: u64,
-    /// The failure domains of each region.
+    /// The regions with their failure domains.
     pub regions: Vec<Region>,
-    /// The entry VMs in each failure domain.
+    /// The number of entry VMs in each failure domain.
     pub vms_per_domain: usize,
-    /// The way to another region, one way, in milliseconds.
-    pub far_ms: u64,
-    /// The upstreams.
+    /// The one-way network delay between two regions, in milliseconds.
+    #[serde(rename = "far_ms")]
+    pub inter_region_delay_ms: u64,
+    /// The parameters that all upstreams share.
     pub upstreams: UpstreamModel,
-    /// The callers.
+    /// The load that the callers generate.
     pub callers: CallerModel,
-    /// What goes wrong.
-    #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    /// The faults and bursts during the run.
+    #[serde(default, rename = "troubles")]
+    pub faults: Vec<Fault>,
 }
 
-/// A region.
+/// A region and its failure domains.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Region {
-    /// Its name.
+    /// The region's name.
     pub name: Box<str>,
-    /// Its failure domains.
+    /// The names of the region's failure domains.
     pub domains: Vec<Box<str>>,
 }
 
-/// The upstreams, which are all alike.
+/// The parameters of the upstreams, which are all alike.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamModel {
-    /// Those in each failure domain.
+    /// The number of upstreams in each failure domain.
     pub per_domain: usize,
-    /// The requests that one runs at a time.
+    /// The requests that an upstream runs at the same time.
     pub slots: usize,
-    /// The requests that wait for a slot at the most; more are refused.
-    pub queue: usize,
-    /// The objects that one remembers.
+    /// The longest queue for a slot; requests beyond it are rejected.
+    #[serde(rename = "queue")]
+    pub queue_capacity: usize,
+    /// The number of objects that an upstream keeps warm, evicting the least recently used.
     pub warm_objects: usize,
-    /// The work for an object that it remembers, in milliseconds.
+    /// The mean service time for a warm object, in milliseconds.
     pub warm_ms: u64,
-    /// The work for another one, in milliseconds.
+    /// The mean service time for any other object, in milliseconds.
     pub cold_ms: u64,
-    /// How long one stays cold after its start, in milliseconds.
+    /// How long an upstream stays cold after its start, in milliseconds.
     pub cold_start_ms: u64,
-    /// The requests a second that a cold one bears; it crashes above them.
-    pub cold_per_s: f64,
-    /// The connections that one takes from all VMs.
+    /// The requests a second that a cold upstream should get; it crashes above twice this rate.
+    #[serde(rename = "cold_per_s")]
+    pub cold_requests_per_s: f64,
+    /// The most connections that an upstream accepts from all VMs together.
     pub max_connections: u32,
-    /// How long it keeps an idle connection, in milliseconds.
-    pub idle_ms: u64,
+    /// How long an upstream keeps an idle connection open, in milliseconds.
+    #[serde(rename = "idle_ms")]
+    pub idle_timeout_ms: u64,
 }
 
-/// The callers.
+/// The load that the callers generate.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerModel {
-    /// The requests a second, over all regions, on average.
-    pub per_s: f64,
-    /// How far the rate swings, as a part of it.
-    #[serde(default)]
-    pub wave: f64,
-    /// How long a swing takes, in milliseconds.
-    #[serde(default = "default_wave_ms")]
-    pub wave_ms: u64,
-    /// The objects that requests are for.
+    /// The average request rate over all regions, in requests a second.
+    #[serde(rename = "per_s")]
+    pub requests_per_s: f64,
+    /// The amplitude of the sine wave of the rate, as a ratio of the average.
+    #[serde(default, rename = "wave")]
+    pub rate_amplitude: f64,
+    /// The period of the sine wave, in milliseconds.
+    #[serde(default = "default_rate_period_ms", rename = "wave_ms")]
+    pub rate_period_ms: u64,
+    /// The number of distinct objects.
     pub objects: usize,
-    /// How unevenly: the exponent of Zipf's law.
-    pub skew: f64,
-    /// The time by which an answer is worth most, in milliseconds.
+    /// The exponent of the Zipf distribution of requests over objects.
+    #[serde(rename = "skew")]
+    pub zipf_exponent: f64,
+    /// The response time up to which a response has full utility, in milliseconds.
     pub target_ms: u64,
-    /// The time after which it is worth nothing, in milliseconds.
+    /// The response time from which a response has no utility, in milliseconds.
     pub timeout_ms: u64,
-    /// How often a caller comes back after a refusal.
-    pub returns: u32,
-    /// Whether callers wait as long as they are told.
-    #[serde(default = "default_waits")]
-    pub waits: bool,
-    /// How often the ingress may send a request that runs.
-    #[serde(default = "default_attempts")]
+    /// How often a caller resubmits a rejected request.
+    #[serde(rename = "returns")]
+    pub max_resubmissions: u32,
+    /// Whether callers wait for the retry delay that a rejection gives them.
+    #[serde(default = "default_honors_retry_after", rename = "waits")]
+    pub honors_retry_after: bool,
+    /// The most upstreams to which an entry VM sends one request.
+    #[serde(default = "default_max_attempts")]
     pub max_attempts: u32,
 }
 
-fn default_wave_ms() -> u64 {
+fn default_rate_period_ms() -> u64 {
     20_000
 }
 
-fn default_waits() -> bool {
+fn default_honors_retry_after() -> bool {
     true
 }
 
-fn default_attempts() -> u32 {
+fn default_max_attempts() -> u32 {
     2
 }
 
-/// Something that goes wrong for a while.
+/// A fault or burst that lasts for a part of the run.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
-    /// When it begins, in milliseconds.
+pub struct Fault {
+    /// The simulated time at which the fault begins, in milliseconds.
     pub from_ms: u64,
-    /// When it ends, in milliseconds.
+    /// The simulated time at which the fault ends, in milliseconds.
     pub until_ms: u64,
-    /// How many upstreams it takes, over all failure domains; without meaning for callers' trouble.
+    /// The number of affected upstreams over all failure domains; unused for a burst.
     #[serde(default)]
     pub upstreams: usize,
-    /// What goes wrong.
-    pub kind: TroubleKind,
+    /// What the fault changes.
+    pub kind: FaultKind,
 }
 
-/// What goes wrong.
+/// The effect of a [`Fault`].
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum TroubleKind {
-    /// Work takes this many times as long.
+pub enum FaultKind {
+    /// Service times are multiplied by this factor.
     Slow(f64),
-    /// This part of the requests fails.
+    /// This ratio of the requests fails, from 0 to 1.
     Failing(f64),
-    /// Requests are taken and never answered.
-    Silent,
-    /// They can't be connected to; they start cold when it ends.
-    Gone,
-    /// Callers ask this many times as often.
+    /// Requests are accepted and never answered.
+    #[serde(rename = "silent")]
+    Unresponsive,
+    /// Connections fail; the upstreams start cold when the fault ends.
+    #[serde(rename = "gone")]
+    Down,
+    /// The request rate is multiplied by this factor.
     Burst(f64),
 }
 
 impl Scenario {
-    /// Reads a scenario.
+    /// Reads a scenario from a YAML file.
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read or is not in order.
+    /// Fails if the file can't be read or is not a valid scenario.
     pub fn read(path: &Path) -> Result<Self, ScenarioError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ScenarioError::Read { path: path.into(), source })?;
@@ -172,7 +181,7 @@
             .map_err(|source| ScenarioError::Parse { path: path.into(), source: Box::new(source) })
     }
 
-    /// Returns each failure domain with its region.
+    /// Returns the name of each failure domain with the name of its region.
     pub fn domains(&self) -> impl Iterator<Item = (&str, &str)> {
         self.regions
             .iter()
--- a/crates/sedgepath-emulator/src/setup.rs
+++ b/crates/sedgepath-emulator/src/setup.rs
@@ -1,4 +1,4 @@
-//! What the core is told before a run: VMs, upstreams, the configuration.
+//! Builds the initial state of the core: VMs, upstreams and the configuration.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -14,24 +14,25 @@
 
 use crate::scenario::Scenario;
 
-/// The service that all callers ask for.
+/// The only service of the configuration.
 const SERVICE: &str = "service";
 
-/// The host that all callers name.
+/// The host of all requests.
 pub(crate) const HOST: &str = "host.example";
 
-/// The time between two heartbeats of a VM, in milliseconds, as in the daemon.
-pub(crate) const HEARTBEAT_MS: u64 = 500;
+/// The interval between a VM's heartbeats, as in the daemon.
+pub(crate) const HEARTBEAT_INTERVAL_MS: u64 = 500;
 
-/// The retry budget: that of the users' sites.
-const BUDGET: RetryBudgetLimits = RetryBudgetLimits { ratio: 0.2, slack: 60.0, window_ms: 10_000 };
+/// The retry budget of the whole system.
+const RETRY_BUDGET: RetryBudgetLimits =
+    RetryBudgetLimits { ratio: 0.2, slack: 60.0, window_ms: 10_000 };
 
-/// Returns the entry of an upstream, which has been warm for long.
-pub(crate) fn entry(number: usize, domain: &str, scenario: &Scenario) -> UpstreamEntry {
+/// Returns the registry entry of an upstream that is past its cold start.
+pub(crate) fn upstream_entry(number: usize, domain: &str, scenario: &Scenario) -> UpstreamEntry {
     UpstreamEntry {
         name: format!("u{number}").into(),
         service: SERVICE.into(),
-        address: address(1, number, 8_080),
+        address: socket_address(1, number, 8_080),
         domain: domain.into(),
         slots: scenario.upstreams.slots as u32,
         leaving: false,
@@ -41,12 +42,12 @@
     }
 }
 
-fn address(net: u8, number: usize, port: u16) -> SocketAddr {
-    let ip = Ipv4Addr::new(10, net, (number / 250) as u8, (number % 250) as u8 + 1);
+fn socket_address(second_octet: u8, number: usize, port: u16) -> SocketAddr {
+    let ip = Ipv4Addr::new(10, second_octet, (number / 250) as u8, (number % 250) as u8 + 1);
     SocketAddr::new(IpAddr::V4(ip), port)
 }
 
-/// Returns the configuration: one host, one route, one service.
+/// Returns a configuration with one host, one route and one service.
 pub(crate) fn configuration(scenario: &Scenario) -> Arc<Configuration> {
     let callers = scenario.callers;
     let route = Route {
@@ -61,13 +62,13 @@
         sticky: true,
         home_regions: Vec::new(),
     };
-    let settings = ServiceSettings {
+    let service_settings = ServiceSettings {
         max_connections: scenario.upstreams.max_connections,
         cold_start_ms: scenario.upstreams.cold_start_ms,
-        cold_requests_per_s: scenario.upstreams.cold_per_s,
+        cold_requests_per_s: scenario.upstreams.cold_requests_per_s,
     };
     let mut services: Map<Box<str>, ServiceSettings> = Map::default();
-    services.insert(SERVICE.into(), settings);
+    services.insert(SERVICE.into(), service_settings);
     let mut hosts: Map<Box<str>, Vec<Arc<Route>>> = Map::default();
     hosts.insert(HOST.into(), vec![Arc::new(route)]);
     let limits =
@@ -75,36 +76,41 @@
     Arc::new(Configuration { version: 1, services, hosts, limits })
 }
 
-/// Returns a VM that knows only itself.
-pub(crate) fn steering(
+/// Returns the state of a VM that knows no other VM and no upstream.
+pub(crate) fn new_steering(
     number: usize,
     domain: &str,
     region: &str,
     domains: &[(&str, &str)],
 ) -> Steering {
     let name: Box<str> = format!("vm{number}").into();
-    let regions = domains.iter().map(|(domain, region)| ((*domain).into(), (*region).into()));
-    let place = VmLocation {
+    let region_by_domain =
+        domains.iter().map(|(domain, region)| ((*domain).into(), (*region).into()));
+    let location = VmLocation {
         name: name.clone(),
         domain: domain.into(),
         region: region.into(),
-        regions: regions.collect(),
+        regions: region_by_domain.collect(),
     };
-    let card = VmDescriptor {
+    let descriptor = VmDescriptor {
         name,
         domain: domain.into(),
         region: region.into(),
-        caller_address: address(0, number, 80),
-        peer_address: address(0, number, 7_000),
+        caller_address: socket_address(0, number, 80),
+        peer_address: socket_address(0, number, 7_000),
     };
-    let mut own = VmHeartbeat::new(card, 1, HEARTBEAT_MS);
-    own.state.ready = true;
-    own.state.store_health = StoreHealth::Reachable { for_ms: 0 };
+    let mut heartbeat = VmHeartbeat::new(descriptor, 1, HEARTBEAT_INTERVAL_MS);
+    heartbeat.state.ready = true;
+    heartbeat.state.store_health = StoreHealth::Reachable { for_ms: 0 };
     let timing = VmTiming {
-        heartbeat_interval_ms: HEARTBEAT_MS,
+        heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
         max_heartbeats_per_s: 130,
         max_silence_ms: 5_500,
         forget_after_ms: 20_000,
     };
-    Steering::new(place, OperatorLimits { budget: BUDGET }, VmTable::new(own, timing))
+    Steering::new(
+        location,
+        OperatorLimits { budget: RETRY_BUDGET },
+        VmTable::new(heartbeat, timing),
+    )
 }
--- a/crates/sedgepath-emulator/src/upstream.rs
+++ b/crates/sedgepath-emulator/src/upstream.rs
@@ -1,125 +1,126 @@
-//! An upstream: slots, a queue, the objects it remembers, and trouble.
+//! The model of an upstream: slots, a queue, a cache of warm objects, and faults.
 
 use std::collections::VecDeque;
 
 use sedgepath_core::direct::upstreams::LoadReport;
 
-use crate::scenario::{TroubleKind, UpstreamModel};
+use crate::scenario::{FaultKind, UpstreamModel};
 
-/// How much the work for a request differs from the mean, either way, as a part of it.
-const JITTER: f64 = 0.2;
+/// The largest deviation of a request's service time from the mean, as a ratio of it.
+const SERVICE_TIME_JITTER_RATIO: f64 = 0.2;
 
-/// A request as an upstream sees it.
+/// The part of an attempt that an upstream works on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Work {
-    /// Names the sending.
-    pub sending: usize,
-    /// What it is for.
+    /// The index of the attempt.
+    pub attempt: usize,
+    /// The index of the object that the request concerns.
     pub object: usize,
 }
 
-/// What an upstream does with a request that reaches it.
+/// How an upstream reacts to an attempt that reaches it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
-    /// It runs until this moment, in milliseconds.
-    Runs {
-        /// The moment.
+pub enum Admission {
+    /// The attempt takes a slot at once.
+    Started {
+        /// The simulated time at which the work completes, in milliseconds.
         until_ms: u64,
     },
-    /// It waits for a slot.
-    Waits,
-    /// It is refused.
-    Refused,
-    /// It fails at once.
-    Fails,
-    /// Nothing is ever heard of it.
-    Lost,
+    /// The attempt waits for a slot.
+    Queued,
+    /// The queue is full.
+    Rejected,
+    /// The upstream responds with an error at once.
+    Failed,
+    /// The upstream accepts the attempt and never responds.
+    Unanswered,
     /// No connection can be made.
     Unreachable,
 }
 
-/// An upstream.
+/// An upstream and its state at the current simulated time.
 #[derive(Debug)]
 pub struct Upstream {
     model: UpstreamModel,
     running: usize,
     waiting: VecDeque<Work>,
-    /// The objects that it remembers, the last used last.
+    /// The warm objects, the most recently used last.
     warm: VecDeque<usize>,
-    trouble: Option<TroubleKind>,
+    fault: Option<FaultKind>,
     cold_until_ms: u64,
-    cold_arrivals: VecDeque<u64>,
-    /// Requests that found their object remembered.
+    cold_arrivals_at_ms: VecDeque<u64>,
+    /// The started requests whose object was warm.
     pub warm_runs: usize,
-    /// All requests that it began.
+    /// All started requests.
     pub runs: usize,
-    /// How often it broke down under requests while it was cold.
+    /// How often too many requests crashed the upstream while it was cold.
     pub crashes: usize,
 }
 
 impl Upstream {
-    /// Creates an upstream that remembers nothing.
+    /// Creates an upstream without warm objects, past its cold start.
     pub fn new(model: UpstreamModel) -> Self {
         Self {
             model,
             running: 0,
             waiting: VecDeque::new(),
             warm: VecDeque::new(),
-            trouble: None,
+            fault: None,
             cold_until_ms: 0,
-            cold_arrivals: VecDeque::new(),
+            cold_arrivals_at_ms: VecDeque::new(),
             warm_runs: 0,
             runs: 0,
             crashes: 0,
         }
     }
 
-    /// Begins or ends trouble. One that was gone starts cold, with nothing remembered.
-    pub fn set_trouble(&mut self, trouble: Option<TroubleKind>, now_ms: u64) {
-        if self.trouble == Some(TroubleKind::Gone) && trouble.is_none() {
+    /// Begins or ends a fault. An upstream that was down starts cold and without warm objects.
+    pub fn set_fault(&mut self, fault: Option<FaultKind>, now_ms: u64) {
+        if self.fault == Some(FaultKind::Down) && fault.is_none() {
             self.warm.clear();
             self.cold_until_ms = now_ms + self.model.cold_start_ms;
         }
-        if trouble == Some(TroubleKind::Gone) {
+        if fault == Some(FaultKind::Down) {
             self.running = 0;
             self.waiting.clear();
         }
-        self.trouble = trouble;
+        self.fault = fault;
     }
 
-    /// Whether it can't be connected to.
-    pub fn is_gone(&self) -> bool {
-        self.trouble == Some(TroubleKind::Gone)
+    /// Whether connections to the upstream fail.
+    pub fn is_down(&self) -> bool {
+        self.fault == Some(FaultKind::Down)
     }
 
-    /// Whether it answers nothing.
-    pub fn is_silent(&self) -> bool {
-        self.trouble == Some(TroubleKind::Silent)
+    /// Whether the upstream accepts requests without ever responding.
+    pub fn is_unresponsive(&self) -> bool {
+        self.fault == Some(FaultKind::Unresponsive)
     }
 
-    /// Takes in a request.
-    pub fn take(&mut self, work: Work, now_ms: u64, random: &mut fastrand::Rng) -> Taken {
-        self.note_cold_arrival(now_ms);
-        match self.trouble {
-            Some(TroubleKind::Gone) => return Taken::Unreachable,
-            Some(TroubleKind::Silent) => return Taken::Lost,
-            Some(TroubleKind::Failing(part)) if random.f64() < part => return Taken::Fails,
+    /// Starts, queues or rejects an attempt, or lets it fail as the current fault demands.
+    pub fn admit(&mut self, work: Work, now_ms: u64, random: &mut fastrand::Rng) -> Admission {
+        self.record_cold_arrival(now_ms);
+        match self.fault {
+            Some(FaultKind::Down) => return Admission::Unreachable,
+            Some(FaultKind::Unresponsive) => return Admission::Unanswered,
+            Some(FaultKind::Failing(ratio)) if random.f64() < ratio => return Admission::Failed,
             _ => {}
         }
         if self.running < self.model.slots {
-            return Taken::Runs { until_ms: self.run(work, now_ms, random) };
+            return Admission::Started { until_ms: self.start(work, now_ms, random) };
         }
-        if self.waiting.len() >= self.model.queue {
-            return Taken::Refused;
+        if self.waiting.len() >= self.model.queue_capacity {
+            return Admission::Rejected;
         }
         self.waiting.push_back(work);
-        Taken::Waits
+        Admission::Queued
     }
 
-    /// Ends a request that ran; returns the one that takes its slot, with its end in milliseconds.
+    /// Frees the slot of completed work and starts the next queued work that is still wanted.
     ///
-    /// `is_wanted` says whether anybody still waits for a request.
-    pub fn end(
+    /// Returns the started work with its completion time in milliseconds. `is_wanted` says whether
+    /// a VM still waits for the response.
+    pub fn complete(
         &mut self,
         now_ms: u64,
         random: &mut fastrand::Rng,
@@ -129,14 +130,14 @@
         while self.running < self.model.slots {
             let next = self.waiting.pop_front()?;
             if is_wanted(next) {
-                return Some((next, self.run(next, now_ms, random)));
+                return Some((next, self.start(next, now_ms, random)));
             }
         }
         None
     }
 
-    /// Returns what it says of its load.
-    pub fn report(&self) -> LoadReport {
+    /// Returns the load report that the upstream attaches to a response.
+    pub fn load_report(&self) -> LoadReport {
         LoadReport {
             running: self.running as u32,
             waiting: self.waiting.len() as u32,
@@ -144,40 +145,41 @@
         }
     }
 
-    fn run(&mut self, work: Work, now_ms: u64, random: &mut fastrand::Rng) -> u64 {
+    /// Takes a slot and returns the completion time in milliseconds.
+    fn start(&mut self, work: Work, now_ms: u64, random: &mut fastrand::Rng) -> u64 {
         self.running += 1;
         self.runs += 1;
-        let known = self.warm.iter().position(|object| *object == work.object);
+        let warm_index = self.warm.iter().position(|object| *object == work.object);
         let mut work_ms = self.model.cold_ms;
-        if let Some(place) = known {
-            self.warm.remove(place);
+        if let Some(index) = warm_index {
+            self.warm.remove(index);
             self.warm_runs += 1;
             work_ms = self.model.warm_ms;
         } else if self.warm.len() >= self.model.warm_objects {
             self.warm.pop_front();
         }
         self.warm.push_back(work.object);
-        let slow = match self.trouble {
-            Some(TroubleKind::Slow(factor)) => factor,
+        let slowdown = match self.fault {
+            Some(FaultKind::Slow(factor)) => factor,
             _ => 1.0,
         };
-        let jitter = 1.0 + JITTER * (2.0 * random.f64() - 1.0);
-        now_ms + ((work_ms as f64 * slow * jitter) as u64).max(1)
+        let jitter = 1.0 + SERVICE_TIME_JITTER_RATIO * (2.0 * random.f64() - 1.0);
+        now_ms + ((work_ms as f64 * slowdown * jitter) as u64).max(1)
     }
 
-    /// Counts a request that comes while it is cold; above the rate that it bears it starts anew.
-    fn note_cold_arrival(&mut self, now_ms: u64) {
+    /// Counts an arrival during a cold start; too many within a second restart the cold start.
+    fn record_cold_arrival(&mut self, now_ms: u64) {
         if now_ms >= self.cold_until_ms {
             return;
         }
-        self.cold_arrivals.push_back(now_ms);
-        while self.cold_arrivals.front().is_some_and(|at_ms| at_ms + 1_000 <= now_ms) {
-            self.cold_arrivals.pop_front();
+        self.cold_arrivals_at_ms.push_back(now_ms);
+        while self.cold_arrivals_at_ms.front().is_some_and(|at_ms| at_ms + 1_000 <= now_ms) {
+            self.cold_arrivals_at_ms.pop_front();
         }
-        // Two VMs that disagree on who sends there are borne.
-        if self.cold_arrivals.len() as f64 > 2.0 * self.model.cold_per_s {
+        // The factor tolerates two VMs that each believe they own the upstream's cold-start rate.
+        if self.cold_arrivals_at_ms.len() as f64 > 2.0 * self.model.cold_requests_per_s {
             self.crashes += 1;
-            self.cold_arrivals.clear();
+            self.cold_arrivals_at_ms.clear();
             self.warm.clear();
             self.cold_until_ms = now_ms + self.model.cold_start_ms;
         }
--- a/crates/sedgepath-emulator/tests/emulator.rs
+++ b/crates/sedgepath-emulator/tests/emulator.rs
@@ -1,96 +1,106 @@
-//! What a run gives, and what the policy in force is worth beside the baselines.
+//! Properties of a simulation run, and the utility of the default policy against the baselines.
 
 use std::path::Path;
 
-use sedgepath_emulator::policy::{self, Named};
-use sedgepath_emulator::report::{self, Row};
-use sedgepath_emulator::run::{Figures, play};
+use sedgepath_emulator::policy::{self, NamedPolicy};
+use sedgepath_emulator::report::{self, PolicyResults};
+use sedgepath_emulator::run::{RunMetrics, run_scenario};
 use sedgepath_emulator::scenario::{Scenario, ScenarioError};
 
 fn scenario(name: &str) -> Scenario {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios").join(name);
-    Scenario::read(&path).expect("a scenario")
+    Scenario::read(&path).expect("a valid scenario")
 }
 
-fn named(name: &str) -> Named {
-    policy::all().into_iter().find(|policy| policy.name == name).expect("a policy")
+fn policy_named(name: &str) -> NamedPolicy {
+    policy::all().into_iter().find(|policy| policy.name == name).expect("a known policy")
 }
 
-fn worth(scenario: &Scenario, name: &str) -> f64 {
-    let runs = (1..=2).map(|seed| play(scenario, named(name).policy, seed).mean_worth());
+fn mean_utility_of(scenario: &Scenario, name: &str) -> f64 {
+    let runs =
+        (1..=2).map(|seed| run_scenario(scenario, policy_named(name).config, seed).mean_utility());
     runs.sum::<f64>() / 2.0
 }
 
-/// The same seed gives the same run to the last figure; another one gives another.
+/// Guards against randomness from outside the seed, and against a seed that is ignored.
 #[test]
-fn a_seed_gives_the_same_run() {
+fn the_same_seed_gives_the_same_run() {
     let mut scenario = scenario("bad_upstreams.yaml");
     scenario.duration_ms = 15_000;
-    let run = |seed| play(&scenario, named("in force").policy, seed);
+    let run = |seed| run_scenario(&scenario, policy_named("in force").config, seed);
     assert_eq!(run(7), run(7));
     assert_ne!(run(7), run(8));
 }
 
-/// Every request ends in one way, and no cold upstream breaks down under requests, in each scenario.
+/// Guards against requests without an outcome or with two, and against crashes of cold upstreams.
 #[test]
-fn every_request_ends_once() {
+fn every_request_has_exactly_one_outcome() {
     for name in ["waves.yaml", "burst.yaml", "bad_upstreams.yaml", "lost_upstreams.yaml"] {
-        let figures = play(&scenario(name), named("in force").policy, 3);
-        let ended = figures.in_time + figures.late + figures.refused + figures.failed;
-        assert_eq!(ended, figures.asked, "{name}");
-        assert_eq!(figures.latencies_ms.len(), figures.in_time + figures.late, "{name}");
-        assert!(figures.asked > 6_000, "{name}: {}", figures.asked);
-        assert_eq!(figures.crashes, 0, "{name}");
+        let metrics = run_scenario(&scenario(name), policy_named("in force").config, 3);
+        let ended = metrics.on_time + metrics.late + metrics.rejected + metrics.failed;
+        assert_eq!(ended, metrics.requests, "{name}");
+        assert_eq!(metrics.latencies_ms.len(), metrics.on_time + metrics.late, "{name}");
+        assert!(metrics.requests > 6_000, "{name}: {}", metrics.requests);
+        assert_eq!(metrics.crashes, 0, "{name}");
     }
 }
 
-/// Objects have one order of upstreams and spill to the second: of baselines that scatter them, never
-/// spill, or let queues stand, each is worth less where upstreams are nearly full.
+/// Guards against a default policy without a clear gain over baselines that scatter objects, never spill
+/// or allow long queues, under a load close to the upstreams' capacity.
 #[test]
-fn the_policy_in_force_is_worth_more_than_baselines() {
+fn the_default_policy_has_a_higher_utility_than_baselines() {
     let waves = scenario("waves.yaml");
-    let in_force = worth(&waves, "in force");
+    let default_policy = mean_utility_of(&waves, "in force");
     for name in ["first of the order only", "least expected time of all", "two at random"] {
-        let other = worth(&waves, name);
-        assert!(in_force > other + 0.03, "{name}: {other:.3} beside {in_force:.3}");
+        let other = mean_utility_of(&waves, name);
+        assert!(
+            default_policy > other + 0.03,
+            "{name}: {other:.3}, default policy: {default_policy:.3}"
+        );
     }
     let burst = scenario("burst.yaml");
-    let in_force = worth(&burst, "in force");
-    let other = worth(&burst, "waits twice the target");
-    assert!(in_force > other + 0.03, "standing queues: {other:.3} beside {in_force:.3}");
+    let default_policy = mean_utility_of(&burst, "in force");
+    let other = mean_utility_of(&burst, "waits twice the target");
+    assert!(
+        default_policy > other + 0.03,
+        "long queues: {other:.3}, default policy: {default_policy:.3}"
+    );
 }
 
-/// A report names each policy with its spread, and a plot is written whole.
+/// Guards against a table that misses a policy, and against a truncated plot.
 #[test]
 fn a_report_has_a_row_and_a_curve_for_each_policy() {
     let mut scenario = scenario("waves.yaml");
     scenario.duration_ms = 3_000;
-    let row = |policy: Named| Row { policy, runs: vec![play(&scenario, policy.policy, 1)] };
-    let rows: Vec<Row> = policy::all().into_iter().take(2).map(row).collect();
-    let table = report::table(&scenario, &rows);
+    let result = |policy: NamedPolicy| PolicyResults {
+        policy,
+        runs: vec![run_scenario(&scenario, policy.config, 1)],
+    };
+    let results: Vec<PolicyResults> = policy::all().into_iter().take(2).map(result).collect();
+    let table = report::markdown_table(&scenario, &results);
     assert_eq!(table.lines().filter(|line| line.starts_with("| in force |")).count(), 1);
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("waves.svg");
-    report::plot(&scenario, &rows, &path).expect("a plot");
-    let plot = std::fs::read_to_string(path).expect("the plot");
+    let dir = tempfile::tempdir().expect("a temporary directory");
+    let path = dir.path().join("waves.svg");
+    report::plot(&scenario, &results, &path).expect("the plot is drawn");
+    let plot = std::fs::read_to_string(path).expect("the plot is readable");
     assert!(plot.trim_end().ends_with("</svg>") && plot.contains("first of the order only"));
 }
 
-/// Half of the answers come within the middle of their times; no answers give no time.
+/// Guards against quantiles of unsorted times, and against a panic without responses.
 #[test]
-fn latencies_are_read_off_the_sorted_times() {
-    let figures = Figures { latencies_ms: vec![30, 10, 20, 40], ..Figures::default() };
-    assert_eq!((figures.latency_ms(0.5), figures.latency_ms(0.99)), (30, 40));
-    assert_eq!(Figures::default().latency_ms(0.5), 0);
+fn latency_quantiles_are_of_the_sorted_times() {
+    let metrics = RunMetrics { latencies_ms: vec![30, 10, 20, 40], ..RunMetrics::default() };
+    assert_eq!((metrics.latency_quantile_ms(0.5), metrics.latency_quantile_ms(0.99)), (30, 40));
+    assert_eq!(RunMetrics::default().latency_quantile_ms(0.5), 0);
 }
 
-/// A scenario with a field that nobody knows is refused, with the file's name.
+/// Guards against a misspelled field that is ignored, and against an error without the file name.
 #[test]
-fn a_mistyped_scenario_is_refused() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("odd.yaml");
-    std::fs::write(&path, "name: odd\ndurration_ms: 3\n").expect("written");
-    let error = Scenario::read(&path).expect_err("a mistake");
+fn an_unknown_scenario_field_is_an_error() {
+    let dir = tempfile::tempdir().expect("a temporary directory");
+    let path = dir.path().join("odd.yaml");
+    std::fs::write(&path, "name: odd\ndurration_ms: 3\n").expect("the file is written");
+    let error = Scenario::read(&path).expect_err("a parse error");
     assert!(matches!(error, ScenarioError::Parse { .. }));
     assert!(error.to_string().contains("odd.yaml"));
 }
