--- a/crates/sedgepath/src/cli.rs
+++ b/crates/sedgepath/src/cli.rs
@@ -1,4 +1,4 @@
-//! Finds the command and runs it.
+//! Parses the command line and runs the command that it names.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -11,47 +11,47 @@
 use crate::error::{CliError, Exit};
 use crate::operations::logs::LogLine;
 
-/// The variable that names the nodes to ask, separated by commas or blanks.
+/// The environment variable with the nodes to call, separated by commas or spaces.
 pub const NODES_VARIABLE: &str = "SEDGEPATH_NODES";
 
-/// The variable that holds the operator's key.
+/// The environment variable with the operator's key.
 pub const KEY_VARIABLE: &str = "SEDGEPATH_KEY";
 
-/// What the environment says.
+/// The settings that come from environment variables.
 #[derive(Clone, Default)]
 pub struct Environment {
-    /// The nodes to ask, separated by commas or blanks.
+    /// The nodes to call, separated by commas or spaces.
     pub nodes: Option<String>,
-    /// The operator's key.
+    /// The operator's key, which signs calls.
     pub key: Option<String>,
 }
 
 impl std::fmt::Debug for Environment {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // The key stays out of logs and panics.
+        // Omits the key, so that it can't appear in logs or panic messages.
         f.debug_struct("Environment").field("nodes", &self.nodes).finish_non_exhaustive()
     }
 }
 
 impl Environment {
-    /// Reads the process's own.
-    pub fn of_process() -> Self {
+    /// Reads the environment variables of the process.
+    pub fn from_process() -> Self {
         Self { nodes: std::env::var(NODES_VARIABLE).ok(), key: std::env::var(KEY_VARIABLE).ok() }
     }
 }
 
-/// The width of the column of the commands' names.
-const NAME_WIDTH: usize = 10;
+/// The width of the command names in the overview, in characters.
+const COMMAND_COLUMN_WIDTH: usize = 10;
 
-/// What a command works with.
+/// The input and output of a running command.
 pub struct Context<'a> {
-    /// The command.
+    /// The command that runs.
     pub command: &'static Command,
-    /// Its options and arguments.
+    /// The parsed options and arguments.
     pub matches: Matches,
-    /// What the environment says.
+    /// The settings from environment variables.
     pub environment: &'a Environment,
-    /// Where the output goes.
+    /// The standard output, or a buffer in tests.
     pub out: &'a mut dyn Write,
 }
 
@@ -62,50 +62,52 @@
 }
 
 impl Context<'_> {
-    /// Creates a usage error of this command.
-    pub fn usage(&self, message: impl Into<Box<str>>) -> CliError {
+    /// Creates a usage error that refers to this command's help.
+    pub fn usage_error(&self, message: impl Into<Box<str>>) -> CliError {
         CliError::Usage { message: message.into(), command: self.command.name.into() }
     }
 
-    /// Returns the only argument.
+    /// Returns the only argument; `what` describes it in errors.
     ///
     /// # Errors
     ///
-    /// Fails if there is none or more than one.
-    pub fn argument(&self, what: &str) -> Result<Box<str>, CliError> {
+    /// Fails unless there is exactly one argument.
+    pub fn single_argument(&self, what: &str) -> Result<Box<str>, CliError> {
         match &*self.matches.free {
             [argument] => Ok(argument.as_str().into()),
-            [] => Err(self.usage(format!("{what} is missing"))),
-            _ => Err(self.usage(format!("there should be one argument, {what}"))),
+            [] => Err(self.usage_error(format!("missing argument: {what}"))),
+            _ => Err(self.usage_error(format!("expected exactly one argument: {what}"))),
         }
     }
 
-    /// Fails if there are arguments.
+    /// Checks that there are no arguments.
     ///
     /// # Errors
     ///
-    /// Fails if there are any.
-    pub fn no_arguments(&self) -> Result<(), CliError> {
+    /// Fails with a usage error if there are any.
+    pub fn expect_no_arguments(&self) -> Result<(), CliError> {
         match self.matches.free.first() {
-            Some(argument) => Err(self.usage(format!("`{argument}` is one argument too many"))),
+            Some(argument) => Err(self.usage_error(format!("unexpected argument `{argument}`"))),
             None => Ok(()),
         }
     }
 
-    /// Returns the value of an option that is a number.
+    /// Returns the value of a numeric option, if it is given.
     ///
     /// # Errors
     ///
-    /// Fails if it is none.
-    pub fn number(&self, option: &str) -> Result<Option<u64>, CliError> {
+    /// Fails if the value is not a whole number.
+    pub fn number_option(&self, option: &str) -> Result<Option<u64>, CliError> {
         let Some(text) = self.matches.opt_str(option) else { return Ok(None) };
         match text.parse() {
             Ok(number) => Ok(Some(number)),
-            Err(_) => Err(self.usage(format!("`--{option} {text}` is no whole number"))),
+            Err(_) => Err(self.usage_error(format!(
+                "invalid value `{text}` for `--{option}`: expected a whole number"
+            ))),
         }
     }
 
-    /// Writes lines of logs, as text or JSON.
+    /// Writes log lines as text, or as JSON if that is requested.
     ///
     /// # Errors
     ///
@@ -115,7 +117,7 @@
         lines: impl IntoIterator<Item = &'a LogLine>,
     ) -> Result<(), CliError> {
         let lines: Vec<&LogLine> = lines.into_iter().collect();
-        if self.json() {
+        if self.wants_json() {
             return self.write_json(&lines);
         }
         for line in lines {
@@ -124,61 +126,63 @@
         Ok(())
     }
 
-    /// Whether the output is to be JSON.
-    pub fn json(&self) -> bool {
+    /// Whether the command has the option `--json` and it is given.
+    pub fn wants_json(&self) -> bool {
         self.matches.opt_defined("json") && self.matches.opt_present("json")
     }
 
-    /// Writes a value as JSON.
+    /// Writes a value as indented JSON.
     ///
     /// # Errors
     ///
-    /// Fails if it can't be written.
+    /// Fails if the value can't be serialized or the output can't be written.
     pub fn write_json(&mut self, value: &impl serde::Serialize) -> Result<(), CliError> {
         writeln!(self.out, "{}", serde_json::to_string_pretty(value)?)?;
         Ok(())
     }
 
-    /// Returns the nodes that are named, by the options or else by the environment.
+    /// Returns the nodes named by `--node`, or those of the environment if there are none.
     ///
     /// # Errors
     ///
-    /// Fails if one is no address.
-    pub fn named_nodes(&self) -> Result<Vec<SocketAddr>, CliError> {
+    /// Fails if a node is not a socket address.
+    pub fn node_addresses(&self) -> Result<Vec<SocketAddr>, CliError> {
         let mut names = self.matches.opt_strs("node");
         if names.is_empty() {
-            let listed = self.environment.nodes.as_deref().unwrap_or_default();
-            let listed = listed.split([',', ' ']).filter(|name| !name.is_empty());
+            let list = self.environment.nodes.as_deref().unwrap_or_default();
+            let listed = list.split([',', ' ']).filter(|name| !name.is_empty());
             names.extend(listed.map(str::to_owned));
         }
         let addresses = names.iter().map(|name| {
             name.parse().ok().ok_or_else(|| {
-                self.usage(format!("`{name}` is no address; it should be like 192.0.2.1:7003"))
+                self.usage_error(format!(
+                    "invalid node address `{name}`: expected one like 192.0.2.1:7003"
+                ))
             })
         });
         addresses.collect()
     }
 
-    /// Returns a client of the nodes that are named.
+    /// Returns a client for the named nodes, with the key of `--key-file` or of the environment.
     ///
     /// # Errors
     ///
-    /// Fails if none is named or one is no address, or there is no key.
+    /// Fails if no node is named, a node is not a socket address, or there is no readable key.
     pub fn client(&self) -> Result<Client, CliError> {
-        let nodes = self.named_nodes()?;
+        let nodes = self.node_addresses()?;
         let key = match self.matches.opt_str("key-file") {
             Some(file) => Some(
                 std::fs::read_to_string(&file)
-                    .map_err(|source| CliError::File { file: file.into(), source })?,
+                    .map_err(|source| CliError::ReadFile { file: file.into(), source })?,
             ),
             None => self.environment.key.clone(),
         };
-        let key = key.ok_or(CliError::NoKey)?;
+        let key = key.ok_or(CliError::MissingKey)?;
         Client::new(nodes, signed_call::derive_call_key(key.trim()))
     }
 }
 
-/// Runs the command line without the program's name; errors go to standard error.
+/// Runs the arguments after the program name and prints an error to standard error.
 pub fn run(arguments: &[String], environment: &Environment, out: &mut dyn Write) -> Exit {
     match execute(arguments, environment, out) {
         Ok(()) => Exit::Success,
@@ -190,11 +194,11 @@
     }
 }
 
-/// Runs the command line without the program's name.
+/// Runs the arguments after the program name.
 ///
 /// # Errors
 ///
-/// Fails as the command does.
+/// Fails if the command line is invalid or the command fails.
 pub fn execute(
     arguments: &[String],
     environment: &Environment,
@@ -211,11 +215,11 @@
         }
         "help" => {
             let Some(name) = rest.first() else { return Ok(writeln!(out, "{}", overview())?) };
-            return Ok(writeln!(out, "{}", help(find(name)?))?);
+            return Ok(writeln!(out, "{}", help(find_command(name)?))?);
         }
         _ => {}
     }
-    let command = find(first)?;
+    let command = find_command(first)?;
     let matches = options(command).parse(rest).map_err(|error| CliError::Usage {
         message: error.to_string().into(),
         command: command.name.into(),
@@ -226,9 +230,9 @@
     (command.exec)(&mut Context { command, matches, environment, out })
 }
 
-fn find(name: &str) -> Result<&'static Command, CliError> {
+fn find_command(name: &str) -> Result<&'static Command, CliError> {
     COMMANDS.iter().copied().find(|command| command.name == name).ok_or_else(|| CliError::Usage {
-        message: format!("there is no command `{name}`; `sedgepath --help` lists them").into(),
+        message: format!("unknown command `{name}`; `sedgepath --help` lists the commands").into(),
         command: Box::default(),
     })
 }
@@ -255,7 +259,10 @@
         let summary = command.about.lines().next().unwrap_or_default();
         text.push_str("    ");
         text.push_str(command.name);
-        text.extend(std::iter::repeat_n(' ', NAME_WIDTH.saturating_sub(command.name.len())));
+        text.extend(std::iter::repeat_n(
+            ' ',
+            COMMAND_COLUMN_WIDTH.saturating_sub(command.name.len()),
+        ));
         text.push_str(summary);
         text.push('\n');
     }
--- a/crates/sedgepath/src/client.rs
+++ b/crates/sedgepath/src/client.rs
@@ -1,4 +1,4 @@
-//! Asks nodes, the next one when one can't be reached.
+//! Calls nodes over JSON-RPC, with failover to the next node.
 
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -13,38 +13,38 @@
 };
 use tokio::runtime::Runtime;
 
-use crate::error::{CliError, Tried};
+use crate::error::{CliError, NodeFailure};
 
-/// The longest that a connection may take.
+/// The timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The longest that an answer may take; a node works on a change for up to 8 s.
+/// The timeout for a response; a node works on a change for up to 8 s.
 const CALL_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// The longest answer in bytes.
-const MAX_ANSWER_BYTES: u32 = 64 * 1024 * 1024;
+/// The largest accepted response body.
+const MAX_RESPONSE_BYTES: u32 = 64 * 1024 * 1024;
 
-/// Why a node did not answer.
+/// A call to a node that did not succeed.
 #[derive(Debug)]
-pub struct Silence {
-    /// Why.
+pub struct CallFailure {
+    /// The cause, for the operator.
     pub reason: Box<str>,
-    /// Whether the question may have reached it.
-    pub sent: bool,
-    /// Whether another node may do better.
+    /// Whether the node may have carried out the call.
+    pub may_have_run: bool,
+    /// Whether the same call may succeed at another node.
     pub try_next: bool,
 }
 
-/// What became of a question that was put to the nodes in turn.
+/// The response of the first node that answered a call.
 #[derive(Debug)]
-pub struct Answer<T> {
+pub struct NodeResponse<T> {
     /// The node that answered.
     pub node: SocketAddr,
-    /// Its answer.
+    /// The decoded response.
     pub value: T,
 }
 
-/// Asks nodes.
+/// A client with a list of nodes and the key that signs its calls.
 #[derive(Debug)]
 pub struct Client {
     runtime: Runtime,
@@ -52,87 +52,92 @@
     key: SharedKey,
 }
 
-/// Records in force at a node.
+/// The records in force at a node.
 #[derive(Debug)]
-pub struct InForce {
-    /// The revision.
+pub struct RecordsInForce {
+    /// The configuration revision that the node has.
     pub revision: u64,
-    /// The records, in the order of their kinds and names.
+    /// The records, sorted by kind and name.
     pub rows: Vec<RecordRow>,
 }
 
 impl Client {
-    /// Creates a client of these nodes, tried in their order; its calls are proved by a key.
+    /// Creates a client that tries the nodes in their order and signs its calls with the key.
     ///
     /// # Errors
     ///
-    /// Fails if there is none, or the runtime can't be started.
+    /// Fails if there is no node, or the runtime can't be started.
     pub fn new(nodes: Vec<SocketAddr>, key: SharedKey) -> Result<Self, CliError> {
         if nodes.is_empty() {
-            return Err(CliError::NoNode);
+            return Err(CliError::MissingNode);
         }
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         Ok(Self { runtime, nodes, key })
     }
 
-    /// Returns the nodes that are tried.
+    /// Returns the nodes in the order in which they are tried.
     pub fn nodes(&self) -> &[SocketAddr] {
         &self.nodes
     }
 
-    /// Asks one node.
+    /// Calls one node.
     ///
     /// # Errors
     ///
-    /// Fails if it does not answer.
-    pub fn ask_one<T, F: Future<Output = Result<T, RpcError>>>(
+    /// Fails if the node can't be reached or responds with an error.
+    pub fn call_node<T, F: Future<Output = Result<T, RpcError>>>(
         &self,
         node: SocketAddr,
-        question: impl Fn(NodeClient) -> F,
-    ) -> Result<T, Silence> {
-        let unsent =
-            |reason: String| Silence { reason: reason.into(), sent: false, try_next: true };
-        // A connection that can't be made proves that nothing was sent, which the library's error
-        // does not tell apart.
+        call: impl Fn(NodeClient) -> F,
+    ) -> Result<T, CallFailure> {
+        let unsent = |reason: String| CallFailure {
+            reason: reason.into(),
+            may_have_run: false,
+            try_next: true,
+        };
+        // The HTTP client's errors don't say whether anything was sent; a failed connection shows that
+        // nothing was.
         TcpStream::connect_timeout(&node, CONNECT_TIMEOUT)
             .map_err(|error| unsent(error.to_string()))?;
         let client = HttpClientBuilder::default()
             .request_timeout(CALL_TIMEOUT)
-            .max_response_size(MAX_ANSWER_BYTES)
+            .max_response_size(MAX_RESPONSE_BYTES)
             .build(format!("http://{node}"))
             .map_err(|error| unsent(error.to_string()))?;
-        let caller = NodeClient::new(client, self.key.clone());
-        self.runtime.block_on(question(caller)).map_err(|error| match error {
-            RpcError::Call(object) => Silence {
+        let node_client = NodeClient::new(client, self.key.clone());
+        self.runtime.block_on(call(node_client)).map_err(|error| match error {
+            RpcError::Call(object) => CallFailure {
                 reason: object.message().into(),
-                // A call that is not proved is refused before anything is done for it.
-                sent: ![UNAUTHENTICATED_CODE, CLOCK_SKEW_CODE].contains(&object.code()),
+                // A node checks the signature before it carries out anything.
+                may_have_run: ![UNAUTHENTICATED_CODE, CLOCK_SKEW_CODE].contains(&object.code()),
                 try_next: [STOPPING_CODE, PLATFORM_UNAVAILABLE_CODE].contains(&object.code()),
             },
-            other => Silence { reason: other.to_string().into(), sent: true, try_next: true },
+            other => {
+                CallFailure { reason: other.to_string().into(), may_have_run: true, try_next: true }
+            }
         })
     }
 
-    /// Asks the nodes in turn until one answers.
+    /// Calls the nodes in turn until one answers.
     ///
     /// # Errors
     ///
-    /// Fails if none answers, or one answers with an error that others would give too.
-    pub fn ask<T, F: Future<Output = Result<T, RpcError>>>(
+    /// Fails if no node answers, or a node responds with an error that all nodes would give.
+    pub fn call_any<T, F: Future<Output = Result<T, RpcError>>>(
         &self,
-        question: impl Fn(NodeClient) -> F,
-    ) -> Result<Answer<T>, CliError> {
-        let mut tried = Vec::new();
+        call: impl Fn(NodeClient) -> F,
+    ) -> Result<NodeResponse<T>, CliError> {
+        let mut failures = Vec::new();
         for &node in &self.nodes {
-            match self.ask_one(node, &question) {
-                Ok(value) => return Ok(Answer { node, value }),
-                Err(Silence { reason, try_next: false, .. }) => {
-                    return Err(CliError::Node { node, reason });
+            match self.call_node(node, &call) {
+                Ok(value) => return Ok(NodeResponse { node, value }),
+                Err(CallFailure { reason, try_next: false, .. }) => {
+                    return Err(CliError::NodeError { node, reason });
                 }
-                Err(Silence { reason, .. }) => tried.push(Tried { node, reason }),
+                Err(CallFailure { reason, .. }) => failures.push(NodeFailure { node, reason }),
             }
         }
-        Err(CliError::Unreachable { tried })
+        Err(CliError::Unreachable { failures })
     }
 
     /// Returns the records in force at the first node that answers.
@@ -140,8 +145,8 @@
     /// # Errors
     ///
     /// Fails if no node answers.
-    pub fn in_force(&self) -> Result<InForce, CliError> {
-        let answer = self.ask(|client| async move {
+    pub fn records_in_force(&self) -> Result<RecordsInForce, CliError> {
+        let response = self.call_any(|client| async move {
             let mut after = RecordPosition::default();
             let mut rows = Vec::new();
             loop {
@@ -149,17 +154,17 @@
                 rows.extend(page.records);
                 match rows.last().map(RecordPosition::of_row) {
                     Some(last) if !page.complete => after = last,
-                    _ => return Ok(InForce { revision: page.revision, rows }),
+                    _ => return Ok(RecordsInForce { revision: page.revision, rows }),
                 }
             }
         })?;
-        let InForce { revision, rows } = answer.value;
-        Ok(InForce { revision, rows: newest(rows) })
+        let RecordsInForce { revision, rows } = response.value;
+        Ok(RecordsInForce { revision, rows: newest_rows(rows) })
     }
 }
 
-/// Keeps the newest row of each record: one that changed while the pages were turned came twice.
-fn newest(mut rows: Vec<RecordRow>) -> Vec<RecordRow> {
+/// Keeps the newest row of each record; a record that changes between two pages is read twice.
+fn newest_rows(mut rows: Vec<RecordRow>) -> Vec<RecordRow> {
     rows.sort_by(|a, b| {
         let key = |row: &RecordRow| (row.record.kind.clone(), row.record.name.clone());
         key(a).cmp(&key(b)).then(b.revision.cmp(&a.revision))
--- a/crates/sedgepath/src/commands.rs
+++ b/crates/sedgepath/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands, one in each file with its options beside what carries them out.
+//! The commands. Each file holds one command with its options and its output.
 
 use getopts::Options;
 
@@ -16,22 +16,22 @@
 mod status;
 mod timeline;
 
-/// A command.
+/// A subcommand of the command line.
 #[derive(Debug)]
 pub struct Command {
-    /// Its name.
+    /// The name on the command line.
     pub name: &'static str,
-    /// Its arguments, for the help text.
+    /// The arguments, as the usage line shows them.
     pub arguments: &'static str,
-    /// What it does; the first line stands in the overview.
+    /// The help text; its first line is shown in the overview.
     pub about: &'static str,
-    /// Adds its options.
+    /// Declares the options.
     pub options: fn(&mut Options),
-    /// Carries it out.
+    /// Runs the command.
     pub exec: fn(&mut Context<'_>) -> Result<(), CliError>,
 }
 
-/// All commands in the order of the overview.
+/// All commands, in the order of the overview.
 pub const COMMANDS: &[&Command] = &[
     &check::COMMAND,
     &apply::COMMAND,
@@ -45,17 +45,17 @@
     &key::COMMAND,
 ];
 
-fn node_option(options: &mut Options) {
+fn add_node_options(options: &mut Options) {
     options.optmulti("n", "node", "ask this node; may be repeated", "ADDRESS");
     options.optopt("", "key-file", "prove who asks by the key in this file", "FILE");
 }
 
-fn data_options(options: &mut Options) {
-    node_option(options);
+fn add_data_options(options: &mut Options) {
+    add_node_options(options);
     options.optflag("j", "json", "print JSON");
 }
 
-fn change_options(options: &mut Options) {
+fn add_change_options(options: &mut Options) {
     options.optopt("m", "note", "note why, for the history", "TEXT");
     options.optopt("", "change-id", "ask again about a change whose outcome is not known", "ID");
 }
--- a/crates/sedgepath/src/commands/apply.rs
+++ b/crates/sedgepath/src/commands/apply.rs
@@ -1,12 +1,12 @@
 use getopts::Options;
 
-use super::{Command, change_options, data_options};
+use super::{Command, add_change_options, add_data_options};
 use crate::cli::Context;
 use crate::error::CliError;
 use crate::operations::{self, ApplyOptions};
 use crate::records::FileRecords;
 
-/// `sedgepath apply`
+/// The command `sedgepath apply`.
 pub const COMMAND: Command = Command {
     name: "apply",
     arguments: "FILE... [OPTIONS]",
@@ -19,23 +19,23 @@
 };
 
 fn options(options: &mut Options) {
-    data_options(options);
+    add_data_options(options);
     options.optopt("e", "expect", "accept only on top of this revision", "REVISION");
-    change_options(options);
+    add_change_options(options);
 }
 
 fn exec(context: &mut Context<'_>) -> Result<(), CliError> {
     if context.matches.free.is_empty() {
-        return Err(context.usage("the files to apply are missing"));
+        return Err(context.usage_error("missing argument: the files to apply"));
     }
-    let expected_revision = context.number("expect")?;
+    let expected_revision = context.number_option("expect")?;
     let records = FileRecords::read(&context.matches.free)?;
     let options = ApplyOptions::new(records.records().to_vec())
         .with_expected_revision(expected_revision)
         .with_note(context.matches.opt_str("note"))
         .with_change_id(context.matches.opt_str("change-id"));
     let accepted = operations::apply(&context.client()?, options, &records)?;
-    if context.json() {
+    if context.wants_json() {
         return context.write_json(&accepted);
     }
     writeln!(context.out, "revision {} is accepted", accepted.revision)?;
--- a/crates/sedgepath/src/commands/check.rs
+++ b/crates/sedgepath/src/commands/check.rs
@@ -1,12 +1,12 @@
 use getopts::Options;
 
-use super::{Command, node_option};
+use super::{Command, add_node_options};
 use crate::cli::Context;
 use crate::error::CliError;
 use crate::operations;
 use crate::records::FileRecords;
 
-/// `sedgepath check`
+/// The command `sedgepath check`.
 pub const COMMAND: Command = Command {
     name: "check",
     arguments: "FILE... [OPTIONS]",
@@ -18,24 +18,25 @@
 };
 
 fn options(options: &mut Options) {
-    node_option(options);
+    add_node_options(options);
 }
 
 fn exec(context: &mut Context<'_>) -> Result<(), CliError> {
     if context.matches.free.is_empty() {
-        return Err(context.usage("the files to check are missing"));
+        return Err(context.usage_error("missing argument: the files to check"));
     }
     let records = FileRecords::read(&context.matches.free)?;
-    let nodes = context.named_nodes()?;
-    let in_force = if nodes.is_empty() { None } else { Some(context.client()?.in_force()?) };
+    let nodes = context.node_addresses()?;
+    let in_force =
+        if nodes.is_empty() { None } else { Some(context.client()?.records_in_force()?) };
     operations::check(&records, in_force.as_ref())?;
     let count = records.records().len();
     match in_force {
         Some(in_force) => {
             let revision = in_force.revision;
-            writeln!(context.out, "{count} records are in order on top of revision {revision}")?;
+            writeln!(context.out, "{count} records are valid on top of revision {revision}")?;
         }
-        None => writeln!(context.out, "{count} records are in order")?,
+        None => writeln!(context.out, "{count} records are valid")?,
     }
     Ok(())
 }
--- a/crates/sedgepath/src/commands/explain.rs
+++ b/crates/sedgepath/src/commands/explain.rs
@@ -7,12 +7,12 @@
 use sedgepath_core::hash::Digest;
 use sedgepath_core::request::Class;
 
-use super::{Command, data_options};
+use super::{Command, add_data_options};
 use crate::cli::Context;
 use crate::error::CliError;
 use crate::operations::logs;
 
-/// `sedgepath explain`
+/// The command `sedgepath explain`.
 pub const COMMAND: Command = Command {
     name: "explain",
     arguments: "SERVICE [OPTIONS] | REQUEST --logs DIR",
@@ -25,7 +25,7 @@
 };
 
 fn options(options: &mut Options) {
-    data_options(options);
+    add_data_options(options);
     options.optopt("f", "from", "the caller's address; 127.0.0.1 unless given", "ADDRESS");
     options.optopt("l", "logs", "read the collected log files of this directory", "DIR");
     options.optopt("", "key-digest", "the digest of the organisation's key", "DIGEST");
@@ -33,86 +33,92 @@
 
 fn exec(context: &mut Context<'_>) -> Result<(), CliError> {
     match context.matches.opt_str("logs") {
-        Some(dir) => exec_on_logs(context, Path::new(&dir)),
-        None => exec_on_node(context),
+        Some(dir) => explain_from_logs(context, Path::new(&dir)),
+        None => explain_from_node(context),
     }
 }
 
-fn exec_on_logs(context: &mut Context<'_>, dir: &Path) -> Result<(), CliError> {
-    let request = context.argument("the request's id")?;
+fn explain_from_logs(context: &mut Context<'_>, dir: &Path) -> Result<(), CliError> {
+    let request = context.single_argument("the id of the request")?;
     let lines = logs::read(dir)?;
-    let picked = logs::about(&lines, &request);
-    if picked.is_empty() {
-        return Err(CliError::NoSuchRequest { request });
+    let selected = logs::lines_explaining(&lines, &request);
+    if selected.is_empty() {
+        return Err(CliError::RequestNotFound { request });
     }
-    context.write_lines(picked)
+    context.write_lines(selected)
 }
 
-fn exec_on_node(context: &mut Context<'_>) -> Result<(), CliError> {
-    let service = context.argument("the service")?;
+fn explain_from_node(context: &mut Context<'_>) -> Result<(), CliError> {
+    let service = context.single_argument("the service")?;
     let source = match context.matches.opt_str("from") {
         None => IpAddr::V4(Ipv4Addr::LOCALHOST),
-        Some(text) => text
-            .parse()
-            .ok()
-            .ok_or_else(|| context.usage(format!("`--from {text}` is no IP address")))?,
+        Some(text) => text.parse().ok().ok_or_else(|| {
+            context
+                .usage_error(format!("invalid value `{text}` for `--from`: expected an IP address"))
+        })?,
     };
-    let key_digest =
-        match context.matches.opt_str("key-digest") {
-            None => None,
-            Some(hex) => Some(Digest::from_hex(&hex).ok_or_else(|| {
-                context.usage("the digest should be as `sedgepath key` prints it")
-            })?),
-        };
-    let question = ExplainRequest { service, source, key_digest };
-    let answer = context.client()?.ask(|client| {
-        let question = question.clone();
-        async move { client.explain(question).await }
+    let key_digest = match context.matches.opt_str("key-digest") {
+        None => None,
+        Some(hex) => Some(Digest::from_hex(&hex).ok_or_else(|| {
+            context.usage_error(
+                "invalid value for `--key-digest`: expected a digest as `sedgepath key` prints it",
+            )
+        })?),
+    };
+    let request = ExplainRequest { service, source, key_digest };
+    let response = context.client()?.call_any(|client| {
+        let request = request.clone();
+        async move { client.explain(request).await }
     })?;
-    if context.json() {
-        return context.write_json(&answer.value);
+    if context.wants_json() {
+        return context.write_json(&response.value);
     }
-    write(context.out, &question, &answer.value)?;
+    write_text(context.out, &request, &response.value)?;
     Ok(())
 }
 
-fn write(
+fn write_text(
     out: &mut dyn Write,
-    question: &ExplainRequest,
-    told: &Explanation,
+    request: &ExplainRequest,
+    explanation: &Explanation,
 ) -> std::io::Result<()> {
-    let entrance = match told.entrance {
-        AdmissionCheck::Open => "lets it in",
-        AdmissionCheck::NotReady => "refuses it: it has no configuration to serve by yet",
-        AdmissionCheck::Refused => "refuses it: it can't read the service's records",
-        AdmissionCheck::NoService => "refuses it: there is no such service",
-        AdmissionCheck::UnknownOrganisation => "refuses it: the organisation's key is unknown",
+    let admission = match explanation.entrance {
+        AdmissionCheck::Open => "accepts it",
+        AdmissionCheck::NotReady => "rejects it: it has no configuration yet",
+        AdmissionCheck::Refused => "rejects it: it can't read the service's records",
+        AdmissionCheck::NoService => "rejects it: there is no such service",
+        AdmissionCheck::UnknownOrganisation => "rejects it: the organisation's key is unknown",
     };
-    writeln!(out, "{} {entrance}; it decides by revision {}", told.node, told.revision)?;
-    let by = if told.origin_by_block { "a block of clients" } else { "no block of clients" };
-    writeln!(out, "origin group: {} ({by} holds {})", told.origin, question.source)?;
-    let class = told.class.map_or("none", Class::name);
-    let organisation = told.organisation.as_deref().unwrap_or("none");
+    writeln!(
+        out,
+        "{} {admission}; it decides by revision {}",
+        explanation.node, explanation.revision
+    )?;
+    let block =
+        if explanation.origin_by_block { "a block of clients" } else { "no block of clients" };
+    writeln!(out, "origin group: {} ({block} holds {})", explanation.origin, request.source)?;
+    let class = explanation.class.map_or("none", Class::name);
+    let organisation = explanation.organisation.as_deref().unwrap_or("none");
     writeln!(out, "class: {class}, organisation: {organisation}")?;
-    let Some(shares_of) = &told.shares_of else {
+    let Some(shares_of) = &explanation.shares_of else {
         return writeln!(out, "no steering record names the service");
     };
-    let schema = told.schema.unwrap_or_default();
+    let schema = explanation.schema.unwrap_or_default();
     writeln!(out, "shares: those of group {shares_of}, schema {schema}")?;
-    if let Some(cap) = told.cap {
+    if let Some(cap) = explanation.cap {
         writeln!(out, "cap: {}% in {} ms", cap.percent, cap.window_ms)?;
     }
-    writeln!(out, "rule: {}", told.policy)?;
-    for candidate in &told.candidates {
+    writeln!(out, "rule: {}", explanation.policy)?;
+    for candidate in &explanation.candidates {
         let state = match (candidate.serves, candidate.draining) {
             (false, _) => ", no entry VM takes work",
             (true, true) => ", draining",
             (true, false) => "",
         };
-        let standing = candidate.standing.map_or("none".into(), |share| format!("{share:.3}"));
+        let traffic_share = candidate.standing.map_or("none".into(), |share| format!("{share:.3}"));
         writeln!(
             out,
-            "{:<16} in {:<12} share {:.3}, stands at {standing}, {} of {} slots taken ({} declared), heard {} ms ago{state}",
+            "{:<16} in {:<12} share {:.3}, current share {traffic_share}, {} of {} slots taken ({} declared), reported {} ms ago{state}",
             candidate.domain,
             candidate.region,
             candidate.share,
--- a/crates/sedgepath/src/commands/get.rs
+++ b/crates/sedgepath/src/commands/get.rs
@@ -1,13 +1,13 @@
 use getopts::Options;
 use serde_json::{Value, json};
 
-use super::{Command, data_options};
+use super::{Command, add_data_options};
 use crate::cli::Context;
-use crate::client::InForce;
+use crate::client::RecordsInForce;
 use crate::error::CliError;
 use crate::records;
 
-/// `sedgepath get`
+/// The command `sedgepath get`.
 pub const COMMAND: Command = Command {
     name: "get",
     arguments: "[KIND [NAME]] [OPTIONS]",
@@ -18,7 +18,7 @@
 };
 
 fn options(options: &mut Options) {
-    data_options(options);
+    add_data_options(options);
 }
 
 fn exec(context: &mut Context<'_>) -> Result<(), CliError> {
@@ -27,9 +27,9 @@
         [] => (None, None),
         [kind] => (Some(kind.as_str()), None),
         [kind, name] => (Some(kind.as_str()), Some(name.as_str())),
-        _ => return Err(context.usage("there should be a kind and a name at most")),
+        _ => return Err(context.usage_error("expected at most a kind and a name")),
     };
-    let mut in_force = context.client()?.in_force()?;
+    let mut in_force = context.client()?.records_in_force()?;
     in_force.rows.retain(|row| {
         kind.is_none_or(|kind| *row.record.kind == *kind)
             && name.is_none_or(|name| *row.record.name == *name)
@@ -37,13 +37,13 @@
     if let (Some(kind), Some(name)) = (kind, name)
         && in_force.rows.is_empty()
     {
-        return Err(CliError::NoRecord { kind: kind.into(), name: name.into() });
+        return Err(CliError::RecordNotFound { kind: kind.into(), name: name.into() });
     }
-    if context.json() {
+    if context.wants_json() {
         return write_json(context, &in_force);
     }
     if kind.is_none() {
-        return list(context, &in_force);
+        return write_list(context, &in_force);
     }
     for (index, row) in in_force.rows.iter().enumerate() {
         let separator = if index == 0 { "" } else { "---\n" };
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-fn list(context: &mut Context<'_>, in_force: &InForce) -> Result<(), CliError> {
+fn write_list(context: &mut Context<'_>, in_force: &RecordsInForce) -> Result<(), CliError> {
     writeln!(context.out, "revision {} is in force", in_force.revision)?;
     for row in &in_force.rows {
         let record = &row.record;
@@ -63,7 +63,7 @@
     Ok(())
 }
 
-fn write_json(context: &mut Context<'_>, in_force: &InForce) -> Result<(), CliError> {
+fn write_json(context: &mut Context<'_>, in_force: &RecordsInForce) -> Result<(), CliError> {
     let records: Result<Vec<Value>, CliError> = in_force
         .rows
         .iter()
--- a/crates/sedgepath/src/commands/history.rs
+++ b/crates/sedgepath/src/commands/history.rs
@@ -1,13 +1,13 @@
 use getopts::Options;
 
-use super::{Command, data_options};
+use super::{Command, add_data_options};
 use crate::cli::Context;
 use crate::error::{ChangeLine, CliError};
 
-/// The changes that are shown unless the operator says how many.
+/// The number of shown changes without `--limit`.
 const DEFAULT_LIMIT: u64 = 20;
 
-/// `sedgepath history`
+/// The command `sedgepath history`.
 pub const COMMAND: Command = Command {
     name: "history",
     arguments: "[OPTIONS]",
@@ -19,19 +19,19 @@
 };
 
 fn options(options: &mut Options) {
-    data_options(options);
+    add_data_options(options);
     options.optopt("l", "limit", "show so many changes; 20 unless given", "NUMBER");
 }
 
 fn exec(context: &mut Context<'_>) -> Result<(), CliError> {
-    context.no_arguments()?;
-    let limit = context.number("limit")?.unwrap_or(DEFAULT_LIMIT) as u32;
+    context.expect_no_arguments()?;
+    let limit = context.number_option("limit")?.unwrap_or(DEFAULT_LIMIT) as u32;
     let client = context.client()?;
-    let answer = client.ask(|client| async move { client.history(limit).await })?;
-    if context.json() {
-        return context.write_json(&answer.value);
+    let response = client.call_any(|client| async move { client.history(limit).await })?;
+    if context.wants_json() {
+        return context.write_json(&response.value);
     }
-    for change in &answer.value {
+    for change in &response.value {
         writeln!(context.out, "{}", ChangeLine(change))?;
     }
     Ok(())
--- a/crates/sedgepath/src/commands/key.rs
+++ b/crates/sedgepath/src/commands/key.rs
@@ -5,7 +5,7 @@
 use crate::cli::Context;
 use crate::error::CliError;
 
-/// `sedgepath key`
+/// The command `sedgepath key`.
 pub const COMMAND: Command = Command {
     name: "key",
     arguments: "KEY",
@@ -19,12 +19,12 @@
 fn options(_: &mut Options) {}
 
 fn exec(context: &mut Context<'_>) -> Result<(), CliError> {
-    let key = context.argument("the key")?;
-    writeln!(context.out, "{}", digest(&key).to_hex())?;
+    let key = context.single_argument("the key")?;
+    writeln!(context.out, "{}", organisation_key_digest(&key).to_hex())?;
     Ok(())
 }
 
-/// Returns the digest of an organisation's key, as the records hold it.
-pub fn digest(key: &str) -> Digest {
+/// Returns the digest of an organisation's key, as records store it.
+pub fn organisation_key_digest(key: &str) -> Digest {
     Digest::of(&[b"organisation key", key.as_bytes()])
 }
--- a/crates/sedgepath/src/commands/losses.rs
+++ b/crates/sedgepath/src/commands/losses.rs
@@ -6,15 +6,15 @@
 use crate::cli::Context;
 use crate::error::CliError;
 use crate::operations::logs;
-use crate::operations::losses::{Grouping, Losses};
+use crate::operations::losses::{Grouping, LossReport};
 
-/// The time after which an answer counts as late unless the operator says so, in milliseconds.
-const LATE_AFTER_MS: u64 = 500;
+/// The response time above which a response is late without `--late-after`.
+const DEFAULT_LATE_AFTER_MS: u64 = 500;
 
-/// The curves of a plot: more can't be told apart.
-const CURVES: usize = 6;
+/// The most curves in a plot, so that they can be told apart.
+const MAX_PLOT_CURVES: usize = 6;
 
-/// `sedgepath losses`
+/// The command `sedgepath losses`.
 pub const COMMAND: Command = Command {
     name: "losses",
     arguments: "--logs DIR [OPTIONS]",
@@ -33,40 +33,48 @@
 }
 
 fn exec(context: &mut Context<'_>) -> Result<(), CliError> {
-    context.no_arguments()?;
+    context.expect_no_arguments()?;
     let grouping = match context.matches.opt_str("by").as_deref() {
         None => None,
         Some("service") => Some(Grouping::Service),
         Some("domain") => Some(Grouping::Domain),
         Some("second") => Some(Grouping::Second),
         Some(text) => {
-            return Err(context.usage(format!("`--by {text}` is none of service, domain, second")));
+            return Err(context.usage_error(format!(
+                "invalid value `{text}` for `--by`: expected service, domain or second"
+            )));
         }
     };
-    let late_after_ms = context.number("late-after")?.unwrap_or(LATE_AFTER_MS);
-    let dir =
-        context.matches.opt_str("logs").ok_or_else(|| context.usage("`--logs` is missing"))?;
-    let losses = Losses::new(&logs::read(Path::new(&dir))?, late_after_ms);
-    write(context, &losses, grouping)?;
+    let late_after_ms = context.number_option("late-after")?.unwrap_or(DEFAULT_LATE_AFTER_MS);
+    let dir = context
+        .matches
+        .opt_str("logs")
+        .ok_or_else(|| context.usage_error("missing option `--logs`"))?;
+    let losses = LossReport::new(&logs::read(Path::new(&dir))?, late_after_ms);
+    write_text(context, &losses, grouping)?;
     if let Some(path) = context.matches.opt_str("plot").map(PathBuf::from) {
-        let drawn = losses.plot(&path, CURVES);
-        drawn.map_err(|source| CliError::Plot { path, source })?;
+        let drawn = losses.plot(&path, MAX_PLOT_CURVES);
+        drawn.map_err(|source| CliError::WritePlot { path, source })?;
     }
     Ok(())
 }
 
-fn write(
+fn write_text(
     context: &mut Context<'_>,
-    losses: &Losses,
+    losses: &LossReport,
     grouping: Option<Grouping>,
 ) -> Result<(), CliError> {
     let out = &mut *context.out;
-    let (lost, in_time) = (losses.losses.len(), losses.in_time);
-    writeln!(out, "{lost} not in time, {in_time} in time, {} lines left out", losses.left_out)?;
-    for (reason, count) in losses.by_reason() {
+    let (lost, in_time) = (losses.losses.len(), losses.on_time);
+    writeln!(
+        out,
+        "{lost} not in time, {in_time} in time, {} lines left out",
+        losses.omitted_lines
+    )?;
+    for (reason, count) in losses.counts_by_reason() {
         writeln!(out, "{count:>8}  {reason}")?;
     }
-    for (group, reasons) in grouping.map(|by| losses.by_group(by)).unwrap_or_default() {
+    for (group, reasons) in grouping.map(|by| losses.counts_by_group(by)).unwrap_or_default() {
         writeln!(out, "{group}")?;
         for (reason, count) in reasons {
             writeln!(out, "{count:>8}  {reason}")?;
--- a/crates/sedgepath/src/commands/status.rs
+++ b/crates/sedgepath/src/commands/status.rs
@@ -4,12 +4,12 @@
 use sedgepath_core::direct::status::VmStatus;
 use sedgepath_wire::rpc::NodeStatus;
 
-use super::{Command, data_options};
+use super::{Command, add_data_options};
 use crate::cli::Context;
 use crate::error::CliError;
 use crate::operations::vm_status;
 
-/// `sedgepath status`
+/// The command `sedgepath status`.
 pub const COMMAND: Command = Command {
     name: "status",
     arguments: "[OPTIONS]",
@@ -23,65 +23,69 @@
 };
 
 fn options(options: &mut Options) {
-    data_options(options);
+    add_data_options(options);
     options.optmulti("", "metrics", "show the VM whose metrics are at this address", "ADDRESS");
 }
 
 fn exec(context: &mut Context<'_>) -> Result<(), CliError> {
-    context.no_arguments()?;
+    context.expect_no_arguments()?;
     let addresses = context.matches.opt_strs("metrics");
     if !addresses.is_empty() {
-        return of_direct_vms(context, &addresses);
+        return show_direct_vms(context, &addresses);
     }
-    let answer = context.client()?.ask(|client| async move { client.status().await })?;
-    if context.json() {
-        return context.write_json(&answer.value);
+    let response = context.client()?.call_any(|client| async move { client.status().await })?;
+    if context.wants_json() {
+        return context.write_json(&response.value);
     }
-    write(context.out, &answer.value)?;
+    write_node_status(context.out, &response.value)?;
     Ok(())
 }
 
-/// Shows VMs that send to upstreams themselves.
-fn of_direct_vms(context: &mut Context<'_>, addresses: &[String]) -> Result<(), CliError> {
-    let statuses = addresses.iter().map(|address| vm_status::read(address));
+/// Shows the state of VMs that send requests to upstreams themselves.
+fn show_direct_vms(context: &mut Context<'_>, addresses: &[String]) -> Result<(), CliError> {
+    let statuses = addresses.iter().map(|address| vm_status::fetch(address));
     let statuses = statuses.collect::<Result<Vec<_>, _>>()?;
-    if context.json() {
+    if context.wants_json() {
         return context.write_json(&statuses);
     }
     for status in &statuses {
-        write_direct(context.out, status)?;
+        write_vm_status(context.out, status)?;
     }
     Ok(())
 }
 
-fn write_direct(out: &mut dyn Write, status: &VmStatus) -> std::io::Result<()> {
-    let VmStatus { name, domain, configuration_version, sharing_vm_count: sharing, .. } = status;
+fn write_vm_status(out: &mut dyn Write, status: &VmStatus) -> std::io::Result<()> {
+    let VmStatus { name, domain, configuration_version, sharing_vm_count, .. } = status;
     let state = match (status.leaving, status.can_serve) {
-        (true, _) => "leaves",
+        (true, _) => "is leaving",
         (false, true) => "serves",
         (false, false) => "does not serve yet",
     };
     writeln!(out, "{name} in {domain} {state} by configuration {configuration_version}")?;
     if !status.evacuated.is_empty() {
-        writeln!(out, "being emptied: {}", status.evacuated.join(", "))?;
+        writeln!(out, "being evacuated: {}", status.evacuated.join(", "))?;
     }
-    for (service, of) in &status.services {
+    for (service, service_status) in &status.services {
         writeln!(
             out,
             "{service:<24} {} upstreams ({} leaving, {} cold, {} left out), load {:.0} of {} slots, \
              {} in flight from here, {} repeats for {} requests",
-            of.upstreams,
-            of.leaving,
-            of.cold,
-            of.ejected,
-            of.load,
-            of.slots,
-            of.in_flight,
-            of.repeats,
-            of.requests
+            service_status.upstreams,
+            service_status.leaving,
+            service_status.cold,
+            service_status.ejected,
+            service_status.load,
+            service_status.slots,
+            service_status.in_flight,
+            service_status.repeats,
+            service_status.requests
         )?;
     }
-    writeln!(out, "{} other VMs heard; limits are split among {sharing}:", status.other_vms.len())?;
+    writeln!(
+        out,
+        "{} other VMs heard; limits are split among {sharing_vm_count}:",
+        status.other_vms.len()
+    )?;
     for other in &status.other_vms {
         let state = match (other.leaving, other.ready) {
             (true, _) => "leaving",
@@ -89,21 +93,19 @@
             (false, false) => "not ready",
         };
         let store =
-            if other.store_reachable { "has the store" } else { "does not follow the store" };
+            if other.store_reachable { "reaches the store" } else { "does not reach the store" };
         let (name, domain, silent_ms) = (&other.name, &other.domain, other.silent_ms);
         writeln!(out, "{name:<24} {state:<9} in {domain}, heard {silent_ms} ms ago, {store}")?;
     }
     Ok(())
 }
 
-fn write(out: &mut dyn Write, status: &NodeStatus) -> std::io::Result<()> {
-    let NodeStatus {
-        node, revision, head_age_ms, ready, unreadable_records: unread, members, ..
-    } = status;
+fn write_node_status(out: &mut dyn Write, status: &NodeStatus) -> std::io::Result<()> {
+    let NodeStatus { node, revision, head_age_ms, ready, unreadable_records, members, .. } = status;
     let ready = if *ready { "serves" } else { "does not serve yet" };
     writeln!(out, "{node} {ready} by revision {revision}; the head was read {head_age_ms} ms ago")?;
-    for record in unread {
-        writeln!(out, "unread: {} {}: {}", record.kind, record.name, record.reason)?;
+    for record in unreadable_records {
+        writeln!(out, "unreadable: {} {}: {}", record.kind, record.name, record.reason)?;
     }
     let behind = members.iter().filter(|member| member.revision < *revision).count();
     writeln!(out, "{} members, {behind} of them behind:", members.len())?;
--- a/crates/sedgepath/src/commands/timeline.rs
+++ b/crates/sedgepath/src/commands/timeline.rs
@@ -4,20 +4,20 @@
 use getopts::Options;
 use sedgepath_wire::time::unix_ms;
 
-use super::{Command, data_options};
+use super::{Command, add_data_options};
 use crate::cli::Context;
 use crate::error::CliError;
 use crate::operations::logs;
-use crate::operations::timeline::{Reader, Reading};
+use crate::operations::timeline::{MergedTimeline, TimelineReader};
 use crate::time;
 
-/// How far back the time line goes unless the operator says so: ten minutes.
+/// How far back the timeline goes without `--since`: ten minutes.
 const DEFAULT_SINCE_MS: u64 = 600_000;
 
-/// The time between two readings of a time line that is followed.
-const FOLLOW_EVERY: Duration = Duration::from_secs(1);
+/// The interval between two reads with `--follow`.
+const FOLLOW_INTERVAL: Duration = Duration::from_secs(1);
 
-/// `sedgepath timeline`
+/// The command `sedgepath timeline`.
 pub const COMMAND: Command = Command {
     name: "timeline",
     arguments: "[OPTIONS]",
@@ -29,7 +29,7 @@
 };
 
 fn options(options: &mut Options) {
-    data_options(options);
+    add_data_options(options);
     options.optopt(
         "s",
         "since",
@@ -41,31 +41,35 @@
 }
 
 fn exec(context: &mut Context<'_>) -> Result<(), CliError> {
-    context.no_arguments()?;
+    context.expect_no_arguments()?;
     let now_ms = unix_ms();
     let since_ms = match context.matches.opt_str("since") {
         None => now_ms.saturating_sub(DEFAULT_SINCE_MS),
-        Some(text) => time::parse_length(&text)
-            .map(|length_ms| now_ms.saturating_sub(length_ms))
-            .or_else(|| time::parse(&text))
-            .ok_or_else(|| context.usage(format!("`--since {text}` is no time")))?,
+        Some(text) => time::parse_duration_ms(&text)
+            .map(|duration_ms| now_ms.saturating_sub(duration_ms))
+            .or_else(|| time::parse_utc_ms(&text))
+            .ok_or_else(|| {
+                context.usage_error(format!(
+                    "invalid value `{text}` for `--since`: expected a duration or a UTC time"
+                ))
+            })?,
     };
     if let Some(dir) = context.matches.opt_str("logs") {
         return write_logs(context, Path::new(&dir), since_ms);
     }
     let client = context.client()?;
-    let mut reader = Reader::new(since_ms);
+    let mut reader = TimelineReader::new(since_ms);
     loop {
-        let reading = reader.read(&client)?;
-        write(context, &reading)?;
+        let timeline = reader.read(&client)?;
+        write_timeline(context, &timeline)?;
         if !context.matches.opt_present("follow") {
             return Ok(());
         }
-        std::thread::sleep(FOLLOW_EVERY);
+        std::thread::sleep(FOLLOW_INTERVAL);
     }
 }
 
-/// Writes collected lines; without `--since` all of them.
+/// Writes the collected log lines since a time, or all of them without `--since`.
 fn write_logs(context: &mut Context<'_>, dir: &Path, since_ms: u64) -> Result<(), CliError> {
     let since_ms = if context.matches.opt_present("since") { since_ms } else { 0 };
     let mut lines = logs::read(dir)?;
@@ -73,19 +77,15 @@
     context.write_lines(&lines)
 }
 
-fn write(context: &mut Context<'_>, reading: &Reading) -> Result<(), CliError> {
-    if context.json() {
-        return context.write_json(reading);
+fn write_timeline(context: &mut Context<'_>, timeline: &MergedTimeline) -> Result<(), CliError> {
+    if context.wants_json() {
+        return context.write_json(timeline);
     }
-    for event in &reading.events {
+    for event in &timeline.events {
         writeln!(context.out, "{}", event.entry.line(&event.node))?;
     }
-    for silent in &reading.silent {
-        writeln!(
-            context.out,
-            "no answer from {} at {}: {}",
-            silent.node, silent.address, silent.reason
-        )?;
+    for node in &timeline.unresponsive {
+        writeln!(context.out, "no answer from {} at {}: {}", node.node, node.address, node.reason)?;
     }
     Ok(())
 }
--- a/crates/sedgepath/src/error.rs
+++ b/crates/sedgepath/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, and the exit code of each.
+//! The errors of the command line and their exit codes.
 
 use std::fmt;
 use std::io;
@@ -14,27 +14,27 @@
 use crate::operations::losses::PlotError;
 use crate::time;
 
-/// How the program ends.
+/// The exit status of the program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// It did what was asked.
+    /// The command succeeded.
     Success,
-    /// It failed.
+    /// The command failed for a reason without a status of its own.
     Failed,
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage,
-    /// Another change came first.
+    /// Another change was accepted first.
     Conflict,
     /// No node could be reached.
     Unreachable,
     /// The change may or may not have been accepted.
     Unknown,
-    /// The check of the records, or the plan of the drain, said no.
+    /// The records or the drain were rejected by a check.
     Refused,
 }
 
 impl Exit {
-    /// Returns the code that the shell sees.
+    /// Returns the exit code of the process.
     pub fn code(self) -> u8 {
         match self {
             Self::Success => 0,
@@ -48,178 +48,182 @@
     }
 }
 
-/// A node that could not be asked, and why.
+/// A node whose call failed.
 #[derive(Debug)]
-pub struct Tried {
-    /// The node.
+pub struct NodeFailure {
+    /// The node's address.
     pub node: SocketAddr,
-    /// Why.
+    /// The cause of the failure.
     pub reason: Box<str>,
 }
 
-impl fmt::Display for Tried {
+impl fmt::Display for NodeFailure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.node, self.reason)
     }
 }
 
-/// What can go wrong.
+/// An error of a command.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 pub enum CliError {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[error("{message}")]
     #[diagnostic(help("`sedgepath {command} --help` shows the options"))]
     Usage {
-        /// What is wrong.
+        /// The problem, for the operator.
         message: Box<str>,
-        /// The command.
+        /// The command whose help applies; empty if there is none.
         command: Box<str>,
     },
-    /// A plot can't be drawn.
-    #[error("can't write {path}")]
-    Plot {
-        /// The file.
+    /// A plot can't be written.
+    #[error("failed to write plot `{path}`")]
+    WritePlot {
+        /// The output file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         #[source]
         source: PlotError,
     },
     /// Collected logs can't be read.
-    #[error("can't read logs at {path}")]
+    #[error("failed to read logs at `{path}`")]
     ReadLogs {
         /// The directory or file.
         path: PathBuf,
-        /// The system's error.
+        /// The operating system's error.
         #[source]
         source: io::Error,
     },
-    /// No collected line tells of a request.
-    #[error("no line of the logs tells of the request {request}")]
+    /// The collected logs have no line about a request.
+    #[error("the logs have no line about request `{request}`")]
     #[diagnostic(help(
-        "calm outcomes are sampled under load; a request that failed has a line unless \
-         `event=lines_left_out` says otherwise"
+        "successful requests are sampled under load; a failed request has a line unless \
+         `event=lines_left_out` reports omitted lines"
     ))]
-    NoSuchRequest {
+    RequestNotFound {
         /// The request's id.
         request: Box<str>,
     },
     /// No node is named.
-    #[error("no node to ask is named")]
+    #[error("no node is named")]
     #[diagnostic(help(
         "name one or more with `--node ADDRESS`, or all in the variable SEDGEPATH_NODES"
     ))]
-    NoNode,
-    /// A VM does not tell its state.
-    #[error("the VM at {address} does not tell its state")]
-    #[diagnostic(help("the address should be that of its metrics, like 192.0.2.1:9464"))]
-    NoStatus {
-        /// The address.
+    MissingNode,
+    /// The state of a VM can't be read.
+    #[error("failed to read the state of the VM at {address}")]
+    #[diagnostic(help("use the address of the VM's metrics, like 192.0.2.1:9464"))]
+    StatusUnavailable {
+        /// The address of the VM's metrics.
         address: Box<str>,
-        /// Why.
+        /// The HTTP client's error.
         #[source]
         source: attohttpc::Error,
     },
-    /// There is no key to prove who asks.
-    #[error("no key is given")]
+    /// There is no operator's key to sign calls with.
+    #[error("no operator key is given")]
     #[diagnostic(help("give it in a file by `--key-file FILE`, or in the variable SEDGEPATH_KEY"))]
-    NoKey,
+    MissingKey,
     /// A file can't be read.
-    #[error("can't read {file}")]
-    File {
-        /// The file.
+    #[error("failed to read `{file}`")]
+    ReadFile {
+        /// The path as given on the command line.
         file: Box<str>,
-        /// The system's error.
+        /// The operating system's error.
         #[source]
         source: io::Error,
     },
-    /// Records have mistakes.
-    #[error("the records are not in order{}", broken_list(.broken))]
-    Records {
-        /// The files that have mistakes.
+    /// Records are invalid.
+    #[error("the records are invalid{}", problem_list(.other_problems))]
+    InvalidRecords {
+        /// The mistakes by file.
         #[related]
-        files: Vec<ErrorReport>,
-        /// What else would be out of order, such as records in force that the change would break.
-        broken: Vec<Box<str>>,
+        reports: Vec<ErrorReport>,
+        /// Problems outside the files, such as those of records in force that refer to a changed one.
+        other_problems: Vec<Box<str>>,
     },
     /// No node could be reached.
-    #[error("no node could be reached:{}", tried_list(.tried))]
+    #[error("no node could be reached:{}", failure_list(.failures))]
     Unreachable {
-        /// The nodes that were tried, and why each did not do.
-        tried: Vec<Tried>,
+        /// The nodes that were tried, each with the cause of its failure.
+        failures: Vec<NodeFailure>,
     },
-    /// A node answered with an error.
-    #[error("the node at {node} could not answer: {reason}")]
-    Node {
-        /// The node.
+    /// A node responded with an error that other nodes would give too.
+    #[error("the node at {node} responded with an error: {reason}")]
+    NodeError {
+        /// The node's address.
         node: SocketAddr,
-        /// What it said.
+        /// The message of the error response.
         reason: Box<str>,
     },
-    /// Another change came first.
-    #[error("another change came first; revision {revision} is in force{}", other_change(.other.as_deref()))]
-    #[diagnostic(help("look at it with `sedgepath history`, then apply again"))]
+    /// Another change was accepted first.
+    #[error("another change was accepted first; revision {revision} is in force{}", other_change(.other.as_deref()))]
+    #[diagnostic(help("review it with `sedgepath history`, then apply again"))]
     Conflict {
-        /// The head revision as far as known.
+        /// The newest revision that the node knows.
         revision: u64,
-        /// The other change.
+        /// The change that was accepted first, if the node knows it.
         other: Option<Box<LoggedChange>>,
     },
-    /// The change was not accepted.
-    #[error("the change was not accepted and will not be")]
+    /// The change was not accepted and won't be later.
+    #[error("the change was rejected")]
     NotAccepted(#[source] ChangeRefusal),
     /// The change may or may not have been accepted.
-    #[error("whether the change was accepted is not known")]
-    #[diagnostic(help("ask again with `--change-id {change_id}`; it is never made twice"))]
-    Unknown {
-        /// The number of the change.
+    #[error("the outcome of the change is unknown")]
+    #[diagnostic(help(
+        "repeat the command with `--change-id {change_id}`; the change is never made twice"
+    ))]
+    OutcomeUnknown {
+        /// The id that makes a repeated request idempotent.
         change_id: Box<str>,
     },
-    /// The drain was refused by its plan.
+    /// The target can't be drained as requested.
     #[error("the drain is refused by its plan")]
-    Drain(#[from] DrainError),
-    /// The records know no such target.
-    #[error("the records know no upstream or failure domain `{target}`")]
-    #[diagnostic(help("`sedgepath get places` and `sedgepath get service` show what there is"))]
-    NoTarget {
-        /// The target.
+    DrainRejected(#[from] DrainError),
+    /// No record names the target of a drain.
+    #[error("no upstream or failure domain `{target}` in the records")]
+    #[diagnostic(help("`sedgepath get places` and `sedgepath get service` list the known names"))]
+    TargetNotFound {
+        /// The name as given on the command line.
         target: Box<str>,
     },
     /// A record is not in force.
     #[error("no record of kind `{kind}` and name `{name}` is in force")]
-    NoRecord {
-        /// The kind.
+    RecordNotFound {
+        /// The requested kind.
         kind: Box<str>,
-        /// The name.
+        /// The requested name.
         name: Box<str>,
     },
     /// The output can't be written.
-    #[error("can't write the output")]
+    #[error("failed to write the output")]
     Output(#[from] io::Error),
-    /// A value can't be written as text.
-    #[error("can't write the value as JSON")]
+    /// A value can't be converted to or from JSON.
+    #[error("failed to read or write JSON")]
     Json(#[from] serde_json::Error),
-    /// A record can't be written as YAML.
-    #[error("can't write the record as YAML")]
+    /// A record can't be serialized as YAML.
+    #[error("failed to write the record as YAML")]
     Yaml(#[from] serde_saphyr::ser::Error),
 }
 
 impl CliError {
-    /// Returns how the program ends with this error.
+    /// Returns the exit status for this error.
     pub fn exit(&self) -> Exit {
         match self {
-            Self::Usage { .. } | Self::NoNode | Self::NoKey => Exit::Usage,
+            Self::Usage { .. } | Self::MissingNode | Self::MissingKey => Exit::Usage,
             Self::Conflict { .. } => Exit::Conflict,
             Self::Unreachable { .. } => Exit::Unreachable,
-            Self::Unknown { .. } => Exit::Unknown,
-            Self::Records { .. } | Self::Drain(_) | Self::NoTarget { .. } => Exit::Refused,
-            Self::File { .. }
+            Self::OutcomeUnknown { .. } => Exit::Unknown,
+            Self::InvalidRecords { .. } | Self::DrainRejected(_) | Self::TargetNotFound { .. } => {
+                Exit::Refused
+            }
+            Self::ReadFile { .. }
             | Self::ReadLogs { .. }
-            | Self::Plot { .. }
-            | Self::NoSuchRequest { .. }
-            | Self::NoStatus { .. }
-            | Self::Node { .. }
+            | Self::WritePlot { .. }
+            | Self::RequestNotFound { .. }
+            | Self::StatusUnavailable { .. }
+            | Self::NodeError { .. }
             | Self::NotAccepted(_)
-            | Self::NoRecord { .. }
+            | Self::RecordNotFound { .. }
             | Self::Output(_)
             | Self::Json(_)
             | Self::Yaml(_) => Exit::Failed,
@@ -227,31 +231,31 @@
     }
 }
 
-fn broken_list(broken: &[Box<str>]) -> String {
-    lines(broken.iter())
+fn problem_list(other_problems: &[Box<str>]) -> String {
+    newline_list(other_problems.iter())
 }
 
-fn tried_list(tried: &[Tried]) -> String {
-    lines(tried.iter())
+fn failure_list(failures: &[NodeFailure]) -> String {
+    newline_list(failures.iter())
 }
 
 fn other_change(other: Option<&LoggedChange>) -> String {
-    lines(other.map(ChangeLine).iter())
+    newline_list(other.map(ChangeLine).iter())
 }
 
-/// Writes each item on a line of its own, below the text that comes before.
-fn lines<T: fmt::Display>(items: impl Iterator<Item = T>) -> String {
+/// Returns the items, each preceded by a newline.
+fn newline_list<T: fmt::Display>(items: impl Iterator<Item = T>) -> String {
     items.fold(String::new(), |text, item| text + "\n" + &item.to_string())
 }
 
-/// A change in one line.
+/// Displays a change on one line.
 #[derive(Debug)]
 pub struct ChangeLine<'a>(pub &'a LoggedChange);
 
 impl fmt::Display for ChangeLine<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let change = self.0;
-        let at = time::format(change.written_at_ms);
+        let at = time::format_utc(change.written_at_ms);
         write!(f, "revision {} at {at} by {}", change.revision, change.node)?;
         for record in &change.records {
             write!(f, ", {} {}", record.kind, record.name)?;
--- a/crates/sedgepath/src/lib.rs
+++ b/crates/sedgepath/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' command line.
 //!
-//! [`cli`] finds the command, [`commands`] holds each one's options beside what carries them out,
-//! [`operations`] does the work from plain options, and [`client`] asks the nodes.
+//! [`cli`] dispatches to a command, [`commands`] holds the options and output of each command,
+//! [`operations`] implements the commands on typed options, and [`client`] calls the nodes.
 
 pub mod cli;
 pub mod client;
--- a/crates/sedgepath/src/operations.rs
+++ b/crates/sedgepath/src/operations.rs
@@ -1,12 +1,12 @@
-//! What the commands do, from plain options.
+//! The work of the commands, independent of option parsing and output.
 
 use sedgepath_core::configuration::change::{ChangeOutcome, ChangeRefusal, ChangeRequest};
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::record::check;
 use serde::Serialize;
 
-use crate::client::{Client, InForce, Silence};
-use crate::error::{CliError, Tried};
+use crate::client::{CallFailure, Client, RecordsInForce};
+use crate::error::{CliError, NodeFailure};
 use crate::records::FileRecords;
 
 pub mod drain;
@@ -15,15 +15,18 @@
 pub mod timeline;
 pub mod vm_status;
 
-/// How often all nodes are asked about a change whose outcome is not known.
-const ROUNDS: u32 = 2;
+/// How often all nodes are asked for a change while its outcome is unknown.
+const MAX_APPLY_ROUNDS: u32 = 2;
 
-/// Checks records, together with those in force if these are given.
+/// Checks records, together with the records in force if they are given.
+///
+/// Without records in force, references between records are checked only if `records` has the record of
+/// places.
 ///
 /// # Errors
 ///
-/// Fails with all mistakes at their places.
-pub fn check(records: &FileRecords, in_force: Option<&InForce>) -> Result<(), CliError> {
+/// Fails with all problems at their locations in the files.
+pub fn check(records: &FileRecords, in_force: Option<&RecordsInForce>) -> Result<(), CliError> {
     let problems = match in_force {
         Some(in_force) => {
             check::check_change(in_force.rows.iter().map(|row| &row.record), records.records())
@@ -33,17 +36,17 @@
         }
         None => check::check_records(records.records()),
     };
-    if problems.is_empty() { Ok(()) } else { Err(records.report(problems)) }
+    if problems.is_empty() { Ok(()) } else { Err(records.problems_error(problems)) }
 }
 
-/// A change to ask for.
+/// The change that [`apply`] requests.
 #[derive(Debug, Clone)]
 pub struct ApplyOptions {
     request: ChangeRequest,
 }
 
 impl ApplyOptions {
-    /// Creates a change with a new number.
+    /// Creates a change of these records with a new random id.
     pub fn new(records: Vec<RawRecord>) -> Self {
         let change_id = format!("{:016x}", fastrand::u64(..)).into();
         let request =
@@ -51,19 +54,19 @@
         Self { request }
     }
 
-    /// Sets the revision that the change builds on.
+    /// Accepts the change only if this revision is still the newest.
     pub fn with_expected_revision(mut self, revision: Option<u64>) -> Self {
         self.request.expected_revision = revision;
         self
     }
 
-    /// Sets the note, if there is one.
+    /// Sets the note for the history, if there is one.
     pub fn with_note(mut self, note: Option<String>) -> Self {
         self.request.note = note.unwrap_or_default().into();
         self
     }
 
-    /// Sets the number of an earlier try, if there was one.
+    /// Reuses the id of an earlier request for the same change, if there was one.
     pub fn with_change_id(mut self, change_id: Option<String>) -> Self {
         if let Some(change_id) = change_id {
             self.request.change_id = change_id.into();
@@ -72,69 +75,72 @@
     }
 }
 
-/// An accepted change.
+/// The result of an accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Accepted {
-    /// The revision that it made.
+pub struct AcceptedChange {
+    /// The revision that the change created.
     pub revision: u64,
-    /// Its number.
+    /// The id under which the change was requested.
     pub change_id: Box<str>,
 }
 
-/// Asks for a change until its outcome is known.
+/// Requests a change from the nodes in turn until its outcome is known.
 ///
-/// The next node is asked with the same number when one does not answer, so the change is never made
-/// twice.
+/// All requests carry the same id, so the change is never made twice.
 ///
 /// # Errors
 ///
-/// Fails if the change is not accepted, or its outcome is not known.
+/// Fails if the change is not accepted, or its outcome stays unknown.
 pub fn apply(
     client: &Client,
     options: ApplyOptions,
     files: &FileRecords,
-) -> Result<Accepted, CliError> {
+) -> Result<AcceptedChange, CliError> {
     let request = options.request;
     let change_id = request.change_id.clone();
-    let mut in_doubt = false;
-    let mut tried = Vec::new();
-    for _ in 0..ROUNDS {
+    let mut may_be_accepted = false;
+    let mut failures = Vec::new();
+    for _ in 0..MAX_APPLY_ROUNDS {
         for &node in client.nodes() {
-            let answer = client.ask_one(node, |client| {
+            let response = client.call_node(node, |client| {
                 let request = request.clone();
                 async move { client.change(request).await }
             });
-            match answer {
+            match response {
                 Ok(ChangeOutcome::Accepted { revision }) => {
-                    return Ok(Accepted { revision, change_id });
+                    return Ok(AcceptedChange { revision, change_id });
                 }
                 Ok(ChangeOutcome::Conflict { revision, other }) => {
                     return Err(CliError::Conflict { revision, other: other.map(Box::new) });
                 }
-                // A refusal says nothing of an earlier try through another node.
-                Ok(ChangeOutcome::NotAccepted { refusal }) if !in_doubt => {
-                    return Err(refused(refusal, files));
+                // A rejection is final only if no earlier request may have been accepted.
+                Ok(ChangeOutcome::NotAccepted { refusal }) if !may_be_accepted => {
+                    return Err(rejection_error(refusal, files));
+                }
+                Ok(ChangeOutcome::NotAccepted { .. } | ChangeOutcome::Unknown) => {
+                    may_be_accepted = true;
                 }
-                Ok(ChangeOutcome::NotAccepted { .. } | ChangeOutcome::Unknown) => in_doubt = true,
-                Err(Silence { reason, sent: false, try_next: false }) if !in_doubt => {
-                    return Err(CliError::Node { node, reason });
+                Err(CallFailure { reason, may_have_run: false, try_next: false })
+                    if !may_be_accepted =>
+                {
+                    return Err(CliError::NodeError { node, reason });
                 }
-                Err(Silence { reason, sent, .. }) => {
-                    in_doubt |= sent;
-                    tried.push(Tried { node, reason });
+                Err(CallFailure { reason, may_have_run, .. }) => {
+                    may_be_accepted |= may_have_run;
+                    failures.push(NodeFailure { node, reason });
                 }
             }
         }
-        if !in_doubt {
-            return Err(CliError::Unreachable { tried });
+        if !may_be_accepted {
+            return Err(CliError::Unreachable { failures });
         }
     }
-    Err(CliError::Unknown { change_id })
+    Err(CliError::OutcomeUnknown { change_id })
 }
 
-fn refused(refusal: ChangeRefusal, files: &FileRecords) -> CliError {
+fn rejection_error(refusal: ChangeRefusal, files: &FileRecords) -> CliError {
     match refusal {
-        ChangeRefusal::InvalidRecords { problems } => files.report(problems),
+        ChangeRefusal::InvalidRecords { problems } => files.problems_error(problems),
         other => CliError::NotAccepted(other),
     }
 }
--- a/crates/sedgepath/src/operations/drain.rs
+++ b/crates/sedgepath/src/operations/drain.rs
@@ -1,4 +1,4 @@
-//! Plans drains and puts them in force.
+//! Plans, starts and ends drains.
 
 use sedgepath_core::catalogue::Catalogue;
 use sedgepath_core::drain::{DrainPlan, DrainStep, DrainTarget};
@@ -7,70 +7,71 @@
 use serde::Serialize;
 
 use super::{ApplyOptions, apply};
-use crate::client::{Client, InForce};
+use crate::client::{Client, RecordsInForce};
 use crate::error::CliError;
 use crate::records::FileRecords;
 
-/// What to drain, and by when.
+/// The target of a drain and its deadline.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DrainOptions {
     /// The name of the upstream or failure domain.
     pub target: Box<str>,
-    /// What the name names; found in the records if it is not given.
+    /// What the name refers to; looked up in the records if it is not given.
     pub kind: Option<DrainTargetKind>,
-    /// The time now, in milliseconds.
+    /// The current time, in milliseconds since the Unix epoch.
     pub now_ms: u64,
-    /// The time by which the drain has to end, in milliseconds.
+    /// The time by which the drain has to end, in milliseconds since the Unix epoch.
     pub finish_by_ms: u64,
 }
 
-/// The share that is still at the target from a time on.
+/// The share of traffic that the target still gets from a point in time on.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct ReportedStep {
-    /// The time, in milliseconds.
+pub struct DrainReportStep {
+    /// The point in time, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The share of the origin group's traffic of the service, from 0 to 1.
+    /// The share of the origin group's traffic for the service, from 0 to 1.
     pub share: f64,
 }
 
 /// The drain of one service for callers of one origin group.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct ReportedGroup {
-    /// The service.
+pub struct DrainReportGroup {
+    /// The name of the service.
     pub service: Box<str>,
-    /// The origin group.
+    /// The name of the origin group.
     pub origin: Box<str>,
-    /// The shares in the order of time.
-    pub steps: Vec<ReportedStep>,
+    /// The shares, in the order of time.
+    pub steps: Vec<DrainReportStep>,
 }
 
-/// What became of a step of a drain.
+/// The result of planning, starting or ending a drain.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct DrainReport {
     /// The name of the upstream or failure domain.
     pub target: Box<str>,
-    /// How its traffic goes away.
-    pub groups: Vec<ReportedGroup>,
-    /// When the last request in flight has ended, in milliseconds; none if the drain was ended.
+    /// The planned shares by service and origin group; empty when a drain is ended.
+    pub groups: Vec<DrainReportGroup>,
+    /// When the last request in flight at the target is expected to end, in milliseconds since the
+    /// Unix epoch; none when a drain is ended.
     pub predicted_end_ms: Option<u64>,
-    /// The revision that was made; none for a plan.
+    /// The revision that the change created; none for a plan.
     pub revision: Option<u64>,
 }
 
-/// Plans a drain.
+/// Plans a drain without starting it.
 ///
 /// # Errors
 ///
 /// Fails if the target is unknown or can't be drained in time.
-pub fn plan(in_force: &InForce, options: &DrainOptions) -> Result<DrainReport, CliError> {
+pub fn plan(in_force: &RecordsInForce, options: &DrainOptions) -> Result<DrainReport, CliError> {
     let catalogue = Catalogue::new(in_force.rows.iter().map(|row| &row.record));
-    let target = match kind(&catalogue, options)? {
+    let target = match resolve_kind(&catalogue, options)? {
         DrainTargetKind::Upstream => DrainTarget::Upstream(UpstreamKey::of(&options.target)),
         DrainTargetKind::Domain => DrainTarget::Domain(DomainKey::of(&options.target)),
     };
     let plan = DrainPlan::new(&catalogue, target, options.now_ms, options.finish_by_ms)?;
-    let step = |step: &DrainStep| ReportedStep { at_ms: step.at_ms, share: step.share };
-    let groups = plan.groups.iter().map(|group| ReportedGroup {
+    let step = |step: &DrainStep| DrainReportStep { at_ms: step.at_ms, share: step.share };
+    let groups = plan.groups.iter().map(|group| DrainReportGroup {
         service: catalogue
             .services
             .get(&group.service)
@@ -87,37 +88,37 @@
     })
 }
 
-/// Plans a drain and puts it in force if the plan holds.
+/// Plans a drain and starts it if the plan succeeds.
 ///
-/// The change builds on the revision that the plan was made from: another one in between may take
-/// away what the plan relies on.
+/// The change is accepted only on top of the revision of the plan, since a change in between could
+/// invalidate the plan. `with` completes the options of the change.
 ///
 /// # Errors
 ///
-/// Fails if there is no plan, or the change is not accepted.
+/// Fails if the target is unknown, there is no plan, or the change is not accepted.
 pub fn start(
     client: &Client,
-    in_force: &InForce,
+    in_force: &RecordsInForce,
     options: &DrainOptions,
     with: impl FnOnce(ApplyOptions) -> ApplyOptions,
 ) -> Result<DrainReport, CliError> {
     let report = plan(in_force, options)?;
-    let revision = change(client, in_force, options, true, with)?;
+    let revision = apply_drain_record(client, in_force, options, true, with)?;
     Ok(DrainReport { revision: Some(revision), ..report })
 }
 
-/// Ends a drain.
+/// Ends a drain, so that the target gets traffic again. `with` completes the options of the change.
 ///
 /// # Errors
 ///
 /// Fails if the target is unknown or the change is not accepted.
 pub fn end(
     client: &Client,
-    in_force: &InForce,
+    in_force: &RecordsInForce,
     options: &DrainOptions,
     with: impl FnOnce(ApplyOptions) -> ApplyOptions,
 ) -> Result<DrainReport, CliError> {
-    let revision = change(client, in_force, options, false, with)?;
+    let revision = apply_drain_record(client, in_force, options, false, with)?;
     Ok(DrainReport {
         target: options.target.clone(),
         groups: Vec::new(),
@@ -126,15 +127,15 @@
     })
 }
 
-fn change(
+fn apply_drain_record(
     client: &Client,
-    in_force: &InForce,
+    in_force: &RecordsInForce,
     options: &DrainOptions,
     active: bool,
     with: impl FnOnce(ApplyOptions) -> ApplyOptions,
 ) -> Result<u64, CliError> {
     let catalogue = Catalogue::new(in_force.rows.iter().map(|row| &row.record));
-    let drain = Drain { target: kind(&catalogue, options)?, active };
+    let drain = Drain { target: resolve_kind(&catalogue, options)?, active };
     let record = RawRecord {
         schema: 1,
         kind: "drain".into(),
@@ -145,12 +146,15 @@
     Ok(apply(client, with(options), &FileRecords::default())?.revision)
 }
 
-fn kind(catalogue: &Catalogue, options: &DrainOptions) -> Result<DrainTargetKind, CliError> {
+fn resolve_kind(
+    catalogue: &Catalogue,
+    options: &DrainOptions,
+) -> Result<DrainTargetKind, CliError> {
     let is_upstream = catalogue.upstreams.contains_key(&UpstreamKey::of(&options.target));
     let is_domain = catalogue.domains.contains_key(&DomainKey::of(&options.target));
     match (options.kind, is_upstream, is_domain) {
         (None | Some(DrainTargetKind::Upstream), true, _) => Ok(DrainTargetKind::Upstream),
         (None | Some(DrainTargetKind::Domain), _, true) => Ok(DrainTargetKind::Domain),
-        _ => Err(CliError::NoTarget { target: options.target.clone() }),
+        _ => Err(CliError::TargetNotFound { target: options.target.clone() }),
     }
 }
--- a/crates/sedgepath/src/operations/logs.rs
+++ b/crates/sedgepath/src/operations/logs.rs
@@ -1,4 +1,4 @@
-//! Reads log lines collected from VMs, in one order, and picks those that explain a request.
+//! Reads the collected logs of VMs in one order and selects the lines that explain a request.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -8,26 +8,26 @@
 
 use crate::error::CliError;
 
-/// A line of a VM's log.
+/// A parsed line of a VM's log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct LogLine {
-    /// Its place in the order over all VMs.
+    /// The hybrid timestamp, which orders lines of all VMs.
     pub stamp: HybridTimestamp,
-    /// The VM that wrote it.
+    /// The name of the VM that wrote the line.
     pub vm: Box<str>,
-    /// The kind of event.
+    /// The value of the `event` key.
     pub event: Box<str>,
-    /// The line without its stamp.
+    /// The line without its timestamp.
     pub text: Box<str>,
 }
 
-/// Returns the value of a field of a line of `key=value` pairs.
+/// Returns the value of a key in a line of `key=value` pairs.
 fn field<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     text.split(' ').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
 
 impl LogLine {
-    /// Reads a line; what a collector put before its stamp is left out.
+    /// Parses a line and ignores a collector's prefix; none if it is not a line of a VM's log.
     pub fn parse(line: &str) -> Option<Self> {
         let line = &line[line.find("at=")?..];
         let (at, text) = line.split_once(' ')?;
@@ -41,34 +41,34 @@
         })
     }
 
-    /// Returns the value of a field.
+    /// Returns the value of a key, if the line has it.
     pub fn field(&self, name: &str) -> Option<&str> {
         field(&self.text, name)
     }
 }
 
-/// Reads all files of a directory and merges their lines in one order.
+/// Reads all files of a directory and merges their lines in the order of their timestamps.
 ///
 /// # Errors
 ///
 /// Fails if the directory or a file can't be read.
 pub fn read(dir: &Path) -> Result<Vec<LogLine>, CliError> {
     let mut lines = Vec::new();
-    for path in files(dir)? {
+    for path in log_files(dir)? {
         let bytes =
             fs::read(&path).map_err(|source| CliError::ReadLogs { path: path.clone(), source })?;
         let text = String::from_utf8_lossy(&bytes);
         lines.extend(text.lines().filter_map(LogLine::parse));
     }
-    lines.sort_by(|one, other| one.stamp.cmp(&other.stamp).then_with(|| one.vm.cmp(&other.vm)));
+    lines.sort_by(|a, b| a.stamp.cmp(&b.stamp).then_with(|| a.vm.cmp(&b.vm)));
     Ok(lines)
 }
 
-fn files(dir: &Path) -> Result<Vec<PathBuf>, CliError> {
-    let failed = |source| CliError::ReadLogs { path: dir.into(), source };
+fn log_files(dir: &Path) -> Result<Vec<PathBuf>, CliError> {
+    let read_error = |source| CliError::ReadLogs { path: dir.into(), source };
     let mut files = Vec::new();
-    for entry in fs::read_dir(dir).map_err(failed)? {
-        let path = entry.map_err(failed)?.path();
+    for entry in fs::read_dir(dir).map_err(read_error)? {
+        let path = entry.map_err(read_error)?.path();
         if path.is_file() {
             files.push(path);
         }
@@ -76,28 +76,30 @@
     Ok(files)
 }
 
-/// Returns the lines that explain a request: its own, and what the VM that took it believed of the
-/// upstreams it was sent to, of the configuration and of the store.
-pub fn about<'a>(lines: &'a [LogLine], request: &str) -> Vec<&'a LogLine> {
+/// Returns the lines that explain a request, in order.
+///
+/// These are its own lines and earlier lines of the VM that ended it: those about the upstreams of its
+/// attempts, and the latest about the configuration, the store, evacuations and the VM's start.
+pub fn lines_explaining<'a>(lines: &'a [LogLine], request: &str) -> Vec<&'a LogLine> {
     let own: Vec<&LogLine> =
         lines.iter().filter(|line| line.field("request") == Some(request)).collect();
     let Some(last) = own.last() else {
         return Vec::new();
     };
     let upstreams: Vec<&str> = own.iter().filter_map(|line| line.field("upstream")).collect();
-    let mut picked: Vec<&LogLine> = Vec::new();
+    let mut selected: Vec<&LogLine> = Vec::new();
     let before = || lines.iter().filter(|line| line.vm == last.vm && line.stamp <= last.stamp);
     for event in ["configuration", "store_back", "store_away", "evacuation", "started"] {
-        picked.extend(before().rfind(|line| *line.event == *event));
+        selected.extend(before().rfind(|line| *line.event == *event));
     }
     for upstream in upstreams {
         let of_upstream = before().filter(|line| {
             line.field("upstream") == Some(upstream) && line.field("request").is_none()
         });
-        picked.extend(of_upstream);
+        selected.extend(of_upstream);
     }
-    picked.extend(own);
-    picked.sort_by_key(|line| line.stamp);
-    picked.dedup_by(|one, other| std::ptr::eq(*one, *other));
-    picked
+    selected.extend(own);
+    selected.sort_by_key(|line| line.stamp);
+    selected.dedup_by(|a, b| std::ptr::eq(*a, *b));
+    selected
 }
--- a/crates/sedgepath/src/operations/timeline.rs
+++ b/crates/sedgepath/src/operations/timeline.rs
@@ -1,4 +1,4 @@
-//! Merges the time lines of all nodes.
+//! Merges the timelines of all nodes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,83 +10,89 @@
 use crate::client::Client;
 use crate::error::CliError;
 
-/// An event of a node.
+/// A timeline entry with the node that recorded it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct NodeEvent {
-    /// The node's name.
+    /// The name of the node that recorded the entry.
     pub node: Box<str>,
-    /// The entry of its time line.
+    /// The recorded entry.
     pub entry: TimelineEntry,
 }
 
-/// A node that did not answer.
+/// A node whose timeline could not be read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct SilentNode {
+pub struct UnresponsiveNode {
     /// The node's name.
     pub node: Box<str>,
-    /// Its address.
+    /// The node's address for operators.
     pub address: SocketAddr,
-    /// Why.
+    /// The cause of the failure.
     pub reason: Box<str>,
 }
 
-/// What all nodes did in a part of the time line.
+/// The new timeline entries of all nodes in one order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Reading {
-    /// The events in the order of their stamps.
+pub struct MergedTimeline {
+    /// The entries, in the order of their timestamps.
     pub events: Vec<NodeEvent>,
-    /// The nodes that did not answer; their events are missing.
-    pub silent: Vec<SilentNode>,
+    /// The nodes that could not be read; their entries are missing.
+    #[serde(rename = "silent")]
+    pub unresponsive: Vec<UnresponsiveNode>,
 }
 
-/// Reads the time lines of all nodes, each from where it was last read to.
+/// Reads the timelines of all nodes incrementally.
 #[derive(Debug)]
-pub struct Reader {
-    since: HybridTimestamp,
-    read_to: BTreeMap<Box<str>, HybridTimestamp>,
+pub struct TimelineReader {
+    start: HybridTimestamp,
+    /// The timestamp of the last entry read from each node.
+    read_up_to: BTreeMap<Box<str>, HybridTimestamp>,
 }
 
-impl Reader {
-    /// Creates a reader that begins at a time, in milliseconds since the Unix epoch.
+impl TimelineReader {
+    /// Creates a reader of the entries after a point in time, in milliseconds since the Unix epoch.
     pub fn new(since_ms: u64) -> Self {
-        Self { since: HybridTimestamp { time_ms: since_ms, count: 0 }, read_to: BTreeMap::new() }
+        Self { start: HybridTimestamp { time_ms: since_ms, count: 0 }, read_up_to: BTreeMap::new() }
     }
 
-    /// Reads what every member has that the first node knows.
+    /// Reads the new entries of every member that the first responding node knows.
     ///
     /// # Errors
     ///
-    /// Fails if no node answers at all.
-    pub fn read(&mut self, client: &Client) -> Result<Reading, CliError> {
-        let answer = client.ask(|client| async move { client.status().await })?;
-        let status = answer.value;
+    /// Fails if no node answers the call for the members.
+    pub fn read(&mut self, client: &Client) -> Result<MergedTimeline, CliError> {
+        let response = client.call_any(|client| async move { client.status().await })?;
+        let status = response.value;
         let members =
             status.members.iter().map(|member| (member.name.clone(), member.operator_address));
         let mut nodes: Vec<_> = members.collect();
-        nodes.push((status.node, answer.node));
-        let mut reading = Reading { events: Vec::new(), silent: Vec::new() };
+        nodes.push((status.node, response.node));
+        let mut timeline = MergedTimeline { events: Vec::new(), unresponsive: Vec::new() };
         for (node, address) in nodes {
-            let after = self.read_to.get(&node).copied().unwrap_or(self.since);
+            let after = self.read_up_to.get(&node).copied().unwrap_or(self.start);
             let part =
-                client.ask_one(address, |client| async move { client.timeline(after).await });
+                client.call_node(address, |client| async move { client.timeline(after).await });
             match part {
                 Ok(part) => {
                     if let Some(last) = part.entries.last() {
-                        self.read_to.insert(node.clone(), last.stamp);
+                        self.read_up_to.insert(node.clone(), last.stamp);
                     }
                     let entries = part.entries.into_iter();
-                    reading
+                    timeline
                         .events
                         .extend(entries.map(|entry| NodeEvent { node: part.node.clone(), entry }));
                 }
-                Err(silence) => {
-                    reading.silent.push(SilentNode { node, address, reason: silence.reason });
+                Err(failure) => {
+                    timeline.unresponsive.push(UnresponsiveNode {
+                        node,
+                        address,
+                        reason: failure.reason,
+                    });
                 }
             }
         }
-        reading
+        timeline
             .events
             .sort_by(|a, b| a.entry.stamp.cmp(&b.entry.stamp).then_with(|| a.node.cmp(&b.node)));
-        Ok(reading)
+        Ok(timeline)
     }
 }
--- a/crates/sedgepath/src/operations/vm_status.rs
+++ b/crates/sedgepath/src/operations/vm_status.rs
@@ -1,4 +1,4 @@
-//! Reads the state of VMs that send to upstreams themselves.
+//! Reads the state of VMs that send requests to upstreams themselves.
 
 use std::time::Duration;
 
@@ -6,17 +6,19 @@
 
 use crate::error::CliError;
 
-/// The longest that a VM may take to answer: its state is at hand.
-const TIMEOUT: Duration = Duration::from_secs(3);
+/// The timeout for reading the state of a VM, which the VM keeps in memory.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Reads the state of the VM whose metrics are at an address.
+/// Reads the state of a VM over HTTP; `address` is that of its metrics.
 ///
 /// # Errors
 ///
-/// Fails if the VM gives no answer, or one that can't be read.
-pub fn read(address: &str) -> Result<VmStatus, CliError> {
-    let unread = |source| CliError::NoStatus { address: address.into(), source };
-    let answer = attohttpc::get(format!("http://{address}/status")).timeout(TIMEOUT).send();
-    let text = answer.and_then(|answer| answer.error_for_status()?.bytes()).map_err(unread)?;
-    Ok(serde_json::from_slice(&text)?)
+/// Fails if the VM gives no valid response.
+pub fn fetch(address: &str) -> Result<VmStatus, CliError> {
+    let status_error = |source| CliError::StatusUnavailable { address: address.into(), source };
+    let response =
+        attohttpc::get(format!("http://{address}/status")).timeout(STATUS_TIMEOUT).send();
+    let body =
+        response.and_then(|response| response.error_for_status()?.bytes()).map_err(status_error)?;
+    Ok(serde_json::from_slice(&body)?)
 }
--- a/crates/sedgepath/src/time.rs
+++ b/crates/sedgepath/src/time.rs
@@ -1,11 +1,11 @@
-//! Times as operators read and write them, in UTC.
+//! Formats and parses points in time, in UTC, and durations.
 
 const DAY_MS: u64 = 86_400_000;
 
-/// Writes a time in milliseconds since the Unix epoch as `2026-12-02T21:30:00.123Z`.
+/// Formats milliseconds since the Unix epoch like `2026-12-02T21:30:00.123Z`.
 ///
-/// The date follows from the days since the epoch as in Hinnant's `civil_from_days` (2013).
-pub fn format(at_ms: u64) -> String {
+/// The date is computed by Hinnant's `civil_from_days` algorithm.
+pub fn format_utc(at_ms: u64) -> String {
     let days = at_ms / DAY_MS + 719_468;
     let era = days / 146_097;
     let day_of_era = days % 146_097;
@@ -22,10 +22,10 @@
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}.{milli:03}Z")
 }
 
-/// Reads a length of time such as `90s`, `15m`, `2h` or `1d`, in milliseconds.
-pub fn parse_length(text: &str) -> Option<u64> {
-    let split = text.len().checked_sub(1)?;
-    let (number, unit) = text.split_at_checked(split)?;
+/// Parses a duration such as `90s`, `15m`, `2h` or `1d` into milliseconds.
+pub fn parse_duration_ms(text: &str) -> Option<u64> {
+    let unit_index = text.len().checked_sub(1)?;
+    let (number, unit) = text.split_at_checked(unit_index)?;
     let unit_ms = match unit {
         "s" => 1_000,
         "m" => 60_000,
@@ -36,8 +36,9 @@
     number.parse::<u64>().ok()?.checked_mul(unit_ms)
 }
 
-/// Reads a time of the form that [`format()`] writes, with or without milliseconds.
-pub fn parse(text: &str) -> Option<u64> {
+/// Parses a time in the form of [`format_utc`], whose milliseconds are optional, into milliseconds
+/// since the Unix epoch.
+pub fn parse_utc_ms(text: &str) -> Option<u64> {
     let (date, time) = text.strip_suffix('Z')?.split_once('T')?;
     let mut date = date.splitn(3, '-').map(|part| part.parse::<u64>().ok());
     let (year, month, day) = (date.next()??, date.next()??, date.next()??);
--- a/crates/sedgepath/tests/check.rs
+++ b/crates/sedgepath/tests/check.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of mistakes in files of records.
+//! The reports of mistakes in files of records, as an operator sees them.
 
 #![expect(clippy::needless_raw_string_hashes, reason = "expect-test writes them")]
 
@@ -25,23 +25,24 @@
 
 fn check(text: &str) -> Result<(), CliError> {
     let mut records = FileRecords::default();
-    records
-        .add("records.yaml", text)
-        .map_err(|mistakes| CliError::Records { files: vec![mistakes], broken: vec![] })?;
+    records.add_file("records.yaml", text).map_err(|report| CliError::InvalidRecords {
+        reports: vec![report],
+        other_problems: vec![],
+    })?;
     operations::check(&records, None)
 }
 
-fn shows(text: &str, expected: &Expect) {
-    let error = check(text).expect_err("mistakes");
+fn assert_report(text: &str, expected: &Expect) {
+    let error = check(text).expect_err("invalid records");
     let handler = GraphicalReportHandler::new_themed(GraphicalTheme::none()).with_width(100);
     let mut shown = String::from("report:\n");
-    handler.render_report(&mut shown, &error).expect("a report");
+    handler.render_report(&mut shown, &error).expect("the report is rendered");
     expected.assert_eq(&shown);
 }
 
-/// Records of both schemas that refer to each other are in order.
+/// Guards against errors for valid records of both schemas that refer to each other.
 #[test]
-fn good_records_of_both_schemas_pass() {
+fn valid_records_of_both_schemas_pass() {
     let text = PLACES.to_owned()
         + "---
 schema: 2
@@ -59,12 +60,12 @@
 target: domain
 active: true
 ";
-    check(&text).expect("good records");
+    check(&text).expect("valid records");
 }
 
-/// Wrong types, ranges, names and forms, each shown at its place in one report.
+/// Guards against a check that stops at the first mistake or points at the wrong place.
 #[test]
-fn every_wrong_field_is_shown_at_its_place() {
+fn every_invalid_field_is_shown_at_its_location() {
     let text = "schema: 1
 kind: service
 name: Browse
@@ -99,11 +100,11 @@
 kind: drains
 name: x
 ";
-    shows(
+    assert_report(
         text,
         &expect![[r#"
         report:
-          x the records are not in order
+          x the records are invalid
 
         Error: 
           x records.yaml has 12 mistakes
@@ -166,9 +167,9 @@
     );
 }
 
-/// References to what is not there, names that stand twice, and figures that contradict each other.
+/// Guards against unknown references, duplicate names and contradictory values that pass the check.
 #[test]
-fn records_are_checked_together() {
+fn records_are_checked_against_each_other() {
     let text = PLACES.to_owned()
         + "  - {name: b1, domain: lowcountry-z, address: 192.0.2.2:80, slots: 4, cold_slots: 5}
 ---
@@ -186,11 +187,11 @@
 target: upstream
 active: true
 ";
-    shows(
+    assert_report(
         &text,
         &expect![[r#"
         report:
-          x the records are not in order
+          x the records are invalid
 
         Error: 
           x records.yaml has 6 mistakes
@@ -224,14 +225,14 @@
     );
 }
 
-/// A document without its heading is shown before anything else is looked at.
+/// Guards against a document that is accepted without a valid header.
 #[test]
-fn a_document_without_a_heading_is_shown() {
-    shows(
+fn a_document_without_a_header_is_an_error() {
+    assert_report(
         "kind: places\nname: places\n---\n- 1\n",
         &expect![[r#"
         report:
-          x the records are not in order
+          x the records are invalid
 
         Error: 
           x records.yaml has 2 mistakes
--- a/crates/sedgepath/tests/logs.rs
+++ b/crates/sedgepath/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Collected logs of VMs: one order, and what explains a request.
+//! The order of lines from several VMs, and the selection of lines that explain a request.
 
 use std::fs;
 use std::path::Path;
@@ -6,38 +6,38 @@
 use expect_test::expect;
 use sedgepath::operations::logs::{self, LogLine};
 
-/// Two VMs' files. The second one's clock runs a second behind; its stamps don't, since it has heard the
-/// first one's heartbeat. A collector has put a prefix before some lines.
+/// Writes the logs of two VMs, of which the second has a slower clock but later hybrid timestamps. Some
+/// lines have a collector's prefix.
 fn write_files(dir: &Path) {
     let first = "at=5000.0 vm=a1 level=info event=started boot=1\n\
         at=5010.0 vm=a1 level=info event=configuration version=12 in_force=true\n\
         at=5020.0 vm=a1 level=info event=upstream upstream=u1 change=Joined\n\
         at=5021.0 vm=a1 level=info event=upstream upstream=u2 change=Joined\n\
-        not a line of ours\n\
+        not a line of a VM\n\
         at=6000.0 vm=a1 level=info event=sending_failed request=r7 upstream=u1 outcome=refused\n\
         at=6050.1 vm=a1 level=info event=gave_up request=r7 reason=no_retry upstream=u1\n\
         at=7000.0 vm=a1 level=info event=store_away error=\"x\"\n";
     let second = "  1.5 b1 at=6000.1 vm=b1 level=info event=served request=r8 upstream=u1\n\
         \u{fffd}at=6000.2 vm=b1 level=info event=upstream_removed upstream=u1\n";
-    fs::write(dir.join("a1.log"), first).expect("written");
-    fs::write(dir.join("b1.log"), second).expect("written");
+    fs::write(dir.join("a1.log"), first).expect("the file is written");
+    fs::write(dir.join("b1.log"), second).expect("the file is written");
 }
 
-/// Returns the lines of both files.
-fn collected() -> Vec<LogLine> {
-    let dir = tempfile::tempdir().expect("a directory");
+fn read_collected_lines() -> Vec<LogLine> {
+    let dir = tempfile::tempdir().expect("a temporary directory");
     write_files(dir.path());
-    logs::read(dir.path()).expect("read")
+    logs::read(dir.path()).expect("the logs are readable")
 }
 
-fn text(lines: &[&LogLine]) -> String {
+fn summarize(lines: &[&LogLine]) -> String {
     let lines: Vec<_> = lines.iter().map(|line| format!("{} {}", line.vm, line.event)).collect();
     lines.join("\n")
 }
 
+/// Guards against an order by file or wall clock, and against prefixes that hide lines.
 #[test]
 fn lines_of_all_vms_merge_in_one_order() {
-    let lines = collected();
+    let lines = read_collected_lines();
     expect![[r"
         a1 started
         a1 configuration
@@ -48,19 +48,19 @@
         b1 upstream_removed
         a1 gave_up
         a1 store_away"]]
-    .assert_eq(&text(&lines.iter().collect::<Vec<_>>()));
+    .assert_eq(&summarize(&lines.iter().collect::<Vec<_>>()));
 }
 
-/// What its VM believed when it decided, and nothing that came later or of other VMs.
+/// Guards against an explanation by later lines or by lines of other VMs.
 #[test]
-fn a_request_is_explained_by_what_its_vm_believed() {
-    let lines = collected();
+fn a_request_is_explained_by_earlier_lines_of_its_vm() {
+    let lines = read_collected_lines();
     expect![[r"
         a1 started
         a1 configuration
         a1 upstream
         a1 sending_failed
         a1 gave_up"]]
-    .assert_eq(&text(&logs::about(&lines, "r7")));
-    assert!(logs::about(&lines, "r9").is_empty());
+    .assert_eq(&summarize(&logs::lines_explaining(&lines, "r7")));
+    assert!(logs::lines_explaining(&lines, "r9").is_empty());
 }
--- a/crates/sedgepath/tests/losses.rs
+++ b/crates/sedgepath/tests/losses.rs
@@ -1,4 +1,4 @@
-//! Why requests were not answered in time, from collected logs.
+//! The table and plot of requests that were not answered in time.
 
 #![expect(clippy::needless_raw_string_hashes, reason = "expect-test writes them")]
 
@@ -19,25 +19,25 @@
     at=3800.0 vm=a1 level=info event=lines_left_out calm=7 urgent=1\n";
 
 fn run(arguments: &[&str]) -> String {
-    let dir = tempfile::tempdir().expect("a directory");
-    fs::write(dir.path().join("a1.log"), LOG).expect("written");
-    let logs = dir.path().to_str().expect("a name");
+    let dir = tempfile::tempdir().expect("a temporary directory");
+    fs::write(dir.path().join("a1.log"), LOG).expect("the file is written");
+    let logs = dir.path().to_str().expect("a UTF-8 path");
     let mut all = vec!["losses", "--logs", logs];
     all.extend(arguments);
     let all: Vec<String> = all.into_iter().map(str::to_owned).collect();
     let mut out = Vec::new();
-    cli::execute(&all, &Environment::default(), &mut out).expect("a table");
-    String::from_utf8(out).expect("text")
+    cli::execute(&all, &Environment::default(), &mut out).expect("the command succeeds");
+    String::from_utf8(out).expect("UTF-8 output")
 }
 
-/// Returns what `--by` adds to the table, under a line that keeps its indentation in an expectation.
-fn groups(by: &str) -> String {
+/// Returns the part that `--by` adds, below a line that preserves its indentation in `expect!`.
+fn added_by_grouping(by: &str) -> String {
     let all = run(&["--by", by]);
-    let added = all.strip_prefix(&run(&[])).expect("the table over all comes first");
+    let added = all.strip_prefix(&run(&[])).expect("the ungrouped table comes first");
     format!("by {by}\n{added}")
 }
 
-/// Guards against a reason that hides another: each request counts once, by the most likely one.
+/// Guards against a request that counts for several reasons or for a less likely one.
 #[test]
 fn each_loss_is_counted_once_by_its_reason() {
     expect![[r#"
@@ -52,7 +52,7 @@
     .assert_eq(&run(&[]));
 }
 
-/// Guards against losses of a domain or a moment that a sum over all hides.
+/// Guards against losses that are assigned to the wrong failure domain or second.
 #[test]
 fn losses_are_counted_by_domain_and_second() {
     expect![[r#"
@@ -67,7 +67,7 @@
         unknown
                1  refused: busy
     "#]]
-    .assert_eq(&groups("domain"));
+    .assert_eq(&added_by_grouping("domain"));
     expect![[r#"
         by second
             0
@@ -79,12 +79,12 @@
                1  given up: timed_out
                1  late: slower than expected
     "#]]
-    .assert_eq(&groups("second"));
+    .assert_eq(&added_by_grouping("second"));
 }
 
-/// Guards against an answer being taken for late by another limit than the operator's.
+/// Guards against a `--late-after` that is ignored.
 #[test]
-fn the_operator_says_what_is_late() {
+fn late_after_sets_the_limit_for_late_responses() {
     expect![[r#"
         3 not in time, 5 in time, 8 lines left out
                2  refused: busy
@@ -93,13 +93,13 @@
     .assert_eq(&run(&["--late-after", "2000"]));
 }
 
-/// Guards against a plot without its curves.
+/// Guards against a plot that lacks the curve of a reason.
 #[test]
 fn the_plot_has_a_curve_for_each_reason() {
-    let dir = tempfile::tempdir().expect("a directory");
+    let dir = tempfile::tempdir().expect("a temporary directory");
     let path = dir.path().join("losses.svg");
-    run(&["--plot", path.to_str().expect("a name")]);
-    let plot = fs::read_to_string(path).expect("a plot");
+    run(&["--plot", path.to_str().expect("a UTF-8 path")]);
+    let plot = fs::read_to_string(path).expect("the plot is readable");
     for name in ["refused: busy", "given up: timed_out", "late: waited"] {
         assert!(plot.contains(name), "{name} is missing");
     }
