--- a/crates/sedgepath/src/operations/drain.rs
+++ b/crates/sedgepath/src/operations/drain.rs
@@ -91,7 +91,7 @@
 /// Plans a drain and starts it if the plan succeeds.
 ///
 /// The change is accepted only on top of the revision of the plan, since a change in between could
-/// invalidate the plan. `with` completes the options of the change.
+/// invalidate the plan. `complete_options` adds the options of the change that the caller knows.
 ///
 /// # Errors
 ///
@@ -100,14 +100,16 @@
     client: &Client,
     in_force: &RecordsInForce,
     options: &DrainOptions,
-    with: impl FnOnce(ApplyOptions) -> ApplyOptions,
+    complete_options: impl FnOnce(ApplyOptions) -> ApplyOptions,
 ) -> Result<DrainReport, CliError> {
     let report = plan(in_force, options)?;
-    let revision = apply_drain_record(client, in_force, options, true, with)?;
+    let revision = apply_drain_record(client, in_force, options, true, complete_options)?;
     Ok(DrainReport { revision: Some(revision), ..report })
 }
 
-/// Ends a drain, so that the target gets traffic again. `with` completes the options of the change.
+/// Ends a drain, so that the target gets traffic again.
+///
+/// `complete_options` adds the options of the change that the caller knows.
 ///
 /// # Errors
 ///
@@ -116,9 +118,9 @@
     client: &Client,
     in_force: &RecordsInForce,
     options: &DrainOptions,
-    with: impl FnOnce(ApplyOptions) -> ApplyOptions,
+    complete_options: impl FnOnce(ApplyOptions) -> ApplyOptions,
 ) -> Result<DrainReport, CliError> {
-    let revision = apply_drain_record(client, in_force, options, false, with)?;
+    let revision = apply_drain_record(client, in_force, options, false, complete_options)?;
     Ok(DrainReport {
         target: options.target.clone(),
         groups: Vec::new(),
@@ -132,7 +134,7 @@
     in_force: &RecordsInForce,
     options: &DrainOptions,
     active: bool,
-    with: impl FnOnce(ApplyOptions) -> ApplyOptions,
+    complete_options: impl FnOnce(ApplyOptions) -> ApplyOptions,
 ) -> Result<u64, CliError> {
     let catalogue = Catalogue::new(in_force.rows.iter().map(|row| &row.record));
     let drain = Drain { target: resolve_kind(&catalogue, options)?, active };
@@ -143,7 +145,7 @@
         body: serde_json::to_string(&drain)?.into(),
     };
     let options = ApplyOptions::new(vec![record]).with_expected_revision(Some(in_force.revision));
-    Ok(apply(client, with(options), &FileRecords::default())?.revision)
+    Ok(apply(client, complete_options(options), &FileRecords::default())?.revision)
 }
 
 fn resolve_kind(
