--- a/crates/sedgepath-core/examples/control_slopes.rs
+++ b/crates/sedgepath-core/examples/control_slopes.rs
@@ -151,7 +151,7 @@
             let mut others = (0..bed.node_count()).filter_map(|node: NodeIndex| bed.node(node));
             others.all(|node| {
                 let identity = node.outbox().identity();
-                let concerned = (identity.card.domain == DomainKey::of(domain)) == own;
+                let concerned = (identity.descriptor.domain == DomainKey::of(domain)) == own;
                 !concerned || identity.vm == vm || known(node.membership().member(vm))
             })
         };
@@ -191,7 +191,7 @@
     print_spread(&spread(&mut bed, "vm-new", &domain, |member| member.is_some()));
     bed.run_for(10 * size.relay_every_ms);
     bed.stop(0);
-    let leaving = |member: Option<&Member>| member.is_none_or(|member| member.card.leaving);
+    let leaving = |member: Option<&Member>| member.is_none_or(|member| member.descriptor.leaving);
     print_spread(&spread(&mut bed, "vm-0-0", &domain, leaving));
     bed.kill(1);
     let silent = |member: Option<&Member>| member.is_none_or(|member| member.suspected);
--- a/crates/sedgepath-core/src/configuration.rs
+++ b/crates/sedgepath-core/src/configuration.rs
@@ -256,7 +256,7 @@
 /// Returns this node's rank among the members of its failure domain, from 0, by rendezvous hashing.
 fn reader_rank(members: &Membership, out: &Outbox) -> u64 {
     let identity = out.identity();
-    let domain = identity.card.domain;
+    let domain = identity.descriptor.domain;
     let order = |vm: VmKey| (rendezvous::score(u64::from(domain.0), vm.0), vm);
     let own = order(identity.vm);
     members.serving_vms_in(domain).into_iter().filter(|vm| order(*vm) > own).count() as u64
--- a/crates/sedgepath-core/src/configuration/change/progress.rs
+++ b/crates/sedgepath-core/src/configuration/change/progress.rs
@@ -273,7 +273,7 @@
             revision,
             change_id: self.request.change_id.clone(),
             note: self.request.note.clone(),
-            node: out.identity().card.name.clone(),
+            node: out.identity().descriptor.name.clone(),
             written_at_ms: out.now_ms(),
             records: self.request.records.clone(),
         };
--- a/crates/sedgepath-core/src/configuration/gossip.rs
+++ b/crates/sedgepath-core/src/configuration/gossip.rs
@@ -173,16 +173,16 @@
     random: &mut fastrand::Rng,
     out: &mut Outbox,
 ) {
-    let domain = out.identity().card.domain;
+    let domain = out.identity().descriptor.domain;
     let serving = members.members().into_iter().filter(|(_, member)| member.accepts_work());
     let (mut near, mut far): (Vec<_>, Vec<_>) = serving
-        .map(|(_, member)| (member.card.domain == domain, member.card.peer_address))
+        .map(|(_, member)| (member.descriptor.domain == domain, member.descriptor.peer_address))
         .partition(|(near, _)| *near);
     random.shuffle(&mut near);
     random.shuffle(&mut far);
     let notice = RevisionNotice {
         configuration: news,
-        operator_address: out.identity().card.operator_address,
+        operator_address: out.identity().descriptor.operator_address,
     };
     let told = near
         .into_iter()
--- a/crates/sedgepath-core/src/deduplication/forwarding.rs
+++ b/crates/sedgepath-core/src/deduplication/forwarding.rs
@@ -80,7 +80,7 @@
         let home = membership.member(ticket.home).filter(|home| home.boot == ticket.boot);
         match home {
             Some(home) if !forwarded => {
-                self.forward(request, ticket.home, home.card.peer_address, 1, out);
+                self.forward(request, ticket.home, home.descriptor.peer_address, 1, out);
             }
             None if !forwarded => self.ask_successor(request, membership, batcher, out),
             _ => self.read(request, batcher),
@@ -197,7 +197,7 @@
         let ranked = successors(visitor.ticket.home, visitor.ticket.boot, membership, Some(own));
         let other = ranked.into_iter().find(|vm| *vm != own);
         let address =
-            other.and_then(|vm| membership.member(vm)).map(|member| member.card.peer_address);
+            other.and_then(|vm| membership.member(vm)).map(|member| member.descriptor.peer_address);
         match (other, address) {
             (Some(vm), Some(address)) => {
                 visitor.step = Step::AtSuccessor;
--- a/crates/sedgepath-core/src/deduplication/handover.rs
+++ b/crates/sedgepath-core/src/deduplication/handover.rs
@@ -83,7 +83,7 @@
         for vm in successors(tickets.vm, tickets.boot, membership, None) {
             if let Some(member) = membership.member(vm) {
                 let operation = out.next_operation();
-                let (address, tickets) = (member.card.peer_address, tickets.clone());
+                let (address, tickets) = (member.descriptor.peer_address, tickets.clone());
                 out.push(Action::HandOverTickets { operation, to: vm, address, tickets });
                 self.copies.push(SuccessorCopy { operation, taken: false });
             }
--- a/crates/sedgepath-core/src/explain.rs
+++ b/crates/sedgepath-core/src/explain.rs
@@ -123,7 +123,7 @@
         let shares = self.catalogue.shares(service, origin).unwrap_or_default();
         let domains: Vec<_> = shares.iter().map(|share| share.0).collect();
         Explanation {
-            node: self.identity.card.name.clone(),
+            node: self.identity.descriptor.name.clone(),
             revision: self.revision,
             entrance: self.check_admission(service, class),
             origin_by_block: origin != OriginKey::of(ANY_ORIGIN),
--- a/crates/sedgepath-core/src/identity.rs
+++ b/crates/sedgepath-core/src/identity.rs
@@ -12,13 +12,13 @@
     /// The boot ID of this run of the process.
     pub boot: BootId,
     /// The VM's name, failure domain and addresses.
-    pub card: MemberDescriptor,
+    pub descriptor: MemberDescriptor,
 }
 
 impl Identity {
     /// Creates an identity whose VM key is derived from the descriptor's name.
     pub fn new(card: MemberDescriptor, boot: BootId) -> Self {
-        Self { vm: VmKey::of(&card.name), boot, card }
+        Self { vm: VmKey::of(&card.name), boot, descriptor: card }
     }
 }
 
--- a/crates/sedgepath-core/src/lease.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -155,7 +155,7 @@
             settings,
             own_vm: identity.vm,
             boot: identity.boot,
-            domain: identity.card.domain,
+            domain: identity.descriptor.domain,
             booted_at_ms: None,
             longest_deadline_ms: 0,
             revision: 0,
@@ -386,7 +386,7 @@
             self.grants.remove(&vm);
             out.log(Topic::Membership, "member_off_roster", &[("vm", &vm.0)]);
         }
-        let leaving = out.identity().card.leaving;
+        let leaving = out.identity().descriptor.leaving;
         let mut current: Vec<_> =
             self.roster.iter().map(|(vm, entry)| (vm, entry.leaving)).collect();
         current.push((self.own_vm, leaving));
--- a/crates/sedgepath-core/src/lease/roster.rs
+++ b/crates/sedgepath-core/src/lease/roster.rs
@@ -85,7 +85,7 @@
                 self.entries.entry(*vm).or_insert_with(|| RosterEntry::new(established, now_ms));
             entry.newcomer &= entry.boot.is_none_or(|boot| boot == member.boot);
             entry.boot = Some(member.boot);
-            entry.leaving = member.card.leaving;
+            entry.leaving = member.descriptor.leaving;
             entry.last_heard_at_ms = entry.last_heard_at_ms.max(member.last_heard_at_ms);
         }
     }
--- a/crates/sedgepath-core/src/look_up.rs
+++ b/crates/sedgepath-core/src/look_up.rs
@@ -85,7 +85,7 @@
         source: IpAddr,
         view: &SystemView<'_>,
     ) -> Vec<EntryVm> {
-        let own = &view.identity.card.name;
+        let own = &view.identity.descriptor.name;
         let list = self.list(service, source, view);
         list.iter().filter(|entry_vm| entry_vm.name != *own).cloned().collect()
     }
@@ -119,13 +119,13 @@
 }
 
 fn entry_vm_candidates(view: &SystemView<'_>) -> Vec<EntryVmCandidate> {
-    let descriptor = &view.identity.card;
+    let descriptor = &view.identity.descriptor;
     let own = (!descriptor.leaving).then_some((view.identity.vm, descriptor));
     let members = view.membership.members();
     let others = members
         .iter()
         .filter(|(_, member)| member.accepts_work())
-        .map(|(vm, member)| (*vm, &member.card));
+        .map(|(vm, member)| (*vm, &member.descriptor));
     own.into_iter()
         .chain(others)
         .map(|(vm, descriptor)| EntryVmCandidate {
@@ -177,7 +177,7 @@
         return -uniform.max(f64::MIN_POSITIVE).ln() / share;
     }
     let region = |domain| view.catalogue.domains.get(domain).map(|entry| entry.region);
-    let same_region = region(&domain) == region(&view.identity.card.domain);
+    let same_region = region(&domain) == region(&view.identity.descriptor.domain);
     if same_region { f64::MAX } else { f64::INFINITY }
 }
 
@@ -192,15 +192,15 @@
         .filter(|(_, member)| member.accepts_work() && member.revision >= revision_seen)
         .take(MAX_ENTRY_VMS)
         .map(|(_, member)| EntryVm {
-            name: member.card.name.clone(),
-            address: member.card.caller_address,
+            name: member.descriptor.name.clone(),
+            address: member.descriptor.caller_address,
         })
         .collect();
     if candidate.is_empty() { Err(LookUpError::Configuration) } else { Ok(candidate) }
 }
 
 fn fingerprint(view: &SystemView<'_>) -> u64 {
-    let own = score(view.revision, u64::from(view.identity.card.leaving));
+    let own = score(view.revision, u64::from(view.identity.descriptor.leaving));
     // Addition is commutative, so the order of the members does not matter.
     let members = view.membership.members();
     members
--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -52,7 +52,7 @@
     /// The boot ID of the member's process.
     pub boot: BootId,
     /// The member's name, failure domain and addresses.
-    pub card: MemberDescriptor,
+    pub descriptor: MemberDescriptor,
     /// The configuration revision in force at the member.
     pub revision: u64,
     /// The member's load by service.
@@ -67,7 +67,7 @@
 impl Member {
     /// Returns whether new work may be sent to the member.
     pub fn accepts_work(&self) -> bool {
-        !self.suspected && !self.card.leaving
+        !self.suspected && !self.descriptor.leaving
     }
 }
 
@@ -141,7 +141,7 @@
     /// with its leaving flag.
     pub fn unsuspected_in(&self, domain: DomainKey) -> Vec<(VmKey, bool)> {
         let members = self.members_in(domain).into_iter().filter(|(_, member)| !member.suspected);
-        members.map(|(vm, member)| (vm, member.card.leaving)).collect()
+        members.map(|(vm, member)| (vm, member.descriptor.leaving)).collect()
     }
 
     /// Returns the keys of the serving members of a failure domain, sorted.
@@ -151,7 +151,7 @@
 
     /// Returns the members of a failure domain, including suspected ones, sorted by key.
     pub fn members_in(&self, domain: DomainKey) -> Vec<(VmKey, &Member)> {
-        self.members_with(|member| member.card.domain == domain)
+        self.members_with(|member| member.descriptor.domain == domain)
     }
 
     fn members_with(&self, condition: impl Fn(&Member) -> bool) -> Vec<(VmKey, &Member)> {
@@ -203,7 +203,7 @@
         }
         let known = self.members.get(&envelope.from).map(|member| member.boot);
         let was_leaving =
-            self.members.get(&envelope.from).is_some_and(|member| member.card.leaving);
+            self.members.get(&envelope.from).is_some_and(|member| member.descriptor.leaving);
         let report = LivenessReport {
             vm: envelope.from,
             boot: envelope.boot,
@@ -232,7 +232,7 @@
         let Some(member) = known.filter(|member| member.boot == envelope.boot) else {
             return false;
         };
-        out.log(Topic::Membership, "member_farewell", &[("member", &member.card.name)]);
+        out.log(Topic::Membership, "member_farewell", &[("member", &member.descriptor.name)]);
         self.members.remove(&envelope.from);
         self.heartbeats.forget(envelope.from);
         self.departed.insert(envelope.from, envelope.boot);
@@ -244,9 +244,9 @@
     /// The message is sent twice against datagram loss: a member that receives neither copy keeps
     /// this node in its roster, and its slot share idle, until the platform's VM list omits it.
     pub fn send_boot_ended(&self, out: &mut Outbox) {
-        for (_, member) in self.members_in(out.identity().card.domain) {
-            out.send(member.card.peer_address, Message::BootEnded);
-            out.send(member.card.peer_address, Message::BootEnded);
+        for (_, member) in self.members_in(out.identity().descriptor.domain) {
+            out.send(member.descriptor.peer_address, Message::BootEnded);
+            out.send(member.descriptor.peer_address, Message::BootEnded);
         }
     }
 
@@ -254,7 +254,7 @@
     pub fn handle_probe(&self, envelope: &Envelope, probe: &Probe, out: &mut Outbox) {
         if let Some(sender) = self.members.get(&envelope.from) {
             let direct = self.heartbeats.last_received(probe.member);
-            probe::send_answer(sender.card.peer_address, probe.member, direct, out);
+            probe::send_answer(sender.descriptor.peer_address, probe.member, direct, out);
         }
     }
 
@@ -268,7 +268,7 @@
             boot: answer.boot,
             last_heard_at_ms: out.now_ms().saturating_sub(answer.age_ms),
             revision: member.revision,
-            leaving: member.card.leaving,
+            leaving: member.descriptor.leaving,
             loads: member.loads.clone(),
             descriptor: None,
         };
@@ -291,10 +291,10 @@
             self.apply_report(report, out);
         }
         if summary.forward_in_domain {
-            let own_domain = out.identity().card.domain;
+            let own_domain = out.identity().descriptor.domain;
             for (_, member) in self.members_in(own_domain) {
                 if !member.suspected {
-                    relay::forward(member.card.peer_address, summary, out);
+                    relay::forward(member.descriptor.peer_address, summary, out);
                 }
             }
         }
@@ -318,7 +318,7 @@
         match self.members.get_mut(&report.vm) {
             Some(member) if member.boot == report.boot => {
                 // Leaving is irreversible within a boot, so a stale report of it still counts.
-                member.card.leaving |= report.leaving;
+                member.descriptor.leaving |= report.leaving;
                 if report.last_heard_at_ms >= member.last_heard_at_ms {
                     member.last_heard_at_ms = report.last_heard_at_ms;
                     member.revision = member.revision.max(report.revision);
@@ -340,7 +340,7 @@
                 descriptor.leaving |= report.leaving;
                 let member = Member {
                     boot: report.boot,
-                    card: descriptor,
+                    descriptor,
                     revision: report.revision,
                     loads: report.loads,
                     last_heard_at_ms: report.last_heard_at_ms,
@@ -358,14 +358,14 @@
 
     /// Returns the suspicion timeout of a member in milliseconds.
     fn suspect_after_ms(&self, member: &Member, own_domain: DomainKey) -> u64 {
-        if member.card.domain == own_domain {
+        if member.descriptor.domain == own_domain {
             return self.settings.suspect_after_ms;
         }
         self.settings.suspect_after_ms + LOST_ROUNDS_BEFORE_SUSPICION * self.settings.relay_every_ms
     }
 
     fn suspect_silent(&mut self, out: &mut Outbox) {
-        let own_domain = out.identity().card.domain;
+        let own_domain = out.identity().descriptor.domain;
         let silent: Vec<VmKey> = self
             .members_with(|member| {
                 let after_ms = self.suspect_after_ms(member, own_domain);
@@ -377,7 +377,11 @@
         for vm in silent {
             if let Some(member) = self.members.get_mut(&vm) {
                 member.suspected = true;
-                out.log(Topic::Membership, "member_suspect", &[("member", &member.card.name)]);
+                out.log(
+                    Topic::Membership,
+                    "member_suspect",
+                    &[("member", &member.descriptor.name)],
+                );
             }
         }
     }
@@ -399,7 +403,7 @@
             if let Some(member) = self.members.remove(&vm) {
                 self.departed.remove(&vm);
                 self.heartbeats.forget(vm);
-                out.log(Topic::Membership, "member_gone", &[("member", &member.card.name)]);
+                out.log(Topic::Membership, "member_gone", &[("member", &member.descriptor.name)]);
             }
         }
     }
@@ -407,7 +411,7 @@
     /// Returns whether this node is the member that introduces a newcomer to all others.
     fn is_introducer_of(&self, newcomer: VmKey, out: &Outbox) -> bool {
         let identity = out.identity();
-        let mut candidates = self.serving_vms_in(identity.card.domain);
+        let mut candidates = self.serving_vms_in(identity.descriptor.domain);
         candidates.retain(|vm| *vm != newcomer);
         candidates.push(identity.vm);
         rendezvous::owner(newcomer.0, &candidates) == Some(identity.vm)
@@ -425,6 +429,6 @@
 
 fn log_alive(member: &Member, out: &mut Outbox) {
     let fields: [(&str, &dyn std::fmt::Display); 2] =
-        [("member", &member.card.name), ("boot", &member.boot.0)];
+        [("member", &member.descriptor.name), ("boot", &member.boot.0)];
     out.log(Topic::Membership, "member_alive", &fields);
 }
--- a/crates/sedgepath-core/src/membership/heartbeat.rs
+++ b/crates/sedgepath-core/src/membership/heartbeat.rs
@@ -112,7 +112,7 @@
             return true;
         };
         let stale = peer.acknowledged_at_ms + valid_ms < out.now_ms();
-        stale || peer.descriptor_leaving != Some(out.identity().card.leaving)
+        stale || peer.descriptor_leaving != Some(out.identity().descriptor.leaving)
     }
 }
 
@@ -137,17 +137,17 @@
         lease: &mut UpstreamLease,
         out: &mut Outbox,
     ) {
-        let announcement = Some((out.identity().card.leaving, lease.claim()));
+        let announcement = Some((out.identity().descriptor.leaving, lease.claim()));
         if out.now_ms() < self.heartbeats.next_at_ms && self.heartbeats.announced == announcement {
             return;
         }
         self.heartbeats.announced = announcement;
         self.heartbeats.next_at_ms = out.now_ms() + self.settings.heartbeat_every_ms;
-        let domain = out.identity().card.domain;
+        let domain = out.identity().descriptor.domain;
         let peers: Vec<(VmKey, SocketAddr)> = self
             .members_in(domain)
             .into_iter()
-            .map(|(vm, member)| (vm, member.card.peer_address))
+            .map(|(vm, member)| (vm, member.descriptor.peer_address))
             .collect();
         for (vm, address) in &peers {
             let heartbeat = self.heartbeat(Some(*vm), own, lease, out);
@@ -172,7 +172,7 @@
             to.is_none_or(|vm| self.heartbeats.needs_descriptor(vm, valid_ms, out));
         Heartbeat {
             sent_at_ms: out.now_ms(),
-            descriptor: needs_descriptor.then(|| out.identity().card.clone()),
+            descriptor: needs_descriptor.then(|| out.identity().descriptor.clone()),
             configuration: own.news,
             loads: largest_loads(own.loads),
             roster_digest: lease.roster_digest(),
@@ -190,7 +190,12 @@
     ) -> Option<Acknowledgement> {
         let received = self.heartbeats.peers.get(&vm)?.heartbeat;
         let member = self.members.get(&vm).filter(|member| member.boot == received.boot);
-        lease.acknowledge(vm, received, member.map(|member| member.card.leaving), out.now_ms())
+        lease.acknowledge(
+            vm,
+            received,
+            member.map(|member| member.descriptor.leaving),
+            out.now_ms(),
+        )
     }
 
     /// Sends this node's roster to a member whose roster differs persistently.
@@ -216,7 +221,7 @@
         peers: &[(VmKey, SocketAddr)],
         out: &Outbox,
     ) -> Vec<SocketAddr> {
-        let own = out.identity().card.peer_address;
+        let own = out.identity().descriptor.peer_address;
         let listed = self.listed_keys.iter().filter(|vm| vm.domain == domain);
         let mut addresses: Vec<_> = listed.map(|vm| vm.peers).collect();
         addresses.retain(|address| *address != own && peers.iter().all(|peer| peer.1 != *address));
@@ -227,7 +232,7 @@
 
     /// Probes members that are silent but not yet suspected.
     fn probe_silent(&self, out: &mut Outbox) {
-        let domain = out.identity().card.domain;
+        let domain = out.identity().descriptor.domain;
         let silent_after_ms = self.settings.suspect_after_ms / 2;
         let members = self.members_in(domain);
         for (vm, member) in &members {
@@ -236,7 +241,7 @@
                 let others =
                     members.iter().filter(|(other, entry)| other != vm && entry.accepts_work());
                 let others =
-                    others.map(|(other, entry)| (*other, entry.card.peer_address)).collect();
+                    others.map(|(other, entry)| (*other, entry.descriptor.peer_address)).collect();
                 probe::send_probes(*vm, others, out);
             }
         }
--- a/crates/sedgepath-core/src/membership/relay.rs
+++ b/crates/sedgepath-core/src/membership/relay.rs
@@ -55,7 +55,7 @@
             {
                 let with_descriptors = turn % DESCRIPTOR_INTERVAL_TURNS < 2;
                 let lines = self.own_domain_lines(own, with_descriptors, out);
-                send_lines(address, out.identity().card.domain, true, lines, out);
+                send_lines(address, out.identity().descriptor.domain, true, lines, out);
             }
         }
     }
@@ -65,21 +65,22 @@
     /// Otherwise their look-ups would return this node until the next summary, by which time the
     /// process may have stopped.
     fn announce_leaving(&mut self, own: LocalState<'_>, out: &mut Outbox) {
-        if !out.identity().card.leaving || self.relay.announced_leaving {
+        if !out.identity().descriptor.leaving || self.relay.announced_leaving {
             return;
         }
         self.relay.announced_leaving = true;
         for domain in self.other_domains(out) {
             if let Some(address) = self.summary_receiver(domain, self.relay.round, out) {
                 let line = own_line(own, true, out);
-                send_lines(address, out.identity().card.domain, true, vec![line], out);
+                send_lines(address, out.identity().descriptor.domain, true, vec![line], out);
             }
         }
     }
 
     /// Sends the known members of all failure domains to a new member of the own failure domain.
     pub(super) fn introduce(&self, newcomer: VmKey, out: &mut Outbox) {
-        let Some(address) = self.members.get(&newcomer).map(|member| member.card.peer_address)
+        let Some(address) =
+            self.members.get(&newcomer).map(|member| member.descriptor.peer_address)
         else {
             return;
         };
@@ -93,10 +94,11 @@
 
     /// Sends a member of the own failure domain all other members there, including suspected ones.
     pub(super) fn share_roster(&self, with: VmKey, out: &mut Outbox) {
-        let Some(address) = self.members.get(&with).map(|member| member.card.peer_address) else {
+        let Some(address) = self.members.get(&with).map(|member| member.descriptor.peer_address)
+        else {
             return;
         };
-        let domain = out.identity().card.domain;
+        let domain = out.identity().descriptor.domain;
         let others = self.members_in(domain).into_iter().filter(|(vm, _)| *vm != with);
         let lines: Vec<_> = others.map(|(vm, _)| self.member_line(vm, true, out)).collect();
         send_lines(address, domain, false, lines, out);
@@ -104,8 +106,8 @@
 
     /// Returns the known failure domains other than the node's own.
     fn other_domains(&self, out: &Outbox) -> Vec<DomainKey> {
-        let own = out.identity().card.domain;
-        let heard = self.members.values().map(|member| member.card.domain);
+        let own = out.identity().descriptor.domain;
+        let heard = self.members.values().map(|member| member.descriptor.domain);
         let listed = self.listed_keys.iter().map(|vm| vm.domain);
         let mut domains: Vec<_> = heard.chain(listed).filter(|domain| *domain != own).collect();
         domains.sort_unstable();
@@ -117,8 +119,8 @@
     /// now.
     fn relay_turn(&self, domain: DomainKey, out: &Outbox) -> Option<u64> {
         let identity = out.identity();
-        let mut candidates = self.serving_vms_in(identity.card.domain);
-        if !identity.card.leaving || candidates.is_empty() {
+        let mut candidates = self.serving_vms_in(identity.descriptor.domain);
+        if !identity.descriptor.leaving || candidates.is_empty() {
             candidates.push(identity.vm);
         }
         let relays = select_relays(domain, candidates);
@@ -132,15 +134,17 @@
     /// If no serving member is known, suspected members and the VMs of the platform's list are
     /// tried in turn.
     fn summary_receiver(&self, domain: DomainKey, turn: u64, out: &Outbox) -> Option<SocketAddr> {
-        let live = select_relays(out.identity().card.domain, self.serving_vms_in(domain));
+        let live = select_relays(out.identity().descriptor.domain, self.serving_vms_in(domain));
         let mut addresses: Vec<_> = live
             .iter()
             .filter_map(|vm| self.members.get(vm))
-            .map(|entry| entry.card.peer_address)
+            .map(|entry| entry.descriptor.peer_address)
             .collect();
         if addresses.is_empty() {
-            let heard =
-                self.members_in(domain).into_iter().map(|(_, member)| member.card.peer_address);
+            let heard = self
+                .members_in(domain)
+                .into_iter()
+                .map(|(_, member)| member.descriptor.peer_address);
             let listed = self.listed_keys.iter().filter(|vm| vm.domain == domain);
             addresses = heard.chain(listed.map(|vm| vm.peers)).collect();
             addresses.sort_unstable();
@@ -157,7 +161,7 @@
         with_descriptors: bool,
         out: &Outbox,
     ) -> Vec<MemberSummary> {
-        let domain = out.identity().card.domain;
+        let domain = out.identity().descriptor.domain;
         let live = self.members_in(domain).into_iter().filter(|(_, member)| !member.suspected);
         let mut lines: Vec<_> =
             live.map(|(vm, _)| self.member_line(vm, with_descriptors, out)).collect();
@@ -178,9 +182,9 @@
             boot: member.boot,
             age_ms: out.now_ms().saturating_sub(member.last_heard_at_ms),
             revision: member.revision,
-            leaving: member.card.leaving,
+            leaving: member.descriptor.leaving,
             loads: member.loads.clone(),
-            descriptor: with_descriptor.then(|| member.card.clone()),
+            descriptor: with_descriptor.then(|| member.descriptor.clone()),
         }
     }
 }
@@ -200,9 +204,9 @@
         boot: identity.boot,
         age_ms: 0,
         revision: own.news.revision,
-        leaving: identity.card.leaving,
+        leaving: identity.descriptor.leaving,
         loads: largest_loads(own.loads),
-        descriptor: with_descriptor.then(|| identity.card.clone()),
+        descriptor: with_descriptor.then(|| identity.descriptor.clone()),
     }
 }
 
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -268,7 +268,7 @@
         // takes up to the same time again.
         let heard_by_ms = self.out.now_ms() + 2 * self.settings.suspect_after_ms;
         if self.stop.start(heard_by_ms, self.settings.look_up_valid_ms) {
-            self.out.identity_mut().card.leaving = true;
+            self.out.identity_mut().descriptor.leaving = true;
             self.out.log(Topic::Node, "stop_begun", &[]);
         } else {
             self.out.push(Action::Stopped);
@@ -339,9 +339,9 @@
             return;
         };
         let identity = self.out.identity();
-        let members = self.membership.members_in(identity.card.domain);
+        let members = self.membership.members_in(identity.descriptor.domain);
         let peers: Vec<_> =
-            members.into_iter().map(|(_, member)| member.card.peer_address).collect();
+            members.into_iter().map(|(_, member)| member.descriptor.peer_address).collect();
         let turn = notice.number.wrapping_add(identity.vm.0) % peers.len().max(1) as u64;
         for (place, peer) in peers.into_iter().enumerate() {
             if notice.broadcast || place as u64 == turn {
@@ -360,7 +360,7 @@
             return;
         };
         if !leaving.upstreams.is_empty() {
-            self.out.send(member.card.peer_address, Message::LeavingUpstreams(leaving));
+            self.out.send(member.descriptor.peer_address, Message::LeavingUpstreams(leaving));
         }
     }
 
@@ -410,7 +410,7 @@
     /// Records the revision that a member has in force, if the member's address is known.
     fn record_revision(&mut self, vm: VmKey, revision: u64) {
         if let Some(member) = self.membership.member(vm) {
-            self.configuration.observe_revision(vm, member.card.operator_address, revision);
+            self.configuration.observe_revision(vm, member.descriptor.operator_address, revision);
         }
     }
 
--- a/crates/sedgepath-core/src/shift/baseline.rs
+++ b/crates/sedgepath-core/src/shift/baseline.rs
@@ -49,13 +49,13 @@
         }
         let mut peers = view.membership.members();
         peers.retain(|(_, member)| member.accepts_work() && member.revision >= view.revision);
-        let own_domain = view.identity.card.domain;
-        peers.sort_by_key(|(_, member)| member.card.domain != own_domain);
+        let own_domain = view.identity.descriptor.domain;
+        peers.sort_by_key(|(_, member)| member.descriptor.domain != own_domain);
         if !peers.is_empty() {
             self.next_ask_at_ms = view.now_ms + REQUEST_INTERVAL_MS;
         }
         for (_, member) in peers.into_iter().take(PEERS_PER_REQUEST) {
-            out.send(member.card.peer_address, Message::BaselineRequest);
+            out.send(member.descriptor.peer_address, Message::BaselineRequest);
         }
     }
 
@@ -69,7 +69,7 @@
     ) {
         if let Some(member) = view.membership.member(sender).filter(|_| self.finished) {
             let baseline = Baseline { revision: view.revision, moved: ledger.moved_shares() };
-            out.send(member.card.peer_address, Message::Baseline(baseline));
+            out.send(member.descriptor.peer_address, Message::Baseline(baseline));
         }
     }
 
--- a/crates/sedgepath-core/src/view.rs
+++ b/crates/sedgepath-core/src/view.rs
@@ -94,9 +94,9 @@
 
     fn is_leaving(&self, vm: VmKey) -> bool {
         if vm == self.identity.vm {
-            return self.identity.card.leaving;
+            return self.identity.descriptor.leaving;
         }
-        self.membership.member(vm).is_some_and(|member| member.card.leaving)
+        self.membership.member(vm).is_some_and(|member| member.descriptor.leaving)
     }
 
     /// Returns a VM's last load report on a service and the report's age in milliseconds.
@@ -154,8 +154,8 @@
     /// Returns the serving VMs of a failure domain, including this node.
     pub fn serving_vms_in(&self, domain: DomainKey) -> Vec<VmKey> {
         let mut alive = self.membership.unsuspected_in(domain);
-        if self.identity.card.domain == domain {
-            alive.push((self.identity.vm, self.identity.card.leaving));
+        if self.identity.descriptor.domain == domain {
+            alive.push((self.identity.vm, self.identity.descriptor.leaving));
         }
         membership::serving_vms(&alive)
     }
@@ -176,8 +176,8 @@
 
     fn peer_address(&self, vm: VmKey) -> Option<SocketAddr> {
         if vm == self.identity.vm {
-            return Some(self.identity.card.peer_address);
+            return Some(self.identity.descriptor.peer_address);
         }
-        self.membership.member(vm).map(|member| member.card.peer_address)
+        self.membership.member(vm).map(|member| member.descriptor.peer_address)
     }
 }
--- a/crates/sedgepath-core/tests/look_up.rs
+++ b/crates/sedgepath-core/tests/look_up.rs
@@ -67,7 +67,7 @@
     let index = (0..12)
         .find(|index| {
             bed.node(*index)
-                .is_some_and(|node| *node.outbox().identity().card.name == *excluded_name)
+                .is_some_and(|node| *node.outbox().identity().descriptor.name == *excluded_name)
         })
         .expect("the named node is on the bed");
     bed.kill(index);
--- a/crates/sedgepath-core/tests/membership.rs
+++ b/crates/sedgepath-core/tests/membership.rs
@@ -30,10 +30,12 @@
 /// Returns the names of the VMs that a node considers to accept work, itself included.
 fn vms_accepting_work(bed: &Bed, node: NodeIndex) -> Vec<String> {
     let node = bed.node(node).expect("a node that runs");
-    let own = std::iter::once(&node.outbox().identity().card);
+    let own = std::iter::once(&node.outbox().identity().descriptor);
     let members = node.membership().members();
-    let others =
-        members.iter().filter(|(_, member)| member.accepts_work()).map(|(_, member)| &member.card);
+    let others = members
+        .iter()
+        .filter(|(_, member)| member.accepts_work())
+        .map(|(_, member)| &member.descriptor);
     let mut names: Vec<_> =
         own.chain(others).filter(|card| !card.leaving).map(|card| card.name.to_string()).collect();
     names.sort();
--- a/crates/sedgepathd/src/driver.rs
+++ b/crates/sedgepathd/src/driver.rs
@@ -344,7 +344,7 @@
                     let _ended = self.outlets.fetches.send(job);
                 }
                 Action::Log(entry) => {
-                    logging::entry(&self.node.outbox().identity().card.name, &entry);
+                    logging::entry(&self.node.outbox().identity().descriptor.name, &entry);
                 }
                 Action::Stopped => self.stopped = true,
             }
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -126,7 +126,7 @@
     async fn timeline(&self, after: SignedCall<HybridTimestamp>) -> RpcResult<NodeTimeline> {
         let after = self.open(method::TIMELINE, after)?;
         self.ask(move |node| NodeTimeline {
-            node: node.outbox().identity().card.name.clone(),
+            node: node.outbox().identity().descriptor.name.clone(),
             entries: node.outbox().timeline().since(after),
         })
         .await
@@ -153,12 +153,12 @@
 
 fn status(node: &Node, now_ms: u64) -> NodeStatus {
     let members = node.membership().members().into_iter().map(|(_, member)| MemberStatus {
-        name: member.card.name.clone(),
-        operator_address: member.card.operator_address,
+        name: member.descriptor.name.clone(),
+        operator_address: member.descriptor.operator_address,
         revision: member.revision,
         silent_ms: now_ms.saturating_sub(member.last_heard_at_ms),
         suspected: member.suspected,
-        leaving: member.card.leaving,
+        leaving: member.descriptor.leaving,
     });
     let unread = node.configuration().catalogue().unreadable_records.iter().map(|unread| {
         UnreadableRecordStatus {
@@ -168,8 +168,8 @@
         }
     });
     NodeStatus {
-        node: node.outbox().identity().card.name.clone(),
-        domain: node.outbox().identity().card.domain,
+        node: node.outbox().identity().descriptor.name.clone(),
+        domain: node.outbox().identity().descriptor.domain,
         revision: node.configuration().revision(),
         head_age_ms: node.configuration().status(now_ms).head_age_ms,
         ready: node.configuration().ready(),
