--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -75,7 +75,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct LocalState<'a> {
     /// The node's configuration revision and the age of its last head read.
-    pub news: ConfigurationStatus,
+    pub configuration: ConfigurationStatus,
     /// The node's load by service.
     pub loads: &'a [ServiceLoad],
 }
--- a/crates/sedgepath-core/src/membership/heartbeat.rs
+++ b/crates/sedgepath-core/src/membership/heartbeat.rs
@@ -173,7 +173,7 @@
         Heartbeat {
             sent_at_ms: out.now_ms(),
             descriptor: needs_descriptor.then(|| out.identity().descriptor.clone()),
-            configuration: own.news,
+            configuration: own.configuration,
             loads: largest_loads(own.loads),
             roster_digest: lease.roster_digest(),
             claim: lease.claim(),
--- a/crates/sedgepath-core/src/membership/relay.rs
+++ b/crates/sedgepath-core/src/membership/relay.rs
@@ -203,7 +203,7 @@
         vm: identity.vm,
         boot: identity.boot,
         age_ms: 0,
-        revision: own.news.revision,
+        revision: own.configuration.revision,
         leaving: identity.descriptor.leaving,
         loads: largest_loads(own.loads),
         descriptor: with_descriptor.then(|| identity.descriptor.clone()),
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -204,7 +204,8 @@
         self.with_egress(Egress::tick);
         self.send_leaving_notice();
         self.own_loads = self.with_egress(|egress, scope, out| egress.loads(scope, out.now_ms()));
-        let own = LocalState { news: self.configuration.status(now_ms), loads: &self.own_loads };
+        let own =
+            LocalState { configuration: self.configuration.status(now_ms), loads: &self.own_loads };
         self.right.update_in_flight(|upstream| self.egress.in_flight(upstream));
         self.membership.tick(own, &mut self.right, &mut self.out);
         // Grants just made to other members reduce the allowances of the next dispatch.
