--- a/crates/sedgepath/src/error.rs
+++ b/crates/sedgepath/src/error.rs
@@ -30,7 +30,7 @@
     /// The change may or may not have been accepted.
     Unknown,
     /// The records or the drain were rejected by a check.
-    Refused,
+    Rejected,
 }
 
 impl Exit {
@@ -43,7 +43,7 @@
             Self::Conflict => 3,
             Self::Unreachable => 4,
             Self::Unknown => 5,
-            Self::Refused => 6,
+            Self::Rejected => 6,
         }
     }
 }
@@ -214,7 +214,7 @@
             Self::Unreachable { .. } => Exit::Unreachable,
             Self::OutcomeUnknown { .. } => Exit::Unknown,
             Self::InvalidRecords { .. } | Self::DrainRejected(_) | Self::TargetNotFound { .. } => {
-                Exit::Refused
+                Exit::Rejected
             }
             Self::ReadFile { .. }
             | Self::ReadLogs { .. }
--- a/crates/sedgepathd/tests/operators.rs
+++ b/crates/sedgepathd/tests/operators.rs
@@ -135,7 +135,7 @@
     assert!(message.contains("more north"), "{message}");
     let wrong = bench
         .file("wrong.yaml", "schema: 1\nkind: drain\nname: b9\ntarget: upstream\nactive: true\n");
-    assert_eq!(exit(bench.run(&["apply", &wrong])).0, Exit::Refused);
+    assert_eq!(exit(bench.run(&["apply", &wrong])).0, Exit::Rejected);
     assert_eq!(exit(bench.run(&["get", "steering", "nothing"])).0, Exit::Failed);
     assert_eq!(bench.run(&["get"]).expect("get").lines().next(), Some("revision 2 is in force"));
 }
@@ -191,7 +191,7 @@
 fn a_drain_is_planned_started_and_ended() {
     let bench = Bench::new();
     let (code, message) = exit(bench.run(&["drain", "start", "south-a", "--finish-by", "10s"]));
-    assert_eq!((code, message.as_str()), (Exit::Refused, "the drain is refused by its plan"));
+    assert_eq!((code, message.as_str()), (Exit::Rejected, "the drain is refused by its plan"));
     let plan = bench.run(&["drain", "plan", "south-a", "--finish-by", "1h"]).expect("plan");
     assert!(plan.contains("would end after 39 s"), "{plan}");
     let started = bench.run(&["drain", "start", "south-a", "--finish-by", "1h"]).expect("start");
@@ -203,7 +203,7 @@
         })
     });
     bench.run(&["drain", "end", "south-a"]).expect("end");
-    assert_eq!(exit(bench.run(&["drain", "plan", "nowhere"])).0, Exit::Refused);
+    assert_eq!(exit(bench.run(&["drain", "plan", "nowhere"])).0, Exit::Rejected);
     let told = bench.run(&["explain", "browse", "--json"]).expect("explain");
     let told: serde_json::Value = serde_json::from_str(&told).expect("JSON");
     assert_eq!(told["entrance"], "open");
