--- a/crates/sedgepath/src/cli.rs
+++ b/crates/sedgepath/src/cli.rs
@@ -8,7 +8,7 @@
 
 use crate::client::Client;
 use crate::commands::{COMMANDS, Command};
-use crate::error::{CliError, Exit};
+use crate::error::{CliError, ExitStatus};
 use crate::operations::logs::LogLine;
 
 /// The environment variable with the nodes to call, separated by commas or spaces.
@@ -183,9 +183,9 @@
 }
 
 /// Runs the arguments after the program name and prints an error to standard error.
-pub fn run(arguments: &[String], environment: &Environment, out: &mut dyn Write) -> Exit {
+pub fn run(arguments: &[String], environment: &Environment, out: &mut dyn Write) -> ExitStatus {
     match execute(arguments, environment, out) {
-        Ok(()) => Exit::Success,
+        Ok(()) => ExitStatus::Success,
         Err(error) => {
             let exit = error.exit();
             eprintln!("{:?}", miette::Report::new(error));
--- a/crates/sedgepath/src/error.rs
+++ b/crates/sedgepath/src/error.rs
@@ -16,7 +16,7 @@
 
 /// The exit status of the program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Exit {
+pub enum ExitStatus {
     /// The command succeeded.
     Success,
     /// The command failed for a reason without a status of its own.
@@ -33,7 +33,7 @@
     Rejected,
 }
 
-impl Exit {
+impl ExitStatus {
     /// Returns the exit code of the process.
     pub fn code(self) -> u8 {
         match self {
@@ -207,14 +207,14 @@
 
 impl CliError {
     /// Returns the exit status for this error.
-    pub fn exit(&self) -> Exit {
+    pub fn exit(&self) -> ExitStatus {
         match self {
-            Self::Usage { .. } | Self::MissingNode | Self::MissingKey => Exit::Usage,
-            Self::Conflict { .. } => Exit::Conflict,
-            Self::Unreachable { .. } => Exit::Unreachable,
-            Self::OutcomeUnknown { .. } => Exit::Unknown,
+            Self::Usage { .. } | Self::MissingNode | Self::MissingKey => ExitStatus::Usage,
+            Self::Conflict { .. } => ExitStatus::Conflict,
+            Self::Unreachable { .. } => ExitStatus::Unreachable,
+            Self::OutcomeUnknown { .. } => ExitStatus::Unknown,
             Self::InvalidRecords { .. } | Self::DrainRejected(_) | Self::TargetNotFound { .. } => {
-                Exit::Rejected
+                ExitStatus::Rejected
             }
             Self::ReadFile { .. }
             | Self::ReadLogs { .. }
@@ -226,7 +226,7 @@
             | Self::RecordNotFound { .. }
             | Self::Output(_)
             | Self::Json(_)
-            | Self::Yaml(_) => Exit::Failed,
+            | Self::Yaml(_) => ExitStatus::Failed,
         }
     }
 }
--- a/crates/sedgepathd/tests/operators.rs
+++ b/crates/sedgepathd/tests/operators.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use sedgepath::cli::{self, Environment};
-use sedgepath::error::{CliError, Exit};
+use sedgepath::error::{CliError, ExitStatus};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use sedgepath_test_support::store::StoreMode;
 use sedgepath_test_support::system::{SECRET, System};
@@ -104,7 +104,7 @@
     }
 }
 
-fn exit(result: Result<String, CliError>) -> (Exit, String) {
+fn exit(result: Result<String, CliError>) -> (ExitStatus, String) {
     let error = result.expect_err("an error");
     (error.exit(), error.to_string())
 }
@@ -131,12 +131,12 @@
     assert!(history.lines().next().expect("a line").ends_with("steering browse: more north"));
 
     let (code, message) = exit(bench.run_at(&[1], &["apply", &file, "--expect", "1"]));
-    assert_eq!(code, Exit::Conflict);
+    assert_eq!(code, ExitStatus::Conflict);
     assert!(message.contains("more north"), "{message}");
     let wrong = bench
         .file("wrong.yaml", "schema: 1\nkind: drain\nname: b9\ntarget: upstream\nactive: true\n");
-    assert_eq!(exit(bench.run(&["apply", &wrong])).0, Exit::Rejected);
-    assert_eq!(exit(bench.run(&["get", "steering", "nothing"])).0, Exit::Failed);
+    assert_eq!(exit(bench.run(&["apply", &wrong])).0, ExitStatus::Rejected);
+    assert_eq!(exit(bench.run(&["get", "steering", "nothing"])).0, ExitStatus::Failed);
     assert_eq!(bench.run(&["get"]).expect("get").lines().next(), Some("revision 2 is in force"));
 }
 
@@ -181,7 +181,7 @@
     assert!(merged.contains("no answer from n1 at "), "{merged}");
     bench.system.daemons[1] = None;
     let (code, message) = exit(bench.run(&["status"]));
-    assert_eq!(code, Exit::Unreachable);
+    assert_eq!(code, ExitStatus::Unreachable);
     assert_eq!(message.lines().count(), 3, "{message}");
 }
 
@@ -191,7 +191,10 @@
 fn a_drain_is_planned_started_and_ended() {
     let bench = Bench::new();
     let (code, message) = exit(bench.run(&["drain", "start", "south-a", "--finish-by", "10s"]));
-    assert_eq!((code, message.as_str()), (Exit::Rejected, "the drain is refused by its plan"));
+    assert_eq!(
+        (code, message.as_str()),
+        (ExitStatus::Rejected, "the drain is refused by its plan")
+    );
     let plan = bench.run(&["drain", "plan", "south-a", "--finish-by", "1h"]).expect("plan");
     assert!(plan.contains("would end after 39 s"), "{plan}");
     let started = bench.run(&["drain", "start", "south-a", "--finish-by", "1h"]).expect("start");
@@ -203,7 +206,7 @@
         })
     });
     bench.run(&["drain", "end", "south-a"]).expect("end");
-    assert_eq!(exit(bench.run(&["drain", "plan", "nowhere"])).0, Exit::Rejected);
+    assert_eq!(exit(bench.run(&["drain", "plan", "nowhere"])).0, ExitStatus::Rejected);
     let told = bench.run(&["explain", "browse", "--json"]).expect("explain");
     let told: serde_json::Value = serde_json::from_str(&told).expect("JSON");
     assert_eq!(told["entrance"], "open");
@@ -228,8 +231,8 @@
     bench.system.daemons[1] = None;
     bench.system.start_daemon(1).expect("daemon");
     bench.wait_for(|bench| serves(bench, 1));
-    assert_eq!(exit(bench.run(&["apply", &file])).0, Exit::Failed);
-    assert_eq!(exit(bench.run(&["history"])).0, Exit::Unreachable);
+    assert_eq!(exit(bench.run(&["apply", &file])).0, ExitStatus::Failed);
+    assert_eq!(exit(bench.run(&["history"])).0, ExitStatus::Unreachable);
     bench.system.store.set_mode(StoreMode::Normal);
     assert_eq!(bench.run(&["apply", &file]).expect("apply"), "revision 3 is accepted\n");
 }
@@ -247,9 +250,9 @@
         assert!(bench.run_with(key, &[1], &["status"]).expect("status").contains("serves"));
     }
     let (code, message) = exit(bench.run_with("some other key....", &[0], &["apply", &file]));
-    assert_eq!(code, Exit::Failed);
+    assert_eq!(code, ExitStatus::Failed);
     assert!(message.contains("not proved by a key in force"), "{message}");
-    assert_eq!(exit(bench.run_with("some other key....", &[0], &["get"])).0, Exit::Failed);
+    assert_eq!(exit(bench.run_with("some other key....", &[0], &["get"])).0, ExitStatus::Failed);
     assert_eq!(bench.run_with(new, &[0], &["apply", &file]).expect("apply"), ACCEPTED);
 
     let url = format!("http://{}", bench.system.addresses[0].operators);
@@ -290,10 +293,10 @@
         assert!(help.starts_with(&format!("Usage: sedgepath {}", command.name)), "{help}");
         assert_eq!(run(&["help", command.name]).expect("help"), help);
     }
-    assert_eq!(exit(run(&["nothing"])).0, Exit::Usage);
-    assert_eq!(exit(run(&["status", "--nothing"])).0, Exit::Usage);
-    assert_eq!(exit(run(&["status"])).0, Exit::Usage);
-    assert_eq!(exit(run(&["status", "--node", "somewhere"])).0, Exit::Usage);
+    assert_eq!(exit(run(&["nothing"])).0, ExitStatus::Usage);
+    assert_eq!(exit(run(&["status", "--nothing"])).0, ExitStatus::Usage);
+    assert_eq!(exit(run(&["status"])).0, ExitStatus::Usage);
+    assert_eq!(exit(run(&["status", "--node", "somewhere"])).0, ExitStatus::Usage);
     assert_eq!(
         run(&["key", "porch-key"]).expect("key").trim(),
         records::key_digest("porch-key").to_hex()
