--- a/crates/sedgepathd/src/direct.rs
+++ b/crates/sedgepathd/src/direct.rs
@@ -1,7 +1,7 @@
 //! The shell around [`sedgepath_core::direct`]: an entry VM that sends to upstreams itself.
 //!
 //! One thread runs everything: a VM has a fifth of a core, so threads would only take turns, and the
-//! steering state needs no lock. [`shell::Shell`] is what all tasks share.
+//! steering state needs no lock. [`shared::Shell`] is what all tasks share.
 //!
 //! - [`run`]: start, signals, planned stop.
 //! - [`ingress`]: callers' connections and their requests.
@@ -16,19 +16,19 @@
 //! - [`fetch`], [`giving`]: rows that they fetch from each other, and that they give.
 //! - [`lines`], [`metrics`]: what on-call engineers see.
 
-pub mod answers;
+pub mod attempt;
 pub mod clock;
-pub mod entry;
+pub mod connection_pool;
+pub mod control_server;
+pub mod discovery;
+pub mod entry_queries;
 pub mod fetch;
-pub mod find;
-pub mod follow;
-pub mod giving;
+pub mod gossip;
 pub mod ingress;
-pub mod lines;
+pub mod logging;
 pub mod metrics;
-pub mod peers;
-pub mod pool;
-pub mod questions;
+pub mod responses;
 pub mod run;
-pub mod sending;
-pub mod shell;
+pub mod shared;
+pub mod store_feed;
+pub mod table_server;
--- /dev/null
+++ b/crates/sedgepathd/src/direct/attempt.rs
@@ -0,0 +1,342 @@
+//! One sending of a request to an upstream.
+
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use http_body_util::{BodyExt, Full};
+use hyper::body::{Body as _, Frame, Incoming, SizeHint};
+use hyper::{Request, Response, StatusCode, http};
+use sedgepath_adapter::headers::{self, ResponseHeaders, ResponseKind};
+use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, NextStep, RequestState};
+use sedgepath_core::direct::upstreams::UpstreamKey;
+use tokio::time::timeout_at;
+
+use super::clock;
+use super::connection_pool::{Body, Connection};
+use super::shared::SharedState;
+
+/// The longest that a connection to an upstream may take: three of the longest round trips between
+/// regions. A lost packet, which is sent again after a second, is not waited for; another upstream is
+/// tried.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// How often a request whose upstream may be gone is looked at, in milliseconds.
+const HEDGE_CHECK_INTERVAL_MS: u64 = 100;
+
+/// Answers up to this size are read whole before the caller gets the first byte, so that one that
+/// breaks off can be replaced by another upstream's.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 1024 * 1024;
+
+/// The head of a request to be sent.
+#[derive(Debug, Clone)]
+pub struct RequestHead {
+    /// The method, path and fields as the caller sent them.
+    pub parts: http::request::Parts,
+    /// The attempt's name.
+    pub attempt_id: Box<str>,
+}
+
+/// The body of a request to be sent.
+#[derive(Debug)]
+pub enum RequestBody {
+    /// Read whole; can be sent again.
+    Buffered(Bytes),
+    /// Not yet read whole; can be sent once.
+    Streamed(Option<Body>),
+}
+
+impl RequestBody {
+    /// Whether the body was streamed to an upstream and can't be sent again.
+    pub fn is_spent(&self) -> bool {
+        matches!(self, Self::Streamed(None))
+    }
+
+    /// Returns the body for one sending; `None` if it was streamed to an earlier one.
+    pub fn take(&mut self) -> Option<Body> {
+        match self {
+            Self::Buffered(bytes) => Some(bytes_body(bytes.clone())),
+            Self::Streamed(body) => body.take(),
+        }
+    }
+}
+
+/// Makes a body of bytes.
+pub fn bytes_body(bytes: Bytes) -> Body {
+    Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
+}
+
+/// How a sending ended, with the answer to pass on if there is one.
+#[derive(Debug)]
+pub struct AttemptResult {
+    /// What the decisions need to know.
+    pub outcome: AttemptOutcome,
+    /// The answer.
+    pub response: Option<Response<Body>>,
+}
+
+impl AttemptResult {
+    fn without_response(outcome: AttemptOutcome) -> Self {
+        Self { outcome, response: None }
+    }
+}
+
+/// A request on its way, whose end is counted however it comes about.
+///
+/// The task of a request is dropped when its caller leaves; without the count the upstream would look
+/// busy for ever.
+#[derive(Debug)]
+pub struct InFlightRequest {
+    /// What all tasks share.
+    pub shared: Rc<SharedState>,
+    /// The request.
+    pub state: RequestState,
+}
+
+impl Drop for InFlightRequest {
+    fn drop(&mut self) {
+        let mut steering = self.shared.steering.borrow_mut();
+        steering.cancel_request(&mut self.state, clock::now_ms());
+    }
+}
+
+impl InFlightRequest {
+    /// Counts the end of the sending to an upstream.
+    pub fn record_outcome(&mut self, upstream: UpstreamKey, outcome: AttemptOutcome) {
+        let mut steering = self.shared.steering.borrow_mut();
+        steering.record_outcome(&mut self.state, upstream, outcome, clock::now_ms());
+    }
+
+    /// Decides what happens next.
+    pub fn next_step(&mut self) -> NextStep {
+        let mut steering = self.shared.steering.borrow_mut();
+        steering.next_step(&mut self.state, fastrand::u64(..), clock::now_ms())
+    }
+
+    /// Waits until a second upstream should be tried beside the first, and says which.
+    pub async fn wait_for_hedge(&mut self) -> Attempt {
+        loop {
+            let at_ms = self.shared.steering.borrow().hedge_at_ms(&self.state);
+            let Some(at_ms) = at_ms else {
+                return std::future::pending().await;
+            };
+            let at_ms = at_ms.max(clock::now_ms() + HEDGE_CHECK_INTERVAL_MS);
+            tokio::time::sleep_until(clock::instant_at(at_ms)).await;
+            let mut steering = self.shared.steering.borrow_mut();
+            let now_ms = clock::now_ms();
+            if let Some(attempt) = steering.hedge(&mut self.state, fastrand::u64(..), now_ms) {
+                return attempt;
+            }
+        }
+    }
+}
+
+/// Sends a request and waits for the answer.
+pub async fn send_attempt(
+    shared: &SharedState,
+    deadline_at_ms: u64,
+    attempt: &Attempt,
+    head: &RequestHead,
+    body: Body,
+) -> AttemptResult {
+    let deadline = clock::instant_at(deadline_at_ms);
+    let mut request = Request::from_parts(head.parts.clone(), body);
+    loop {
+        let (mut connection, fresh) = match shared.upstream_connections.take_idle(attempt.upstream)
+        {
+            Some(connection) => (connection, false),
+            None => match open_connection(shared, attempt, deadline_at_ms).await {
+                Some(connection) => (connection, true),
+                None => return AttemptResult::without_response(AttemptOutcome::Unreachable),
+            },
+        };
+        let left_ms = deadline_at_ms.saturating_sub(clock::now_ms());
+        headers::prepare_upstream_headers(request.headers_mut(), &attempt.name, left_ms);
+        match timeout_at(deadline, connection.try_send_request(request)).await {
+            Ok(Ok(response)) => {
+                return receive_response(
+                    shared,
+                    deadline_at_ms,
+                    attempt,
+                    head,
+                    response,
+                    connection,
+                )
+                .await;
+            }
+            Ok(Err(mut error)) => match error.take_message() {
+                // The upstream had closed the idle connection; the request comes back unsent.
+                Some(unsent) if !fresh => request = unsent,
+                Some(_unsent) => {
+                    return AttemptResult::without_response(AttemptOutcome::Unreachable);
+                }
+                None => return AttemptResult::without_response(AttemptOutcome::Failed),
+            },
+            Err(_elapsed) => return AttemptResult::without_response(AttemptOutcome::TimedOut),
+        }
+    }
+}
+
+async fn open_connection(
+    shared: &SharedState,
+    attempt: &Attempt,
+    deadline_at_ms: u64,
+) -> Option<Connection> {
+    let started_at_ms = clock::now_ms();
+    let left = Duration::from_millis(deadline_at_ms.saturating_sub(started_at_ms));
+    let opened =
+        shared.upstream_connections.open(attempt.address, CONNECT_TIMEOUT.min(left)).await.ok()?;
+    let took_ms = clock::now_ms().saturating_sub(started_at_ms);
+    shared.steering.borrow_mut().record_connect_time(attempt.upstream, took_ms);
+    Some(opened)
+}
+
+async fn receive_response(
+    shared: &SharedState,
+    deadline_at_ms: u64,
+    attempt: &Attempt,
+    head: &RequestHead,
+    response: Response<Incoming>,
+    connection: Connection,
+) -> AttemptResult {
+    let headers = ResponseHeaders::parse(response.status(), response.headers(), &head.attempt_id);
+    let (parts, mut incoming) = response.into_parts();
+    let deadline = clock::instant_at(deadline_at_ms);
+    let buffered = match headers.kind {
+        ResponseKind::Mismatched => return AttemptResult::without_response(AttemptOutcome::Failed),
+        ResponseKind::Matching | ResponseKind::NotRun | ResponseKind::Misdirected => {
+            match timeout_at(deadline, buffer_body(shared, &mut incoming)).await {
+                Ok(Ok(buffered)) => buffered,
+                Ok(Err(_broken)) if headers.kind == ResponseKind::Matching => {
+                    return AttemptResult::without_response(AttemptOutcome::Failed);
+                }
+                Err(_elapsed) if headers.kind == ResponseKind::Matching => {
+                    return AttemptResult::without_response(AttemptOutcome::TimedOut);
+                }
+                // The head alone proves that the request was not run.
+                Ok(Err(_)) | Err(_) => BufferedBody::Complete(Bytes::new()),
+            }
+        }
+    };
+    let report = headers.load;
+    let reusable = ReusableConnection { upstream: attempt.upstream, connection, headers };
+    match (headers.kind, buffered) {
+        (ResponseKind::NotRun, _) => {
+            reusable.release(shared);
+            AttemptResult::without_response(AttemptOutcome::Refused { report })
+        }
+        (ResponseKind::Misdirected, _) => {
+            AttemptResult::without_response(AttemptOutcome::Misdirected)
+        }
+        (_, BufferedBody::Complete(bytes)) => {
+            reusable.release(shared);
+            let outcome = response_outcome(parts.status, headers, bytes.len() as u64);
+            AttemptResult { outcome, response: Some(build_response(parts, bytes_body(bytes))) }
+        }
+        (_, BufferedBody::Partial(prefix)) => {
+            let outcome = response_outcome(parts.status, headers, prefix.len() as u64);
+            let body = PartlyBufferedBody {
+                prefix: Some(prefix),
+                rest: incoming,
+                _connection: reusable.connection,
+            };
+            AttemptResult { outcome, response: Some(build_response(parts, body.boxed_unsync())) }
+        }
+    }
+}
+
+fn response_outcome(
+    status: StatusCode,
+    headers: ResponseHeaders,
+    body_bytes: u64,
+) -> AttemptOutcome {
+    AttemptOutcome::Answered { failed: status.is_server_error(), report: headers.load, body_bytes }
+}
+
+fn build_response(mut parts: http::response::Parts, body: Body) -> Response<Body> {
+    headers::remove_hop_by_hop_headers(&mut parts.headers);
+    Response::from_parts(parts, body)
+}
+
+/// A connection whose answer has been read.
+#[derive(Debug)]
+struct ReusableConnection {
+    upstream: UpstreamKey,
+    connection: Connection,
+    headers: ResponseHeaders,
+}
+
+impl ReusableConnection {
+    fn release(self, shared: &SharedState) {
+        if !self.headers.closes_connection {
+            shared.upstream_connections.release(
+                self.upstream,
+                self.connection,
+                self.headers.keep_alive_ms,
+            );
+        }
+    }
+}
+
+/// What was read of an answer's body.
+#[derive(Debug)]
+enum BufferedBody {
+    /// All of it.
+    Complete(Bytes),
+    /// As much as is held; the rest follows.
+    Partial(Bytes),
+}
+
+/// Reads a body to its end, or up to [`MAX_HELD_BYTES`].
+async fn buffer_body(
+    shared: &SharedState,
+    incoming: &mut Incoming,
+) -> Result<BufferedBody, hyper::Error> {
+    let mut buffer = BytesMut::new();
+    while let Some(frame) = incoming.frame().await {
+        if let Ok(data) = frame?.into_data() {
+            if buffer.is_empty() && incoming.is_end_stream() {
+                return Ok(BufferedBody::Complete(data));
+            }
+            buffer.extend_from_slice(&data);
+        }
+        if buffer.len() >= shared.buffer_limit_bytes(MAX_BUFFERED_RESPONSE_BYTES) {
+            return Ok(BufferedBody::Partial(buffer.freeze()));
+        }
+    }
+    Ok(BufferedBody::Complete(buffer.freeze()))
+}
+
+/// A body of which the first part was held and the rest is passed on as it comes.
+#[derive(Debug)]
+struct PartlyBufferedBody {
+    prefix: Option<Bytes>,
+    rest: Incoming,
+    /// Dropped with the body; the connection can't be used again before its answer has ended.
+    _connection: Connection,
+}
+
+impl hyper::body::Body for PartlyBufferedBody {
+    type Data = Bytes;
+    type Error = super::connection_pool::BodyError;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
+        if let Some(prefix) = self.prefix.take() {
+            return Poll::Ready(Some(Ok(Frame::data(prefix))));
+        }
+        Pin::new(&mut self.rest).poll_frame(cx).map_err(Into::into)
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.prefix.is_none() && self.rest.is_end_stream()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        SizeHint::default()
+    }
+}
--- a/crates/sedgepathd/src/direct/clock.rs
+++ b/crates/sedgepathd/src/direct/clock.rs
@@ -18,6 +18,6 @@
 }
 
 /// Returns the runtime's moment for a time by [`now_ms`].
-pub fn instant(at_ms: u64) -> Instant {
+pub fn instant_at(at_ms: u64) -> Instant {
     Instant::now() + Duration::from_millis(at_ms.saturating_sub(now_ms()))
 }
--- a/crates/sedgepathd/src/direct/pool.rs
+++ b/crates/sedgepathd/src/direct/connection_pool.rs
@@ -27,32 +27,32 @@
 pub type Connection = SendRequest<Body>;
 
 /// How long a connection is kept if the upstream doesn't say, in milliseconds.
-const DEFAULT_IDLE_MS: u64 = 8_000;
+const DEFAULT_KEEP_ALIVE_MS: u64 = 8_000;
 
 /// How long before the upstream would close a connection it is given up, in milliseconds: the way
 /// there and its timers' lateness.
-const IDLE_MARGIN_MS: u64 = 1_500;
+const KEEP_ALIVE_MARGIN_MS: u64 = 1_500;
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    until_ms: u64,
+    expires_at_ms: u64,
 }
 
 /// The idle connections to all upstreams.
 #[derive(Debug, Default)]
-pub struct Pool {
-    idle: RefCell<Map<UpstreamKey, Vec<Idle>>>,
+pub struct ConnectionPool {
+    idle: RefCell<Map<UpstreamKey, Vec<IdleConnection>>>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Takes an idle connection to an upstream.
-    pub fn take(&self, upstream: UpstreamKey) -> Option<Connection> {
+    pub fn take_idle(&self, upstream: UpstreamKey) -> Option<Connection> {
         let now_ms = clock::now_ms();
         let mut pool = self.idle.borrow_mut();
         let idle = pool.get_mut(&upstream)?;
-        while let Some(Idle { connection, until_ms }) = idle.pop() {
-            if connection.is_ready() && now_ms < until_ms {
+        while let Some(IdleConnection { connection, expires_at_ms }) = idle.pop() {
+            if connection.is_ready() && now_ms < expires_at_ms {
                 return Some(connection);
             }
         }
@@ -67,9 +67,9 @@
     pub async fn open(
         &self,
         address: std::net::SocketAddr,
-        limit: Duration,
+        timeout: Duration,
     ) -> std::io::Result<Connection> {
-        let stream = tcp::connect(address, limit).await?;
+        let stream = tcp::connect(address, timeout).await?;
         let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
         let (connection, task) = handshake.map_err(std::io::Error::other)?;
         tokio::task::spawn_local(async move {
@@ -81,21 +81,31 @@
     }
 
     /// Keeps a connection whose last answer has been read to its end.
-    pub fn give_back(&self, upstream: UpstreamKey, connection: Connection, idle_ms: Option<u64>) {
+    pub fn release(
+        &self,
+        upstream: UpstreamKey,
+        connection: Connection,
+        keep_alive_ms: Option<u64>,
+    ) {
         if connection.is_closed() {
             return;
         }
-        let kept_ms = idle_ms.unwrap_or(DEFAULT_IDLE_MS).saturating_sub(IDLE_MARGIN_MS);
-        let until_ms = clock::now_ms() + kept_ms;
-        self.idle.borrow_mut().entry(upstream).or_default().push(Idle { connection, until_ms });
+        let usable_ms =
+            keep_alive_ms.unwrap_or(DEFAULT_KEEP_ALIVE_MS).saturating_sub(KEEP_ALIVE_MARGIN_MS);
+        let expires_at_ms = clock::now_ms() + usable_ms;
+        self.idle
+            .borrow_mut()
+            .entry(upstream)
+            .or_default()
+            .push(IdleConnection { connection, expires_at_ms });
     }
 
     /// Closes connections that have been idle for long, and those of upstreams that are gone.
-    pub fn prune(&self, known: impl Fn(UpstreamKey) -> bool) {
+    pub fn prune(&self, is_known: impl Fn(UpstreamKey) -> bool) {
         let now_ms = clock::now_ms();
         self.idle.borrow_mut().retain(|upstream, idle| {
-            idle.retain(|idle| now_ms < idle.until_ms && !idle.connection.is_closed());
-            known(*upstream) && !idle.is_empty()
+            idle.retain(|idle| now_ms < idle.expires_at_ms && !idle.connection.is_closed());
+            is_known(*upstream) && !idle.is_empty()
         });
     }
 }
--- a/crates/sedgepathd/src/direct/questions.rs
+++ b/crates/sedgepathd/src/direct/control_server.rs
@@ -12,9 +12,9 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::net::{TcpListener, TcpStream};
 
-use super::pool::Body;
-use super::sending::held;
-use super::shell::Shell;
+use super::attempt::bytes_body;
+use super::connection_pool::Body;
+use super::shared::SharedState;
 
 /// How long a connection may stay idle, or its next question take.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
@@ -23,24 +23,24 @@
 pub const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// Answers a question.
-pub type Answer = fn(&Shell, &Request<Incoming>) -> Response<Body>;
+pub type Handler = fn(&SharedState, &Request<Incoming>) -> Response<Body>;
 
 /// Answers questions until the process ends.
-pub async fn serve(shell: Rc<Shell>, listener: TcpListener, answer: Answer) {
+pub async fn serve(shared: Rc<SharedState>, listener: TcpListener, handler: Handler) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        let shell = Rc::clone(&shell);
-        tokio::task::spawn_local(async move { connection(&shell, stream, answer).await });
+        let shared = Rc::clone(&shared);
+        tokio::task::spawn_local(async move { serve_connection(&shared, stream, handler).await });
     }
 }
 
-async fn connection(shell: &Shell, stream: TcpStream, answer: Answer) {
+async fn serve_connection(shared: &SharedState, stream: TcpStream, handler: Handler) {
     let service = service_fn(|request: Request<Incoming>| {
-        let answer = answer(shell, &request);
-        async move { Ok::<_, Infallible>(answer) }
+        let response = handler(shared, &request);
+        async move { Ok::<_, Infallible>(response) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -52,8 +52,8 @@
 }
 
 /// Returns an answer without a body.
-pub fn empty(status: StatusCode) -> Response<Body> {
-    let mut response = Response::new(held(Bytes::new()));
+pub fn empty_response(status: StatusCode) -> Response<Body> {
+    let mut response = Response::new(bytes_body(Bytes::new()));
     *response.status_mut() = status;
     response
 }
--- a/crates/sedgepathd/src/direct/find.rs
+++ b/crates/sedgepathd/src/direct/discovery.rs
@@ -8,18 +8,18 @@
 use sedgepath_core::direct::replicas::TableUpdate;
 use serde::{Deserialize, Serialize};
 
-use super::shell::Shell;
-use super::{clock, fetch, peers};
+use super::shared::SharedState;
+use super::{clock, fetch, gossip};
 
 /// The table in which entry VMs find each other.
 const VM_TABLE: &str = "sedgepath-vms";
 
 /// The first pause after the store could not be asked for other VMs, in milliseconds; each later one is twice
 /// as long.
-const FIND_PAUSE_MS: u64 = 500;
+const INITIAL_DISCOVERY_BACKOFF_MS: u64 = 500;
 
 /// The longest of these pauses, in milliseconds.
-const MAX_FIND_PAUSE_MS: u64 = 4_000;
+const MAX_DISCOVERY_BACKOFF_MS: u64 = 4_000;
 
 /// What the store's row of a VM says.
 #[derive(Debug, Serialize, Deserialize)]
@@ -30,40 +30,40 @@
 }
 
 /// Tells other VMs of this one, learns of theirs, and gets the tables from those near it.
-pub async fn find_vms(shell: Rc<Shell>) {
-    let mut pause_ms = FIND_PAUSE_MS;
+pub async fn discover_vms(shared: Rc<SharedState>) {
+    let mut backoff_ms = INITIAL_DISCOVERY_BACKOFF_MS;
     loop {
-        let rows = exchange_rows(&shell).await;
-        if let Ok(page) = &rows {
-            take_in(&shell, page);
+        let result = publish_and_read_rows(&shared).await;
+        if let Ok(update) = &result {
+            add_discovered_vms(&shared, update);
         }
-        shell.looked_for_vms.set(true);
-        let Err(error) = rows else { break };
+        shared.discovery_attempted.set(true);
+        let Err(error) = result else { break };
         log::info!("event=vms_not_found error={:?}", error.to_string());
-        let jitter_ms = fastrand::u64(0..pause_ms);
-        tokio::time::sleep(Duration::from_millis(pause_ms + jitter_ms)).await;
-        pause_ms = (pause_ms * 2).min(MAX_FIND_PAUSE_MS);
+        let jitter_ms = fastrand::u64(0..backoff_ms);
+        tokio::time::sleep(Duration::from_millis(backoff_ms + jitter_ms)).await;
+        backoff_ms = (backoff_ms * 2).min(MAX_DISCOVERY_BACKOFF_MS);
     }
-    peers::send_round(&shell).await;
-    fetch::fill(&shell).await;
+    gossip::send_periodic_messages(&shared).await;
+    fetch::fetch_initial_tables(&shared).await;
 }
 
 /// Writes this VM's row, and then reads all: of two VMs that start together one at least finds the other.
-async fn exchange_rows(shell: &Shell) -> Result<TableUpdate, StoreError> {
-    let own = VmRow {
-        address: SocketAddr::new(shell.settings.ip, shell.settings.peer_ports.0),
-        domain: shell.settings.domain.clone(),
-        region: shell.settings.region.clone(),
+async fn publish_and_read_rows(shared: &SharedState) -> Result<TableUpdate, StoreError> {
+    let own_row = VmRow {
+        address: SocketAddr::new(shared.settings.ip, shared.settings.peer_ports.0),
+        domain: shared.settings.domain.clone(),
+        region: shared.settings.region.clone(),
     };
-    shell.store.put(VM_TABLE, &shell.settings.vm_name, &serde_json::to_vec(&own)?).await?;
-    shell.store.read_table(VM_TABLE).await
+    shared.store.put(VM_TABLE, &shared.settings.vm_name, &serde_json::to_vec(&own_row)?).await?;
+    shared.store.read_table(VM_TABLE).await
 }
 
-fn take_in(shell: &Shell, page: &TableUpdate) {
+fn add_discovered_vms(shared: &SharedState, update: &TableUpdate) {
     let now_ms = clock::now_ms();
-    let mut steering = shell.steering.borrow_mut();
+    let mut steering = shared.steering.borrow_mut();
     let vms = steering.vms_mut();
-    for row in &page.rows {
+    for row in &update.rows {
         let Some(value) = &row.value else { continue };
         match serde_json::from_slice::<VmRow>(value) {
             Ok(VmRow { address, domain, region }) => vms.add_vm(address, &domain, &region, now_ms),
--- /dev/null
+++ b/crates/sedgepathd/src/direct/gossip.rs
@@ -0,0 +1,178 @@
+//! Datagrams between entry VMs.
+
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use sedgepath_core::clock::HybridTimestamp;
+use sedgepath_core::direct::vms::gossip::{Heartbeat, OutgoingMessage, PeerMessage};
+use sedgepath_core::direct::vms::{RelayedSummary, VmHeartbeat};
+
+use super::shared::SharedState;
+use super::{clock, fetch};
+
+/// The largest datagram in bytes.
+const MAX_DATAGRAM_BYTES: usize = 1_432;
+
+/// The bytes of a datagram that are taken up by what stands before its list of summaries.
+const LIST_OVERHEAD_BYTES: usize = 4;
+
+/// Tells the other VMs of this one and of its failure domain, each period.
+pub async fn send_periodically(shared: Rc<SharedState>) {
+    loop {
+        send_periodic_messages(&shared).await;
+        let period_ms = shared.steering.borrow().vms().period_ms();
+        tokio::time::sleep(Duration::from_millis(period_ms)).await;
+    }
+}
+
+/// Sends what is due each period.
+pub async fn send_periodic_messages(shared: &SharedState) {
+    let (stamp, now_ms) = update_own_state(shared);
+    let mut rng = fastrand::Rng::new();
+    let messages =
+        shared.steering.borrow_mut().vms_mut().periodic_messages(stamp, &mut rng, now_ms);
+    send_messages(shared, messages).await;
+}
+
+/// Tells those that may lack them that this VM's copies have changed, or that its view of the store has.
+pub async fn announce_changes(shared: &SharedState) {
+    let (stamp, now_ms) = update_own_state(shared);
+    let mut rng = fastrand::Rng::new();
+    let messages = shared.steering.borrow_mut().vms_mut().change_messages(stamp, &mut rng, now_ms);
+    send_messages(shared, messages).await;
+}
+
+/// Sends a heartbeat to the VMs of the own failure domain.
+pub async fn send_heartbeat(shared: &SharedState) {
+    let (stamp, now_ms) = update_own_state(shared);
+    let heartbeat = shared.steering.borrow_mut().vms_mut().full_heartbeat(stamp, now_ms);
+    send_messages(shared, vec![heartbeat]).await;
+}
+
+fn update_own_state(shared: &SharedState) -> (HybridTimestamp, u64) {
+    let now_ms = clock::now_ms();
+    let mut steering = shared.steering.borrow_mut();
+    let ready = steering.can_serve() && !steering.vms().is_leaving();
+    let vms = steering.vms_mut();
+    vms.set_ready(ready);
+    vms.set_replica_state(
+        shared.replicas.borrow().newest_version(),
+        shared.store_call_state.get().health(now_ms),
+    );
+    (shared.log_clock.tick(), now_ms)
+}
+
+async fn send_messages(shared: &SharedState, messages: Vec<OutgoingMessage>) {
+    for OutgoingMessage { message, to } in messages {
+        match message {
+            PeerMessage::RelayedSummary(summaries) => {
+                for batch in split_summaries(summaries) {
+                    send_to_all(shared, &PeerMessage::RelayedSummary(batch), &to).await;
+                }
+            }
+            message => send_to_all(shared, &message, &to).await,
+        }
+    }
+}
+
+/// Splits summaries into as many datagrams as they need.
+fn split_summaries(summaries: Vec<RelayedSummary>) -> Vec<Vec<RelayedSummary>> {
+    let mut batches: Vec<Vec<RelayedSummary>> = Vec::new();
+    let mut free_bytes = 0;
+    for summary in summaries {
+        let bytes = postcard::to_stdvec(&summary).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len());
+        match batches.last_mut() {
+            Some(batch) if bytes <= free_bytes => batch.push(summary),
+            _ => {
+                batches.push(vec![summary]);
+                free_bytes = MAX_DATAGRAM_BYTES - LIST_OVERHEAD_BYTES;
+            }
+        }
+        free_bytes = free_bytes.saturating_sub(bytes);
+    }
+    batches
+}
+
+async fn send_to_all(shared: &SharedState, message: &PeerMessage, addresses: &[SocketAddr]) {
+    let bytes = match postcard::to_stdvec(message) {
+        Ok(bytes) => bytes,
+        Err(error) => {
+            log::error!("event=datagram_not_written error={:?}", error.to_string());
+            return;
+        }
+    };
+    for address in addresses {
+        shared.metrics.count_peer_bytes(message.name(), bytes.len());
+        if let Err(error) = shared.peer_socket.send_to(&bytes, address).await {
+            log::debug!("event=datagram_not_sent to={address} error={:?}", error.to_string());
+        }
+    }
+}
+
+/// Takes in datagrams until the process ends.
+pub async fn receive(shared: Rc<SharedState>) {
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
+    loop {
+        let received = shared.peer_socket.recv_from(&mut buffer).await;
+        match decode(received, &buffer) {
+            Some((_, PeerMessage::Heartbeat(Heartbeat::Full(heartbeat)))) => {
+                handle_heartbeat(&shared, heartbeat).await;
+            }
+            Some((from, PeerMessage::Heartbeat(Heartbeat::StateOnly(state)))) => {
+                shared.log_clock.merge(state.stamp);
+                let now_ms = clock::now_ms();
+                if shared.steering.borrow_mut().vms_mut().record_state(from, state, now_ms) {
+                    fetch::fetch_missing_rows(&shared, state.newest_version, from);
+                }
+            }
+            Some((_, PeerMessage::Summary(summary))) => {
+                shared.log_clock.merge(summary.stamp);
+                fetch::fetch_missing_rows(&shared, summary.changed_at, summary.sender());
+                shared.steering.borrow_mut().vms_mut().record_summary(summary, clock::now_ms());
+            }
+            Some((_, PeerMessage::RelayedSummary(summaries))) => {
+                let mut steering = shared.steering.borrow_mut();
+                for summary in summaries {
+                    steering.vms_mut().record_relayed_summary(summary, clock::now_ms());
+                }
+            }
+            None => {}
+        }
+    }
+}
+
+fn decode(
+    received: io::Result<(usize, SocketAddr)>,
+    buffer: &[u8],
+) -> Option<(SocketAddr, PeerMessage)> {
+    let (length, from) = received.ok()?;
+    let message = postcard::from_bytes(buffer.get(..length)?).ok()?;
+    Some((from, message))
+}
+
+async fn handle_heartbeat(shared: &Rc<SharedState>, heartbeat: VmHeartbeat) {
+    shared.log_clock.merge(heartbeat.state.stamp);
+    fetch::fetch_missing_rows(
+        shared,
+        heartbeat.state.newest_version,
+        heartbeat.descriptor.peer_address,
+    );
+    let reply = {
+        let now_ms = clock::now_ms();
+        let mut steering = shared.steering.borrow_mut();
+        let (address, domain) =
+            (heartbeat.descriptor.peer_address, heartbeat.descriptor.domain.clone());
+        let other_domain = domain != steering.location().domain;
+        steering.vms_mut().record_heartbeat(heartbeat, now_ms);
+        other_domain.then(|| {
+            let mut rng = fastrand::Rng::new();
+            let stamp = shared.log_clock.tick();
+            (address, steering.vms().join_reply(&domain, stamp, &mut rng, now_ms))
+        })
+    };
+    if let Some((address, reply)) = reply {
+        send_to_all(shared, &reply, &[address]).await;
+    }
+}
--- a/crates/sedgepathd/src/direct/ingress.rs
+++ b/crates/sedgepathd/src/direct/ingress.rs
@@ -21,43 +21,43 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout_at;
 
-use super::answers::{gave_up, note, plain, refuse, served};
+use super::attempt::{self, InFlightRequest, RequestBody, RequestHead};
 use super::clock;
-use super::pool::Body;
-use super::questions::ACCEPT_PAUSE;
-use super::sending::{self, Flight, Head, RequestBody};
-use super::shell::{Shell, StopPhase};
+use super::connection_pool::Body;
+use super::control_server::ACCEPT_PAUSE;
+use super::responses::{give_up, log_failed_attempt, record_success, reject, status_response};
+use super::shared::{SharedState, StopPhase};
 
 /// The descriptors kept free for files and for connections to upstreams and to the store.
-const RESERVED_DESCRIPTORS: usize = 1_200;
+const RESERVED_FILE_DESCRIPTORS: usize = 1_200;
 
 /// Bodies of requests up to this size are read whole before the request is sent, so that it can be
 /// sent again.
-const MAX_HELD_BYTES: usize = 256 * 1024;
+const MAX_BUFFERED_BODY_BYTES: usize = 256 * 1024;
 
 /// The most requests at once. Each takes some ten kilobytes and a turn of the processor; a VM with a
 /// fifth of a core serves a few hundred a second.
-const MAX_REQUESTS: usize = 1_000;
+const MAX_CONCURRENT_REQUESTS: usize = 1_000;
 
 /// The time to come back after to a VM with too many requests, in milliseconds.
-const OVERLOADED_RETRY_MS: u64 = 500;
+const OVERLOAD_RETRY_AFTER_MS: u64 = 500;
 
 /// How long a connection may stay idle before a configuration is known, in milliseconds.
-const DEFAULT_IDLE_MS: u64 = 15_000;
+const DEFAULT_IDLE_TIMEOUT_MS: u64 = 15_000;
 
 /// The largest head before a configuration is known, in bytes.
-const DEFAULT_HEADER_BYTES: usize = 16 * 1024;
+const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
 
 /// What hyper needs at least for its buffer, in bytes.
-const MIN_BUFFER_BYTES: usize = 8 * 1024;
+const MIN_HYPER_BUFFER_BYTES: usize = 8 * 1024;
 
 /// Takes callers' connections until the process ends.
-pub async fn serve(shell: Rc<Shell>, listener: TcpListener) {
-    let most = shell
+pub async fn serve(shared: Rc<SharedState>, listener: TcpListener) {
+    let max_connections = shared
         .settings
         .resource_limits
         .max_file_descriptors
-        .saturating_sub(RESERVED_DESCRIPTORS)
+        .saturating_sub(RESERVED_FILE_DESCRIPTORS)
         .max(64);
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -65,59 +65,59 @@
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        if shell.connections.get() >= most {
+        if shared.open_connections.get() >= max_connections {
             drop(stream);
             continue;
         }
-        shell.connections.set(shell.connections.get() + 1);
-        let shell = Rc::clone(&shell);
+        shared.open_connections.set(shared.open_connections.get() + 1);
+        let shared = Rc::clone(&shared);
         tokio::task::spawn_local(async move {
-            connection(&shell, stream).await;
-            shell.connections.set(shell.connections.get() - 1);
+            serve_connection(&shared, stream).await;
+            shared.open_connections.set(shared.open_connections.get() - 1);
         });
     }
 }
 
-async fn connection(shell: &Rc<Shell>, stream: TcpStream) {
+async fn serve_connection(shared: &Rc<SharedState>, stream: TcpStream) {
     if tcp::detect_dead_peer(&stream).is_err() {
         return;
     }
-    let limits = shell.steering.borrow().configuration().map(|in_force| in_force.limits);
-    let idle_ms = limits.map_or(DEFAULT_IDLE_MS, |limits| limits.idle_timeout_ms);
-    let header_bytes = limits.map_or(DEFAULT_HEADER_BYTES, |limits| limits.max_header_bytes);
+    let limits = shared.steering.borrow().configuration().map(|in_force| in_force.limits);
+    let idle_ms = limits.map_or(DEFAULT_IDLE_TIMEOUT_MS, |limits| limits.idle_timeout_ms);
+    let header_bytes = limits.map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.max_header_bytes);
     let service = service_fn(|request| {
-        let shell = Rc::clone(shell);
-        async move { Ok::<_, Infallible>(answer(shell, request).await) }
+        let shared = Rc::clone(shared);
+        async move { Ok::<_, Infallible>(handle_counted(shared, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(idle_ms))
-        .max_buf_size(header_bytes.max(MIN_BUFFER_BYTES) + MIN_BUFFER_BYTES)
+        .max_buf_size(header_bytes.max(MIN_HYPER_BUFFER_BYTES) + MIN_HYPER_BUFFER_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    let mut stop = shell.stop.subscribe();
-    let stopping = async {
+    let mut stop = shared.stop_phase.subscribe();
+    let closing = async {
         let _sender_lives = stop.wait_for(|phase| *phase >= StopPhase::Closing).await;
     };
     tokio::select! {
-        ended = connection.as_mut() => return log_end(ended),
-        () = stopping => connection.as_mut().graceful_shutdown(),
+        result = connection.as_mut() => return log_connection_error(result),
+        () = closing => connection.as_mut().graceful_shutdown(),
     }
-    log_end(connection.await);
+    log_connection_error(connection.await);
 }
 
-fn log_end(ended: Result<(), hyper::Error>) {
-    if let Err(error) = ended {
+fn log_connection_error(result: Result<(), hyper::Error>) {
+    if let Err(error) = result {
         log::debug!("event=caller_connection_failed error={:?}", error.to_string());
     }
 }
 
-async fn answer(shell: Rc<Shell>, request: Request<Incoming>) -> Response<Body> {
-    shell.requests.set(shell.requests.get() + 1);
-    let count = Counted(Rc::clone(&shell));
-    let mut response = handle(&shell, request).await;
-    drop(count);
-    if *shell.stop.borrow() >= StopPhase::Leaving {
+async fn handle_counted(shared: Rc<SharedState>, request: Request<Incoming>) -> Response<Body> {
+    shared.in_flight_requests.set(shared.in_flight_requests.get() + 1);
+    let guard = InFlightGuard(Rc::clone(&shared));
+    let mut response = handle_request(&shared, request).await;
+    drop(guard);
+    if *shared.stop_phase.borrow() >= StopPhase::Leaving {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
@@ -125,172 +125,200 @@
 
 /// Counts a request until it is answered or its caller has left.
 #[derive(Debug)]
-struct Counted(Rc<Shell>);
+struct InFlightGuard(Rc<SharedState>);
 
-impl Drop for Counted {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.requests.set(self.0.requests.get() - 1);
+        self.0.in_flight_requests.set(self.0.in_flight_requests.get() - 1);
     }
 }
 
-async fn handle(shell: &Rc<Shell>, request: Request<Incoming>) -> Response<Body> {
+async fn handle_request(shared: &Rc<SharedState>, request: Request<Incoming>) -> Response<Body> {
     let now_ms = clock::now_ms();
     let (parts, incoming) = request.into_parts();
-    let fields = RequestHeaders::parse(&parts.headers, &parts.uri);
-    let attempt: Box<str> = fields.attempt_id.into();
-    if shell.requests.get() > MAX_REQUESTS {
-        let refusal =
-            Rejection { reason: RejectionReason::Overloaded, retry_after_ms: OVERLOADED_RETRY_MS };
-        return refuse(shell, &attempt, None, refusal);
+    let headers = RequestHeaders::parse(&parts.headers, &parts.uri);
+    let attempt_id: Box<str> = headers.attempt_id.into();
+    if shared.in_flight_requests.get() > MAX_CONCURRENT_REQUESTS {
+        let rejection = Rejection {
+            reason: RejectionReason::Overloaded,
+            retry_after_ms: OVERLOAD_RETRY_AFTER_MS,
+        };
+        return reject(shared, &attempt_id, None, rejection);
     }
-    let asked = IncomingRequest {
-        host: fields.host,
+    let incoming_request = IncomingRequest {
+        host: headers.host,
         path: parts.uri.path(),
-        time_left_ms: fields.time_left_ms,
-        object: fields.object,
+        time_left_ms: headers.time_left_ms,
+        object: headers.object,
     };
-    shell.wait_for_start().await;
-    let begun = shell.steering.borrow_mut().begin_request(asked, now_ms);
-    let attempts = match begun {
-        Ok(attempts) => attempts,
-        Err(refusal) => return refuse(shell, &attempt, None, refusal),
+    shared.wait_for_start().await;
+    let result = shared.steering.borrow_mut().begin_request(incoming_request, now_ms);
+    let state = match result {
+        Ok(state) => state,
+        Err(rejection) => return reject(shared, &attempt_id, None, rejection),
     };
-    let deadline = clock::instant(attempts.deadline_at_ms);
-    let mut flight = Flight { shell: Rc::clone(shell), attempts };
-    let most_bytes = max_body_bytes(shell);
-    let mut body = match timeout_at(deadline, take_body(shell, incoming, most_bytes)).await {
+    let deadline = clock::instant_at(state.deadline_at_ms);
+    let mut request = InFlightRequest { shared: Rc::clone(shared), state };
+    let max_bytes = max_body_bytes(shared);
+    let mut body = match timeout_at(deadline, read_body(shared, incoming, max_bytes)).await {
         Ok(Ok(body)) => body,
-        Ok(Err(BodyRefusal::TooLarge)) => return plain(StatusCode::PAYLOAD_TOO_LARGE, &attempt),
-        Ok(Err(BodyRefusal::Broken)) => return plain(StatusCode::BAD_REQUEST, &attempt),
-        Err(_elapsed) => return plain(StatusCode::REQUEST_TIMEOUT, &attempt),
+        Ok(Err(BodyReadError::TooLarge)) => {
+            return status_response(StatusCode::PAYLOAD_TOO_LARGE, &attempt_id);
+        }
+        Ok(Err(BodyReadError::Aborted)) => {
+            return status_response(StatusCode::BAD_REQUEST, &attempt_id);
+        }
+        Err(_elapsed) => return status_response(StatusCode::REQUEST_TIMEOUT, &attempt_id),
     };
-    let head = Head { parts, attempt };
-    run(&mut flight, &head, &mut body).await
+    let head = RequestHead { parts, attempt_id };
+    run_attempts(&mut request, &head, &mut body).await
 }
 
 /// Sends a request to upstreams until one answers or nothing more can be done.
-async fn run(flight: &mut Flight, head: &Head, body: &mut RequestBody) -> Response<Body> {
-    let shell = Rc::clone(&flight.shell);
-    let deadline_at_ms = flight.attempts.deadline_at_ms;
-    let mut under_way = FuturesUnordered::new();
-    let mut last: Option<Response<Body>> = None;
-    let mut second = None;
+async fn run_attempts(
+    request: &mut InFlightRequest,
+    head: &RequestHead,
+    body: &mut RequestBody,
+) -> Response<Body> {
+    let shared = Rc::clone(&request.shared);
+    let deadline_at_ms = request.state.deadline_at_ms;
+    let mut in_flight = FuturesUnordered::new();
+    let mut last_response: Option<Response<Body>> = None;
+    let mut hedge = None;
     loop {
-        let to = match second.take() {
-            Some(to) => to,
-            None => match flight.next_step() {
-                NextStep::Send(to) => to,
+        let attempt = match hedge.take() {
+            Some(attempt) => attempt,
+            None => match request.next_step() {
+                NextStep::Send(attempt) => attempt,
                 NextStep::Reject { reason, retry_after_ms } => {
-                    let refusal = Rejection { reason, retry_after_ms };
-                    return refuse(&shell, &head.attempt, Some(&flight.attempts), refusal);
+                    let rejection = Rejection { reason, retry_after_ms };
+                    return reject(&shared, &head.attempt_id, Some(&request.state), rejection);
                 }
                 NextStep::GiveUp { reason } => {
-                    return gave_up(&shell, &head.attempt, &flight.attempts, reason.name(), last);
+                    return give_up(
+                        &shared,
+                        &head.attempt_id,
+                        &request.state,
+                        reason.name(),
+                        last_response,
+                    );
                 }
             },
         };
         let Some(bytes) = body.take() else {
-            return gave_up(&shell, &head.attempt, &flight.attempts, "body_was_streamed", last);
+            return give_up(
+                &shared,
+                &head.attempt_id,
+                &request.state,
+                "body_was_streamed",
+                last_response,
+            );
         };
-        let shell = &shell;
-        under_way.push(async move {
-            let ended = sending::send(shell, deadline_at_ms, &to, head, bytes).await;
-            (to, ended)
+        let shared = &shared;
+        in_flight.push(async move {
+            let result = attempt::send_attempt(shared, deadline_at_ms, &attempt, head, bytes).await;
+            (attempt, result)
         });
-        while !under_way.is_empty() {
-            let (to, ended) = tokio::select! {
-                Some(ended) = under_way.next() => ended,
-                to = flight.hedge(), if !body.is_spent() => {
+        while !in_flight.is_empty() {
+            let (attempt, result) = tokio::select! {
+                Some(ended) = in_flight.next() => ended,
+                attempt = request.wait_for_hedge(), if !body.is_spent() => {
                     log::info!(
                         "event=second_sending request={} upstream={} service={} {}",
-                        head.attempt, to.name, flight.attempts.service, to.decision,
+                        head.attempt_id, attempt.name, request.state.service, attempt.decision,
                     );
-                    second = Some(to);
+                    hedge = Some(attempt);
                     break;
                 }
             };
-            shell.metrics.sent(to.decision.cause, ended.outcome);
-            flight.ended(to.upstream, ended.outcome);
-            match (ended.outcome, ended.answer) {
-                (AttemptOutcome::Answered { failed: false, .. }, Some(answer)) => {
-                    served(shell, &head.attempt, &flight.attempts, &to);
-                    return answer;
+            shared.metrics.count_attempt(attempt.decision.cause, result.outcome);
+            request.record_outcome(attempt.upstream, result.outcome);
+            match (result.outcome, result.response) {
+                (AttemptOutcome::Answered { failed: false, .. }, Some(response)) => {
+                    record_success(shared, &head.attempt_id, &request.state, &attempt);
+                    return response;
                 }
                 (AttemptOutcome::TimedOut, _) => {
-                    return gave_up(shell, &head.attempt, &flight.attempts, "timed_out", last);
+                    return give_up(
+                        shared,
+                        &head.attempt_id,
+                        &request.state,
+                        "timed_out",
+                        last_response,
+                    );
                 }
-                (outcome, answer) => {
-                    note(&head.attempt, &flight.attempts, &to, outcome);
-                    last = answer.or(last);
+                (outcome, response) => {
+                    log_failed_attempt(&head.attempt_id, &request.state, &attempt, outcome);
+                    last_response = response.or(last_response);
                 }
             }
         }
     }
 }
 
-fn max_body_bytes(shell: &Shell) -> u64 {
-    let steering = shell.steering.borrow();
+fn max_body_bytes(shared: &SharedState) -> u64 {
+    let steering = shared.steering.borrow();
     steering.configuration().map_or(0, |in_force| in_force.limits.max_body_bytes)
 }
 
 #[derive(Debug, Clone, Copy)]
-enum BodyRefusal {
+enum BodyReadError {
     TooLarge,
-    Broken,
+    Aborted,
 }
 
 /// Reads a request's body, or its beginning if it is large.
-async fn take_body(
-    shell: &Shell,
+async fn read_body(
+    shared: &SharedState,
     mut incoming: Incoming,
-    most_bytes: u64,
-) -> Result<RequestBody, BodyRefusal> {
+    max_bytes: u64,
+) -> Result<RequestBody, BodyReadError> {
     if incoming.is_end_stream() {
-        return Ok(RequestBody::Held(Bytes::new()));
+        return Ok(RequestBody::Buffered(Bytes::new()));
     }
-    if incoming.size_hint().lower() > most_bytes {
-        return Err(BodyRefusal::TooLarge);
+    if incoming.size_hint().lower() > max_bytes {
+        return Err(BodyReadError::TooLarge);
     }
-    let mut first = BytesMut::new();
-    while first.len() < shell.hold_limit(MAX_HELD_BYTES) {
+    let mut prefix = BytesMut::new();
+    while prefix.len() < shared.buffer_limit_bytes(MAX_BUFFERED_BODY_BYTES) {
         let Some(frame) = incoming.frame().await else {
-            return Ok(RequestBody::Held(first.freeze()));
+            return Ok(RequestBody::Buffered(prefix.freeze()));
         };
-        let frame = frame.map_err(|_broken| BodyRefusal::Broken)?;
+        let frame = frame.map_err(|_broken| BodyReadError::Aborted)?;
         if let Ok(data) = frame.into_data() {
-            first.extend_from_slice(&data);
+            prefix.extend_from_slice(&data);
         }
-        if first.len() as u64 > most_bytes {
-            return Err(BodyRefusal::TooLarge);
+        if prefix.len() as u64 > max_bytes {
+            return Err(BodyReadError::TooLarge);
         }
     }
-    Ok(RequestBody::Streamed(Some(streamed(first.freeze(), incoming, most_bytes))))
+    Ok(RequestBody::Streamed(Some(streaming_body(prefix.freeze(), incoming, max_bytes))))
 }
 
 /// Passes on a body whose first part was read; one that grows over the limit breaks off.
-fn streamed(first: Bytes, rest: Incoming, most_bytes: u64) -> Body {
-    let seen_bytes = first.len() as u64;
-    let state = (Some(first), rest, seen_bytes);
-    let stream = futures_stream(state, most_bytes);
+fn streaming_body(prefix: Bytes, rest: Incoming, max_bytes: u64) -> Body {
+    let seen_bytes = prefix.len() as u64;
+    let state = (Some(prefix), rest, seen_bytes);
+    let stream = limited_frames(state, max_bytes);
     BodyExt::boxed_unsync(StreamBody::new(stream))
 }
 
 type StreamState = (Option<Bytes>, Incoming, u64);
 
-fn futures_stream(
+fn limited_frames(
     state: StreamState,
-    most_bytes: u64,
-) -> impl Stream<Item = Result<Frame<Bytes>, super::pool::BodyError>> + Send {
-    stream::try_unfold(state, move |(first, mut rest, seen_bytes)| async move {
-        if let Some(first) = first {
-            return Ok(Some((Frame::data(first), (None, rest, seen_bytes))));
+    max_bytes: u64,
+) -> impl Stream<Item = Result<Frame<Bytes>, super::connection_pool::BodyError>> + Send {
+    stream::try_unfold(state, move |(prefix, mut rest, seen_bytes)| async move {
+        if let Some(prefix) = prefix {
+            return Ok(Some((Frame::data(prefix), (None, rest, seen_bytes))));
         }
         let Some(frame) = rest.frame().await else {
             return Ok(None);
         };
         let frame = frame?;
         let seen_bytes = seen_bytes + frame.data_ref().map_or(0, |data| data.len() as u64);
-        if seen_bytes > most_bytes {
+        if seen_bytes > max_bytes {
             return Err("the body is larger than allowed".into());
         }
         Ok(Some((frame, (None, rest, seen_bytes))))
--- a/crates/sedgepathd/src/direct/lines.rs
+++ b/crates/sedgepathd/src/direct/logging.rs
@@ -19,28 +19,28 @@
 use super::clock;
 
 /// The target of lines that tell of calm outcomes.
-pub const CALM: &str = "calm";
+pub const ROUTINE_TARGET: &str = "calm";
 
 /// The lines of calm outcomes a second. With some 20 requests a second on a VM all are logged; above,
 /// a sample.
-const CALM_PER_S: u64 = 20;
+const MAX_ROUTINE_LINES_PER_S: u64 = 20;
 
 /// The other lines a second. Each costs some microseconds, so that these take under a hundredth of a
 /// fifth of a core.
-const URGENT_PER_S: u64 = 200;
+const MAX_PRIORITY_LINES_PER_S: u64 = 200;
 
 /// The lines that may wait to be written.
-const QUEUE_LINES: usize = 1_024;
+const MAX_QUEUED_LINES: usize = 1_024;
 
 /// How often it is looked whether lines were left out.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+const DROP_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The longest that a process about to end waits for its last lines to be written, in milliseconds; a
 /// reader that stands still must not hold up the end. Less than the margin that a stop leaves.
-const LAST_LINES_MS: u64 = 100;
+const MAX_FLUSH_MS: u64 = 100;
 
 /// How often it looks, in milliseconds.
-const LAST_LINES_CHECK_MS: u64 = 2;
+const FLUSH_CHECK_INTERVAL_MS: u64 = 2;
 
 /// A budget of lines for each second.
 #[derive(Debug, Default)]
@@ -51,7 +51,7 @@
 
 impl LineBudget {
     /// Whether one more line may be written now.
-    pub fn allow(&mut self, per_s: u64, now_ms: u64) -> bool {
+    pub fn try_take(&mut self, per_s: u64, now_ms: u64) -> bool {
         let second = now_ms / 1_000;
         if self.second != second {
             self.second = second;
@@ -64,48 +64,48 @@
 
 #[derive(Debug, Default)]
 struct Budgets {
-    calm: LineBudget,
-    urgent: LineBudget,
+    routine: LineBudget,
+    priority: LineBudget,
 }
 
 #[derive(Debug, Default)]
-struct LeftOut {
-    calm: AtomicU64,
-    urgent: AtomicU64,
+struct DroppedLines {
+    routine: AtomicU64,
+    priority: AtomicU64,
 }
 
 /// The lines of a process on their way to its standard output.
 #[derive(Debug, Clone, Default)]
-pub struct Lines {
-    waiting: Arc<AtomicU64>,
+pub struct PendingLines {
+    count: Arc<AtomicU64>,
 }
 
-impl Lines {
+impl PendingLines {
     /// Waits until all lines are written, but not for long. The process's end would lose them, the one
     /// that tells of its stop among them.
-    pub async fn finish(&self) {
-        let until_ms = clock::now_ms() + LAST_LINES_MS;
-        while self.waiting.load(Ordering::Acquire) > 0 && clock::now_ms() < until_ms {
-            tokio::time::sleep(Duration::from_millis(LAST_LINES_CHECK_MS)).await;
+    pub async fn flush(&self) {
+        let deadline_ms = clock::now_ms() + MAX_FLUSH_MS;
+        while self.count.load(Ordering::Acquire) > 0 && clock::now_ms() < deadline_ms {
+            tokio::time::sleep(Duration::from_millis(FLUSH_CHECK_INTERVAL_MS)).await;
         }
     }
 }
 
 /// The order of lines over all VMs.
 #[derive(Debug, Clone, Default)]
-pub struct LineClock {
+pub struct LogClock {
     clock: Arc<Mutex<HybridLogicalClock>>,
 }
 
-impl LineClock {
+impl LogClock {
     /// Returns the stamp of a line or of a heartbeat about to be sent.
     pub fn tick(&self) -> HybridTimestamp {
         self.lock().tick(clock::unix_ms())
     }
 
     /// Takes in the stamp of a heartbeat.
-    pub fn merge(&self, heard: HybridTimestamp) {
-        self.lock().merge(clock::unix_ms(), heard);
+    pub fn merge(&self, received: HybridTimestamp) {
+        self.lock().merge(clock::unix_ms(), received);
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HybridLogicalClock> {
@@ -119,41 +119,45 @@
 /// # Errors
 ///
 /// Fails if a logger is in place already.
-pub fn start(vm: &str) -> Result<(LineClock, Lines), log::SetLoggerError> {
-    let line_clock = LineClock::default();
-    let lines = Lines::default();
-    let (sender, receiver) = bounded(QUEUE_LINES);
-    let left_out = Arc::new(LeftOut::default());
-    let counted = Arc::clone(&left_out);
+pub fn start(vm: &str) -> Result<(LogClock, PendingLines), log::SetLoggerError> {
+    let log_clock = LogClock::default();
+    let pending = PendingLines::default();
+    let (sender, receiver) = bounded(MAX_QUEUED_LINES);
+    let dropped = Arc::new(DroppedLines::default());
+    let filter_dropped = Arc::clone(&dropped);
     let budgets = Mutex::new(Budgets::default());
-    let stamps = line_clock.clone();
+    let format_clock = log_clock.clone();
     let vm: Box<str> = vm.into();
     let writer_vm = vm.clone();
     fern::Dispatch::new()
         .level(log::LevelFilter::Warn)
         .level_for("sedgepathd", log::LevelFilter::Info)
-        .level_for(CALM, log::LevelFilter::Info)
-        .filter(move |metadata| within_budget(&budgets, &counted, metadata.target() == CALM))
+        .level_for(ROUTINE_TARGET, log::LevelFilter::Info)
+        .filter(move |metadata| {
+            within_budget(&budgets, &filter_dropped, metadata.target() == ROUTINE_TARGET)
+        })
         .format(move |out, message, record| {
-            let HybridTimestamp { time_ms, count } = stamps.tick();
+            let HybridTimestamp { time_ms, count } = format_clock.tick();
             let level = record.level().as_str().to_ascii_lowercase();
             out.finish(format_args!("at={time_ms}.{count} vm={vm} level={level} {message}"));
         })
-        .chain(fern::Output::call(queue(sender, lines.clone(), Arc::clone(&left_out))))
+        .chain(fern::Output::call(queue_lines(sender, pending.clone(), Arc::clone(&dropped))))
         .apply()?;
-    let stamps = line_clock.clone();
-    let writing = lines.clone();
-    std::thread::spawn(move || write(&receiver, &writing, &left_out, &stamps, &writer_vm));
-    Ok((line_clock, lines))
+    let writer_clock = log_clock.clone();
+    let writer_pending = pending.clone();
+    std::thread::spawn(move || {
+        write_lines(&receiver, &writer_pending, &dropped, &writer_clock, &writer_vm);
+    });
+    Ok((log_clock, pending))
 }
 
-fn within_budget(budgets: &Mutex<Budgets>, left_out: &LeftOut, calm: bool) -> bool {
+fn within_budget(budgets: &Mutex<Budgets>, dropped: &DroppedLines, routine: bool) -> bool {
     let now_ms = clock::now_ms();
     let mut budgets = budgets.lock().unwrap_or_else(PoisonError::into_inner);
-    let (allowed, counter) = if calm {
-        (budgets.calm.allow(CALM_PER_S, now_ms), &left_out.calm)
+    let (allowed, counter) = if routine {
+        (budgets.routine.try_take(MAX_ROUTINE_LINES_PER_S, now_ms), &dropped.routine)
     } else {
-        (budgets.urgent.allow(URGENT_PER_S, now_ms), &left_out.urgent)
+        (budgets.priority.try_take(MAX_PRIORITY_LINES_PER_S, now_ms), &dropped.priority)
     };
     if !allowed {
         counter.fetch_add(1, Ordering::Relaxed);
@@ -161,31 +165,31 @@
     allowed
 }
 
-fn queue(
+fn queue_lines(
     sender: Sender<String>,
-    lines: Lines,
-    left_out: Arc<LeftOut>,
+    pending: PendingLines,
+    dropped: Arc<DroppedLines>,
 ) -> impl Fn(&log::Record<'_>) + Send + Sync {
     move |record| {
-        lines.waiting.fetch_add(1, Ordering::Release);
+        pending.count.fetch_add(1, Ordering::Release);
         if sender.try_send(record.args().to_string()).is_err() {
-            lines.waiting.fetch_sub(1, Ordering::Release);
-            left_out.urgent.fetch_add(1, Ordering::Relaxed);
+            pending.count.fetch_sub(1, Ordering::Release);
+            dropped.priority.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-fn write(
+fn write_lines(
     receiver: &Receiver<String>,
-    lines: &Lines,
-    left_out: &LeftOut,
-    stamps: &LineClock,
+    pending: &PendingLines,
+    dropped: &DroppedLines,
+    log_clock: &LogClock,
     vm: &str,
 ) {
     let mut report_at_ms = 0;
     loop {
         let mut taken = 0;
-        let mut text = match receiver.recv_timeout(REPORT_EVERY) {
+        let mut text = match receiver.recv_timeout(DROP_REPORT_INTERVAL) {
             Ok(line) => {
                 taken += 1;
                 line + "\n"
@@ -199,26 +203,26 @@
             text.push('\n');
         }
         if clock::now_ms() >= report_at_ms {
-            report_at_ms = clock::now_ms() + REPORT_EVERY.as_millis() as u64;
-            let calm = left_out.calm.swap(0, Ordering::Relaxed);
-            let urgent = left_out.urgent.swap(0, Ordering::Relaxed);
-            text.push_str(&told_left_out(calm, urgent, stamps, vm));
+            report_at_ms = clock::now_ms() + DROP_REPORT_INTERVAL.as_millis() as u64;
+            let routine = dropped.routine.swap(0, Ordering::Relaxed);
+            let priority = dropped.priority.swap(0, Ordering::Relaxed);
+            text.push_str(&dropped_lines_report(routine, priority, log_clock, vm));
         }
         let mut out = std::io::stdout().lock();
         // Nobody reads the lines any more; requests go on.
         if out.write_all(text.as_bytes()).and_then(|()| out.flush()).is_err() {
             return;
         }
-        lines.waiting.fetch_sub(taken, Ordering::Release);
+        pending.count.fetch_sub(taken, Ordering::Release);
     }
 }
 
-fn told_left_out(calm: u64, urgent: u64, stamps: &LineClock, vm: &str) -> String {
-    if calm + urgent == 0 {
+fn dropped_lines_report(routine: u64, priority: u64, log_clock: &LogClock, vm: &str) -> String {
+    if routine + priority == 0 {
         return String::new();
     }
-    let HybridTimestamp { time_ms, count } = stamps.tick();
+    let HybridTimestamp { time_ms, count } = log_clock.tick();
     format!(
-        "at={time_ms}.{count} vm={vm} level=info event=lines_left_out calm={calm} urgent={urgent}\n"
+        "at={time_ms}.{count} vm={vm} level=info event=lines_left_out calm={routine} urgent={priority}\n"
     )
 }
--- a/crates/sedgepathd/src/direct/metrics.rs
+++ b/crates/sedgepathd/src/direct/metrics.rs
@@ -8,11 +8,11 @@
 };
 use sedgepath_core::direct::attempts::{AttemptCause, AttemptOutcome, RejectionReason};
 
+use super::attempt::bytes_body;
 use super::clock;
-use super::pool::Body;
-use super::questions::empty;
-use super::sending::held;
-use super::shell::Shell;
+use super::connection_pool::Body;
+use super::control_server::empty_response;
+use super::shared::SharedState;
 
 /// The upper bounds in seconds of the buckets of latencies: around the targets of some hundred
 /// milliseconds, and the deadlines of some seconds.
@@ -24,8 +24,8 @@
     registry: Registry,
     requests: IntCounterVec,
     latency: HistogramVec,
-    sendings: IntCounterVec,
-    refusals: IntCounterVec,
+    attempts: IntCounterVec,
+    rejections: IntCounterVec,
     peer_bytes: IntCounterVec,
     upstreams: IntGaugeVec,
     vms: IntGauge,
@@ -54,12 +54,12 @@
             registry: Registry::new(),
             requests: counter("sedgepath_requests_total", "Requests by outcome.", &["outcome"])?,
             latency: HistogramVec::new(latency, &["outcome"])?,
-            sendings: counter(
+            attempts: counter(
                 "sedgepath_sendings_total",
                 "Requests sent to upstreams, by why and by how that ended.",
                 &["cause", "outcome"],
             )?,
-            refusals: counter(
+            rejections: counter(
                 "sedgepath_refusals_total",
                 "Requests answered as not run, by reason.",
                 &["reason"],
@@ -88,8 +88,8 @@
     fn register(&self) -> Result<(), prometheus::Error> {
         self.registry.register(Box::new(self.requests.clone()))?;
         self.registry.register(Box::new(self.latency.clone()))?;
-        self.registry.register(Box::new(self.sendings.clone()))?;
-        self.registry.register(Box::new(self.refusals.clone()))?;
+        self.registry.register(Box::new(self.attempts.clone()))?;
+        self.registry.register(Box::new(self.rejections.clone()))?;
         self.registry.register(Box::new(self.peer_bytes.clone()))?;
         self.registry.register(Box::new(self.upstreams.clone()))?;
         for gauge in [&self.vms, &self.configuration, &self.store_contact, &self.in_flight] {
@@ -99,51 +99,52 @@
     }
 
     /// Counts a request and the time until its answer.
-    pub fn answered(&self, outcome: &str, took_ms: u64) {
+    pub fn record_request(&self, outcome: &str, took_ms: u64) {
         self.requests.with_label_values(&[outcome]).inc();
         self.latency.with_label_values(&[outcome]).observe(took_ms as f64 / 1_000.0);
     }
 
     /// Counts the end of a sending.
-    pub fn sent(&self, cause: AttemptCause, outcome: AttemptOutcome) {
-        self.sendings.with_label_values(&[cause.name(), outcome.name()]).inc();
+    pub fn count_attempt(&self, cause: AttemptCause, outcome: AttemptOutcome) {
+        self.attempts.with_label_values(&[cause.name(), outcome.name()]).inc();
     }
 
     /// Counts a request that was answered by the VM itself as not run.
-    pub fn refused(&self, reason: RejectionReason) {
-        self.refusals.with_label_values(&[reason.name()]).inc();
+    pub fn count_rejection(&self, reason: RejectionReason) {
+        self.rejections.with_label_values(&[reason.name()]).inc();
     }
 
     /// Counts what is sent to another VM.
-    pub fn told_peer(&self, kind: &str, bytes: usize) {
+    pub fn count_peer_bytes(&self, kind: &str, bytes: usize) {
         self.peer_bytes.with_label_values(&[kind]).inc_by(bytes as u64);
     }
 
-    fn text(&self, shell: &Shell) -> Vec<u8> {
+    fn encode(&self, shared: &SharedState) -> Vec<u8> {
         let now_ms = clock::now_ms();
-        let steering = shell.steering.borrow();
+        let steering = shared.steering.borrow();
         let count =
-            |state: &str, fits: &dyn Fn(&sedgepath_core::direct::upstreams::Upstream) -> bool| {
+            |state: &str,
+             matches: &dyn Fn(&sedgepath_core::direct::upstreams::Upstream) -> bool| {
                 let count =
-                    steering.upstreams().iter().filter(|(_, upstream)| fits(upstream)).count();
-                self.upstreams.with_label_values(&[state]).set(whole(count));
+                    steering.upstreams().iter().filter(|(_, upstream)| matches(upstream)).count();
+                self.upstreams.with_label_values(&[state]).set(to_gauge(count));
             };
         count("known", &|_| true);
         count("leaving", &|upstream| upstream.entry.leaving);
         count("cold", &|upstream| upstream.is_cold(now_ms));
         count("left_out", &|upstream| now_ms < upstream.ejected_until_ms);
-        self.vms.set(whole(steering.vms().serving_vms(now_ms).len()));
+        self.vms.set(to_gauge(steering.vms().serving_vms(now_ms).len()));
         let version = steering.configuration().map_or(0, |in_force| in_force.version);
         self.configuration.set(version.cast_signed());
         self.store_contact.set(
-            shell
-                .store_calls
+            shared
+                .store_call_state
                 .get()
-                .view(clock::now_ms())
+                .health(clock::now_ms())
                 .reachable_for_ms()
                 .map_or(-1, u64::cast_signed),
         );
-        self.in_flight.set(whole(shell.requests.get()));
+        self.in_flight.set(to_gauge(shared.in_flight_requests.get()));
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
             log::error!("event=metrics_not_encoded error={:?}", error.to_string());
@@ -152,21 +153,21 @@
     }
 }
 
-fn whole(count: usize) -> i64 {
+fn to_gauge(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
 /// Answers with the VM's state as JSON, or with all metrics as text.
-pub fn answer(shell: &Shell, request: &Request<Incoming>) -> Response<Body> {
+pub fn handle_request(shared: &SharedState, request: &Request<Incoming>) -> Response<Body> {
     if request.uri().path() != "/status" {
-        return Response::new(held(shell.metrics.text(shell).into()));
+        return Response::new(bytes_body(shared.metrics.encode(shared).into()));
     }
-    let status = shell.steering.borrow().status(clock::now_ms());
+    let status = shared.steering.borrow().status(clock::now_ms());
     match serde_json::to_vec(&status) {
-        Ok(text) => Response::new(held(text.into())),
+        Ok(text) => Response::new(bytes_body(text.into())),
         Err(error) => {
             log::error!("event=status_not_written error={:?}", error.to_string());
-            empty(StatusCode::INTERNAL_SERVER_ERROR)
+            empty_response(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
 }
--- /dev/null
+++ b/crates/sedgepathd/src/direct/responses.rs
@@ -0,0 +1,124 @@
+//! The VM's own answers to callers, and the lines that tell how requests ended.
+
+use hyper::{Response, StatusCode};
+use sedgepath_adapter::headers;
+use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, RejectionReason, RequestState};
+use sedgepath_core::direct::steering::Rejection;
+
+use super::connection_pool::Body;
+use super::control_server::empty_response;
+use super::shared::SharedState;
+use super::{clock, logging};
+
+/// Answers with a status alone.
+pub fn status_response(status: StatusCode, attempt_id: &str) -> Response<Body> {
+    let mut response = empty_response(status);
+    headers::set_attempt_id(response.headers_mut(), attempt_id);
+    response
+}
+
+/// Notes a request that was served.
+pub fn record_success(
+    shared: &SharedState,
+    attempt_id: &str,
+    state: &RequestState,
+    attempt: &Attempt,
+) {
+    let took_ms = clock::now_ms().saturating_sub(state.arrived_at_ms);
+    shared.metrics.record_request("answered", took_ms);
+    log::info!(
+        target: logging::ROUTINE_TARGET,
+        "event=served request={attempt_id} route={} service={} upstream={} sendings={} \
+         took_ms={took_ms} configuration={} {}",
+        state.route.name,
+        state.service,
+        attempt.name,
+        state.delivered,
+        state.version,
+        attempt.decision,
+    );
+}
+
+/// Tells the caller that the request was not run and never will be.
+pub fn reject(
+    shared: &SharedState,
+    attempt_id: &str,
+    state: Option<&RequestState>,
+    rejection: Rejection,
+) -> Response<Body> {
+    let status = match rejection.reason {
+        RejectionReason::NoRoute => StatusCode::NOT_FOUND,
+        _ => StatusCode::SERVICE_UNAVAILABLE,
+    };
+    let mut response = status_response(status, attempt_id);
+    if status == StatusCode::SERVICE_UNAVAILABLE {
+        headers::set_retry_after(response.headers_mut(), rejection.retry_after_ms);
+    }
+    let service = state.map_or("none", |state| &*state.service);
+    let delivered = state.map_or(0, |state| state.delivered);
+    let arrived_at_ms = state.map_or_else(clock::now_ms, |state| state.arrived_at_ms);
+    let took_ms = clock::now_ms().saturating_sub(arrived_at_ms);
+    let version =
+        shared.steering.borrow().configuration().map_or(0, |configuration| configuration.version);
+    shared.metrics.record_request("not_run", took_ms);
+    shared.metrics.count_rejection(rejection.reason);
+    log::info!(
+        "event=refused request={attempt_id} status={} reason={} service={service} \
+         sendings={delivered} took_ms={took_ms} retry_after_ms={} configuration={version}",
+        status.as_u16(),
+        rejection.reason.name(),
+        rejection.retry_after_ms,
+    );
+    response
+}
+
+/// Passes on the last answer, or tells the caller that the request may have run.
+pub fn give_up(
+    shared: &SharedState,
+    attempt_id: &str,
+    state: &RequestState,
+    reason: &str,
+    last_response: Option<Response<Body>>,
+) -> Response<Body> {
+    let response = last_response.unwrap_or_else(|| {
+        let timed_out = reason == "timed_out";
+        status_response(
+            if timed_out { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY },
+            attempt_id,
+        )
+    });
+    let took_ms = clock::now_ms().saturating_sub(state.arrived_at_ms);
+    shared.metrics.record_request("gave_up", took_ms);
+    let last_upstream = state.tried_upstreams.last().and_then(|key| {
+        let steering = shared.steering.borrow();
+        steering.upstreams().get(*key).map(|upstream| upstream.entry.name.clone())
+    });
+    log::info!(
+        "event=gave_up request={attempt_id} reason={reason} status={} route={} service={} \
+         upstream={} sendings={} runs={} took_ms={took_ms} configuration={}",
+        response.status().as_u16(),
+        state.route.name,
+        state.service,
+        last_upstream.as_deref().unwrap_or("gone"),
+        state.delivered,
+        state.possible_runs,
+        state.version,
+    );
+    response
+}
+
+/// Notes a sending that brought no good answer.
+pub fn log_failed_attempt(
+    attempt_id: &str,
+    state: &RequestState,
+    attempt: &Attempt,
+    outcome: AttemptOutcome,
+) {
+    log::info!(
+        "event=sending_failed request={attempt_id} upstream={} service={} outcome={} {}",
+        attempt.name,
+        state.service,
+        outcome.name(),
+        attempt.decision,
+    );
+}
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -16,35 +16,38 @@
 
 use crate::start::StartError;
 
-use super::lines::{LineClock, Lines};
+use super::logging::{LogClock, PendingLines};
 use super::metrics::Metrics;
-use super::shell::{Shell, StopPhase};
-use super::{clock, entry, find, follow, giving, ingress, lines, metrics, peers, questions};
+use super::shared::{SharedState, StopPhase};
+use super::{
+    clock, control_server, discovery, entry_queries, gossip, ingress, logging, metrics, store_feed,
+    table_server,
+};
 
 /// The time between two heartbeats in milliseconds, while there are few VMs.
-const HEARTBEAT_MS: u64 = 500;
+const HEARTBEAT_INTERVAL_MS: u64 = 500;
 
 /// The most heartbeats that a VM sends in a second, so that they stay cheap in a large failure domain.
-const HEARTBEATS_PER_S: u64 = 130;
+const MAX_HEARTBEATS_PER_S: u64 = 130;
 
 /// How much longer than a disturbance is excused a silent VM may be named, in milliseconds. The
 /// operators allow 3 s.
-const NAMED_SILENT_MS: u64 = 2_500;
+const EXTRA_SILENCE_MS: u64 = 2_500;
 
 /// The silence after which a VM no longer shares the common limits, in milliseconds: longer than the
 /// window of the retry budget, in which what it has spent still counts.
-const FORGOTTEN_AFTER_MS: u64 = 20_000;
+const FORGET_VM_AFTER_MS: u64 = 20_000;
 
 /// How long a stopping VM takes new requests on new connections, in milliseconds: callers may use
 /// an answer to a look-up for this long.
-const STOP_SERVING_MS: u64 = 3_000;
+const ACCEPT_WHILE_LEAVING_MS: u64 = 3_000;
 
 /// The time before the end of the grace at which a stopping VM ends whatever is left, in
 /// milliseconds.
 const STOP_MARGIN_MS: u64 = 150;
 
 /// The period of the upkeep of tables, in milliseconds.
-const UPKEEP_MS: u64 = 250;
+const MAINTENANCE_INTERVAL_MS: u64 = 250;
 
 /// What the command line says beside the platform's settings.
 #[derive(Debug, Clone, Copy, Default)]
@@ -62,84 +65,104 @@
 /// Fails if the settings can't be used or an address can't be listened on.
 pub fn run(options: Options) -> Result<(), StartError> {
     let settings = Settings::from_environment()?;
-    let (line_clock, lines) = lines::start(&settings.vm_name)?;
+    let (log_clock, pending_lines) = logging::start(&settings.vm_name)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(StartError::Runtime)?;
-    LocalSet::new().block_on(&runtime, serve(settings, line_clock, lines, options))
+    LocalSet::new().block_on(&runtime, run_vm(settings, log_clock, pending_lines, options))
 }
 
-async fn serve(
+async fn run_vm(
     settings: Settings,
-    line_clock: LineClock,
-    lines: Lines,
+    log_clock: LogClock,
+    pending_lines: PendingLines,
     options: Options,
 ) -> Result<(), StartError> {
-    let callers = settings.listen.callers.ok_or(SettingsError::MissingListenAddress("callers"))?;
-    let ready = settings.listen.ready.ok_or(SettingsError::MissingListenAddress("readiness"))?;
-    let look_ups =
+    let caller_address =
+        settings.listen.callers.ok_or(SettingsError::MissingListenAddress("callers"))?;
+    let readiness_address =
+        settings.listen.ready.ok_or(SettingsError::MissingListenAddress("readiness"))?;
+    let look_up_address =
         settings.listen.look_ups.ok_or(SettingsError::MissingListenAddress("look-ups"))?;
     let peer_address = SocketAddr::new(settings.ip, settings.peer_ports.0);
-    let steering = steering(&settings, callers, peer_address).with_policy(options.policy);
+    let steering =
+        new_steering(&settings, caller_address, peer_address).with_policy(options.policy);
     let socket = UdpSocket::bind(peer_address)
         .await
         .map_err(StartError::listen("heartbeats", peer_address))?;
-    let shell = Shell::new(settings, steering, socket, line_clock, Metrics::new()?);
+    let shared = SharedState::new(settings, steering, socket, log_clock, Metrics::new()?);
 
-    let callers_listener = listen("callers", callers).await?;
-    let ready_listener = listen("readiness", ready).await?;
-    let look_up_listener = listen("look-ups", look_ups).await?;
-    let peer_listener = listen("peers", peer_address).await?;
+    let caller_listener = bind("callers", caller_address).await?;
+    let readiness_listener = bind("readiness", readiness_address).await?;
+    let look_up_listener = bind("look-ups", look_up_address).await?;
+    let peer_listener = bind("peers", peer_address).await?;
     log::info!(
         "event=started vm={} domain={} region={} boot={}",
-        shell.settings.vm_name,
-        shell.settings.domain,
-        shell.settings.region,
+        shared.settings.vm_name,
+        shared.settings.domain,
+        shared.settings.region,
         clock::unix_ms(),
     );
 
-    let taking = spawn_local(ingress::serve(Rc::clone(&shell), callers_listener));
-    spawn_local(questions::serve(Rc::clone(&shell), ready_listener, entry::answer));
-    spawn_local(questions::serve(Rc::clone(&shell), look_up_listener, entry::answer));
+    let accepting = spawn_local(ingress::serve(Rc::clone(&shared), caller_listener));
+    spawn_local(control_server::serve(
+        Rc::clone(&shared),
+        readiness_listener,
+        entry_queries::handle_query,
+    ));
+    spawn_local(control_server::serve(
+        Rc::clone(&shared),
+        look_up_listener,
+        entry_queries::handle_query,
+    ));
     for table in Table::ALL {
-        spawn_local(follow::follow(Rc::clone(&shell), table));
+        spawn_local(store_feed::follow_table(Rc::clone(&shared), table));
     }
-    spawn_local(find::find_vms(Rc::clone(&shell)));
-    spawn_local(peers::receive(Rc::clone(&shell)));
-    spawn_local(questions::serve(Rc::clone(&shell), peer_listener, giving::answer));
-    spawn_local(peers::send_rounds(Rc::clone(&shell)));
-    spawn_local(keep_up(Rc::clone(&shell)));
+    spawn_local(discovery::discover_vms(Rc::clone(&shared)));
+    spawn_local(gossip::receive(Rc::clone(&shared)));
+    spawn_local(control_server::serve(
+        Rc::clone(&shared),
+        peer_listener,
+        table_server::handle_rows_request,
+    ));
+    spawn_local(gossip::send_periodically(Rc::clone(&shared)));
+    spawn_local(maintain(Rc::clone(&shared)));
     if let Some(port) = options.metrics_port {
-        let address = SocketAddr::new(shell.settings.ip, port);
-        let listener = listen("metrics", address).await?;
-        spawn_local(questions::serve(Rc::clone(&shell), listener, metrics::answer));
+        let address = SocketAddr::new(shared.settings.ip, port);
+        let listener = bind("metrics", address).await?;
+        spawn_local(control_server::serve(Rc::clone(&shared), listener, metrics::handle_request));
     }
 
     wait_for_stop().await?;
-    let deadline_at_ms = clock::now_ms() + shell.settings.bounds.shutdown_grace_ms - STOP_MARGIN_MS;
-    log::info!("event=stopping requests={}", shell.requests.get());
-    shell.steering.borrow_mut().vms_mut().begin_leaving();
-    shell.stop.send_replace(StopPhase::Leaving);
+    let deadline_at_ms =
+        clock::now_ms() + shared.settings.bounds.shutdown_grace_ms - STOP_MARGIN_MS;
+    log::info!("event=stopping requests={}", shared.in_flight_requests.get());
+    shared.steering.borrow_mut().vms_mut().begin_leaving();
+    shared.stop_phase.send_replace(StopPhase::Leaving);
     for _ in 0..3 {
-        peers::announce(&shell).await;
+        gossip::announce_changes(&shared).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    tokio::time::sleep(Duration::from_millis(STOP_SERVING_MS)).await;
-    shell.stop.send_replace(StopPhase::Closing);
-    taking.abort();
+    tokio::time::sleep(Duration::from_millis(ACCEPT_WHILE_LEAVING_MS)).await;
+    shared.stop_phase.send_replace(StopPhase::Closing);
+    accepting.abort();
     while clock::now_ms() < deadline_at_ms
-        && (shell.requests.get() > 0 || shell.connections.get() > 0)
+        && (shared.in_flight_requests.get() > 0 || shared.open_connections.get() > 0)
     {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    log::info!("event=stopped requests={}", shell.requests.get());
-    lines.finish().await;
+    log::info!("event=stopped requests={}", shared.in_flight_requests.get());
+    pending_lines.flush().await;
     Ok(())
 }
 
-fn steering(settings: &Settings, callers: SocketAddr, peers: SocketAddr) -> Steering {
-    let place = VmLocation {
+fn new_steering(
+    settings: &Settings,
+    caller_address: SocketAddr,
+    peer_address: SocketAddr,
+) -> Steering {
+    let location = VmLocation {
         name: settings.vm_name.clone(),
         domain: settings.domain.clone(),
         region: settings.region.clone(),
@@ -152,48 +175,48 @@
             window_ms: settings.bounds.retry_budget_window_ms,
         },
     };
-    let card = VmDescriptor {
+    let descriptor = VmDescriptor {
         name: settings.vm_name.clone(),
         domain: settings.domain.clone(),
         region: settings.region.clone(),
-        caller_address: callers,
-        peer_address: peers,
+        caller_address,
+        peer_address,
     };
-    let own = VmHeartbeat::new(card, clock::unix_ms(), HEARTBEAT_MS);
+    let own = VmHeartbeat::new(descriptor, clock::unix_ms(), HEARTBEAT_INTERVAL_MS);
     let timing = VmTiming {
-        heartbeat_interval_ms: HEARTBEAT_MS,
-        max_heartbeats_per_s: HEARTBEATS_PER_S,
-        max_silence_ms: settings.bounds.settled_after_ms + NAMED_SILENT_MS,
-        forget_after_ms: FORGOTTEN_AFTER_MS,
+        heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
+        max_heartbeats_per_s: MAX_HEARTBEATS_PER_S,
+        max_silence_ms: settings.bounds.settled_after_ms + EXTRA_SILENCE_MS,
+        forget_after_ms: FORGET_VM_AFTER_MS,
     };
     let mut vms = VmTable::new(own, timing);
     for seed in &settings.seeds {
         // All VMs listen on the same ports.
-        vms.add_address(SocketAddr::new(seed.ip(), peers.port()), clock::now_ms());
+        vms.add_address(SocketAddr::new(seed.ip(), peer_address.port()), clock::now_ms());
     }
-    Steering::new(place, limits, vms)
+    Steering::new(location, limits, vms)
 }
 
-async fn listen(what: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
+async fn bind(what: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
     TcpListener::bind(address).await.map_err(StartError::listen(what, address))
 }
 
 /// Forgets what has lapsed and closes connections that are not needed.
-async fn keep_up(shell: Rc<Shell>) {
+async fn maintain(shared: Rc<SharedState>) {
     loop {
-        tokio::time::sleep(Duration::from_millis(UPKEEP_MS)).await;
+        tokio::time::sleep(Duration::from_millis(MAINTENANCE_INTERVAL_MS)).await;
         let now_ms = clock::now_ms();
-        let gone = {
-            let mut steering = shell.steering.borrow_mut();
-            steering.update_store_health(shell.store_calls.get().view(now_ms), now_ms);
+        let lapsed = {
+            let mut steering = shared.steering.borrow_mut();
+            steering.update_store_health(shared.store_call_state.get().health(now_ms), now_ms);
             steering.upstreams_mut().remove_lapsed(now_ms)
         };
-        for name in gone {
+        for name in lapsed {
             log::info!("event=upstream_lapsed upstream={name}");
         }
-        shell.giving.forget();
-        let steering = shell.steering.borrow();
-        shell.pool.prune(|key| steering.upstreams().get(key).is_some());
+        shared.table_server.clear_cache();
+        let steering = shared.steering.borrow();
+        shared.upstream_connections.prune(|key| steering.upstreams().get(key).is_some());
     }
 }
 
--- a/crates/sedgepathd/src/direct/shell.rs
+++ b/crates/sedgepathd/src/direct/shared.rs
@@ -13,75 +13,75 @@
 use tokio::net::UdpSocket;
 
 use super::clock;
-use super::giving::Giving;
-use super::lines::LineClock;
+use super::connection_pool::ConnectionPool;
+use super::logging::LogClock;
 use super::metrics::Metrics;
-use super::pool::Pool;
+use super::table_server::TableServer;
 
 /// What all tasks of a VM share.
 #[derive(Debug)]
-pub struct Shell {
+pub struct SharedState {
     /// The settings of the process.
     pub settings: Settings,
     /// The decisions. Borrowed for a moment at a time, never across a wait.
     pub steering: RefCell<Steering>,
     /// Copies of the store's tables.
-    pub copies: RefCell<TableReplicas>,
+    pub replicas: RefCell<TableReplicas>,
     /// The store.
     pub store: HttpStore,
     /// How this VM's own calls of the store end.
-    pub store_calls: Cell<StoreCalls>,
+    pub store_call_state: Cell<StoreCallState>,
     /// The datagrams between VMs.
-    pub peers: UdpSocket,
+    pub peer_socket: UdpSocket,
     /// When rows of each table were last asked of another VM, in milliseconds, until they came.
-    pub fetching: RefCell<Map<Table, u64>>,
+    pub last_fetch_at_ms: RefCell<Map<Table, u64>>,
     /// The rows that are given to other VMs.
-    pub giving: Giving,
+    pub table_server: TableServer,
     /// Whether the other VMs have been looked for in the store, found or not.
-    pub looked_for_vms: Cell<bool>,
+    pub discovery_attempted: Cell<bool>,
     /// The order of log lines over all VMs.
-    pub line_clock: LineClock,
+    pub log_clock: LogClock,
     /// What is counted.
     pub metrics: Metrics,
     /// The connections to upstreams.
-    pub pool: Pool,
+    pub upstream_connections: ConnectionPool,
     /// The requests that have not been answered.
-    pub requests: Cell<usize>,
+    pub in_flight_requests: Cell<usize>,
     /// Callers' open connections.
-    pub connections: Cell<usize>,
+    pub open_connections: Cell<usize>,
     /// Tells connections that the VM is about to stop.
-    pub stop: tokio::sync::watch::Sender<StopPhase>,
+    pub stop_phase: tokio::sync::watch::Sender<StopPhase>,
 }
 
 /// How a VM's own calls of the store end.
 #[derive(Debug, Clone, Copy, Default)]
-pub enum StoreCalls {
+pub enum StoreCallState {
     /// It makes none, or has had the end of none yet.
     #[default]
-    Unasked,
+    Unknown,
     /// The store answers.
-    Since {
+    Succeeding {
         /// Since when without a break, in milliseconds.
-        at_ms: u64,
+        since_ms: u64,
     },
     /// The last one failed.
-    Lost,
+    Failing,
 }
 
-impl StoreCalls {
+impl StoreCallState {
     /// Whether the store answers.
-    pub fn answers(self) -> bool {
-        matches!(self, Self::Since { .. })
+    pub fn is_reachable(self) -> bool {
+        matches!(self, Self::Succeeding { .. })
     }
 
     /// Returns what it tells of the store by now.
-    pub fn view(self, now_ms: u64) -> StoreHealth {
+    pub fn health(self, now_ms: u64) -> StoreHealth {
         match self {
-            Self::Unasked => StoreHealth::Unknown,
-            Self::Since { at_ms } => {
-                StoreHealth::Reachable { for_ms: now_ms.saturating_sub(at_ms) }
+            Self::Unknown => StoreHealth::Unknown,
+            Self::Succeeding { since_ms } => {
+                StoreHealth::Reachable { for_ms: now_ms.saturating_sub(since_ms) }
             }
-            Self::Lost => StoreHealth::Failing,
+            Self::Failing => StoreHealth::Failing,
         }
     }
 }
@@ -97,61 +97,61 @@
     Closing,
 }
 
-impl Shell {
+impl SharedState {
     /// Creates the shared state.
     pub fn new(
         settings: Settings,
         steering: Steering,
-        peers: UdpSocket,
-        line_clock: LineClock,
+        peer_socket: UdpSocket,
+        log_clock: LogClock,
         metrics: Metrics,
     ) -> Rc<Self> {
         Rc::new(Self {
-            line_clock,
+            log_clock,
             metrics,
             store: HttpStore::new(settings.store.address),
-            copies: RefCell::default(),
-            store_calls: Cell::default(),
-            peers,
-            fetching: RefCell::default(),
-            giving: Giving::default(),
-            looked_for_vms: Cell::default(),
+            replicas: RefCell::default(),
+            store_call_state: Cell::default(),
+            peer_socket,
+            last_fetch_at_ms: RefCell::default(),
+            table_server: TableServer::default(),
+            discovery_attempted: Cell::default(),
             settings,
             steering: RefCell::new(steering),
-            pool: Pool::default(),
-            requests: Cell::new(0),
-            connections: Cell::new(0),
-            stop: tokio::sync::watch::Sender::new(StopPhase::Serving),
+            upstream_connections: ConnectionPool::default(),
+            in_flight_requests: Cell::new(0),
+            open_connections: Cell::new(0),
+            stop_phase: tokio::sync::watch::Sender::new(StopPhase::Serving),
         })
     }
 }
 
 /// How long a request waits for a VM that has just started to know what it needs, in milliseconds: a
 /// few answers of the store. After that its caller does better elsewhere.
-pub const START_WAIT_MS: u64 = 400;
+pub const MAX_START_WAIT_MS: u64 = 400;
 
 /// How often a waiting request looks, in milliseconds.
-const START_CHECK_MS: u64 = 10;
+const START_CHECK_INTERVAL_MS: u64 = 10;
 
 /// The part of the process's memory that bodies may take, as a divisor.
-const BODY_MEMORY_PART: usize = 4;
+const BODY_MEMORY_DIVISOR: usize = 4;
 
-impl Shell {
+impl SharedState {
     /// Waits until requests can be served, or [`START_WAIT_MS`] have passed.
     ///
     /// After a restart of all VMs callers come back at once. Refused, each of them would come a
     /// second time, later than the moment at which the first could have been served.
     pub async fn wait_for_start(&self) {
-        let until_ms = clock::now_ms() + START_WAIT_MS;
-        while !self.steering.borrow().can_serve() && clock::now_ms() < until_ms {
-            tokio::time::sleep(Duration::from_millis(START_CHECK_MS)).await;
+        let deadline_ms = clock::now_ms() + MAX_START_WAIT_MS;
+        while !self.steering.borrow().can_serve() && clock::now_ms() < deadline_ms {
+            tokio::time::sleep(Duration::from_millis(START_CHECK_INTERVAL_MS)).await;
         }
     }
 
     /// Returns how many bytes of a body may be held, at most `most`, so that those of all requests
     /// together stay within a part of the process's memory.
-    pub fn hold_limit(&self, most: usize) -> usize {
+    pub fn buffer_limit_bytes(&self, max_bytes: usize) -> usize {
         let memory_bytes = self.settings.resource_limits.memory_mb as usize * 1024 * 1024;
-        most.min(memory_bytes / BODY_MEMORY_PART / self.requests.get().max(1))
+        max_bytes.min(memory_bytes / BODY_MEMORY_DIVISOR / self.in_flight_requests.get().max(1))
     }
 }
--- a/crates/sedgepathd/src/direct/follow.rs
+++ b/crates/sedgepathd/src/direct/store_feed.rs
@@ -11,71 +11,71 @@
 use sedgepath_core::direct::upstreams::EntryChange;
 use sedgepath_core::direct::vms::StoreHealth;
 
-use super::shell::{Shell, StoreCalls};
-use super::{clock, peers};
+use super::shared::{SharedState, StoreCallState};
+use super::{clock, gossip};
 
 /// How long the store may hold back a call until something changes, in milliseconds. A connection
 /// may go silent for good; this and the call's own time-out bound how long that stays unnoticed, and
 /// another VM must have stepped in within the 2.5 s that a leaving upstream may get requests.
-const WAIT_MS: u64 = 1_000;
+const LONG_POLL_MS: u64 = 1_000;
 
 /// The pause between two answers of a feed, in milliseconds: changes that come in quick succession
 /// cost one call instead of one each.
-const BATCH_MS: u64 = 200;
+const BATCH_DELAY_MS: u64 = 200;
 
 /// The time from one failed call to the next, in milliseconds, the call's own time included. Short,
 /// since the bounds on leaving upstreams hold again some seconds after the store is back.
-const RETRY_MS: u64 = 600;
+const RETRY_PERIOD_MS: u64 = 600;
 
 /// The least pause after a failed call, in milliseconds.
-const MIN_PAUSE_MS: u64 = 100;
+const MIN_RETRY_PAUSE_MS: u64 = 100;
 
 /// How many times the period of failed calls is doubled while a VM doesn't have the table.
-const MAX_START_DOUBLINGS: u32 = 2;
+const MAX_RETRY_DOUBLINGS: u32 = 2;
 
 /// How often a VM without the table looks whether it should read it, in milliseconds: callers may wait.
-const START_CHECK_MS: u64 = 10;
+const START_CHECK_INTERVAL_MS: u64 = 10;
 
 /// How often a VM that doesn't follow the store looks whether it should, in milliseconds.
-const ROLE_CHECK_MS: u64 = 100;
+const ROLE_CHECK_INTERVAL_MS: u64 = 100;
 
 /// Follows a table while this VM is one of those that do, until the process ends.
-pub async fn follow(shell: Rc<Shell>, table: Table) {
-    let mut lost = false;
+pub async fn follow_table(shared: Rc<SharedState>, table: Table) {
+    let mut history_lost = false;
     let mut failures = 0;
-    let started = Started { at_ms: clock::now_ms(), draw: fastrand::f64() };
+    let start = ReaderStart { at_ms: clock::now_ms(), random_draw: fastrand::f64() };
     loop {
-        if !reads(&shell, table, started) {
+        if !should_read(&shared, table, start) {
             if table == Table::Upstreams {
-                shell.store_calls.set(StoreCalls::Unasked);
+                shared.store_call_state.set(StoreCallState::Unknown);
             }
-            let known = shell.copies.borrow().get(table).is_complete();
-            let pause_ms = if known { ROLE_CHECK_MS } else { START_CHECK_MS };
+            let complete = shared.replicas.borrow().get(table).is_complete();
+            let pause_ms = if complete { ROLE_CHECK_INTERVAL_MS } else { START_CHECK_INTERVAL_MS };
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             continue;
         }
-        let begun_at_ms = clock::now_ms();
-        match read(&shell, table, lost).await {
-            Ok(page) => {
-                lost = false;
+        let started_at_ms = clock::now_ms();
+        match read_store(&shared, table, history_lost).await {
+            Ok(update) => {
+                history_lost = false;
                 failures = 0;
-                note_contact(&shell, table, begun_at_ms);
-                if take_in(&shell, table, page) {
-                    peers::announce(&shell).await;
-                    tokio::time::sleep(Duration::from_millis(BATCH_MS)).await;
+                record_store_success(&shared, table, started_at_ms);
+                if apply_update(&shared, table, update) {
+                    gossip::announce_changes(&shared).await;
+                    tokio::time::sleep(Duration::from_millis(BATCH_DELAY_MS)).await;
                 }
             }
             Err(StoreError::HistoryUnavailable) => {
                 log::info!("event=store_history_lost table={}", table.name());
-                lost = true;
+                history_lost = true;
             }
             Err(error) => {
-                if note_loss(&shell, table, &error) {
-                    peers::announce(&shell).await;
+                if record_store_failure(&shared, table, &error) {
+                    gossip::announce_changes(&shared).await;
                 }
                 failures += 1;
-                let took_ms = clock::now_ms().saturating_sub(begun_at_ms);
-                let pause_ms = pause_after_failure_ms(&shell, table, failures, took_ms);
+                let took_ms = clock::now_ms().saturating_sub(started_at_ms);
+                let pause_ms = pause_after_failure_ms(&shared, table, failures, took_ms);
                 tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             }
         }
@@ -84,94 +84,101 @@
 
 /// The start of the process, and what of it is left to chance.
 #[derive(Debug, Clone, Copy)]
-struct Started {
+struct ReaderStart {
     at_ms: u64,
-    draw: f64,
+    random_draw: f64,
 }
 
 /// Whether this VM reads a table from the store now.
-fn reads(shell: &Shell, table: Table, started: Started) -> bool {
+fn should_read(shared: &SharedState, table: Table, start: ReaderStart) -> bool {
     let now_ms = clock::now_ms();
-    let mut steering = shell.steering.borrow_mut();
-    if shell.copies.borrow().get(table).is_complete() {
+    let mut steering = shared.steering.borrow_mut();
+    if shared.replicas.borrow().get(table).is_complete() {
         return steering.vms_mut().should_read_store(now_ms);
     }
-    let waited_ms = now_ms.saturating_sub(started.at_ms);
-    shell.looked_for_vms.get()
-        && steering.vms().should_read_store_at_start(waited_ms, started.draw, now_ms)
+    let waited_ms = now_ms.saturating_sub(start.at_ms);
+    shared.discovery_attempted.get()
+        && steering.vms().should_read_store_at_start(waited_ms, start.random_draw, now_ms)
 }
 
 /// Returns the pause after a failed call, in milliseconds.
 ///
 /// A VM without the table asks ever more rarely: one that starts while the store is away gets the table
 /// from others, and many that start together would be most of the store's load when it comes back.
-fn pause_after_failure_ms(shell: &Shell, table: Table, failures: u32, took_ms: u64) -> u64 {
-    let known = shell.copies.borrow().get(table).is_complete();
-    let doublings = if known { 0 } else { (failures - 1).min(MAX_START_DOUBLINGS) };
-    let period_ms = RETRY_MS << doublings;
-    let jitter_ms = MIN_PAUSE_MS << doublings;
-    period_ms.saturating_sub(took_ms).max(MIN_PAUSE_MS) + fastrand::u64(0..jitter_ms)
+fn pause_after_failure_ms(shared: &SharedState, table: Table, failures: u32, took_ms: u64) -> u64 {
+    let complete = shared.replicas.borrow().get(table).is_complete();
+    let doublings = if complete { 0 } else { (failures - 1).min(MAX_RETRY_DOUBLINGS) };
+    let period_ms = RETRY_PERIOD_MS << doublings;
+    let jitter_ms = MIN_RETRY_PAUSE_MS << doublings;
+    period_ms.saturating_sub(took_ms).max(MIN_RETRY_PAUSE_MS) + fastrand::u64(0..jitter_ms)
 }
 
-async fn read(shell: &Shell, table: Table, lost: bool) -> Result<TableUpdate, StoreError> {
+async fn read_store(
+    shared: &SharedState,
+    table: Table,
+    history_lost: bool,
+) -> Result<TableUpdate, StoreError> {
     let name = store_table_name(table);
-    let (known, position) = {
-        let copies = shell.copies.borrow();
-        let copy = copies.get(table);
-        (copy.is_complete(), copy.position())
+    let (complete, position) = {
+        let replicas = shared.replicas.borrow();
+        let replica = replicas.get(table);
+        (replica.is_complete(), replica.position())
     };
-    if lost || !known {
-        return shell.store.read_table(name).await;
+    if history_lost || !complete {
+        return shared.store.read_table(name).await;
     }
     // While the store is away a call that waits would hide for longer that it is back.
-    let wait_ms = if shell.store_calls.get().answers() { WAIT_MS } else { 0 };
-    shell.store.poll_changes(name, position, wait_ms).await
+    let wait_ms = if shared.store_call_state.get().is_reachable() { LONG_POLL_MS } else { 0 };
+    shared.store.poll_changes(name, position, wait_ms).await
 }
 
-fn note_contact(shell: &Shell, table: Table, since_ms: u64) {
+fn record_store_success(shared: &SharedState, table: Table, since_ms: u64) {
     if table != Table::Upstreams {
         return;
     }
-    if !shell.store_calls.get().answers() {
+    if !shared.store_call_state.get().is_reachable() {
         log::info!("event=store_back");
-        shell.store_calls.set(StoreCalls::Since { at_ms: since_ms });
+        shared.store_call_state.set(StoreCallState::Succeeding { since_ms });
     }
     let now_ms = clock::now_ms();
-    shell.steering.borrow_mut().update_store_health(shell.store_calls.get().view(now_ms), now_ms);
+    shared
+        .steering
+        .borrow_mut()
+        .update_store_health(shared.store_call_state.get().health(now_ms), now_ms);
 }
 
 /// Notes that the store gave no answer, and returns whether it had given one before.
-fn note_loss(shell: &Shell, table: Table, error: &StoreError) -> bool {
+fn record_store_failure(shared: &SharedState, table: Table, error: &StoreError) -> bool {
     if table != Table::Upstreams {
         return false;
     }
-    let lost = shell.store_calls.replace(StoreCalls::Lost).answers();
-    if lost {
+    let was_reachable = shared.store_call_state.replace(StoreCallState::Failing).is_reachable();
+    if was_reachable {
         log::warn!("event=store_away error={:?}", error.to_string());
     }
-    shell.steering.borrow_mut().update_store_health(StoreHealth::Failing, clock::now_ms());
-    lost
+    shared.steering.borrow_mut().update_store_health(StoreHealth::Failing, clock::now_ms());
+    was_reachable
 }
 
 /// Takes in rows of the store or of another VM, and returns whether any was new.
-pub fn take_in(shell: &Shell, table: Table, page: TableUpdate) -> bool {
-    let changes = shell.copies.borrow_mut().get_mut(table).merge(page);
+pub fn apply_update(shared: &SharedState, table: Table, update: TableUpdate) -> bool {
+    let changes = shared.replicas.borrow_mut().get_mut(table).merge(update);
     match table {
-        Table::Operators => take_in_operators(shell, &changes),
+        Table::Operators => apply_operator_rows(shared, &changes),
         Table::Upstreams => {
             let now_ms = clock::now_ms();
-            let mut steering = shell.steering.borrow_mut();
+            let mut steering = shared.steering.borrow_mut();
             for row in &changes {
-                take_in_upstream(&mut steering, row, now_ms);
+                apply_upstream_row(&mut steering, row, now_ms);
             }
         }
     }
     !changes.is_empty()
 }
 
-fn take_in_operators(shell: &Shell, rows: &[VersionedRow]) {
+fn apply_operator_rows(shared: &SharedState, rows: &[VersionedRow]) {
     let now_ms = clock::now_ms();
-    let mut steering = shell.steering.borrow_mut();
+    let mut steering = shared.steering.borrow_mut();
     let mut evacuated = steering.evacuated_domains().clone();
     for row in rows {
         match OperatorRowKey::parse(&row.key) {
@@ -180,8 +187,8 @@
                 match rows::parse_configuration(value) {
                     Ok(configuration) => {
                         let version = configuration.version;
-                        let taken = steering.apply_configuration(Arc::new(configuration));
-                        log::info!("event=configuration version={version} in_force={taken}");
+                        let applied = steering.apply_configuration(Arc::new(configuration));
+                        log::info!("event=configuration version={version} in_force={applied}");
                     }
                     Err(error) => {
                         log::error!("event=configuration_unreadable error={:?}", error.to_string());
@@ -189,9 +196,9 @@
                 }
             }
             OperatorRowKey::Evacuation(domain) => {
-                let emptied = row.value.is_some();
-                log::info!("event=evacuation domain={domain} emptied={emptied}");
-                if emptied {
+                let evacuating = row.value.is_some();
+                log::info!("event=evacuation domain={domain} emptied={evacuating}");
+                if evacuating {
                     evacuated.insert(domain.into());
                 } else {
                     evacuated.remove(domain);
@@ -203,7 +210,7 @@
     steering.set_evacuated_domains(evacuated, now_ms);
 }
 
-fn take_in_upstream(steering: &mut Steering, row: &VersionedRow, now_ms: u64) {
+fn apply_upstream_row(steering: &mut Steering, row: &VersionedRow, now_ms: u64) {
     let Some(value) = &row.value else {
         log::info!("event=upstream_removed upstream={}", row.key);
         steering.upstreams_mut().remove(&row.key, now_ms);
--- a/crates/sedgepathd/src/direct/giving.rs
+++ b/crates/sedgepathd/src/direct/table_server.rs
@@ -21,22 +21,22 @@
 use sedgepath_core::hash::Map;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-use super::pool::Body;
-use super::questions::empty;
-use super::sending::held;
-use super::shell::Shell;
+use super::attempt::bytes_body;
+use super::connection_pool::Body;
+use super::control_server::empty_response;
+use super::shared::SharedState;
 
 /// How many other VMs a VM gives a whole table to at a time.
-const MAX_GIVEN: usize = 3;
+const MAX_CONCURRENT_SNAPSHOTS: usize = 3;
 
 /// The name of the compression in the field that tells of it (RFC 9110, 8.4.1).
-const COMPRESSION: HeaderValue = HeaderValue::from_static("deflate");
+const CONTENT_CODING: HeaderValue = HeaderValue::from_static("deflate");
 
 /// The size from which rows are compressed, in bytes: a few rows fit a packet or two as they are.
-const COMPRESSED_FROM_BYTES: usize = 2_048;
+const MIN_COMPRESSED_BYTES: usize = 2_048;
 
 /// The largest table that is taken, in bytes, once it is no longer compressed: some ten thousand upstreams.
-const MAX_PAGE_BYTES: u64 = 16 * 1024 * 1024;
+const MAX_DECOMPRESSED_BYTES: u64 = 16 * 1024 * 1024;
 
 /// Why rows can't be given to another VM, or read.
 #[derive(Debug, thiserror::Error)]
@@ -50,17 +50,17 @@
 }
 
 /// Gives another VM the rows of a copy that have changed after a version.
-pub fn answer(shell: &Shell, request: &Request<Incoming>) -> Response<Body> {
+pub fn handle_rows_request(shared: &SharedState, request: &Request<Incoming>) -> Response<Body> {
     let mut parts = request.uri().path().trim_start_matches("/copies/").split('/');
     let name = parts.next().unwrap_or("");
     let table = Table::ALL.into_iter().find(|table| table.name() == name);
     let after = parts.next().and_then(|after| after.parse().ok());
     let Some((table, after)) = table.zip(after) else {
-        return empty(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     };
-    let answer = shell.giving.answer(&shell.copies.borrow(), table, after);
-    shell.metrics.told_peer("rows", answer.body().size_hint().lower() as usize);
-    answer
+    let response = shared.table_server.respond(&shared.replicas.borrow(), table, after);
+    shared.metrics.count_peer_bytes("rows", response.body().size_hint().lower() as usize);
+    response
 }
 
 /// Reads rows that another VM has given, with the fields of its answer.
@@ -68,101 +68,111 @@
 /// # Errors
 ///
 /// Fails if they are damaged, or more than a VM can hold.
-pub fn read(fields: &HeaderMap, body: &[u8]) -> Result<TableUpdate, RowsError> {
-    if fields.get(CONTENT_ENCODING) != Some(&COMPRESSION) {
+pub fn decode_rows(headers: &HeaderMap, body: &[u8]) -> Result<TableUpdate, RowsError> {
+    if headers.get(CONTENT_ENCODING) != Some(&CONTENT_CODING) {
         return Ok(postcard::from_bytes(body)?);
     }
     let mut rows = Vec::new();
-    ZlibDecoder::new(body).take(MAX_PAGE_BYTES).read_to_end(&mut rows)?;
+    ZlibDecoder::new(body).take(MAX_DECOMPRESSED_BYTES).read_to_end(&mut rows)?;
     Ok(postcard::from_bytes(&rows)?)
 }
 
 /// Rows as they are sent.
 #[derive(Debug, Clone)]
-struct Written {
-    changed_at: u64,
+struct EncodedRows {
+    newest_version: u64,
     bytes: Bytes,
     compressed: bool,
 }
 
-impl Written {
-    fn new(copy: &TableReplica, after: u64) -> Result<Self, RowsError> {
-        let (changed_at, plain) =
-            (copy.newest_version(), postcard::to_stdvec(&copy.changes_since(after))?);
-        if plain.len() < COMPRESSED_FROM_BYTES {
-            return Ok(Self { changed_at, bytes: plain.into(), compressed: false });
+impl EncodedRows {
+    fn new(replica: &TableReplica, after: u64) -> Result<Self, RowsError> {
+        let (newest_version, plain) =
+            (replica.newest_version(), postcard::to_stdvec(&replica.changes_since(after))?);
+        if plain.len() < MIN_COMPRESSED_BYTES {
+            return Ok(Self { newest_version, bytes: plain.into(), compressed: false });
         }
         let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
         encoder.write_all(&plain)?;
-        Ok(Self { changed_at, bytes: encoder.finish()?.into(), compressed: true })
+        Ok(Self { newest_version, bytes: encoder.finish()?.into(), compressed: true })
     }
 
-    fn answer(&self, permit: Option<OwnedSemaphorePermit>) -> Response<Body> {
+    fn to_response(&self, permit: Option<OwnedSemaphorePermit>) -> Response<Body> {
         // The permit lives as long as the body: until it is sent, or its receiver is gone.
-        let rows = held(self.bytes.clone()).map_frame(move |frame| {
+        let body = bytes_body(self.bytes.clone()).map_frame(move |frame| {
             let _permit = &permit;
             frame
         });
-        let mut answer = Response::new(rows.boxed_unsync());
+        let mut response = Response::new(body.boxed_unsync());
         if self.compressed {
-            answer.headers_mut().insert(CONTENT_ENCODING, COMPRESSION);
+            response.headers_mut().insert(CONTENT_ENCODING, CONTENT_CODING);
         }
-        answer
+        response
     }
 }
 
 /// What is being given.
 #[derive(Debug)]
-pub struct Giving {
-    free: Arc<Semaphore>,
+pub struct TableServer {
+    snapshot_permits: Arc<Semaphore>,
     /// The rows that were written lately, by the version after which they have changed.
-    written: RefCell<Map<(Table, u64), Written>>,
+    encoded: RefCell<Map<(Table, u64), EncodedRows>>,
 }
 
-impl Default for Giving {
+impl Default for TableServer {
     fn default() -> Self {
-        Self { free: Arc::new(Semaphore::new(MAX_GIVEN)), written: RefCell::default() }
+        Self {
+            snapshot_permits: Arc::new(Semaphore::new(MAX_CONCURRENT_SNAPSHOTS)),
+            encoded: RefCell::default(),
+        }
     }
 }
 
-impl Giving {
+impl TableServer {
     /// Answers with the rows of a table that have changed after a version; without any if this VM doesn't have the
     /// table, or if the whole table is needed and given to as many VMs as it may be.
-    pub fn answer(&self, copies: &TableReplicas, table: Table, after: u64) -> Response<Body> {
-        let copy = copies.get(table);
-        if !copy.is_complete() {
-            return empty(StatusCode::NOT_FOUND);
+    pub fn respond(&self, replicas: &TableReplicas, table: Table, after: u64) -> Response<Body> {
+        let replica = replicas.get(table);
+        if !replica.is_complete() {
+            return empty_response(StatusCode::NOT_FOUND);
         }
         let mut permit = None;
-        if copy.requires_snapshot(after) {
-            permit = Arc::clone(&self.free).try_acquire_owned().ok();
+        if replica.requires_snapshot(after) {
+            permit = Arc::clone(&self.snapshot_permits).try_acquire_owned().ok();
             if permit.is_none() {
-                return empty(StatusCode::SERVICE_UNAVAILABLE);
+                return empty_response(StatusCode::SERVICE_UNAVAILABLE);
             }
         }
-        match self.written(copy, table, after) {
-            Ok(written) => written.answer(permit),
+        match self.encoded_rows(replica, table, after) {
+            Ok(encoded) => encoded.to_response(permit),
             Err(error) => {
                 log::error!("event=rows_not_written error={:?}", error.to_string());
-                empty(StatusCode::INTERNAL_SERVER_ERROR)
+                empty_response(StatusCode::INTERNAL_SERVER_ERROR)
             }
         }
     }
 
     /// Returns rows, written once for all that ask for the same.
-    fn written(&self, copy: &TableReplica, table: Table, after: u64) -> Result<Written, RowsError> {
-        let mut written = self.written.borrow_mut();
-        let before = written.get(&(table, after));
-        if let Some(same) = before.filter(|before| before.changed_at == copy.newest_version()) {
-            return Ok(same.clone());
+    fn encoded_rows(
+        &self,
+        replica: &TableReplica,
+        table: Table,
+        after: u64,
+    ) -> Result<EncodedRows, RowsError> {
+        let mut cache = self.encoded.borrow_mut();
+        let cached = cache.get(&(table, after));
+        if let Some(current) =
+            cached.filter(|cached| cached.newest_version == replica.newest_version())
+        {
+            return Ok(current.clone());
         }
-        let new = Written::new(copy, after)?;
-        written.insert((table, after), new.clone());
-        Ok(new)
+        let encoded = EncodedRows::new(replica, after)?;
+        cache.insert((table, after), encoded.clone());
+        Ok(encoded)
     }
 
     /// Forgets the rows as they were written.
-    pub fn forget(&self) {
-        self.written.borrow_mut().clear();
+    pub fn clear_cache(&self) {
+        self.encoded.borrow_mut().clear();
     }
 }
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -20,16 +20,16 @@
 use crate::upstreams::{Call, CallError, Connection, Upstreams};
 
 /// The header field by which an upstream proves that it did not start a request.
-pub const NOT_STARTED: &str = "sedgepath-not-started";
+pub const NOT_STARTED_HEADER: &str = "sedgepath-not-started";
 
 /// The header field with the time left until the deadline, in milliseconds.
-pub const TIMEOUT_MS: &str = "sedgepath-timeout-ms";
+pub const TIMEOUT_HEADER: &str = "sedgepath-timeout-ms";
 
 /// The header field with the deadline, in milliseconds since the Unix epoch.
-pub const DEADLINE_MS: &str = "sedgepath-deadline-ms";
+pub const DEADLINE_HEADER: &str = "sedgepath-deadline-ms";
 
 /// The header field that names one sending of a request, by which the upstream can cancel it.
-pub const CALL_ID: &str = "sedgepath-call-id";
+pub const CALL_ID_HEADER: &str = "sedgepath-call-id";
 
 /// Where upstreams take cancellations; they answer 200 only if the request will never run.
 const CANCEL_PATH: &str = "/cancel";
@@ -38,7 +38,7 @@
 ///
 /// A call that is given up at its deadline ends unknown. Given up this much earlier and cancelled
 /// with the upstream's confirmation, it ends as not run, which the caller may act on.
-const CANCEL_WITHIN_MS: u64 = 100;
+const CANCEL_RESERVE_MS: u64 = 100;
 
 /// The longest that a body may stand still.
 ///
@@ -73,7 +73,7 @@
     ) -> oneshot::Receiver<Reply> {
         let (sender, receiver) = oneshot::channel();
         let (exchange, actions) = self.handle.dispatch(from, dispatch);
-        let run = Run {
+        let run = DispatchRun {
             handle: self.handle.clone(),
             upstreams: Arc::clone(&self.upstreams),
             exchange,
@@ -86,14 +86,14 @@
 }
 
 /// An answer whose head has arrived.
-struct Arrived {
+struct ArrivedResponse {
     response: Response<Incoming>,
     connection: Connection,
     is_head: bool,
 }
 
 /// One dispatch.
-struct Run {
+struct DispatchRun {
     handle: Handle,
     upstreams: Arc<Upstreams>,
     exchange: ExchangeKey,
@@ -101,7 +101,7 @@
     started: Instant,
 }
 
-impl Run {
+impl DispatchRun {
     async fn run(
         self,
         head: HttpRequestHead,
@@ -109,12 +109,12 @@
         mut actions: mpsc::UnboundedReceiver<Action>,
         mut reply: oneshot::Sender<Reply>,
     ) {
-        let mut gone = false;
+        let mut canceled = false;
         loop {
             let action = tokio::select! {
                 action = actions.recv() => action,
-                () = reply.closed(), if !gone => {
-                    gone = true;
+                () = reply.closed(), if !canceled => {
+                    canceled = true;
                     self.handle.event(Event::DispatchCanceled { exchange: self.exchange });
                     continue;
                 }
@@ -130,11 +130,11 @@
                     ..
                 }) => {
                     let call = Call { upstream, address, may_open, send_by_ms, deadline_at_ms };
-                    self.call(call, domain, head, body, reply).await;
+                    self.run_call(call, domain, head, body, reply).await;
                     return;
                 }
-                Some(Action::RejectDispatch { refusal, .. }) => {
-                    let _gone = reply.send(Reply::Refused(refusal));
+                Some(Action::RejectDispatch { refusal: rejection, .. }) => {
+                    let _canceled = reply.send(Reply::Refused(rejection));
                     return;
                 }
                 Some(_) => {}
@@ -143,7 +143,7 @@
         }
     }
 
-    async fn call(
+    async fn run_call(
         &self,
         call: Call,
         domain: DomainKey,
@@ -153,43 +153,43 @@
     ) {
         let now_ms = self.handle.clock().now_ms();
         let is_head = &*head.method == Method::HEAD.as_str();
-        let Some(request) = self.request(&head, body, &call, now_ms) else {
-            self.not_sent(reply);
+        let Some(request) = self.build_request(&head, body, &call, now_ms) else {
+            self.reply_not_sent(reply);
             return;
         };
-        let give_up_at_ms = call.deadline_at_ms.saturating_sub(CANCEL_WITHIN_MS).max(now_ms);
-        let early = Call { deadline_at_ms: give_up_at_ms, ..call };
-        match self.upstreams.call(early, request).await {
+        let cancel_at_ms = call.deadline_at_ms.saturating_sub(CANCEL_RESERVE_MS).max(now_ms);
+        let shortened = Call { deadline_at_ms: cancel_at_ms, ..call };
+        match self.upstreams.call(shortened, request).await {
             Ok((response, connection)) => {
-                let arrived = Arrived { response, connection, is_head };
-                self.answer(call, domain, arrived, reply).await;
+                let arrived = ArrivedResponse { response, connection, is_head };
+                self.relay_response(call, domain, arrived, reply).await;
             }
-            Err(CallError::NotSent) => self.not_sent(reply),
+            Err(CallError::NotSent) => self.reply_not_sent(reply),
             Err(CallError::Lost) if self.cancel(call).await => {
-                let refusal = Rejection {
+                let rejection = Rejection {
                     reason: RejectionReason::Cancelled,
                     retry_after_ms: RETRY_AFTER_MS,
                 };
-                let _gone = reply.send(Reply::Refused(refusal));
-                self.ended(CallOutcome::Cancelled);
+                let _canceled = reply.send(Reply::Refused(rejection));
+                self.report_outcome(CallOutcome::Cancelled);
             }
             Err(CallError::Lost) => {
-                let _gone = reply.send(Reply::Lost);
-                self.ended(CallOutcome::Lost);
+                let _canceled = reply.send(Reply::Lost);
+                self.report_outcome(CallOutcome::Lost);
             }
         }
     }
 
-    fn not_sent(&self, reply: oneshot::Sender<Reply>) {
-        let _gone = reply.send(Reply::NotSent);
-        self.ended(CallOutcome::NotSent);
+    fn reply_not_sent(&self, reply: oneshot::Sender<Reply>) {
+        let _canceled = reply.send(Reply::NotSent);
+        self.report_outcome(CallOutcome::NotSent);
     }
 
     /// Asks the upstream to cancel the call; true only if it confirms that it will never run.
     async fn cancel(&self, call: Call) -> bool {
         let request = Request::post(CANCEL_PATH)
             .header(hyper::header::HOST, call.address.to_string())
-            .header(CALL_ID, &*self.call_id)
+            .header(CALL_ID_HEADER, &*self.call_id)
             .body(Full::default());
         let Ok(request) = request else { return false };
         match self.upstreams.call(call, request).await {
@@ -202,52 +202,53 @@
         }
     }
 
-    fn request(
+    fn build_request(
         &self,
         head: &HttpRequestHead,
         body: Bytes,
         call: &Call,
         now_ms: u64,
     ) -> Option<Request<Full<Bytes>>> {
-        let own = |name: &str| matches!(name, TIMEOUT_MS | DEADLINE_MS | CALL_ID);
+        let is_set_here =
+            |name: &str| matches!(name, TIMEOUT_HEADER | DEADLINE_HEADER | CALL_ID_HEADER);
         let mut builder = Request::builder().method(&*head.method).uri(&*head.target);
-        for (name, value) in head.fields.iter().filter(|(name, _)| !own(name)) {
+        for (name, value) in head.fields.iter().filter(|(name, _)| !is_set_here(name)) {
             builder = builder.header(&**name, value.as_slice());
         }
         builder
             .header(hyper::header::HOST, call.address.to_string())
-            .header(TIMEOUT_MS, call.deadline_at_ms.saturating_sub(now_ms))
-            .header(DEADLINE_MS, call.deadline_at_ms)
-            .header(CALL_ID, &*self.call_id)
+            .header(TIMEOUT_HEADER, call.deadline_at_ms.saturating_sub(now_ms))
+            .header(DEADLINE_HEADER, call.deadline_at_ms)
+            .header(CALL_ID_HEADER, &*self.call_id)
             .body(Full::new(body))
             .ok()
     }
 
-    async fn answer(
+    async fn relay_response(
         &self,
         call: Call,
         domain: DomainKey,
-        arrived: Arrived,
+        arrived: ArrivedResponse,
         reply: oneshot::Sender<Reply>,
     ) {
-        let Arrived { response, connection, is_head } = arrived;
+        let ArrivedResponse { response, connection, is_head } = arrived;
         let (parts, incoming) = response.into_parts();
-        if let Some(report) = report(&parts.headers, self.handle.clock().now_ms()) {
+        if let Some(report) = parse_report(&parts.headers, self.handle.clock().now_ms()) {
             self.handle.event(Event::UpstreamReport { upstream: call.upstream, report });
         }
         if is_not_started(parts.status, &parts.headers) {
-            let refusal = Rejection {
+            let rejection = Rejection {
                 reason: RejectionReason::UpstreamRefused,
                 retry_after_ms: RETRY_AFTER_MS,
             };
-            let _gone = reply.send(Reply::Refused(refusal));
+            let _canceled = reply.send(Reply::Refused(rejection));
             self.drain(call, incoming, connection).await;
-            self.ended(CallOutcome::Refused);
+            self.report_outcome(CallOutcome::Refused);
             return;
         }
-        if !has_end(parts.status, &parts.headers, &incoming) {
-            let _gone = reply.send(Reply::Lost);
-            self.ended(CallOutcome::Lost);
+        if !is_framed(parts.status, &parts.headers, &incoming) {
+            let _canceled = reply.send(Reply::Lost);
+            self.report_outcome(CallOutcome::Lost);
             return;
         }
         let mut fields = passed_on(&parts.headers);
@@ -256,19 +257,19 @@
             fields.push((CONTENT_LENGTH.as_str().into(), length.as_bytes().to_vec()));
         }
         let (sender, receiver) = body();
-        let answer = Answer {
+        let response = Answer {
             head: AnswerHead { status: parts.status.as_u16(), upstream: call.upstream, domain },
             http: HttpResponseHead { fields, body_bytes: incoming.size_hint().exact() },
             body: receiver,
         };
-        let _gone = reply.send(Reply::Answer(Box::new(answer)));
-        let whole = pump(incoming, &sender).await;
-        if whole {
+        let _canceled = reply.send(Reply::Answer(Box::new(response)));
+        let complete = forward_body(incoming, &sender).await;
+        if complete {
             self.upstreams.give_back(call.upstream, connection);
         }
-        self.ended(if whole { CallOutcome::Completed } else { CallOutcome::Lost });
-        if !whole {
-            let _gone = sender.send(Err(BodyBroken)).await;
+        self.report_outcome(if complete { CallOutcome::Completed } else { CallOutcome::Lost });
+        if !complete {
+            let _canceled = sender.send(Err(BodyBroken)).await;
         }
     }
 
@@ -279,14 +280,14 @@
         }
     }
 
-    fn ended(&self, end: CallOutcome) {
+    fn report_outcome(&self, end: CallOutcome) {
         let took_ms = self.started.elapsed().as_millis() as u64;
         self.handle.event(Event::CallEnded { exchange: self.exchange, end, took_ms });
     }
 }
 
 /// Moves a body on; returns whether it reached its end while somebody read it.
-async fn pump(mut incoming: Incoming, sender: &BodySender) -> bool {
+async fn forward_body(mut incoming: Incoming, sender: &BodySender) -> bool {
     loop {
         let Ok(frame) = timeout(STALL_TIMEOUT, incoming.frame()).await else { return false };
         let Some(frame) = frame else { return true };
@@ -299,7 +300,7 @@
 }
 
 /// Header fields that concern one connection only (RFC 9110, 7.6.1).
-const HOP_BY_HOP: [&str; 9] = [
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -313,7 +314,7 @@
 
 /// Returns the header fields that are passed on to the next hop.
 pub fn passed_on(headers: &HeaderMap) -> Vec<HeaderField> {
-    let named: Vec<String> = headers
+    let connection_options: Vec<String> = headers
         .get_all(hyper::header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -322,8 +323,8 @@
         .collect();
     headers
         .iter()
-        .filter(|(name, _)| !HOP_BY_HOP.contains(&name.as_str()))
-        .filter(|(name, _)| !named.iter().any(|listed| listed == name.as_str()))
+        .filter(|(name, _)| !HOP_BY_HOP_HEADERS.contains(&name.as_str()))
+        .filter(|(name, _)| !connection_options.iter().any(|listed| listed == name.as_str()))
         .filter(|(name, _)| *name != CONTENT_LENGTH && *name != hyper::header::HOST)
         .map(|(name, value)| (name.as_str().into(), value.as_bytes().to_vec()))
         .collect()
@@ -331,25 +332,25 @@
 
 fn is_not_started(status: StatusCode, headers: &HeaderMap) -> bool {
     status == StatusCode::SERVICE_UNAVAILABLE
-        && headers.get(NOT_STARTED).is_some_and(|value| value == "true")
+        && headers.get(NOT_STARTED_HEADER).is_some_and(|value| value == "true")
 }
 
 /// Whether the end of a body can be told from a connection that broke.
 ///
 /// A body that ends with its connection looks the same whole and cut short; passed on, the caller
 /// would take a part for the whole.
-fn has_end(status: StatusCode, headers: &HeaderMap, incoming: &Incoming) -> bool {
+fn is_framed(status: StatusCode, headers: &HeaderMap, incoming: &Incoming) -> bool {
     incoming.is_end_stream()
         || headers.contains_key(CONTENT_LENGTH)
         || headers.contains_key(TRANSFER_ENCODING)
         || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED)
 }
 
-fn report(headers: &HeaderMap, made_at_ms: u64) -> Option<UpstreamReport> {
+fn parse_report(headers: &HeaderMap, made_at_ms: u64) -> Option<UpstreamReport> {
     let number = |name: &str| headers.get(name)?.to_str().ok()?.parse().ok();
     let in_flight = number("sedgepath-in-flight");
     let slots = number("sedgepath-slots");
     let leaving = headers.get("sedgepath-upstream-state").is_some_and(|value| value == "leaving");
-    let says_something = in_flight.is_some() || slots.is_some() || leaving;
-    says_something.then_some(UpstreamReport { in_flight, slots, leaving, made_at_ms })
+    let has_content = in_flight.is_some() || slots.is_some() || leaving;
+    has_content.then_some(UpstreamReport { in_flight, slots, leaving, made_at_ms })
 }
--- a/crates/sedgepathd/src/homes.rs
+++ b/crates/sedgepathd/src/homes.rs
@@ -15,10 +15,10 @@
 use crate::reply::Reply;
 
 /// The longest that a peer may take to keep tickets, in milliseconds.
-const HAND_OVER_MS: u64 = 3_000;
+const HANDOVER_TIMEOUT_MS: u64 = 3_000;
 
 /// The status by which a peer says that it keeps the tickets.
-const KEPT: u16 = 204;
+const STORED_STATUS: u16 = 204;
 
 /// A hand-over to a peer.
 #[derive(Debug)]
@@ -44,14 +44,19 @@
         let (hops, handle) = (Arc::clone(&hops), handle.clone());
         tokio::spawn(async move {
             let operation = job.operation;
-            let deadline_at_ms = handle.clock().now_ms() + HAND_OVER_MS;
-            let taken = hand_over(&hops, job, boot, deadline_at_ms).await;
-            handle.event(Event::TicketHandoverEnded { operation, taken });
+            let deadline_at_ms = handle.clock().now_ms() + HANDOVER_TIMEOUT_MS;
+            let stored = send_tickets(&hops, job, boot, deadline_at_ms).await;
+            handle.event(Event::TicketHandoverEnded { operation, taken: stored });
         });
     }
 }
 
-async fn hand_over(hops: &Arc<Hops>, job: HandOverJob, boot: BootId, deadline_at_ms: u64) -> bool {
+async fn send_tickets(
+    hops: &Arc<Hops>,
+    job: HandOverJob,
+    boot: BootId,
+    deadline_at_ms: u64,
+) -> bool {
     let Ok(body) = postcard::to_stdvec(&job.tickets) else {
         return false;
     };
@@ -65,7 +70,7 @@
     };
     let request = HopRequest { id, purpose: PeerOperation::StoreTickets, head, body: body.into() };
     let target = HopTarget { vm: job.to, address: job.address, deadline_at_ms };
-    matches!(hops.send(target, request).await, Reply::Concluded { status: KEPT, .. })
+    matches!(hops.send(target, request).await, Reply::Concluded { status: STORED_STATUS, .. })
 }
 
 /// Keeps the tickets that a peer hands over.
@@ -73,8 +78,8 @@
 /// # Errors
 ///
 /// Fails if the body is not tickets.
-pub fn keep(handle: &Handle, body: &Bytes) -> Result<Reply, FrameError> {
+pub fn store_tickets(handle: &Handle, body: &Bytes) -> Result<Reply, FrameError> {
     let tickets = postcard::from_bytes(body)?;
     handle.event(Event::TicketsReceived(tickets));
-    Ok(Reply::Concluded { status: KEPT, fields: Vec::new(), body: Bytes::new() })
+    Ok(Reply::Concluded { status: STORED_STATUS, fields: Vec::new(), body: Bytes::new() })
 }
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -19,11 +19,11 @@
 use crate::reply::{Answer, BodyBroken, BodySender, Reply, body};
 
 /// The idle connections that are kept to one peer.
-const MAX_IDLE: usize = 32;
+const MAX_IDLE_PER_PEER: usize = 32;
 
 /// The most time in milliseconds that the opening of a connection may take; a peer in another
 /// region answers in a tenth of it.
-const CONNECT_MS: u64 = 500;
+const CONNECT_TIMEOUT_MS: u64 = 500;
 
 type PeerStream = FrameStream<TcpStream>;
 
@@ -84,7 +84,7 @@
         let Some(stream) = self.connect(target.address, target.deadline_at_ms).await else {
             return Reply::NotSent;
         };
-        match timeout_at(deadline, self.talk(target.address, stream, request)).await {
+        match timeout_at(deadline, self.exchange(target.address, stream, request)).await {
             Ok(Ok(reply)) => reply,
             Ok(Err(error)) => {
                 self.metrics.dropped("frame", error.name());
@@ -106,17 +106,17 @@
         if let Some(stream) = self.take_idle(address) {
             return Some(stream);
         }
-        let by_ms = deadline_at_ms.min(self.clock.now_ms() + CONNECT_MS);
+        let connect_by_ms = deadline_at_ms.min(self.clock.now_ms() + CONNECT_TIMEOUT_MS);
         let opening = async {
             let stream = TcpStream::connect(address).await.ok()?;
             // Small frames must not wait for the acknowledgement of earlier ones.
-            let _slower = stream.set_nodelay(true);
+            let _ignored = stream.set_nodelay(true);
             FrameStream::open(stream, &self.key, fastrand::u64(..)).await.ok()
         };
-        timeout_at(self.clock.instant(by_ms), opening).await.ok().flatten()
+        timeout_at(self.clock.instant(connect_by_ms), opening).await.ok().flatten()
     }
 
-    async fn talk(
+    async fn exchange(
         self: &Arc<Self>,
         address: SocketAddr,
         mut stream: PeerStream,
@@ -132,33 +132,33 @@
         let frame = stream.receive().await?;
         // An answer to another request, late or misdirected, ends the connection: the caller must
         // never get another caller's answer.
-        if answered_id(&frame) != Some(id) {
+        if response_id(&frame) != Some(id) {
             return Err(FrameError::UnexpectedFrame);
         }
         match frame {
             Frame::Answer { head, http, .. } => {
                 let (sender, receiver) = body();
                 let hops = Arc::clone(self);
-                tokio::spawn(async move { hops.pump(address, stream, sender).await });
+                tokio::spawn(async move { hops.forward_body(address, stream, sender).await });
                 Ok(Reply::Answer(Box::new(Answer { head, http, body: receiver })))
             }
             Frame::Refused { refusal, .. } => {
-                self.give_back(address, stream);
+                self.release(address, stream);
                 Ok(Reply::Refused(refusal))
             }
             Frame::HomeResponse { status, fields, body, .. } => {
-                self.give_back(address, stream);
+                self.release(address, stream);
                 Ok(Reply::Concluded { status, fields, body: body.into() })
             }
             Frame::ResponseLost { .. } => {
-                self.give_back(address, stream);
+                self.release(address, stream);
                 Ok(Reply::Lost)
             }
             _ => Err(FrameError::UnexpectedFrame),
         }
     }
 
-    async fn pump(&self, address: SocketAddr, mut stream: PeerStream, sender: BodySender) {
+    async fn forward_body(&self, address: SocketAddr, mut stream: PeerStream, sender: BodySender) {
         loop {
             let received = tokio::select! {
                 received = stream.receive() => received,
@@ -167,13 +167,13 @@
             let part = match received {
                 Ok(Frame::BodyChunk(bytes)) => Ok(bytes.into()),
                 Ok(Frame::BodyEnd) => {
-                    self.give_back(address, stream);
+                    self.release(address, stream);
                     return;
                 }
                 _ => Err(BodyBroken),
             };
-            let broken = part.is_err();
-            if sender.send(part).await.is_err() || broken {
+            let aborted = part.is_err();
+            if sender.send(part).await.is_err() || aborted {
                 return;
             }
         }
@@ -184,29 +184,29 @@
         let streams = idle.get_mut(&address)?;
         while let Some(stream) = streams.pop() {
             // A peer that has ended since closed it; a request sent there would end as lost.
-            if is_quiet(stream.get_ref()) {
+            if is_open_and_idle(stream.get_ref()) {
                 return Some(stream);
             }
         }
         None
     }
 
-    fn give_back(&self, address: SocketAddr, stream: PeerStream) {
+    fn release(&self, address: SocketAddr, stream: PeerStream) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let streams = idle.entry(address).or_default();
-        if streams.len() < MAX_IDLE {
+        if streams.len() < MAX_IDLE_PER_PEER {
             streams.push(stream);
         }
     }
 }
 
 /// Whether a connection between two exchanges is still open, with nothing received on it.
-fn is_quiet(stream: &TcpStream) -> bool {
+fn is_open_and_idle(stream: &TcpStream) -> bool {
     let received = stream.try_read(&mut [0]);
     received.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-fn answered_id(frame: &Frame) -> Option<ExchangeId> {
+fn response_id(frame: &Frame) -> Option<ExchangeId> {
     match frame {
         Frame::Answer { id, .. }
         | Frame::Refused { id, .. }
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -49,9 +49,9 @@
 
     /// Takes connections until the process ends.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
-        let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+        let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
-            let Ok(place) = Arc::clone(&places).acquire_owned().await else {
+            let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
                 return;
             };
             let Ok((stream, _)) = listener.accept().await else {
@@ -59,30 +59,30 @@
             };
             let peers = Arc::clone(&self);
             tokio::spawn(async move {
-                if let Err(error) = peers.connection(stream).await {
+                if let Err(error) = peers.serve_connection(stream).await {
                     peers.metrics.dropped("frame", error.name());
                     log::debug!("event=peer_connection_ended reason={}", error.name());
                 }
-                drop(place);
+                drop(permit);
             });
         }
     }
 
-    async fn connection(&self, stream: TcpStream) -> Result<(), FrameError> {
+    async fn serve_connection(&self, stream: TcpStream) -> Result<(), FrameError> {
         // Small frames must not wait for the acknowledgement of earlier ones.
-        let _slower = stream.set_nodelay(true);
-        let greeting = FrameStream::accept(stream, &self.key, fastrand::u64(..));
-        let mut stream = in_time(greeting).await?;
+        let _ignored = stream.set_nodelay(true);
+        let handshake = FrameStream::accept(stream, &self.key, fastrand::u64(..));
+        let mut stream = with_timeout(handshake).await?;
         loop {
             let Frame::Request { id, purpose, head } = stream.receive().await? else {
                 return Err(FrameError::UnexpectedFrame);
             };
-            let body = in_time(receive_body(&mut stream, &head)).await?;
-            self.exchange(&mut stream, id, purpose, head, body).await?;
+            let body = with_timeout(receive_body(&mut stream, &head)).await?;
+            self.handle_request(&mut stream, id, purpose, head, body).await?;
         }
     }
 
-    async fn exchange(
+    async fn handle_request(
         &self,
         stream: &mut FrameStream<TcpStream>,
         id: ExchangeId,
@@ -99,7 +99,7 @@
                 PeerOperation::ServeAsHome(home) => {
                     Ok(self.callers.take_home(id.ingress, home, head, body).await)
                 }
-                PeerOperation::StoreTickets => homes::keep(self.callers.handle(), &body),
+                PeerOperation::StoreTickets => homes::store_tickets(self.callers.handle(), &body),
             }
         };
         let reply = tokio::select! {
@@ -108,10 +108,10 @@
             _ = stream.wait_for_close() => return Err(FrameError::UnexpectedFrame),
         };
         match reply {
-            Reply::Answer(answer) => relay(stream, id, *answer).await,
+            Reply::Answer(answer) => relay_response(stream, id, *answer).await,
             Reply::Refused(refusal) => stream.send(&Frame::Refused { id, refusal }).await,
             Reply::NotSent => {
-                let refusal = not_sent();
+                let refusal = not_sent_rejection();
                 stream.send(&Frame::Refused { id, refusal }).await
             }
             Reply::Lost => stream.send(&Frame::ResponseLost { id }).await,
@@ -124,14 +124,14 @@
 }
 
 /// A refusal by an owner that could not send a request to the upstream: it was not run.
-fn not_sent() -> sedgepath_core::request::Rejection {
+fn not_sent_rejection() -> sedgepath_core::request::Rejection {
     sedgepath_core::request::Rejection {
         reason: sedgepath_core::request::RejectionReason::NoUpstream,
         retry_after_ms: 200,
     }
 }
 
-async fn relay(
+async fn relay_response(
     stream: &mut FrameStream<TcpStream>,
     id: ExchangeId,
     mut answer: Answer,
@@ -166,8 +166,10 @@
     }
 }
 
-async fn in_time<T>(step: impl Future<Output = Result<T, FrameError>>) -> Result<T, FrameError> {
-    match timeout(RECEIVE_TIMEOUT, step).await {
+async fn with_timeout<T>(
+    future: impl Future<Output = Result<T, FrameError>>,
+) -> Result<T, FrameError> {
+    match timeout(RECEIVE_TIMEOUT, future).await {
         Ok(result) => result,
         Err(_elapsed) => Err(FrameError::Io(std::io::ErrorKind::TimedOut.into())),
     }
--- /dev/null
+++ b/crates/sedgepathd/tests/table_server.rs
@@ -0,0 +1,104 @@
+//! Whole tables that a VM gives to others that start.
+
+use http_body_util::BodyExt;
+use hyper::{Response, StatusCode};
+use sedgepath_core::direct::replicas::{Table, TableReplicas, TableUpdate, VersionedRow};
+use sedgepathd::direct::connection_pool::Body;
+use sedgepathd::direct::table_server::{self, TableServer};
+
+/// How many VMs are given a whole table at a time.
+const MAX_CONCURRENT_SNAPSHOTS: usize = 3;
+
+/// The memory that a VM may take for control, in bytes.
+const CONTROL_MEMORY_BYTES: usize = 32 * 1024 * 1024;
+
+fn replicas(rows: u32) -> TableReplicas {
+    let mut replicas = TableReplicas::default();
+    let row = |number: u32| VersionedRow {
+        key: format!("u{number}").into(),
+        version: u64::from(number) + 1,
+        value: Some(
+            format!("{{\"service\":\"shop\",\"slots\":3,\"number\":{number}}}").into_bytes().into(),
+        ),
+    };
+    let update = TableUpdate {
+        rows: (0..rows).map(row).collect(),
+        position: u64::from(rows),
+        is_snapshot: true,
+    };
+    replicas.get_mut(Table::Upstreams).merge(update);
+    replicas
+}
+
+fn body_bytes(response: Response<Body>) -> Vec<u8> {
+    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    let body = runtime.block_on(response.into_body().collect()).expect("a complete body");
+    body.to_bytes().to_vec()
+}
+
+/// Guards against a VM that holds the whole table once for each of dozens that start.
+#[test]
+fn a_snapshot_is_sent_to_a_limited_number_of_vms_at_a_time() {
+    let (replicas, server) = (replicas(3_000), TableServer::default());
+    let request = || server.respond(&replicas, Table::Upstreams, 0);
+    let mut responses: Vec<_> = (0..MAX_CONCURRENT_SNAPSHOTS).map(|_| request()).collect();
+    assert!(responses.iter().all(|response| response.status() == StatusCode::OK));
+    assert_eq!(request().status(), StatusCode::SERVICE_UNAVAILABLE);
+
+    drop(responses.pop());
+    assert_eq!(
+        request().status(),
+        StatusCode::OK,
+        "no permit was released with the dropped response"
+    );
+}
+
+/// Guards against a table that comes out changed, and one whose bytes fill the links of VMs that start.
+#[test]
+fn a_snapshot_is_compressed_and_arrives_unchanged() {
+    let (replicas, server) = (replicas(3_000), TableServer::default());
+    let response = server.respond(&replicas, Table::Upstreams, 0);
+    let headers = response.headers().clone();
+    let body = body_bytes(response);
+    let update = table_server::decode_rows(&headers, &body).expect("a table");
+
+    let encoded_len = postcard::to_stdvec(&update).expect("the update encodes").len();
+    let mut received = TableReplicas::default();
+    assert_eq!(received.get_mut(Table::Upstreams).merge(update).len(), 3_000);
+    assert!(body.len() * 3 < encoded_len, "{} bytes of {encoded_len}", body.len());
+}
+
+/// Guards against changes being held up behind whole tables.
+#[test]
+fn changes_are_sent_while_all_snapshot_permits_are_held() {
+    let (replicas, server) = (replicas(10), TableServer::default());
+    let _responses: Vec<_> = (0..MAX_CONCURRENT_SNAPSHOTS)
+        .map(|_| server.respond(&replicas, Table::Upstreams, 0))
+        .collect();
+    assert_eq!(server.respond(&replicas, Table::Upstreams, 10).status(), StatusCode::OK);
+}
+
+/// Guards against a VM that starts taking "no rows" for the whole table of one that has none itself.
+#[test]
+fn a_vm_without_the_table_responds_not_found() {
+    let response = TableServer::default().respond(&TableReplicas::default(), Table::Upstreams, 0);
+    assert_eq!(response.status(), StatusCode::NOT_FOUND);
+}
+
+/// Guards against rows that are small on the way and fill a VM's memory when they are read.
+#[test]
+fn rows_that_decompress_beyond_the_limit_are_rejected() {
+    let server = TableServer::default();
+    let mut replicas = TableReplicas::default();
+    let huge = VersionedRow {
+        key: "u0".into(),
+        version: 1,
+        value: Some(vec![0; 2 * CONTROL_MEMORY_BYTES].into()),
+    };
+    let update = TableUpdate { rows: vec![huge], position: 1, is_snapshot: true };
+    replicas.get_mut(Table::Upstreams).merge(update);
+    let response = server.respond(&replicas, Table::Upstreams, 0);
+    let headers = response.headers().clone();
+    table_server::decode_rows(&headers, &body_bytes(response))
+        .expect_err("decoded without a size limit");
+}
