--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -11,18 +11,18 @@
 use sedgepath::cli::{self, Environment};
 use sedgepath_test_support::store::{StoreMode, StoreStandIn};
 
-const READS: &str = "/reads/1?q=2";
-const CHARGES: &str = "/charges/1";
+const READ_PATH: &str = "/reads/1?q=2";
+const CHARGE_PATH: &str = "/charges/1";
 
 /// A store with a configuration, some upstreams in it, and a VM that serves them.
-struct Served {
+struct Fixture {
     store: StoreStandIn,
     upstreams: Vec<UpstreamStandIn>,
     site: Site,
     vm: Vm,
 }
 
-impl Served {
+impl Fixture {
     fn new(upstreams: usize) -> Self {
         let store = StoreStandIn::new().expect("a store");
         configure(&store, "0000000c", "3000ms");
@@ -36,7 +36,7 @@
         Self { store, upstreams, site, vm }
     }
 
-    fn all_behave(&self, behaviour: Behaviour) {
+    fn set_all_behaviours(&self, behaviour: Behaviour) {
         for upstream in &self.upstreams {
             upstream.behave(behaviour);
         }
@@ -50,86 +50,87 @@
 /// A request goes from a caller to an upstream and its answer back, as both sent them; the fields that
 /// the platform asks for are added.
 #[test]
-fn a_request_reaches_its_upstream_and_comes_back() {
-    let served = Served::new(1);
-    let mut connection = Connection::new(served.vm.callers).expect("a connection");
+fn requests_and_responses_are_relayed() {
+    let fixture = Fixture::new(1);
+    let mut connection = Connection::new(fixture.vm.callers).expect("a connection");
 
     for number in 0..3 {
-        let answer = connection.ask("GET", READS, &format!("a{number}")).expect("an answer");
-        assert_eq!((answer.status, answer.text()), (200, format!("a{number} at u0")));
-        assert_eq!(answer.fields["x-sedgepath-response-signature"], format!("s.a{number}"));
+        let response = connection.ask("GET", READ_PATH, &format!("a{number}")).expect("a response");
+        assert_eq!((response.status, response.text()), (200, format!("a{number} at u0")));
+        assert_eq!(response.fields["x-sedgepath-response-signature"], format!("s.a{number}"));
     }
 
-    let runs = served.upstreams[0].runs();
+    let runs = fixture.upstreams[0].runs();
     assert_eq!(runs.len(), 3);
-    assert_eq!(runs[0].line, format!("GET {READS} HTTP/1.1"));
+    assert_eq!(runs[0].line, format!("GET {READ_PATH} HTTP/1.1"));
     assert_eq!(runs[0].fields["x-sedgepath-expected-instance"], "u0");
     let left_ms: u64 = runs[0].fields["x-sedgepath-deadline-ms"].parse().expect("a number");
     assert!((1..=3_000).contains(&left_ms), "{left_ms}");
-    assert_eq!(served.upstreams[0].connections(), 1, "the connection was not kept");
+    assert_eq!(fixture.upstreams[0].connections(), 1, "the connection was not kept");
 }
 
 /// Bodies reach the upstream unchanged, with a length, in chunks, and larger than what is held.
 #[test]
 fn bodies_reach_the_upstream_unchanged() {
-    let served = Served::new(1);
+    let fixture = Fixture::new(1);
     let large = vec![b'x'; 700_000];
     for (number, body) in [b"pay 10".to_vec(), large].into_iter().enumerate() {
-        let mut connection = Connection::new(served.vm.callers).expect("a connection");
+        let mut connection = Connection::new(fixture.vm.callers).expect("a connection");
         let head = format!(
-            "POST {CHARGES} HTTP/1.1\r\nHost: shop.example\r\nX-Sedgepath-Attempt-Id: l{number}\r\n\
+            "POST {CHARGE_PATH} HTTP/1.1\r\nHost: shop.example\r\nX-Sedgepath-Attempt-Id: l{number}\r\n\
              Content-Length: {}\r\n\r\n",
             body.len()
         );
         connection.write(head.as_bytes()).expect("written");
         connection.write(&body).expect("written");
-        assert_eq!(connection.receive().expect("an answer").status, 200);
-        assert_eq!(served.upstreams[0].runs().last().expect("a run").body, body);
+        assert_eq!(connection.receive().expect("a response").status, 200);
+        assert_eq!(fixture.upstreams[0].runs().last().expect("a run").body, body);
     }
-    let mut connection = Connection::new(served.vm.callers).expect("a connection");
+    let mut connection = Connection::new(fixture.vm.callers).expect("a connection");
     let chunked = format!(
-        "POST {CHARGES} HTTP/1.1\r\nHost: shop.example\r\nX-Sedgepath-Attempt-Id: c\r\n\
+        "POST {CHARGE_PATH} HTTP/1.1\r\nHost: shop.example\r\nX-Sedgepath-Attempt-Id: c\r\n\
          Transfer-Encoding: chunked\r\n\r\n4\r\npay \r\n2\r\n10\r\n0\r\n\r\n"
     );
     connection.write(chunked.as_bytes()).expect("written");
-    assert_eq!(connection.receive().expect("an answer").status, 200);
-    assert_eq!(served.upstreams[0].runs().last().expect("a run").body, b"pay 10");
+    assert_eq!(connection.receive().expect("a response").status, 200);
+    assert_eq!(fixture.upstreams[0].runs().last().expect("a run").body, b"pay 10");
 }
 
 /// A charge is run and its answer is lost. It must not run again, at this upstream or another, and the
 /// caller must not be told that it was not run.
 #[test]
-fn a_charge_whose_answer_is_lost_runs_once() {
+fn a_charge_whose_response_is_lost_runs_once() {
     for behaviour in [Behaviour::Break, Behaviour::Truncate] {
-        let served = Served::new(2);
-        served.all_behave(behaviour);
-        let answer = caller::ask(served.vm.callers, "POST", CHARGES, "a1").expect("an answer");
-        assert_eq!((answer.status, served.runs()), (502, 1), "{behaviour:?}");
+        let fixture = Fixture::new(2);
+        fixture.set_all_behaviours(behaviour);
+        let response =
+            caller::ask(fixture.vm.callers, "POST", CHARGE_PATH, "a1").expect("a response");
+        assert_eq!((response.status, fixture.runs()), (502, 1), "{behaviour:?}");
     }
 }
 
 /// An upstream breaks off in the middle of an answer. The caller of an idempotent request gets the
 /// whole answer of another upstream, never a part that looks whole.
 #[test]
-fn a_truncated_answer_is_replaced_by_a_whole_one() {
-    let served = Served::new(2);
-    let home = home(&served);
-    served.upstreams[home].behave(Behaviour::Truncate);
+fn a_truncated_response_is_replaced_by_a_complete_one() {
+    let fixture = Fixture::new(2);
+    let preferred = preferred_upstream(&fixture);
+    fixture.upstreams[preferred].behave(Behaviour::Truncate);
 
-    let answer = caller::ask(served.vm.callers, "GET", READS, "a1").expect("an answer");
+    let response = caller::ask(fixture.vm.callers, "GET", READ_PATH, "a1").expect("a response");
 
-    assert_eq!((answer.status, answer.text()), (200, format!("a1 at u{}", 1 - home)));
+    assert_eq!((response.status, response.text()), (200, format!("a1 at u{}", 1 - preferred)));
 }
 
 /// Guards against repeats whose cause, or whose use, on call can't see.
 #[test]
-fn repeats_are_counted_by_cause_and_outcome() {
-    let served = Served::new(2);
-    let home = home(&served);
-    served.upstreams[home].behave(Behaviour::Truncate);
-    caller::ask(served.vm.callers, "GET", READS, "a1").expect("an answer");
+fn attempts_are_counted_by_cause_and_outcome() {
+    let fixture = Fixture::new(2);
+    let preferred = preferred_upstream(&fixture);
+    fixture.upstreams[preferred].behave(Behaviour::Truncate);
+    caller::ask(fixture.vm.callers, "GET", READ_PATH, "a1").expect("a response");
 
-    let text = attohttpc::get(format!("http://{}/metrics", served.vm.metrics))
+    let text = attohttpc::get(format!("http://{}/metrics", fixture.vm.metrics))
         .send()
         .and_then(attohttpc::Response::text)
         .expect("the metrics");
@@ -146,185 +147,189 @@
 
 /// Returns which upstream has the object of all requests; finding out takes some requests, which pay for
 /// the repeat of a later one.
-fn home(served: &Served) -> usize {
+fn preferred_upstream(fixture: &Fixture) -> usize {
     let ask = |number: u8| {
-        let answer = caller::ask(served.vm.callers, "GET", READS, &format!("h{number}"));
-        usize::from(answer.expect("an answer").text().ends_with("u1"))
+        let response = caller::ask(fixture.vm.callers, "GET", READ_PATH, &format!("h{number}"));
+        usize::from(response.expect("a response").text().ends_with("u1"))
     };
-    let homes: Vec<usize> = (0..12).map(ask).collect();
-    homes[homes.len() - 1]
+    let chosen: Vec<usize> = (0..12).map(ask).collect();
+    chosen[chosen.len() - 1]
 }
 
 /// An upstream answers a request twice. The second answer waits on the kept connection, where the next
 /// request's answer is expected; it must not be given to the next caller.
 #[test]
-fn an_extra_answer_reaches_no_other_request() {
-    let served = Served::new(1);
-    served.upstreams[0].behave(Behaviour::AnswerTwice);
-    let mut connection = Connection::new(served.vm.callers).expect("a connection");
+fn an_extra_response_reaches_no_other_request() {
+    let fixture = Fixture::new(1);
+    fixture.upstreams[0].behave(Behaviour::AnswerTwice);
+    let mut connection = Connection::new(fixture.vm.callers).expect("a connection");
     for number in 0..12 {
         let attempt = format!("a{number}");
-        let answer = connection.ask("POST", CHARGES, &attempt).expect("an answer");
-        if answer.status == 200 {
-            assert_eq!(answer.text(), format!("{attempt} at u0"));
+        let response = connection.ask("POST", CHARGE_PATH, &attempt).expect("a response");
+        if response.status == 200 {
+            assert_eq!(response.text(), format!("{attempt} at u0"));
         }
     }
 }
 
 /// An answer without a length ends with its connection; the caller gets it whole.
 #[test]
-fn an_answer_without_a_length_is_whole() {
-    let served = Served::new(1);
-    served.upstreams[0].behave(Behaviour::Unframed);
-    let answer = caller::ask(served.vm.callers, "GET", READS, "a1").expect("an answer");
-    assert_eq!((answer.status, answer.text()), (200, "a1 at u0".into()));
+fn a_response_without_a_length_is_relayed_completely() {
+    let fixture = Fixture::new(1);
+    fixture.upstreams[0].behave(Behaviour::Unframed);
+    let response = caller::ask(fixture.vm.callers, "GET", READ_PATH, "a1").expect("a response");
+    assert_eq!((response.status, response.text()), (200, "a1 at u0".into()));
 }
 
 /// All upstreams are full and say that they did not run the charge: the caller is told so at once,
 /// with the time to come back, and nothing has run.
 #[test]
-fn a_refusal_is_true_and_says_when_to_come_back() {
-    let served = Served::new(2);
-    served.all_behave(Behaviour::Refuse);
-    let answer = caller::ask(served.vm.callers, "POST", CHARGES, "a1").expect("an answer");
-    assert_eq!((answer.status, served.runs()), (503, 0));
-    let seconds: f64 = answer.fields["retry-after"].parse().expect("a number");
+fn a_rejection_runs_nothing_and_carries_retry_after() {
+    let fixture = Fixture::new(2);
+    fixture.set_all_behaviours(Behaviour::Refuse);
+    let response = caller::ask(fixture.vm.callers, "POST", CHARGE_PATH, "a1").expect("a response");
+    assert_eq!((response.status, fixture.runs()), (503, 0));
+    let seconds: f64 = response.fields["retry-after"].parse().expect("a number");
     assert!(seconds > 0.0 && seconds < 3.0, "{seconds}");
 }
 
 /// An upstream is gone and another has its address. It must not run the request; one that is named
 /// gets it.
 #[test]
-fn a_reused_address_runs_nothing_of_the_former_upstream() {
-    let served = Served::new(2);
-    let home = home(&served);
-    served.upstreams[home].rename("stranger");
-    let before = served.upstreams[home].runs().len();
+fn an_upstream_at_a_reused_address_runs_no_misdirected_request() {
+    let fixture = Fixture::new(2);
+    let preferred = preferred_upstream(&fixture);
+    fixture.upstreams[preferred].rename("stranger");
+    let before = fixture.upstreams[preferred].runs().len();
 
-    let answer = caller::ask(served.vm.callers, "POST", CHARGES, "a1").expect("an answer");
+    let response = caller::ask(fixture.vm.callers, "POST", CHARGE_PATH, "a1").expect("a response");
 
-    assert_eq!((answer.status, answer.text()), (200, format!("a1 at u{}", 1 - home)));
-    assert_eq!(served.upstreams[home].runs().len(), before);
+    assert_eq!((response.status, response.text()), (200, format!("a1 at u{}", 1 - preferred)));
+    assert_eq!(fixture.upstreams[preferred].runs().len(), before);
 }
 
 /// A caller leaves while its request runs: the upstream sees its connection end, so that it can stop.
 #[test]
-fn a_caller_that_leaves_cancels_its_request() {
-    let served = Served::new(1);
-    served.upstreams[0].behave(Behaviour::Silent);
-    let mut connection = Connection::new(served.vm.callers).expect("a connection");
-    connection.send("GET", READS, "a1", 30_000).expect("sent");
-    wait_for("the request", || served.upstreams[0].received().len() == 1);
+fn a_disconnected_caller_cancels_its_request() {
+    let fixture = Fixture::new(1);
+    fixture.upstreams[0].behave(Behaviour::Silent);
+    let mut connection = Connection::new(fixture.vm.callers).expect("a connection");
+    connection.send("GET", READ_PATH, "a1", 30_000).expect("sent");
+    wait_for("the request", || fixture.upstreams[0].received().len() == 1);
     drop(connection);
-    wait_for("the cancellation", || served.upstreams[0].broken_off() == 1);
+    wait_for("the cancellation", || fixture.upstreams[0].canceled_requests() == 1);
 }
 
 /// An upstream never answers. The caller is told at the route's timeout, not at its own later
 /// deadline, and not that the charge was not run.
 #[test]
-fn a_request_is_given_up_at_the_routes_timeout() {
-    let served = Served::new(1);
-    configure(&served.store, "0000000d", "300ms");
-    served.upstreams[0].behave(Behaviour::Silent);
+fn a_request_ends_at_the_routes_timeout() {
+    let fixture = Fixture::new(1);
+    configure(&fixture.store, "0000000d", "300ms");
+    fixture.upstreams[0].behave(Behaviour::Silent);
     wait_for("the new timeout", || {
-        let begun = Instant::now();
-        let answer = caller::ask(served.vm.callers, "POST", CHARGES, "a1");
-        answer.is_some_and(|answer| answer.status == 504) && begun.elapsed().as_millis() < 2_000
+        let started = Instant::now();
+        let response = caller::ask(fixture.vm.callers, "POST", CHARGE_PATH, "a1");
+        response.is_some_and(|response| response.status == 504)
+            && started.elapsed().as_millis() < 2_000
     });
 }
 
 /// An upstream says that it leaves, another's entry is removed. Neither gets a new request.
 #[test]
-fn leaving_upstreams_get_nothing_new() {
-    let served = Served::new(3);
-    served.upstreams[0].register(&served.store, "north-a", "draining", 2);
-    served.store.remove("servers", "u1");
+fn leaving_and_removed_upstreams_get_no_new_requests() {
+    let fixture = Fixture::new(3);
+    fixture.upstreams[0].register(&fixture.store, "north-a", "draining", 2);
+    fixture.store.remove("servers", "u1");
     std::thread::sleep(Duration::from_millis(2_500));
-    let before: Vec<_> = served.upstreams.iter().map(|up| up.received().len()).collect();
+    let before: Vec<_> =
+        fixture.upstreams.iter().map(|upstream| upstream.received().len()).collect();
 
     for number in 0..20 {
-        caller::ask(served.vm.callers, "GET", READS, &format!("a{number}")).expect("an answer");
+        caller::ask(fixture.vm.callers, "GET", READ_PATH, &format!("a{number}"))
+            .expect("a response");
     }
 
-    let after: Vec<_> = served.upstreams.iter().map(|up| up.received().len()).collect();
+    let after: Vec<_> =
+        fixture.upstreams.iter().map(|upstream| upstream.received().len()).collect();
     assert_eq!((after[0], after[1], after[2]), (before[0], before[1], before[2] + 20));
 }
 
 /// Entries that can't be read name no upstream and disturb nothing else; neither does a configuration
 /// that can't be read.
 #[test]
-fn entries_that_cannot_be_read_disturb_nothing() {
-    let served = Served::new(1);
-    let odd: [&[u8]; 5] = [
+fn unreadable_entries_and_configurations_are_ignored() {
+    let fixture = Fixture::new(1);
+    let unreadable: [&[u8]; 5] = [
         b"\xff\xfe",
         b"{}",
         br#"{"address":"127.0.0.1:1","info":{"service":"shop","zone":"north-a","slots":"3"},"status":{"state":"ready","sequence":1,"coldRemaining":"0ms"}}"#,
         br#"{"address":"127.0.0.1:1","info":{"service":"shop","zone":"north-a","slots":3},"status":{"state":"resting","sequence":1,"coldRemaining":"0ms"}}"#,
         br#"{"address":"127.0.0.1:1","info":{"service":"shop","zone":"north-a","slots":3},"status":{"state":"ready","sequence":1,"coldRemaining":"0ms"},"born":"x"}"#,
     ];
-    for (number, value) in odd.iter().enumerate() {
-        served.store.put("servers", &format!("odd{number}"), value);
+    for (number, value) in unreadable.iter().enumerate() {
+        fixture.store.put("servers", &format!("odd{number}"), value);
     }
-    served.store.put("op", "config", b"{\"version\":\"0000000f\"}");
+    fixture.store.put("op", "config", b"{\"version\":\"0000000f\"}");
     std::thread::sleep(Duration::from_secs(1));
     for number in 0..10 {
-        let answer = caller::ask(served.vm.callers, "GET", READS, &format!("a{number}"));
-        assert_eq!(answer.expect("an answer").text(), format!("a{number} at u0"));
+        let response = caller::ask(fixture.vm.callers, "GET", READ_PATH, &format!("a{number}"));
+        assert_eq!(response.expect("a response").text(), format!("a{number} at u0"));
     }
 }
 
 /// The VM is asked to stop while a request runs. The request gets its whole answer, the VM says that
 /// it takes no more, and it ends by itself within the grace; the last line of its log says so.
 #[test]
-fn a_planned_stop_cuts_nothing() {
-    let mut served = Served::new(1);
-    served.upstreams[0].behave(Behaviour::Slow(2_000));
-    let mut connection = Connection::new(served.vm.callers).expect("a connection");
-    connection.send("POST", CHARGES, "a1", 4_000).expect("sent");
-    wait_for("the request", || served.upstreams[0].received().len() == 1);
-
-    served.vm.terminate();
-    wait_for("an end of readiness", || !served.vm.is_ready());
-
-    let answer = connection.receive().expect("an answer");
-    assert_eq!((answer.status, answer.text()), (200, "a1 at u0".into()));
-    assert_eq!(answer.fields.get("connection").map(String::as_str), Some("close"));
-    let begun = Instant::now();
-    wait_for("the end", || served.vm.ended().is_some());
-    assert!(begun.elapsed() < Duration::from_secs(6));
-    assert!(served.vm.ended().is_some_and(|status| status.success()));
-    let log = served.site.log(1);
+fn a_planned_stop_completes_requests_in_flight() {
+    let mut fixture = Fixture::new(1);
+    fixture.upstreams[0].behave(Behaviour::Slow(2_000));
+    let mut connection = Connection::new(fixture.vm.callers).expect("a connection");
+    connection.send("POST", CHARGE_PATH, "a1", 4_000).expect("sent");
+    wait_for("the request", || fixture.upstreams[0].received().len() == 1);
+
+    fixture.vm.terminate();
+    wait_for("an end of readiness", || !fixture.vm.is_ready());
+
+    let response = connection.receive().expect("a response");
+    assert_eq!((response.status, response.text()), (200, "a1 at u0".into()));
+    assert_eq!(response.fields.get("connection").map(String::as_str), Some("close"));
+    let started = Instant::now();
+    wait_for("the end", || fixture.vm.ended().is_some());
+    assert!(started.elapsed() < Duration::from_secs(6));
+    assert!(fixture.vm.ended().is_some_and(|status| status.success()));
+    let log = fixture.site.log(1);
     let last = log.lines().last().expect("a line");
     assert!(last.ends_with("event=stopped requests=0"), "{last}");
 }
 
 /// The settings are read anew on a signal while a request runs: nothing is cut.
 #[test]
-fn a_reload_cuts_nothing() {
-    let served = Served::new(1);
-    served.upstreams[0].behave(Behaviour::Slow(500));
-    let mut connection = Connection::new(served.vm.callers).expect("a connection");
-    connection.send("GET", READS, "a1", 4_000).expect("sent");
-    wait_for("the request", || served.upstreams[0].received().len() == 1);
-    served.vm.signal("-HUP");
-    assert_eq!(connection.receive().expect("an answer").status, 200);
-    assert_eq!(connection.ask("GET", READS, "a2").expect("an answer").status, 200);
+fn a_reload_interrupts_no_request() {
+    let fixture = Fixture::new(1);
+    fixture.upstreams[0].behave(Behaviour::Slow(500));
+    let mut connection = Connection::new(fixture.vm.callers).expect("a connection");
+    connection.send("GET", READ_PATH, "a1", 4_000).expect("sent");
+    wait_for("the request", || fixture.upstreams[0].received().len() == 1);
+    fixture.vm.signal("-HUP");
+    assert_eq!(connection.receive().expect("a response").status, 200);
+    assert_eq!(connection.ask("GET", READ_PATH, "a2").expect("a response").status, 200);
 }
 
 /// The store is silent, and a VM is killed and starts again. It gets configuration and upstreams from
 /// another VM and serves, though it has none of its own to go by.
 #[test]
-fn a_vm_that_starts_without_the_store_learns_from_another() {
-    let served = Served::new(1);
-    let second = served.site.start_ready(2, "north-a");
-    served.store.set_mode(StoreMode::Unresponsive);
+fn a_vm_that_starts_without_the_store_fetches_tables_from_a_peer() {
+    let fixture = Fixture::new(1);
+    let second = fixture.site.start_ready(2, "north-a");
+    fixture.store.set_mode(StoreMode::Unresponsive);
     second.kill();
 
-    let second = served.site.start(2, "north-a");
+    let second = fixture.site.start(2, "north-a");
 
     wait_for("readiness without the store", || second.is_ready());
-    let answer = caller::ask(second.callers, "GET", READS, "a1").expect("an answer");
-    assert_eq!(answer.status, 200);
+    let response = caller::ask(second.callers, "GET", READ_PATH, "a1").expect("a response");
+    assert_eq!(response.status, 200);
 }
 
 /// An engineer on call asks two VMs for their state, and one that is not there. Each tells its
@@ -332,17 +337,18 @@
 /// names the address.
 #[test]
 fn the_command_line_shows_the_state_of_vms() {
-    let served = Served::new(2);
-    let second = served.site.start_ready(2, "north-b");
-    served.upstreams[1].register(&served.store, "north-a", "draining", 2);
+    let fixture = Fixture::new(2);
+    let second = fixture.site.start_ready(2, "north-b");
+    fixture.upstreams[1].register(&fixture.store, "north-a", "draining", 2);
     let status = |addresses: &[String]| {
         let mut arguments = vec!["status".to_owned()];
-        arguments.extend(addresses.iter().flat_map(|at| ["--metrics".to_owned(), at.clone()]));
+        arguments
+            .extend(addresses.iter().flat_map(|address| ["--metrics".to_owned(), address.clone()]));
         let mut out = Vec::new();
         cli::execute(&arguments, &Environment::default(), &mut out)
             .map(|()| String::from_utf8(out).expect("text"))
     };
-    let both = [served.vm.metrics.to_string(), second.metrics.to_string()];
+    let addresses = [fixture.vm.metrics.to_string(), second.metrics.to_string()];
     let expected = [
         "vm1 in north-a serves by configuration 12\n",
         "vm2 in north-b serves by configuration 12\n",
@@ -350,20 +356,20 @@
         "1 other VMs heard; limits are split among 2:",
     ];
     wait_for("the state of both", || {
-        let shown = status(&both).expect("the state");
+        let shown = status(&addresses).expect("the state");
         expected.iter().all(|line| shown.contains(line))
     });
-    let lost = second.metrics.to_string();
+    let unreachable = second.metrics.to_string();
     second.kill();
-    let error = status(std::slice::from_ref(&lost)).expect_err("no state");
-    assert!(error.to_string().contains(&lost), "{error}");
+    let error = status(std::slice::from_ref(&unreachable)).expect_err("no state");
+    assert!(error.to_string().contains(&unreachable), "{error}");
 }
 
 /// A VM starts without the store; the only other VM hands its rows on over a slow link, in pieces over
 /// more than a second. They are taken as they come. Given up on and begun anew they would never be
 /// whole, and asked for again and again they would only make the link slower.
 #[test]
-fn rows_that_come_slowly_are_taken() {
+fn rows_from_a_slow_peer_are_accepted() {
     let store = StoreStandIn::new().expect("a store");
     configure(&store, "0000000c", "3000ms");
     UpstreamStandIn::new("u0").register(&store, "north-a", "ready", 1);
@@ -374,48 +380,48 @@
     let vm = site.start(2, "north-a");
 
     wait_for("readiness by slow rows", || {
-        peer.tell(site.peer_address(2));
+        peer.announce_rows(site.peer_address(2));
         vm.is_ready()
     });
-    assert!(peer.asked() <= 6, "asked {} times for two tables", peer.asked());
+    assert!(peer.request_count() <= 6, "{} requests for two tables", peer.request_count());
 }
 
 /// The store's history is gone, and an upstream left in the gap: its removal is in no feed. The VM
 /// reads all rows anew and finds it missing.
 #[test]
-fn a_forgotten_history_hides_no_removal() {
-    let served = Served::new(2);
-    served.store.set_mode(StoreMode::Refusing);
+fn a_removal_lost_from_the_store_history_is_detected() {
+    let fixture = Fixture::new(2);
+    fixture.store.set_mode(StoreMode::Refusing);
     std::thread::sleep(Duration::from_millis(300));
-    served.store.remove("servers", "u0");
-    served.store.drop_history();
-    served.store.set_mode(StoreMode::Normal);
+    fixture.store.remove("servers", "u0");
+    fixture.store.drop_history();
+    fixture.store.set_mode(StoreMode::Normal);
 
     wait_for("the removal", || {
-        let before = served.upstreams[0].received().len();
+        let before = fixture.upstreams[0].received().len();
         for number in 0..10 {
-            caller::ask(served.vm.callers, "GET", READS, &format!("a{number}"));
+            caller::ask(fixture.vm.callers, "GET", READ_PATH, &format!("a{number}"));
         }
-        served.upstreams[0].received().len() == before
-            && served.upstreams[1].received().len() > before
+        fixture.upstreams[0].received().len() == before
+            && fixture.upstreams[1].received().len() > before
     });
 }
 
 /// Callers look up where to go: VMs that serve, and none that has been killed.
 #[test]
-fn a_killed_vm_is_no_longer_named() {
-    let served = Served::new(1);
-    let second = served.site.start_ready(2, "north-a");
+fn look_ups_omit_a_killed_vm() {
+    let fixture = Fixture::new(1);
+    let second = fixture.site.start_ready(2, "north-a");
     let look_up = || {
         let path = "/-/resolve?name=shop.example&region=north&zone=north-a";
-        caller::get(served.vm.look_ups, path).map_or_else(String::new, |answer| answer.text())
+        caller::get(fixture.vm.look_ups, path).map_or_else(String::new, |response| response.text())
     };
     let address = second.callers.to_string();
     wait_for("a look-up that names both", || look_up().contains(&address));
     second.kill();
     wait_for("a look-up without the killed one", || {
-        let named = look_up();
-        !named.contains(&address) && named.contains(&served.vm.callers.to_string())
+        let listed = look_up();
+        !listed.contains(&address) && listed.contains(&fixture.vm.callers.to_string())
     });
 }
 
@@ -423,14 +429,14 @@
 /// arrives before it is served when it comes, in place of being refused and coming back later.
 #[test]
 fn a_request_waits_for_a_vm_that_is_starting() {
-    let served = Served::new(1);
-    served.store.set_mode(StoreMode::DelayedByMs(150));
-    let starting = served.site.start(9, "south-a");
+    let fixture = Fixture::new(1);
+    fixture.store.set_mode(StoreMode::DelayedByMs(150));
+    let starting = fixture.site.start(9, "south-a");
     let mut connection = None;
     wait_for("a listener", || {
         connection = Connection::new(starting.callers);
         connection.is_some()
     });
-    let answer = connection.and_then(|mut connection| connection.ask("GET", READS, "a1"));
-    assert_eq!(answer.expect("an answer").status, 200);
+    let response = connection.and_then(|mut connection| connection.ask("GET", READ_PATH, "a1"));
+    assert_eq!(response.expect("a response").status, 200);
 }
--- a/crates/sedgepathd/tests/direct_joins.rs
+++ b/crates/sedgepathd/tests/direct_joins.rs
@@ -17,43 +17,44 @@
 const CALLERS: usize = 8;
 
 /// The actions of each caller.
-const ACTIONS: usize = 30;
+const ACTIONS_PER_CALLER: usize = 30;
 
 /// The time that an upstream works, in milliseconds: long enough that a killed VM has requests there.
 const WORK_MS: u64 = 60;
 
 /// How often a caller tries an action that is said not to have run.
-const TRIES: usize = 20;
+const MAX_TRIES: usize = 20;
 
 /// Where callers may go now.
-type Entries = Arc<Mutex<Vec<SocketAddr>>>;
+type EntryAddresses = Arc<Mutex<Vec<SocketAddr>>>;
 
 /// Asks for an action until it is done, or may have been; returns whether it was answered.
-fn act(entries: &Entries, number: usize, action: &str) -> bool {
-    for attempt in 0..TRIES {
-        let known = entries.lock().expect("no thread panics with it").clone();
-        let entry = known[(number + attempt) % known.len()];
+fn perform_action(entry_addresses: &EntryAddresses, number: usize, action: &str) -> bool {
+    for attempt in 0..MAX_TRIES {
+        let addresses = entry_addresses.lock().expect("no thread panics with it").clone();
+        let address = addresses[(number + attempt) % addresses.len()];
         // Nothing was sent without a connection; a closed connection proves nothing.
-        let Some(mut connection) = Connection::new(entry) else { continue };
+        let Some(mut connection) = Connection::new(address) else { continue };
         match connection.ask("POST", "/charges/1", &format!("{action}.{attempt}")) {
-            Some(answer) if matches!(answer.status, 408 | 421 | 429 | 503) => {
+            Some(response) if matches!(response.status, 408 | 421 | 429 | 503) => {
                 thread::sleep(Duration::from_millis(50));
             }
-            Some(answer) => return answer.status == 200,
+            Some(response) => return response.status == 200,
             None => return false,
         }
     }
     false
 }
 
-fn call(entries: &Entries, caller: usize) -> Vec<String> {
-    let actions = (0..ACTIONS).map(|number| (number, format!("c{caller}-{number}")));
-    let answered = actions.filter(|(number, action)| act(entries, *number, action));
+fn run_caller(entry_addresses: &EntryAddresses, caller: usize) -> Vec<String> {
+    let actions = (0..ACTIONS_PER_CALLER).map(|number| (number, format!("c{caller}-{number}")));
+    let answered =
+        actions.filter(|(number, action)| perform_action(entry_addresses, *number, action));
     answered.map(|(_, action)| action).collect()
 }
 
 /// Counts the runs of each action over all upstreams, whatever attempt they came with.
-fn runs(upstreams: &[UpstreamStandIn]) -> BTreeMap<String, usize> {
+fn runs_by_action(upstreams: &[UpstreamStandIn]) -> BTreeMap<String, usize> {
     let mut runs = BTreeMap::new();
     for run in upstreams.iter().flat_map(UpstreamStandIn::runs) {
         let attempt = &run.fields["x-sedgepath-attempt-id"];
@@ -76,17 +77,20 @@
     }
     let site = Site::new(store.address);
     let first = site.start_ready(1, "north-a");
-    let entries: Entries = Arc::new(Mutex::new(vec![first.callers]));
+    let entry_addresses: EntryAddresses = Arc::new(Mutex::new(vec![first.callers]));
     let callers: Vec<_> = (0..CALLERS)
         .map(|caller| {
-            let entries = Arc::clone(&entries);
-            thread::spawn(move || call(&entries, caller))
+            let entry_addresses = Arc::clone(&entry_addresses);
+            thread::spawn(move || run_caller(&entry_addresses, caller))
         })
         .collect();
 
     upstreams[0].behave(Behaviour::Break);
     let joined = [site.start_ready(2, "north-a"), site.start_ready(3, "south-a")];
-    entries.lock().expect("no thread panics with it").extend(joined.iter().map(|vm| vm.callers));
+    entry_addresses
+        .lock()
+        .expect("no thread panics with it")
+        .extend(joined.iter().map(|vm| vm.callers));
     thread::sleep(Duration::from_millis(2 * WORK_MS));
     first.kill();
     upstreams[0].behave(Behaviour::Refuse);
@@ -94,18 +98,25 @@
     let answered: Vec<String> =
         callers.into_iter().flat_map(|caller| caller.join().expect("it ends")).collect();
 
-    let runs = runs(&upstreams);
-    let twice: Vec<_> = runs.iter().filter(|(_, count)| **count > 1).collect();
-    assert!(twice.is_empty(), "{twice:?}");
-    assert!(answered.iter().all(|action| runs.get(action) == Some(&1)), "answered and not run");
-    let carried = site.log(2).matches("event=served").count();
-    assert!(carried > 0, "a VM that has joined carries nothing");
-    assert!(answered.len() * 2 > CALLERS * ACTIONS, "only {} were answered", answered.len());
+    let runs = runs_by_action(&upstreams);
+    let repeated: Vec<_> = runs.iter().filter(|(_, count)| **count > 1).collect();
+    assert!(repeated.is_empty(), "{repeated:?}");
+    assert!(
+        answered.iter().all(|action| runs.get(action) == Some(&1)),
+        "an answered action was not run"
+    );
+    let served_by_joined = site.log(2).matches("event=served").count();
+    assert!(served_by_joined > 0, "a joined VM served no request");
+    assert!(
+        answered.len() * 2 > CALLERS * ACTIONS_PER_CALLER,
+        "only {} were answered",
+        answered.len()
+    );
 }
 
 /// Guards against a VM that joins and that callers are not sent to.
 #[test]
-fn a_vm_that_joins_is_named_by_all() {
+fn look_ups_at_all_vms_list_a_joined_vm() {
     let store = StoreStandIn::new().expect("a store");
     configure(&store, "0000000c", "3000ms");
     let upstream = UpstreamStandIn::new("u0");
@@ -115,10 +126,10 @@
     let joined = site.start_ready(3, "north-b");
 
     for vm in &vms {
-        wait_for("its name in look-ups", || {
+        wait_for("the joined VM in look-ups", || {
             let path = "/-/resolve?name=shop.example&region=north&zone=north-b";
-            let answer = platform::caller::get(vm.look_ups, path);
-            answer.is_some_and(|answer| answer.text().contains(&joined.callers.to_string()))
+            let response = platform::caller::get(vm.look_ups, path);
+            response.is_some_and(|response| response.text().contains(&joined.callers.to_string()))
         });
     }
 }
--- a/crates/sedgepathd/tests/platform/caller.rs
+++ b/crates/sedgepathd/tests/platform/caller.rs
@@ -48,11 +48,17 @@
     }
 
     /// Sends a request without a body.
-    pub fn send(&mut self, method: &str, path: &str, attempt: &str, left_ms: u64) -> Option<()> {
+    pub fn send(
+        &mut self,
+        method: &str,
+        path: &str,
+        attempt_id: &str,
+        time_left_ms: u64,
+    ) -> Option<()> {
         let length = if method == "GET" { "" } else { "Content-Length: 0\r\n" };
         let head = format!(
-            "{method} {path} HTTP/1.1\r\nHost: shop.example\r\nX-Sedgepath-Attempt-Id: {attempt}\r\n\
-             Cookie: X-Sedgepath-Affinity-Key=17\r\nX-Sedgepath-Deadline-Ms: {left_ms}\r\n{length}\r\n"
+            "{method} {path} HTTP/1.1\r\nHost: shop.example\r\nX-Sedgepath-Attempt-Id: {attempt_id}\r\n\
+             Cookie: X-Sedgepath-Affinity-Key=17\r\nX-Sedgepath-Deadline-Ms: {time_left_ms}\r\n{length}\r\n"
         );
         self.write(head.as_bytes())
     }
@@ -76,15 +82,15 @@
     }
 
     /// Sends a request and reads its answer.
-    pub fn ask(&mut self, method: &str, path: &str, attempt: &str) -> Option<Answer> {
-        self.send(method, path, attempt, 3_000)?;
+    pub fn ask(&mut self, method: &str, path: &str, attempt_id: &str) -> Option<Answer> {
+        self.send(method, path, attempt_id, 3_000)?;
         self.receive()
     }
 }
 
 /// Sends a request on a connection of its own.
-pub fn ask(address: SocketAddr, method: &str, path: &str, attempt: &str) -> Option<Answer> {
-    Connection::new(address)?.ask(method, path, attempt)
+pub fn ask(address: SocketAddr, method: &str, path: &str, attempt_id: &str) -> Option<Answer> {
+    Connection::new(address)?.ask(method, path, attempt_id)
 }
 
 /// Sends a plain GET on a connection of its own.
--- a/crates/sedgepathd/tests/platform/mod.rs
+++ b/crates/sedgepathd/tests/platform/mod.rs
@@ -21,7 +21,7 @@
 use tempfile::TempDir;
 
 /// The longest that a test waits for something that must happen.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The next part of the loopback range, so that the tests of one file don't share addresses.
 static NEXT_BLOCK: AtomicU8 = AtomicU8::new(1);
@@ -32,7 +32,7 @@
 ///
 /// Panics if it doesn't within [`PATIENCE`].
 pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
         assert!(Instant::now() < deadline, "{what} did not happen");
         std::thread::sleep(Duration::from_millis(10));
@@ -102,13 +102,13 @@
         let settings = self.dir.path().join(format!("vm{number}.toml"));
         fs::write(&settings, self.settings(number, domain, store)).expect("settings");
         let output =
-            fs::File::create(self.dir.path().join(format!("vm{number}.log"))).expect("log");
+            fs::File::create(self.dir.path().join(format!("vm{number}.log"))).expect("a log file");
         let mut command = Command::new(Path::new(env!("CARGO_BIN_EXE_sedgepathd")));
         command
             .args(["--direct", "--metrics-port", &self.ports[4].to_string()])
             .env("SEDGEPATH_CONFIG", &settings)
             .stdin(Stdio::null())
-            .stdout(output.try_clone().expect("log"))
+            .stdout(output.try_clone().expect("a log file"))
             .stderr(output);
         let child = start(&mut command).expect("the daemon starts");
         let address = |index: usize| SocketAddr::new(self.ip(number), self.ports[index]);
@@ -194,7 +194,7 @@
 impl Vm {
     /// Whether it says that it takes requests.
     pub fn is_ready(&self) -> bool {
-        caller::get(self.ready, "/-/ready").is_some_and(|answer| answer.status == 200)
+        caller::get(self.ready, "/-/ready").is_some_and(|response| response.status == 200)
     }
 
     /// Asks it to stop as planned.
--- a/crates/sedgepathd/tests/platform/slow_peer.rs
+++ b/crates/sedgepathd/tests/platform/slow_peer.rs
@@ -13,39 +13,43 @@
 use sedgepath_test_support::store::StoreStandIn;
 
 /// The pieces in which an answer comes.
-const PIECES: usize = 10;
+const CHUNKS: usize = 10;
 
 /// The time between two of them.
-const PIECE_EVERY: Duration = Duration::from_millis(130);
+const CHUNK_INTERVAL: Duration = Duration::from_millis(130);
 
 /// The VM; it ends with the test's process.
 #[derive(Debug)]
 pub struct SlowPeer {
     socket: UdpSocket,
     address: SocketAddr,
-    asked: Arc<AtomicUsize>,
+    request_count: Arc<AtomicUsize>,
 }
 
 impl SlowPeer {
     /// Starts one at an address, with the rows that the store has now.
     pub fn new(address: SocketAddr, store: &StoreStandIn) -> Self {
         let listener = TcpListener::bind(address).expect("the address is free");
-        let asked = Arc::new(AtomicUsize::new(0));
-        let counted = Arc::clone(&asked);
-        let pages = [page(store, "op"), page(store, "servers")];
+        let request_count = Arc::new(AtomicUsize::new(0));
+        let counter = Arc::clone(&request_count);
+        let updates = [encoded_update(store, "op"), encoded_update(store, "servers")];
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                counted.fetch_add(1, Ordering::Relaxed);
-                let pages = pages.clone();
+                counter.fetch_add(1, Ordering::Relaxed);
+                let updates = updates.clone();
                 // A VM that has given up hears no more.
-                thread::spawn(move || drop(answer(stream, &pages)));
+                thread::spawn(move || drop(respond(stream, &updates)));
             }
         });
-        Self { socket: UdpSocket::bind(address).expect("the address is free"), address, asked }
+        Self {
+            socket: UdpSocket::bind(address).expect("the address is free"),
+            address,
+            request_count,
+        }
     }
 
     /// Tells a VM that it has rows.
-    pub fn tell(&self, vm: SocketAddr) {
+    pub fn announce_rows(&self, vm: SocketAddr) {
         let mut heartbeat = heartbeat("slow", "north-a", 1);
         heartbeat.descriptor.peer_address = self.address;
         heartbeat.state.newest_version = [1_000; 2];
@@ -56,22 +60,22 @@
     }
 
     /// Returns how often it was asked for rows.
-    pub fn asked(&self) -> usize {
-        self.asked.load(Ordering::Relaxed)
+    pub fn request_count(&self) -> usize {
+        self.request_count.load(Ordering::Relaxed)
     }
 }
 
-fn page(store: &StoreStandIn, table: &str) -> Vec<u8> {
+fn encoded_update(store: &StoreStandIn, table: &str) -> Vec<u8> {
     let rows = store.rows(table).into_iter().map(|row| VersionedRow {
         key: row.key.into(),
         version: row.version,
         value: Some(row.value.into()),
     });
-    let page = TableUpdate { rows: rows.collect(), position: 1_000, is_snapshot: true };
-    postcard::to_stdvec(&page).expect("a page")
+    let update = TableUpdate { rows: rows.collect(), position: 1_000, is_snapshot: true };
+    postcard::to_stdvec(&update).expect("the update encodes")
 }
 
-fn answer(mut stream: TcpStream, pages: &[Vec<u8>; 2]) -> std::io::Result<()> {
+fn respond(mut stream: TcpStream, updates: &[Vec<u8>; 2]) -> std::io::Result<()> {
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
@@ -79,11 +83,11 @@
         head.push(byte[0]);
     }
     let operators = String::from_utf8_lossy(&head).contains(Table::Operators.name());
-    let body = &pages[usize::from(!operators)];
+    let body = &updates[usize::from(!operators)];
     write!(stream, "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len())?;
-    for piece in body.chunks(body.len().div_ceil(PIECES)) {
-        thread::sleep(PIECE_EVERY);
-        stream.write_all(piece)?;
+    for chunk in body.chunks(body.len().div_ceil(CHUNKS)) {
+        thread::sleep(CHUNK_INTERVAL);
+        stream.write_all(chunk)?;
     }
     Ok(())
 }
--- a/crates/sedgepathd/tests/platform/upstream.rs
+++ b/crates/sedgepathd/tests/platform/upstream.rs
@@ -48,7 +48,7 @@
     behaviour: Behaviour,
     received: Vec<Received>,
     connections: usize,
-    broken_off: usize,
+    canceled_requests: usize,
 }
 
 /// An upstream; it ends with the test's process.
@@ -69,15 +69,15 @@
             behaviour: Behaviour::Answer,
             received: Vec::new(),
             connections: 0,
-            broken_off: 0,
+            canceled_requests: 0,
         };
         let upstream = Self { state: Arc::new(Mutex::new(state)), address };
-        let serving = upstream.clone();
+        let server = upstream.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let serving = serving.clone();
-                serving.lock().connections += 1;
-                std::thread::spawn(move || serving.serve(&stream));
+                let server = server.clone();
+                server.lock().connections += 1;
+                std::thread::spawn(move || server.serve(&stream));
             }
         });
         upstream
@@ -132,14 +132,14 @@
     }
 
     /// Returns the number of requests whose connection was closed before their answer.
-    pub fn broken_off(&self) -> usize {
-        self.lock().broken_off
+    pub fn canceled_requests(&self) -> usize {
+        self.lock().canceled_requests
     }
 
     fn serve(&self, stream: &TcpStream) {
         let mut reader = BufReader::new(stream);
         while let Some(request) = read_request(&mut reader) {
-            if self.answer(stream, request).is_none() {
+            if self.respond(stream, request).is_none() {
                 // The caller may be gone already.
                 drop(stream.shutdown(std::net::Shutdown::Both));
                 return;
@@ -148,51 +148,51 @@
     }
 
     /// Answers a request; `None` if the connection is to be closed.
-    fn answer(&self, mut stream: &TcpStream, mut request: Received) -> Option<()> {
+    fn respond(&self, mut stream: &TcpStream, mut request: Received) -> Option<()> {
         let (name, behaviour) = {
             let state = self.lock();
             (state.name.clone(), state.behaviour)
         };
-        let attempt = request.fields.get("x-sedgepath-attempt-id").cloned().unwrap_or_default();
+        let attempt_id = request.fields.get("x-sedgepath-attempt-id").cloned().unwrap_or_default();
         let expected = request.fields.get("x-sedgepath-expected-instance").cloned();
         let misdirected = expected.is_some_and(|expected| expected != name);
         request.run = !misdirected && behaviour != Behaviour::Refuse;
         self.lock().received.push(request);
-        let body = format!("{attempt} at {name}");
-        let whole = format!(
-            "HTTP/1.1 200 OK\r\nX-Sedgepath-Attempt-Id: {attempt}\r\n\
-             X-Sedgepath-Response-Signature: s.{attempt}\r\nX-Sedgepath-Backend-Load: 1,0,4\r\n\
+        let body = format!("{attempt_id} at {name}");
+        let full_response = format!(
+            "HTTP/1.1 200 OK\r\nX-Sedgepath-Attempt-Id: {attempt_id}\r\n\
+             X-Sedgepath-Response-Signature: s.{attempt_id}\r\nX-Sedgepath-Backend-Load: 1,0,4\r\n\
              Content-Length: {}\r\n\r\n{body}",
             body.len()
         );
         if misdirected {
-            let answer = format!(
+            let response = format!(
                 "HTTP/1.1 421 Misdirected Request\r\nX-Sedgepath-Instance-Id: {name}\r\nContent-Length: 0\r\n\r\n"
             );
-            return stream.write_all(answer.as_bytes()).ok();
+            return stream.write_all(response.as_bytes()).ok();
         }
         match behaviour {
-            Behaviour::Answer => stream.write_all(whole.as_bytes()).ok(),
+            Behaviour::Answer => stream.write_all(full_response.as_bytes()).ok(),
             Behaviour::Refuse => {
-                let refusal = "HTTP/1.1 503 Service Unavailable\r\nX-Sedgepath-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
-                stream.write_all(refusal.as_bytes()).ok()
+                let rejection = "HTTP/1.1 503 Service Unavailable\r\nX-Sedgepath-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
+                stream.write_all(rejection.as_bytes()).ok()
             }
             Behaviour::Break => None,
             Behaviour::Truncate => {
-                stream.write_all(&whole.as_bytes()[..whole.len() - 3]).ok()?;
+                stream.write_all(&full_response.as_bytes()[..full_response.len() - 3]).ok()?;
                 None
             }
             Behaviour::Slow(ms) => {
                 self.work(stream, Duration::from_millis(ms))?;
-                stream.write_all(whole.as_bytes()).ok()
+                stream.write_all(full_response.as_bytes()).ok()
             }
             Behaviour::AnswerTwice => {
-                stream.write_all(whole.as_bytes()).ok()?;
+                stream.write_all(full_response.as_bytes()).ok()?;
                 std::thread::sleep(Duration::from_millis(30));
-                stream.write_all(whole.as_bytes()).ok()
+                stream.write_all(full_response.as_bytes()).ok()
             }
             Behaviour::Unframed => {
-                let head = whole.split("Content-Length").next().unwrap_or("");
+                let head = full_response.split("Content-Length").next().unwrap_or("");
                 stream
                     .write_all(format!("{head}Connection: close\r\n\r\n{body}").as_bytes())
                     .ok()?;
@@ -211,7 +211,7 @@
         let closed = matches!(stream.peek(&mut [0]), Ok(0));
         stream.set_read_timeout(None).ok()?;
         if closed {
-            self.lock().broken_off += 1;
+            self.lock().canceled_requests += 1;
             return None;
         }
         Some(())
--- a/crates/sedgepathd/tests/store_answers.rs
+++ b/crates/sedgepathd/tests/store_responses.rs
@@ -10,15 +10,15 @@
 use sedgepath_test_support::store::BlockingTableClient;
 
 /// What a canned server does with one connection after it has read the request.
-enum Step {
-    Answer(&'static str),
-    Hold,
+enum ServerStep {
+    Respond(&'static str),
+    HoldConnection,
 }
 
 /// Serves one connection for each step and returns the requests it read.
-fn serve(steps: Vec<Step>) -> (BlockingTableClient, JoinHandle<Vec<String>>) {
+fn serve(steps: Vec<ServerStep>) -> (BlockingTableClient, JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let addr = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("an address");
     let server = thread::spawn(move || {
         steps
             .into_iter()
@@ -26,18 +26,20 @@
                 let (mut stream, _) = listener.accept().expect("a connection");
                 let request = read_request(&mut stream);
                 match step {
-                    Step::Answer(text) => stream.write_all(text.as_bytes()).expect("written"),
-                    Step::Hold => drop(stream.read(&mut [0])),
+                    ServerStep::Respond(text) => {
+                        stream.write_all(text.as_bytes()).expect("written");
+                    }
+                    ServerStep::HoldConnection => drop(stream.read(&mut [0])),
                 }
                 request
             })
             .collect()
     });
-    (client(addr), server)
+    (client(address), server)
 }
 
-fn client(addr: SocketAddr) -> BlockingTableClient {
-    BlockingTableClient::new(addr, "table").expect("a client")
+fn client(address: SocketAddr) -> BlockingTableClient {
+    BlockingTableClient::new(address, "table").expect("a client")
 }
 
 /// Reads a request whose body, if any, ends with a closing brace or bracket.
@@ -69,18 +71,22 @@
 }
 
 #[test]
-fn a_commit_without_a_whole_answer_is_unknown_and_a_read_unavailable() {
+fn a_failed_commit_is_unknown_and_a_failed_read_is_unavailable() {
     // The store takes the request and then: holds it beyond the time-out, cuts its answer short,
     // answers with a server's error, or answers something that is no result.
     // The commit may have taken effect each time, so the caller must not hear that it did not.
     // A read has no effect, so "unavailable" is true of it.
     let failures = || {
         vec![
-            Step::Hold,
-            Step::Answer("HTTP/1.1 200 OK\r\ncontent-length: 11\r\n\r\n\"Commi"),
-            Step::Answer("HTTP/1.1 500 Oops\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"),
-            Step::Answer("HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: close\r\n\r\n[]"),
-            Step::Answer(""),
+            ServerStep::HoldConnection,
+            ServerStep::Respond("HTTP/1.1 200 OK\r\ncontent-length: 11\r\n\r\n\"Commi"),
+            ServerStep::Respond(
+                "HTTP/1.1 500 Oops\r\ncontent-length: 0\r\nconnection: close\r\n\r\n",
+            ),
+            ServerStep::Respond(
+                "HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: close\r\n\r\n[]",
+            ),
+            ServerStep::Respond(""),
         ]
     };
     for (request, expected) in
@@ -96,14 +102,14 @@
 }
 
 #[test]
-fn a_store_that_closes_each_connection_is_not_stormed() {
+fn a_call_opens_one_connection_to_a_store_that_closes_it() {
     // The store takes connections and closes them at once, as under overload. A call tries one, and
     // ends: were it to connect again and again until its time is up, all VMs together would keep the
     // store down.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let client = client(listener.local_addr().expect("an address"));
-    let taken = Arc::new(AtomicUsize::new(0));
-    let counted = Arc::clone(&taken);
+    let connections = Arc::new(AtomicUsize::new(0));
+    let counted = Arc::clone(&connections);
     thread::spawn(move || {
         for stream in listener.incoming() {
             counted.fetch_add(1, Ordering::Relaxed);
@@ -113,15 +119,15 @@
     for _ in 0..5 {
         assert_ne!(client.execute(&commit()), TableResult::Committed);
     }
-    let taken = taken.load(Ordering::Relaxed);
-    assert!(taken <= 5, "{taken} connections for 5 calls");
+    let connections = connections.load(Ordering::Relaxed);
+    assert!(connections <= 5, "{connections} connections for 5 calls");
 }
 
 #[test]
-fn a_refused_commit_was_not_carried_out() {
+fn a_rejected_commit_was_not_applied() {
     // The store answers 503, then nobody listens at its address any more.
     // The caller hears "unavailable" both times and may safely say that nothing was written.
-    let (store, server) = serve(vec![Step::Answer(
+    let (store, server) = serve(vec![ServerStep::Respond(
         "HTTP/1.1 503 Busy\r\ncontent-length: 0\r\nconnection: close\r\n\r\n",
     )]);
     assert_eq!(store.execute(&commit()), TableResult::Unavailable);
@@ -130,20 +136,20 @@
 }
 
 #[test]
-fn a_chunked_result_is_taken_when_it_is_whole_and_only_then() {
+fn only_a_complete_chunked_result_is_accepted() {
     // The store's results come in chunks, as a long scan's do: the first one whole, the second one
     // cut off inside its last chunk, the third without the chunk that ends it.
     // The caller sees rows, then "unavailable" twice, never fewer rows than there are.
     let (store, server) = serve(vec![
-        Step::Answer(concat!(
+        ServerStep::Respond(concat!(
             "HTTP/1.1 200 OK\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n",
             "8\r\n{\"rows\":\r\n3\r\n[]}\r\n0\r\n\r\n"
         )),
-        Step::Answer(concat!(
+        ServerStep::Respond(concat!(
             "HTTP/1.1 200 OK\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n",
             "8\r\n{\"rows\":\r\n3\r\n[]"
         )),
-        Step::Answer(concat!(
+        ServerStep::Respond(concat!(
             "HTTP/1.1 200 OK\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n",
             "8\r\n{\"rows\":\r\n3\r\n[]}\r\n"
         )),
@@ -156,12 +162,12 @@
 }
 
 #[test]
-fn a_result_without_a_length_is_taken_when_its_text_is_whole() {
+fn a_result_without_a_length_is_accepted_only_if_complete() {
     // The store's answer ends with its connection: once in the middle of a row, once whole.
     // The caller sees "unavailable", then the row.
     let (store, server) = serve(vec![
-        Step::Answer("HTTP/1.1 200 OK\r\n\r\n{\"rows\":[{\"key\":\"a\",\"val"),
-        Step::Answer(concat!(
+        ServerStep::Respond("HTTP/1.1 200 OK\r\n\r\n{\"rows\":[{\"key\":\"a\",\"val"),
+        ServerStep::Respond(concat!(
             "HTTP/1.1 200 OK\r\n\r\n",
             r#"{"rows":[{"key":"a","value":"bWluZQ==","ver":7}],"hasMore":false,"ver":9}"#
         )),
@@ -173,13 +179,13 @@
 }
 
 #[test]
-fn what_a_refusal_proves_is_told_from_what_a_failure_leaves_open() {
+fn rejections_are_unavailable_and_server_errors_unknown() {
     // The store turns a commit away (429, 403) and fails with an error of its own (502).
     // Only a refusal proves that nothing was written.
     let (store, server) = serve(vec![
-        Step::Answer("HTTP/1.1 429 Busy\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"),
-        Step::Answer("HTTP/1.1 403 No\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"),
-        Step::Answer("HTTP/1.1 502 Oops\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"),
+        ServerStep::Respond("HTTP/1.1 429 Busy\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"),
+        ServerStep::Respond("HTTP/1.1 403 No\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"),
+        ServerStep::Respond("HTTP/1.1 502 Oops\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"),
     ]);
     for expected in [TableResult::Unavailable, TableResult::Unavailable, TableResult::Unknown] {
         assert_eq!(store.execute(&commit()), expected);
