--- a/crates/sedgepathd/src/direct.rs
+++ b/crates/sedgepathd/src/direct.rs
@@ -1,20 +1,20 @@
-//! The shell around [`sedgepath_core::direct`]: an entry VM that sends to upstreams itself.
+//! The runtime of [`sedgepath_core::direct`]: an entry VM that sends requests to upstreams itself.
 //!
-//! One thread runs everything: a VM has a fifth of a core, so threads would only take turns, and the
-//! steering state needs no lock. [`shared::Shell`] is what all tasks share.
+//! One thread runs all tasks: a VM has a fraction of a core, and the steering state needs no lock.
+//! [`shared::SharedState`] holds what the tasks share.
 //!
-//! - [`run`]: start, signals, planned stop.
-//! - [`ingress`]: callers' connections and their requests.
-//! - [`answers`]: the VM's own answers.
-//! - [`sending`]: one sending of a request to an upstream.
-//! - [`pool`]: connections to upstreams, kept between requests.
-//! - [`questions`]: serves what is answered at once.
-//! - [`entry`]: look-ups, and whether this VM takes requests.
-//! - [`follow`]: follows the store's rows.
-//! - [`find`]: how a VM that starts finds the others.
-//! - [`peers`]: datagrams between VMs.
-//! - [`fetch`], [`giving`]: rows that they fetch from each other, and that they give.
-//! - [`lines`], [`metrics`]: what on-call engineers see.
+//! - [`run`]: start, signals and planned stop.
+//! - [`ingress`]: callers' connections and requests.
+//! - [`responses`]: responses of the VM itself.
+//! - [`attempt`]: one attempt of a request at an upstream.
+//! - [`connection_pool`]: idle connections to upstreams.
+//! - [`control_server`]: look-ups, readiness, metrics and rows for peers.
+//! - [`entry_queries`]: look-ups and readiness checks.
+//! - [`store_feed`]: replicas of the store's tables.
+//! - [`discovery`]: how a starting VM finds the others.
+//! - [`gossip`]: datagrams between VMs.
+//! - [`fetch`], [`table_server`]: table rows fetched from peers and sent to them.
+//! - [`logging`], [`metrics`]: logs, metrics and status for operators.
 
 pub mod attempt;
 pub mod clock;
--- a/crates/sedgepathd/src/direct/attempt.rs
+++ b/crates/sedgepathd/src/direct/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to an upstream.
+//! One attempt: a request sent to one upstream, and its response.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -18,43 +18,43 @@
 use super::connection_pool::{Body, Connection};
 use super::shared::SharedState;
 
-/// The longest that a connection to an upstream may take: three of the longest round trips between
-/// regions. A lost packet, which is sent again after a second, is not waited for; another upstream is
-/// tried.
+/// Timeout of connecting to an upstream: three of the longest round trips between regions. It is
+/// shorter than the retransmission of a lost packet, which takes a second; another upstream is
+/// tried instead.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How often a request whose upstream may be gone is looked at, in milliseconds.
+/// The minimum time between checks whether a request needs a hedge, in milliseconds.
 const HEDGE_CHECK_INTERVAL_MS: u64 = 100;
 
-/// Answers up to this size are read whole before the caller gets the first byte, so that one that
-/// breaks off can be replaced by another upstream's.
+/// Responses up to this size are buffered completely before the caller gets the first byte, so that
+/// a truncated one can be replaced by another upstream's.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 1024 * 1024;
 
 /// The head of a request to be sent.
 #[derive(Debug, Clone)]
 pub struct RequestHead {
-    /// The method, path and fields as the caller sent them.
+    /// The method, target and headers as the caller sent them.
     pub parts: http::request::Parts,
-    /// The attempt's name.
+    /// The caller's attempt id.
     pub attempt_id: Box<str>,
 }
 
 /// The body of a request to be sent.
 #[derive(Debug)]
 pub enum RequestBody {
-    /// Read whole; can be sent again.
+    /// Complete; can be sent again.
     Buffered(Bytes),
-    /// Not yet read whole; can be sent once.
+    /// Partly read; can be sent once. `None` after that.
     Streamed(Option<Body>),
 }
 
 impl RequestBody {
-    /// Whether the body was streamed to an upstream and can't be sent again.
+    /// Returns whether the body was streamed to an upstream and can't be sent again.
     pub fn is_spent(&self) -> bool {
         matches!(self, Self::Streamed(None))
     }
 
-    /// Returns the body for one sending; `None` if it was streamed to an earlier one.
+    /// Returns the body for an attempt; `None` if it was streamed in an earlier one.
     pub fn take(&mut self) -> Option<Body> {
         match self {
             Self::Buffered(bytes) => Some(bytes_body(bytes.clone())),
@@ -63,17 +63,17 @@
     }
 }
 
-/// Makes a body of bytes.
+/// Returns a body of bytes in memory.
 pub fn bytes_body(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// How a sending ended, with the answer to pass on if there is one.
+/// How an attempt ended.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// What the decisions need to know.
+    /// The outcome, as the steering state records it.
     pub outcome: AttemptOutcome,
-    /// The answer.
+    /// The response to pass on, if any.
     pub response: Option<Response<Body>>,
 }
 
@@ -83,15 +83,15 @@
     }
 }
 
-/// A request on its way, whose end is counted however it comes about.
+/// A request in flight, whose remaining attempts are canceled when it is dropped.
 ///
-/// The task of a request is dropped when its caller leaves; without the count the upstream would look
-/// busy for ever.
+/// The task of a request is dropped when its caller disconnects; without the cancellation its
+/// upstreams would be counted as busy forever.
 #[derive(Debug)]
 pub struct InFlightRequest {
-    /// What all tasks share.
+    /// The state that all tasks share.
     pub shared: Rc<SharedState>,
-    /// The request.
+    /// The request's route, deadline and attempts.
     pub state: RequestState,
 }
 
@@ -103,19 +103,20 @@
 }
 
 impl InFlightRequest {
-    /// Counts the end of the sending to an upstream.
+    /// Records the outcome of the attempt at an upstream.
     pub fn record_outcome(&mut self, upstream: UpstreamKey, outcome: AttemptOutcome) {
         let mut steering = self.shared.steering.borrow_mut();
         steering.record_outcome(&mut self.state, upstream, outcome, clock::now_ms());
     }
 
-    /// Decides what happens next.
+    /// Decides whether to send, reject or give up the request.
     pub fn next_step(&mut self) -> NextStep {
         let mut steering = self.shared.steering.borrow_mut();
         steering.next_step(&mut self.state, fastrand::u64(..), clock::now_ms())
     }
 
-    /// Waits until a second upstream should be tried beside the first, and says which.
+    /// Waits until the request needs a hedge and returns its attempt. Stays pending if none can be
+    /// sent.
     pub async fn wait_for_hedge(&mut self) -> Attempt {
         loop {
             let at_ms = self.shared.steering.borrow().hedge_at_ms(&self.state);
@@ -133,7 +134,7 @@
     }
 }
 
-/// Sends a request and waits for the answer.
+/// Sends a request to an upstream and waits for the response until the deadline.
 pub async fn send_attempt(
     shared: &SharedState,
     deadline_at_ms: u64,
@@ -167,7 +168,7 @@
                 .await;
             }
             Ok(Err(mut error)) => match error.take_message() {
-                // The upstream had closed the idle connection; the request comes back unsent.
+                // The upstream had closed the idle connection; nothing was sent.
                 Some(unsent) if !fresh => request = unsent,
                 Some(_unsent) => {
                     return AttemptResult::without_response(AttemptOutcome::Unreachable);
@@ -260,7 +261,7 @@
     Response::from_parts(parts, body)
 }
 
-/// A connection whose answer has been read.
+/// A connection that can be reused after its response.
 #[derive(Debug)]
 struct ReusableConnection {
     upstream: UpstreamKey,
@@ -280,16 +281,16 @@
     }
 }
 
-/// What was read of an answer's body.
+/// What was buffered of a response body.
 #[derive(Debug)]
 enum BufferedBody {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// As much as is held; the rest follows.
+    /// The beginning; the rest is still to be read.
     Partial(Bytes),
 }
 
-/// Reads a body to its end, or up to [`MAX_HELD_BYTES`].
+/// Buffers a body to its end, or up to the buffer limit.
 async fn buffer_body(
     shared: &SharedState,
     incoming: &mut Incoming,
@@ -309,12 +310,12 @@
     Ok(BufferedBody::Complete(buffer.freeze()))
 }
 
-/// A body of which the first part was held and the rest is passed on as it comes.
+/// A body whose beginning is buffered and whose rest is passed on as it arrives.
 #[derive(Debug)]
 struct PartlyBufferedBody {
     prefix: Option<Bytes>,
     rest: Incoming,
-    /// Dropped with the body; the connection can't be used again before its answer has ended.
+    /// Dropped with the body, since a connection can't be reused before its response has ended.
     _connection: Connection,
 }
 
--- a/crates/sedgepathd/src/direct/clock.rs
+++ b/crates/sedgepathd/src/direct/clock.rs
@@ -1,4 +1,4 @@
-//! The time by which deadlines are kept.
+//! The clock of deadlines and ages.
 
 use std::time::Duration;
 
@@ -7,17 +7,16 @@
 
 pub use sedgepath_wire::time::unix_ms;
 
-/// Returns the milliseconds since the machine started, those while it was suspended among them.
+/// Returns the milliseconds since the machine booted, time spent suspended included.
 ///
-/// The steady clock stands still while a machine is suspended. By it, what was read before the
-/// suspension would look fresh afterwards, and a request's caller, long gone, as if it still waited.
-/// The time of day counts on, but may jump.
+/// The monotonic clock stops while a machine is suspended, so that data and requests from before
+/// would look recent afterwards. The wall clock may jump.
 pub fn now_ms() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
     time.tv_sec as u64 * 1_000 + time.tv_nsec as u64 / 1_000_000
 }
 
-/// Returns the runtime's moment for a time by [`now_ms`].
+/// Returns the runtime's instant for a time in milliseconds of [`now_ms`].
 pub fn instant_at(at_ms: u64) -> Instant {
     Instant::now() + Duration::from_millis(at_ms.saturating_sub(now_ms()))
 }
--- a/crates/sedgepathd/src/direct/connection_pool.rs
+++ b/crates/sedgepathd/src/direct/connection_pool.rs
@@ -1,8 +1,8 @@
-//! Connections to upstreams, kept between requests.
+//! Connections to upstreams, kept open between requests.
 //!
-//! An upstream takes about a millisecond of a slot for a new connection, takes a few hundred in all,
-//! and closes those that stay idle for long. The one used last is used first, so that the others
-//! are closed here before the upstream closes them: a request that crosses such a close may have run.
+//! A new connection costs an upstream slot time, and upstreams limit their connections and close
+//! idle ones. The connection used last is reused first, so that the others expire here before the
+//! upstream closes them: a request sent while the upstream closes its connection may have run.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -17,20 +17,20 @@
 
 use super::clock;
 
-/// Why a body ends early.
+/// Why a body ended before it was complete.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A body that is sent or received.
+/// A request or response body.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// A connection to an upstream.
+/// An HTTP/1 connection to an upstream.
 pub type Connection = SendRequest<Body>;
 
-/// How long a connection is kept if the upstream doesn't say, in milliseconds.
+/// The keep-alive time of an upstream that states none, in milliseconds.
 const DEFAULT_KEEP_ALIVE_MS: u64 = 8_000;
 
-/// How long before the upstream would close a connection it is given up, in milliseconds: the way
-/// there and its timers' lateness.
+/// How long before the end of the keep-alive time a connection is no longer used, in milliseconds;
+/// covers network delay and late timers.
 const KEEP_ALIVE_MARGIN_MS: u64 = 1_500;
 
 #[derive(Debug)]
@@ -46,7 +46,7 @@
 }
 
 impl ConnectionPool {
-    /// Takes an idle connection to an upstream.
+    /// Takes the idle connection to an upstream that was used last, if one is usable.
     pub fn take_idle(&self, upstream: UpstreamKey) -> Option<Connection> {
         let now_ms = clock::now_ms();
         let mut pool = self.idle.borrow_mut();
@@ -59,11 +59,11 @@
         None
     }
 
-    /// Opens a connection.
+    /// Opens a connection to an upstream.
     ///
     /// # Errors
     ///
-    /// Fails if none is made in time.
+    /// Fails if the connection is not established in time, or the HTTP handshake fails.
     pub async fn open(
         &self,
         address: std::net::SocketAddr,
@@ -80,7 +80,7 @@
         Ok(connection)
     }
 
-    /// Keeps a connection whose last answer has been read to its end.
+    /// Returns a connection to the pool after its response was read completely.
     pub fn release(
         &self,
         upstream: UpstreamKey,
@@ -100,7 +100,7 @@
             .push(IdleConnection { connection, expires_at_ms });
     }
 
-    /// Closes connections that have been idle for long, and those of upstreams that are gone.
+    /// Closes expired connections and those to unknown upstreams.
     pub fn prune(&self, is_known: impl Fn(UpstreamKey) -> bool) {
         let now_ms = clock::now_ms();
         self.idle.borrow_mut().retain(|upstream, idle| {
--- a/crates/sedgepathd/src/direct/control_server.rs
+++ b/crates/sedgepathd/src/direct/control_server.rs
@@ -1,4 +1,4 @@
-//! Serves small questions that are answered at once: look-ups, readiness, metrics, rows for peers.
+//! Serves requests whose responses need no waiting: look-ups, readiness, metrics, rows for peers.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -16,16 +16,16 @@
 use super::connection_pool::Body;
 use super::shared::SharedState;
 
-/// How long a connection may stay idle, or its next question take.
+/// Timeout of an idle connection and of receiving a request's head.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The pause after a connection could not be taken, which happens while descriptors are short.
+/// The pause after a failed accept, for example while file descriptors are short.
 pub const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// Answers a question.
+/// Returns the response to a request.
 pub type Handler = fn(&SharedState, &Request<Incoming>) -> Response<Body>;
 
-/// Answers questions until the process ends.
+/// Accepts connections and handles their requests until the process ends.
 pub async fn serve(shared: Rc<SharedState>, listener: TcpListener, handler: Handler) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Returns an answer without a body.
+/// Returns a response without a body.
 pub fn empty_response(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(bytes_body(Bytes::new()));
     *response.status_mut() = status;
--- a/crates/sedgepathd/src/direct/discovery.rs
+++ b/crates/sedgepathd/src/direct/discovery.rs
@@ -1,4 +1,4 @@
-//! How a VM that starts finds the others: by rows of the store.
+//! Discovery of other VMs at a start, by rows of the store.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,17 +11,17 @@
 use super::shared::SharedState;
 use super::{clock, fetch, gossip};
 
-/// The table in which entry VMs find each other.
+/// The store table with one row for each entry VM.
 const VM_TABLE: &str = "sedgepath-vms";
 
-/// The first pause after the store could not be asked for other VMs, in milliseconds; each later one is twice
-/// as long.
+/// The first backoff after the store could not be read, in milliseconds; it doubles after each
+/// failure.
 const INITIAL_DISCOVERY_BACKOFF_MS: u64 = 500;
 
-/// The longest of these pauses, in milliseconds.
+/// The longest backoff, in milliseconds.
 const MAX_DISCOVERY_BACKOFF_MS: u64 = 4_000;
 
-/// What the store's row of a VM says.
+/// The value of a VM's row in the store.
 #[derive(Debug, Serialize, Deserialize)]
 struct VmRow {
     address: SocketAddr,
@@ -29,7 +29,8 @@
     region: Box<str>,
 }
 
-/// Tells other VMs of this one, learns of theirs, and gets the tables from those near it.
+/// Publishes this VM's row and reads those of the others, with retries until the store responds;
+/// then contacts the others and fetches the tables from VMs of the same failure domain.
 pub async fn discover_vms(shared: Rc<SharedState>) {
     let mut backoff_ms = INITIAL_DISCOVERY_BACKOFF_MS;
     loop {
@@ -48,7 +49,8 @@
     fetch::fetch_initial_tables(&shared).await;
 }
 
-/// Writes this VM's row, and then reads all: of two VMs that start together one at least finds the other.
+/// Writes this VM's row and then reads all rows: of two VMs that start together, at least one finds
+/// the other.
 async fn publish_and_read_rows(shared: &SharedState) -> Result<TableUpdate, StoreError> {
     let own_row = VmRow {
         address: SocketAddr::new(shared.settings.ip, shared.settings.peer_ports.0),
--- a/crates/sedgepathd/src/direct/entry_queries.rs
+++ b/crates/sedgepathd/src/direct/entry_queries.rs
@@ -1,4 +1,4 @@
-//! Look-ups, and whether this VM takes requests.
+//! Look-ups of entry VMs, and readiness checks.
 
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
@@ -11,11 +11,11 @@
 use super::control_server::empty_response;
 use super::shared::SharedState;
 
-/// How long callers may use the answer to a look-up, in milliseconds. Some use it for three times as
-/// long, which must be over before a stopping VM closes its listener.
+/// How long callers may use the addresses of a look-up, in milliseconds. Some use them three times
+/// as long; a stopping VM closes its listener only after that.
 const LOOK_UP_VALIDITY_MS: u64 = 1_000;
 
-/// Answers a look-up or the platform's question for readiness.
+/// Responds to a look-up or a readiness check of the platform.
 pub fn handle_query(shared: &SharedState, request: &Request<Incoming>) -> Response<Body> {
     let steering = shared.steering.borrow();
     match entry_vm_query::parse(request.method(), request.uri()) {
--- a/crates/sedgepathd/src/direct/fetch.rs
+++ b/crates/sedgepathd/src/direct/fetch.rs
@@ -1,4 +1,4 @@
-//! Rows of the store's tables that this VM fetches from others.
+//! Fetches table rows from other VMs.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,36 +18,38 @@
 use super::table_server::RowsError;
 use super::{clock, store_feed, table_server};
 
-/// The first pause between two VMs that are asked for the tables at a start, in milliseconds; each later one
-/// is twice as long.
+/// The first backoff between requests for missing tables at a start, in milliseconds; it doubles
+/// after each.
 const INITIAL_FILL_BACKOFF_MS: u64 = 50;
 
-/// The longest of these pauses, in milliseconds; by then the store is asked.
+/// The longest backoff, in milliseconds, before fetching ends and the tables are left to the store.
 const MAX_FILL_BACKOFF_MS: u64 = 800;
 
-/// How long a VM that follows the store itself waits for a row that another one has, in milliseconds.
+/// How long a VM that reads the store itself waits for newer rows before it asks a peer, in
+/// milliseconds.
 const FETCH_DELAY_MS: u64 = 150;
 
-/// The time after which another VM is asked beside one that has not answered, in milliseconds: a
-/// connection and an answer between the farthest regions, twice.
+/// The time after which another VM is asked for the same table, in milliseconds: twice a connection
+/// and a response between the most distant regions.
 const NEXT_PEER_DELAY_MS: u64 = 350;
 
-/// The longest that another VM may say nothing while rows are fetched from it.
+/// Timeout of connecting, of the response head and of each frame of the body.
 const FETCH_STEP_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The longest that fetching rows may take. A configuration of some thousand routes takes a second and
-/// more on a link of 10 Mbit/s that several VMs ask over; given up on before, it is sent again and
-/// again, and keeps the link full.
+/// Timeout of a fetch. A large configuration takes more than a second on a slow link that several
+/// VMs share; with a shorter timeout it would be sent repeatedly and keep the link full.
 const TOTAL_FETCH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long rows may come from one VM before another one is asked as well, in milliseconds: by then
-/// some VM with a free link has them.
+/// How long a response in progress keeps other VMs from being asked, in milliseconds; after that,
+/// one with a free link may have the rows.
 const SLOW_FETCH_AFTER_MS: u64 = 1_000;
 
-/// The largest answer with rows, in bytes: a configuration of some thousand routes, not compressed.
+/// The largest response with rows, in bytes; an uncompressed configuration of several thousand
+/// routes fits.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Fetches what another VM's copies have and this one's lack.
+/// Fetches the rows that a peer's replicas have and this VM's lack, given the peer's newest version
+/// of each table.
 pub fn fetch_missing_rows(
     shared: &Rc<SharedState>,
     newest_versions: [u64; 2],
@@ -67,10 +69,12 @@
     }
 }
 
-/// Asks VMs of the own failure domain for the tables until this one has them.
+/// Asks VMs of the same failure domain for the tables until the replicas are complete or the
+/// backoff exceeds its limit.
 ///
-/// A VM that starts beside others that run gets them sooner, and cheaper for the store, than by reading
-/// them. If all start together the first of the domain has them soonest; so it is asked in turn with others.
+/// A peer that is running provides the tables sooner than the store, and at less cost to it. If all
+/// VMs of a domain start together, the first by address reads the store for the others, so every
+/// other request goes to the lowest address.
 pub async fn fetch_initial_tables(shared: &Rc<SharedState>) {
     let mut backoff_ms = INITIAL_FILL_BACKOFF_MS;
     let mut ask_lowest_address = false;
@@ -96,10 +100,10 @@
     }
 }
 
-/// Whether rows of a table may be asked for now, which is then noted.
+/// Returns whether rows of a table may be requested now, and records the request if so.
 ///
-/// The VM that was asked may be stopping or behind a cut, and the next may be too: one after the other
-/// with a time-out each would take up the time that a leaving upstream may get requests.
+/// A peer may be stopping or unreachable. Waiting for the timeout of one after the other would
+/// exceed the time that a leaving upstream may get requests.
 fn try_begin_fetch(shared: &SharedState, table: Table) -> bool {
     let now_ms = clock::now_ms();
     let mut last_fetch_at_ms = shared.last_fetch_at_ms.borrow_mut();
@@ -144,20 +148,20 @@
     }
 }
 
-/// Why rows could not be fetched from another VM.
+/// Why rows could not be fetched from a peer. The log contains the `Debug` form.
 #[derive(Debug, thiserror::Error)]
 enum FetchError {
-    #[error("no connection")]
+    #[error("can't connect")]
     Connect(#[from] io::Error),
     #[error("no response")]
     Http(#[from] hyper::Error),
-    #[error("the response breaks off or is too large")]
+    #[error("the response body is truncated or too large")]
     Body,
-    #[error("nothing comes any more")]
+    #[error("no data within the timeout")]
     Silent,
-    #[error("the VM doesn't have the table, or gives it to as many as it can")]
+    #[error("the VM lacks the table or has reached its limit of snapshots")]
     Unavailable,
-    #[error("the response can't be read")]
+    #[error("can't decode the response")]
     Rows(#[from] RowsError),
 }
 
@@ -170,7 +174,7 @@
     let started_at_ms = clock::now_ms();
     let stream = tcp::connect(address, FETCH_STEP_TIMEOUT).await?;
     let (mut connection, task) = client::conn::http1::handshake(TokioIo::new(stream)).await?;
-    // The call that uses the connection hears of its end.
+    // A connection error is returned by `send_request` or by the body.
     tokio::task::spawn_local(async move { drop(task.await) });
     let mut request = Request::new(Empty::<Bytes>::new());
     if let Ok(uri) = format!("/copies/{}/{after}", table.name()).parse() {
--- a/crates/sedgepathd/src/direct/gossip.rs
+++ b/crates/sedgepathd/src/direct/gossip.rs
@@ -1,4 +1,4 @@
-//! Datagrams between entry VMs.
+//! Datagrams between entry VMs: heartbeats and summaries.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,13 +12,13 @@
 use super::shared::SharedState;
 use super::{clock, fetch};
 
-/// The largest datagram in bytes.
+/// The largest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1_432;
 
-/// The bytes of a datagram that are taken up by what stands before its list of summaries.
+/// The bytes of a datagram before the summaries of a list.
 const LIST_OVERHEAD_BYTES: usize = 4;
 
-/// Tells the other VMs of this one and of its failure domain, each period.
+/// Sends the periodic messages once each period until the process ends.
 pub async fn send_periodically(shared: Rc<SharedState>) {
     loop {
         send_periodic_messages(&shared).await;
@@ -27,7 +27,7 @@
     }
 }
 
-/// Sends what is due each period.
+/// Sends the messages of one period.
 pub async fn send_periodic_messages(shared: &SharedState) {
     let (stamp, now_ms) = update_own_state(shared);
     let mut rng = fastrand::Rng::new();
@@ -36,7 +36,8 @@
     send_messages(shared, messages).await;
 }
 
-/// Tells those that may lack them that this VM's copies have changed, or that its view of the store has.
+/// Sends this VM's state to its failure domain and its region at once, after a change of its
+/// replicas, its store health or its readiness.
 pub async fn announce_changes(shared: &SharedState) {
     let (stamp, now_ms) = update_own_state(shared);
     let mut rng = fastrand::Rng::new();
@@ -44,7 +45,7 @@
     send_messages(shared, messages).await;
 }
 
-/// Sends a heartbeat to the VMs of the own failure domain.
+/// Sends a full heartbeat to all VMs that get this VM's heartbeats.
 pub async fn send_heartbeat(shared: &SharedState) {
     let (stamp, now_ms) = update_own_state(shared);
     let heartbeat = shared.steering.borrow_mut().vms_mut().full_heartbeat(stamp, now_ms);
@@ -77,7 +78,7 @@
     }
 }
 
-/// Splits summaries into as many datagrams as they need.
+/// Splits summaries into batches of one datagram each.
 fn split_summaries(summaries: Vec<RelayedSummary>) -> Vec<Vec<RelayedSummary>> {
     let mut batches: Vec<Vec<RelayedSummary>> = Vec::new();
     let mut free_bytes = 0;
@@ -111,7 +112,7 @@
     }
 }
 
-/// Takes in datagrams until the process ends.
+/// Handles datagrams of other VMs until the process ends.
 pub async fn receive(shared: Rc<SharedState>) {
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
--- a/crates/sedgepathd/src/direct/ingress.rs
+++ b/crates/sedgepathd/src/direct/ingress.rs
@@ -28,30 +28,28 @@
 use super::responses::{give_up, log_failed_attempt, record_success, reject, status_response};
 use super::shared::{SharedState, StopPhase};
 
-/// The descriptors kept free for files and for connections to upstreams and to the store.
+/// File descriptors reserved for files and for connections to upstreams and to the store.
 const RESERVED_FILE_DESCRIPTORS: usize = 1_200;
 
-/// Bodies of requests up to this size are read whole before the request is sent, so that it can be
-/// sent again.
+/// Request bodies up to this size are buffered completely, so that they can be sent again.
 const MAX_BUFFERED_BODY_BYTES: usize = 256 * 1024;
 
-/// The most requests at once. Each takes some ten kilobytes and a turn of the processor; a VM with a
-/// fifth of a core serves a few hundred a second.
+/// The most requests in flight; bounds memory and latency under overload.
 const MAX_CONCURRENT_REQUESTS: usize = 1_000;
 
-/// The time to come back after to a VM with too many requests, in milliseconds.
+/// The `Retry-After` of a VM with too many requests, in milliseconds.
 const OVERLOAD_RETRY_AFTER_MS: u64 = 500;
 
-/// How long a connection may stay idle before a configuration is known, in milliseconds.
+/// The idle timeout of a connection before a configuration is known, in milliseconds.
 const DEFAULT_IDLE_TIMEOUT_MS: u64 = 15_000;
 
-/// The largest head before a configuration is known, in bytes.
+/// The largest request head before a configuration is known, in bytes.
 const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
 
-/// What hyper needs at least for its buffer, in bytes.
+/// The smallest buffer that hyper accepts, in bytes.
 const MIN_HYPER_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Takes callers' connections until the process ends.
+/// Accepts callers' connections until the process ends. Connections over the limit are closed.
 pub async fn serve(shared: Rc<SharedState>, listener: TcpListener) {
     let max_connections = shared
         .settings
@@ -61,7 +59,7 @@
         .max(64);
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of descriptors for a moment; those of ended connections come free.
+            // Usually out of file descriptors, which closing connections free.
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
@@ -123,7 +121,7 @@
     response
 }
 
-/// Counts a request until it is answered or its caller has left.
+/// Counts a request as in flight until its response is ready or its caller disconnects.
 #[derive(Debug)]
 struct InFlightGuard(Rc<SharedState>);
 
@@ -174,7 +172,7 @@
     run_attempts(&mut request, &head, &mut body).await
 }
 
-/// Sends a request to upstreams until one answers or nothing more can be done.
+/// Sends a request to upstreams until one responds or the request is rejected or given up.
 async fn run_attempts(
     request: &mut InFlightRequest,
     head: &RequestHead,
@@ -267,7 +265,7 @@
     Aborted,
 }
 
-/// Reads a request's body, or its beginning if it is large.
+/// Buffers a request's body, or its beginning if it exceeds the buffer limit.
 async fn read_body(
     shared: &SharedState,
     mut incoming: Incoming,
@@ -295,7 +293,7 @@
     Ok(RequestBody::Streamed(Some(streaming_body(prefix.freeze(), incoming, max_bytes))))
 }
 
-/// Passes on a body whose first part was read; one that grows over the limit breaks off.
+/// Streams a body whose beginning is buffered; fails once it exceeds `max_bytes`.
 fn streaming_body(prefix: Bytes, rest: Incoming, max_bytes: u64) -> Body {
     let seen_bytes = prefix.len() as u64;
     let state = (Some(prefix), rest, seen_bytes);
@@ -319,7 +317,7 @@
         let frame = frame?;
         let seen_bytes = seen_bytes + frame.data_ref().map_or(0, |data| data.len() as u64);
         if seen_bytes > max_bytes {
-            return Err("the body is larger than allowed".into());
+            return Err("the request body exceeds the size limit".into());
         }
         Ok(Some((frame, (None, rest, seen_bytes))))
     })
--- a/crates/sedgepathd/src/direct/logging.rs
+++ b/crates/sedgepathd/src/direct/logging.rs
@@ -1,12 +1,11 @@
-//! Log lines on standard output: bounded in volume, never waited for, ordered over all VMs.
+//! Log lines on standard output, bounded in volume and ordered across VMs.
 //!
-//! Each line begins with `at=`, a stamp of the hybrid logical clock that VMs hand on in their
-//! heartbeats, so that collected lines of all VMs merge in one order although their clocks differ.
+//! Each line begins with `at=`, a timestamp of the hybrid logical clock that VMs exchange in their
+//! heartbeats, so that lines of all VMs merge in one order although their clocks differ.
 //!
-//! A line costs processor time that requests need, most of all under load. Two budgets bound it: calm
-//! outcomes, of which a sample tells enough, and everything else. What is left out is counted, and
-//! the count is logged. A thread of its own writes; should the reader of standard output stand still,
-//! lines are left out in its place of requests waiting.
+//! Two budgets bound the lines of each second: one for routine outcomes, one for everything else. A
+//! separate thread writes, so that requests never wait for standard output. Dropped lines are
+//! counted and the counts are logged.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,31 +17,29 @@
 
 use super::clock;
 
-/// The target of lines that tell of calm outcomes.
+/// The log target of routine outcomes, which are sampled under load.
 pub const ROUTINE_TARGET: &str = "calm";
 
-/// The lines of calm outcomes a second. With some 20 requests a second on a VM all are logged; above,
-/// a sample.
+/// The most lines of routine outcomes a second.
 const MAX_ROUTINE_LINES_PER_S: u64 = 20;
 
-/// The other lines a second. Each costs some microseconds, so that these take under a hundredth of a
-/// fifth of a core.
+/// The most other lines a second; bounds the processor time that logging takes from requests.
 const MAX_PRIORITY_LINES_PER_S: u64 = 200;
 
-/// The lines that may wait to be written.
+/// The most lines that may wait to be written.
 const MAX_QUEUED_LINES: usize = 1_024;
 
-/// How often it is looked whether lines were left out.
+/// How often the counts of dropped lines are logged.
 const DROP_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The longest that a process about to end waits for its last lines to be written, in milliseconds; a
-/// reader that stands still must not hold up the end. Less than the margin that a stop leaves.
+/// The longest that a stopping process waits for its last lines, in milliseconds. Less than the
+/// margin of a planned stop, which a blocked standard output must not delay.
 const MAX_FLUSH_MS: u64 = 100;
 
-/// How often it looks, in milliseconds.
+/// How often a stopping process checks for unwritten lines, in milliseconds.
 const FLUSH_CHECK_INTERVAL_MS: u64 = 2;
 
-/// A budget of lines for each second.
+/// A limit on the lines of each second.
 #[derive(Debug, Default)]
 pub struct LineBudget {
     second: u64,
@@ -50,7 +47,7 @@
 }
 
 impl LineBudget {
-    /// Whether one more line may be written now.
+    /// Counts a line and returns whether it is within the limit of this second.
     pub fn try_take(&mut self, per_s: u64, now_ms: u64) -> bool {
         let second = now_ms / 1_000;
         if self.second != second {
@@ -74,15 +71,15 @@
     priority: AtomicU64,
 }
 
-/// The lines of a process on their way to its standard output.
+/// The lines that are queued and not yet written to standard output.
 #[derive(Debug, Clone, Default)]
 pub struct PendingLines {
     count: Arc<AtomicU64>,
 }
 
 impl PendingLines {
-    /// Waits until all lines are written, but not for long. The process's end would lose them, the one
-    /// that tells of its stop among them.
+    /// Waits, for a bounded time, until all queued lines are written; the process's end would lose
+    /// them.
     pub async fn flush(&self) {
         let deadline_ms = clock::now_ms() + MAX_FLUSH_MS;
         while self.count.load(Ordering::Acquire) > 0 && clock::now_ms() < deadline_ms {
@@ -91,19 +88,19 @@
     }
 }
 
-/// The order of lines over all VMs.
+/// The hybrid logical clock that orders log lines across VMs.
 #[derive(Debug, Clone, Default)]
 pub struct LogClock {
     clock: Arc<Mutex<HybridLogicalClock>>,
 }
 
 impl LogClock {
-    /// Returns the stamp of a line or of a heartbeat about to be sent.
+    /// Returns the timestamp of a new log line or heartbeat.
     pub fn tick(&self) -> HybridTimestamp {
         self.lock().tick(clock::unix_ms())
     }
 
-    /// Takes in the stamp of a heartbeat.
+    /// Advances the clock past the timestamp of a received heartbeat.
     pub fn merge(&self, received: HybridTimestamp) {
         self.lock().merge(clock::unix_ms(), received);
     }
@@ -114,11 +111,11 @@
     }
 }
 
-/// Starts logging for a VM.
+/// Installs the logger of a VM and starts its writer thread.
 ///
 /// # Errors
 ///
-/// Fails if a logger is in place already.
+/// Fails if a logger is already installed.
 pub fn start(vm: &str) -> Result<(LogClock, PendingLines), log::SetLoggerError> {
     let log_clock = LogClock::default();
     let pending = PendingLines::default();
@@ -209,7 +206,7 @@
             text.push_str(&dropped_lines_report(routine, priority, log_clock, vm));
         }
         let mut out = std::io::stdout().lock();
-        // Nobody reads the lines any more; requests go on.
+        // Standard output is closed: stop logging and keep serving.
         if out.write_all(text.as_bytes()).and_then(|()| out.flush()).is_err() {
             return;
         }
--- a/crates/sedgepathd/src/direct/metrics.rs
+++ b/crates/sedgepathd/src/direct/metrics.rs
@@ -1,4 +1,4 @@
-//! What a VM counts, in the text form of Prometheus, and its state beside it.
+//! Prometheus metrics and the status of a VM.
 
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -14,11 +14,10 @@
 use super::control_server::empty_response;
 use super::shared::SharedState;
 
-/// The upper bounds in seconds of the buckets of latencies: around the targets of some hundred
-/// milliseconds, and the deadlines of some seconds.
+/// Upper bounds of the latency buckets, in seconds; they cover latency targets and deadlines.
 const LATENCY_BUCKETS_S: [f64; 10] = [0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0];
 
-/// The counts, gauges and histograms of a VM.
+/// The counters, gauges and histograms of a VM.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -35,11 +34,11 @@
 }
 
 impl Metrics {
-    /// Creates all of them at zero.
+    /// Creates and registers all metrics.
     ///
     /// # Errors
     ///
-    /// Fails if two of them have the same name.
+    /// Fails if two metrics have the same name.
     pub fn new() -> Result<Self, prometheus::Error> {
         let latency = HistogramOpts::new(
             "sedgepath_request_seconds",
@@ -98,23 +97,23 @@
         Ok(())
     }
 
-    /// Counts a request and the time until its answer.
+    /// Counts a request by outcome and records its duration.
     pub fn record_request(&self, outcome: &str, took_ms: u64) {
         self.requests.with_label_values(&[outcome]).inc();
         self.latency.with_label_values(&[outcome]).observe(took_ms as f64 / 1_000.0);
     }
 
-    /// Counts the end of a sending.
+    /// Counts an attempt by cause and outcome.
     pub fn count_attempt(&self, cause: AttemptCause, outcome: AttemptOutcome) {
         self.attempts.with_label_values(&[cause.name(), outcome.name()]).inc();
     }
 
-    /// Counts a request that was answered by the VM itself as not run.
+    /// Counts a request that the VM rejected without running it.
     pub fn count_rejection(&self, reason: RejectionReason) {
         self.rejections.with_label_values(&[reason.name()]).inc();
     }
 
-    /// Counts what is sent to another VM.
+    /// Counts bytes sent to another VM by kind of message.
     pub fn count_peer_bytes(&self, kind: &str, bytes: usize) {
         self.peer_bytes.with_label_values(&[kind]).inc_by(bytes as u64);
     }
@@ -157,7 +156,7 @@
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
-/// Answers with the VM's state as JSON, or with all metrics as text.
+/// Responds with the VM's status as JSON for `/status`, and with all metrics as text otherwise.
 pub fn handle_request(shared: &SharedState, request: &Request<Incoming>) -> Response<Body> {
     if request.uri().path() != "/status" {
         return Response::new(bytes_body(shared.metrics.encode(shared).into()));
--- a/crates/sedgepathd/src/direct/responses.rs
+++ b/crates/sedgepathd/src/direct/responses.rs
@@ -1,4 +1,4 @@
-//! The VM's own answers to callers, and the lines that tell how requests ended.
+//! Responses that the VM itself sends to callers, and log lines for how requests end.
 
 use hyper::{Response, StatusCode};
 use sedgepath_adapter::headers;
@@ -10,14 +10,14 @@
 use super::shared::SharedState;
 use super::{clock, logging};
 
-/// Answers with a status alone.
+/// Returns a response without a body that carries the attempt id.
 pub fn status_response(status: StatusCode, attempt_id: &str) -> Response<Body> {
     let mut response = empty_response(status);
     headers::set_attempt_id(response.headers_mut(), attempt_id);
     response
 }
 
-/// Notes a request that was served.
+/// Counts and logs a request that an upstream served.
 pub fn record_success(
     shared: &SharedState,
     attempt_id: &str,
@@ -39,7 +39,7 @@
     );
 }
 
-/// Tells the caller that the request was not run and never will be.
+/// Counts and logs a rejection and returns its response: the request was not run and never will be.
 pub fn reject(
     shared: &SharedState,
     attempt_id: &str,
@@ -72,7 +72,8 @@
     response
 }
 
-/// Passes on the last answer, or tells the caller that the request may have run.
+/// Counts and logs a request that was given up and returns its response: the last one of an
+/// upstream, else 504 or 502, which say that the request may have run.
 pub fn give_up(
     shared: &SharedState,
     attempt_id: &str,
@@ -107,7 +108,7 @@
     response
 }
 
-/// Notes a sending that brought no good answer.
+/// Logs an attempt that brought no usable response.
 pub fn log_failed_attempt(
     attempt_id: &str,
     state: &RequestState,
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -24,45 +24,46 @@
     table_server,
 };
 
-/// The time between two heartbeats in milliseconds, while there are few VMs.
+/// The interval of heartbeats while there are few VMs, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
 
-/// The most heartbeats that a VM sends in a second, so that they stay cheap in a large failure domain.
+/// The most heartbeats that a VM sends a second; bounds their cost in a large failure domain.
 const MAX_HEARTBEATS_PER_S: u64 = 130;
 
-/// How much longer than a disturbance is excused a silent VM may be named, in milliseconds. The
+/// How long beyond the settling time a silent VM may be listed in look-ups, in milliseconds. The
 /// operators allow 3 s.
 const EXTRA_SILENCE_MS: u64 = 2_500;
 
-/// The silence after which a VM no longer shares the common limits, in milliseconds: longer than the
-/// window of the retry budget, in which what it has spent still counts.
+/// The silence after which a VM no longer has a part in the shared limits, in milliseconds: longer
+/// than the window of the retry budget, in which its retries still count.
 const FORGET_VM_AFTER_MS: u64 = 20_000;
 
-/// How long a stopping VM takes new requests on new connections, in milliseconds: callers may use
-/// an answer to a look-up for this long.
+/// How long a stopping VM accepts new connections, in milliseconds: callers may use the addresses
+/// of a look-up for this long.
 const ACCEPT_WHILE_LEAVING_MS: u64 = 3_000;
 
-/// The time before the end of the grace at which a stopping VM ends whatever is left, in
+/// How long before the end of the grace period a stopping VM ends the remaining requests, in
 /// milliseconds.
 const STOP_MARGIN_MS: u64 = 150;
 
-/// The period of the upkeep of tables, in milliseconds.
+/// How often expired state is removed, in milliseconds.
 const MAINTENANCE_INTERVAL_MS: u64 = 250;
 
-/// What the command line says beside the platform's settings.
+/// The command-line options beside the platform's settings.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Options {
     /// The port on which metrics are served, if any.
     pub metrics_port: Option<u16>,
-    /// How requests are placed and made to wait.
+    /// How upstreams are chosen and how long requests may queue.
     pub policy: SteeringConfig,
 }
 
-/// Runs an entry VM until it is asked to stop.
+/// Runs an entry VM until a signal asks it to stop.
 ///
 /// # Errors
 ///
-/// Fails if the settings can't be used or an address can't be listened on.
+/// Fails if the settings are invalid, an address can't be bound, or the log, the metrics or the
+/// runtime can't be set up.
 pub fn run(options: Options) -> Result<(), StartError> {
     let settings = Settings::from_environment()?;
     let (log_clock, pending_lines) = logging::start(&settings.vm_name)?;
@@ -201,7 +202,7 @@
     TcpListener::bind(address).await.map_err(StartError::listen(what, address))
 }
 
-/// Forgets what has lapsed and closes connections that are not needed.
+/// Removes expired state and closes unneeded connections until the process ends.
 async fn maintain(shared: Rc<SharedState>) {
     loop {
         tokio::time::sleep(Duration::from_millis(MAINTENANCE_INTERVAL_MS)).await;
--- a/crates/sedgepathd/src/direct/shared.rs
+++ b/crates/sedgepathd/src/direct/shared.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a VM share.
+//! The state that all tasks of a VM share.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,63 +18,64 @@
 use super::metrics::Metrics;
 use super::table_server::TableServer;
 
-/// What all tasks of a VM share.
+/// The state that all tasks of a VM share.
 #[derive(Debug)]
 pub struct SharedState {
-    /// The settings of the process.
+    /// The platform's settings.
     pub settings: Settings,
-    /// The decisions. Borrowed for a moment at a time, never across a wait.
+    /// The steering state. Never borrowed across an await.
     pub steering: RefCell<Steering>,
-    /// Copies of the store's tables.
+    /// The replicas of the store's tables.
     pub replicas: RefCell<TableReplicas>,
-    /// The store.
+    /// The client of the store.
     pub store: HttpStore,
-    /// How this VM's own calls of the store end.
+    /// The result of this VM's own calls of the store.
     pub store_call_state: Cell<StoreCallState>,
-    /// The datagrams between VMs.
+    /// The socket for datagrams between VMs.
     pub peer_socket: UdpSocket,
-    /// When rows of each table were last asked of another VM, in milliseconds, until they came.
+    /// When rows of a table were last requested from a peer, in milliseconds; removed when the
+    /// request ends.
     pub last_fetch_at_ms: RefCell<Map<Table, u64>>,
-    /// The rows that are given to other VMs.
+    /// Sends rows to other VMs.
     pub table_server: TableServer,
-    /// Whether the other VMs have been looked for in the store, found or not.
+    /// Whether discovery has been tried, with or without success.
     pub discovery_attempted: Cell<bool>,
-    /// The order of log lines over all VMs.
+    /// The clock that orders log lines across VMs.
     pub log_clock: LogClock,
-    /// What is counted.
+    /// The counters, gauges and histograms.
     pub metrics: Metrics,
-    /// The connections to upstreams.
+    /// Idle connections to upstreams.
     pub upstream_connections: ConnectionPool,
-    /// The requests that have not been answered.
+    /// The number of requests in flight.
     pub in_flight_requests: Cell<usize>,
-    /// Callers' open connections.
+    /// The number of callers' open connections.
     pub open_connections: Cell<usize>,
-    /// Tells connections that the VM is about to stop.
+    /// The phase of a planned stop, which callers' connections watch.
     pub stop_phase: tokio::sync::watch::Sender<StopPhase>,
 }
 
-/// How a VM's own calls of the store end.
+/// The result of a VM's own calls of the store.
 #[derive(Debug, Clone, Copy, Default)]
 pub enum StoreCallState {
-    /// It makes none, or has had the end of none yet.
+    /// No call has ended, or this VM doesn't read the store now.
     #[default]
     Unknown,
-    /// The store answers.
+    /// The last call succeeded.
     Succeeding {
-        /// Since when without a break, in milliseconds.
+        /// When the first of the uninterrupted successful calls started, in milliseconds.
         since_ms: u64,
     },
-    /// The last one failed.
+    /// The last call failed.
     Failing,
 }
 
 impl StoreCallState {
-    /// Whether the store answers.
+    /// Returns whether the last call succeeded.
     pub fn is_reachable(self) -> bool {
         matches!(self, Self::Succeeding { .. })
     }
 
-    /// Returns what it tells of the store by now.
+    /// Returns the store health that this VM reports at a time in milliseconds.
     pub fn health(self, now_ms: u64) -> StoreHealth {
         match self {
             Self::Unknown => StoreHealth::Unknown,
@@ -86,19 +87,19 @@
     }
 }
 
-/// How far a planned stop has got.
+/// The phase of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopPhase {
-    /// None has begun.
+    /// No stop has begun.
     Serving,
-    /// Requests are served; each connection ends with its next answer.
+    /// Requests are served; each connection ends with its next response.
     Leaving,
-    /// Idle connections are closed.
+    /// Idle connections are closed, and others after their response.
     Closing,
 }
 
 impl SharedState {
-    /// Creates the shared state.
+    /// Creates the state of a VM that knows no configuration and no upstreams.
     pub fn new(
         settings: Settings,
         steering: Steering,
@@ -126,21 +127,21 @@
     }
 }
 
-/// How long a request waits for a VM that has just started to know what it needs, in milliseconds: a
-/// few answers of the store. After that its caller does better elsewhere.
+/// How long a request waits at a VM that has just started, in milliseconds: a few responses of the
+/// store.
 pub const MAX_START_WAIT_MS: u64 = 400;
 
-/// How often a waiting request looks, in milliseconds.
+/// How often a waiting request checks, in milliseconds.
 const START_CHECK_INTERVAL_MS: u64 = 10;
 
-/// The part of the process's memory that bodies may take, as a divisor.
+/// The divisor of the process's memory that gives the limit for buffered bodies.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
 impl SharedState {
-    /// Waits until requests can be served, or [`START_WAIT_MS`] have passed.
+    /// Waits until requests can be served, or [`MAX_START_WAIT_MS`] have passed.
     ///
-    /// After a restart of all VMs callers come back at once. Refused, each of them would come a
-    /// second time, later than the moment at which the first could have been served.
+    /// After a restart of all VMs callers return at once. If rejected, they would retry later than
+    /// the VM could have served them.
     pub async fn wait_for_start(&self) {
         let deadline_ms = clock::now_ms() + MAX_START_WAIT_MS;
         while !self.steering.borrow().can_serve() && clock::now_ms() < deadline_ms {
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Returns how many bytes of a body may be held, at most `most`, so that those of all requests
-    /// together stay within a part of the process's memory.
+    /// Returns how many bytes of a body may be buffered, at most `max_bytes`. The buffers of all
+    /// requests together stay within a part of the process's memory.
     pub fn buffer_limit_bytes(&self, max_bytes: usize) -> usize {
         let memory_bytes = self.settings.resource_limits.memory_mb as usize * 1024 * 1024;
         max_bytes.min(memory_bytes / BODY_MEMORY_DIVISOR / self.in_flight_requests.get().max(1))
--- a/crates/sedgepathd/src/direct/store_feed.rs
+++ b/crates/sedgepathd/src/direct/store_feed.rs
@@ -1,4 +1,4 @@
-//! Follows the store's tables and hands their rows to the decisions.
+//! Follows the store's tables and applies their rows to the steering state.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,32 +14,33 @@
 use super::shared::{SharedState, StoreCallState};
 use super::{clock, gossip};
 
-/// How long the store may hold back a call until something changes, in milliseconds. A connection
-/// may go silent for good; this and the call's own time-out bound how long that stays unnoticed, and
-/// another VM must have stepped in within the 2.5 s that a leaving upstream may get requests.
+/// How long the store may hold a call open until something changes, in milliseconds. With the
+/// call's timeout it bounds how long a dead connection stays unnoticed: another VM must take over
+/// reading within the 2.5 s that a leaving upstream may get requests.
 const LONG_POLL_MS: u64 = 1_000;
 
-/// The pause between two answers of a feed, in milliseconds: changes that come in quick succession
-/// cost one call instead of one each.
+/// The pause after a response with changes, in milliseconds, so that changes in quick succession
+/// cost one call.
 const BATCH_DELAY_MS: u64 = 200;
 
-/// The time from one failed call to the next, in milliseconds, the call's own time included. Short,
-/// since the bounds on leaving upstreams hold again some seconds after the store is back.
+/// The time from the start of a failed call to the next call, in milliseconds. It is short because
+/// the bounds on leaving upstreams hold again some seconds after the store is back.
 const RETRY_PERIOD_MS: u64 = 600;
 
-/// The least pause after a failed call, in milliseconds.
+/// The minimum pause after a failed call, in milliseconds.
 const MIN_RETRY_PAUSE_MS: u64 = 100;
 
-/// How many times the period of failed calls is doubled while a VM doesn't have the table.
+/// How many times the retry period is doubled while a VM lacks the table.
 const MAX_RETRY_DOUBLINGS: u32 = 2;
 
-/// How often a VM without the table looks whether it should read it, in milliseconds: callers may wait.
+/// How often a VM without the table checks whether it should read the store, in milliseconds;
+/// requests may be waiting.
 const START_CHECK_INTERVAL_MS: u64 = 10;
 
-/// How often a VM that doesn't follow the store looks whether it should, in milliseconds.
+/// How often a VM with the table checks whether it should read the store, in milliseconds.
 const ROLE_CHECK_INTERVAL_MS: u64 = 100;
 
-/// Follows a table while this VM is one of those that do, until the process ends.
+/// Follows a table, while this VM is one of the store's readers, until the process ends.
 pub async fn follow_table(shared: Rc<SharedState>, table: Table) {
     let mut history_lost = false;
     let mut failures = 0;
@@ -82,14 +83,15 @@
     }
 }
 
-/// The start of the process, and what of it is left to chance.
+/// When following a table started, and a random number in `0..1` that spreads the first reads of
+/// VMs.
 #[derive(Debug, Clone, Copy)]
 struct ReaderStart {
     at_ms: u64,
     random_draw: f64,
 }
 
-/// Whether this VM reads a table from the store now.
+/// Returns whether this VM should read a table from the store now.
 fn should_read(shared: &SharedState, table: Table, start: ReaderStart) -> bool {
     let now_ms = clock::now_ms();
     let mut steering = shared.steering.borrow_mut();
@@ -103,8 +105,8 @@
 
 /// Returns the pause after a failed call, in milliseconds.
 ///
-/// A VM without the table asks ever more rarely: one that starts while the store is away gets the table
-/// from others, and many that start together would be most of the store's load when it comes back.
+/// A VM without the table retries less and less often. It gets the table from peers, and many VMs
+/// that start together would otherwise be most of the store's load when it is back.
 fn pause_after_failure_ms(shared: &SharedState, table: Table, failures: u32, took_ms: u64) -> u64 {
     let complete = shared.replicas.borrow().get(table).is_complete();
     let doublings = if complete { 0 } else { (failures - 1).min(MAX_RETRY_DOUBLINGS) };
@@ -127,7 +129,7 @@
     if history_lost || !complete {
         return shared.store.read_table(name).await;
     }
-    // While the store is away a call that waits would hide for longer that it is back.
+    // While the store is unreachable, a long poll would delay noticing that it is back.
     let wait_ms = if shared.store_call_state.get().is_reachable() { LONG_POLL_MS } else { 0 };
     shared.store.poll_changes(name, position, wait_ms).await
 }
@@ -147,7 +149,7 @@
         .update_store_health(shared.store_call_state.get().health(now_ms), now_ms);
 }
 
-/// Notes that the store gave no answer, and returns whether it had given one before.
+/// Records a failed call and returns whether the store was reachable before.
 fn record_store_failure(shared: &SharedState, table: Table, error: &StoreError) -> bool {
     if table != Table::Upstreams {
         return false;
@@ -160,7 +162,8 @@
     was_reachable
 }
 
-/// Takes in rows of the store or of another VM, and returns whether any was new.
+/// Merges rows of the store or of a peer into a replica, applies the changes to the steering state
+/// and returns whether there were any.
 pub fn apply_update(shared: &SharedState, table: Table, update: TableUpdate) -> bool {
     let changes = shared.replicas.borrow_mut().get_mut(table).merge(update);
     match table {
@@ -234,7 +237,7 @@
             }
         }
         Err(error) => {
-            // It names no upstream to use: should it have named one before, that one is gone.
+            // An unreadable entry replaces any earlier entry of the upstream.
             log::warn!("event=entry_unreadable upstream={} error={:?}", row.key, error.to_string());
             steering.upstreams_mut().remove(&row.key, now_ms);
         }
--- a/crates/sedgepathd/src/direct/table_server.rs
+++ b/crates/sedgepathd/src/direct/table_server.rs
@@ -1,9 +1,9 @@
-//! Rows of the store's tables on their way between VMs, and which of them this VM gives to others.
+//! Sends rows of the store's tables to other VMs.
 //!
-//! Many VMs may start at the same moment, and each of them asks for whole tables. A VM gives these to a few
-//! at a time and refuses the others, who find another VM that has them by then; else one VM would hold
-//! them for all, in its memory and on its link. Rows are much alike, so many of them are compressed; and many VMs
-//! ask for the same ones within a moment of a change, so they are written once.
+//! Many VMs may start at once, and each requests whole tables. A VM sends snapshots to a few at a
+//! time and rejects the other requests, which bounds its memory and bandwidth; the rejected VMs ask
+//! peers that have the table by then. Larger updates are compressed. Encoded rows are cached, since
+//! many VMs request the same rows after a change.
 
 use std::cell::RefCell;
 use std::io::{self, Read, Write};
@@ -26,30 +26,30 @@
 use super::control_server::empty_response;
 use super::shared::SharedState;
 
-/// How many other VMs a VM gives a whole table to at a time.
+/// The most snapshots that are sent to other VMs at a time.
 const MAX_CONCURRENT_SNAPSHOTS: usize = 3;
 
-/// The name of the compression in the field that tells of it (RFC 9110, 8.4.1).
+/// The content coding of compressed rows (RFC 9110, section 8.4.1).
 const CONTENT_CODING: HeaderValue = HeaderValue::from_static("deflate");
 
-/// The size from which rows are compressed, in bytes: a few rows fit a packet or two as they are.
+/// The size from which rows are compressed, in bytes; smaller updates fit a packet or two.
 const MIN_COMPRESSED_BYTES: usize = 2_048;
 
-/// The largest table that is taken, in bytes, once it is no longer compressed: some ten thousand upstreams.
+/// The largest accepted table after decompression, in bytes.
 const MAX_DECOMPRESSED_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Why rows can't be given to another VM, or read.
+/// Why rows can't be encoded or decoded. The log contains the `Debug` form.
 #[derive(Debug, thiserror::Error)]
 pub enum RowsError {
-    /// They can't be compressed or decompressed.
-    #[error("the rows can't be compressed or decompressed")]
+    /// Compression or decompression failed.
+    #[error("can't compress or decompress the rows")]
     Compression(#[from] io::Error),
-    /// They can't be encoded or decoded.
-    #[error("the rows can't be encoded or decoded")]
+    /// Serialization or deserialization failed.
+    #[error("can't encode or decode the rows")]
     Decode(#[from] postcard::Error),
 }
 
-/// Gives another VM the rows of a copy that have changed after a version.
+/// Responds to a peer's request for the rows of a table that have changed after a version.
 pub fn handle_rows_request(shared: &SharedState, request: &Request<Incoming>) -> Response<Body> {
     let mut parts = request.uri().path().trim_start_matches("/copies/").split('/');
     let name = parts.next().unwrap_or("");
@@ -63,11 +63,11 @@
     response
 }
 
-/// Reads rows that another VM has given, with the fields of its answer.
+/// Decodes rows from the headers and the body of a peer's response.
 ///
 /// # Errors
 ///
-/// Fails if they are damaged, or more than a VM can hold.
+/// Fails if the rows are corrupt, or exceed the size limit after decompression.
 pub fn decode_rows(headers: &HeaderMap, body: &[u8]) -> Result<TableUpdate, RowsError> {
     if headers.get(CONTENT_ENCODING) != Some(&CONTENT_CODING) {
         return Ok(postcard::from_bytes(body)?);
@@ -77,7 +77,7 @@
     Ok(postcard::from_bytes(&rows)?)
 }
 
-/// Rows as they are sent.
+/// Encoded rows of a replica.
 #[derive(Debug, Clone)]
 struct EncodedRows {
     newest_version: u64,
@@ -98,7 +98,7 @@
     }
 
     fn to_response(&self, permit: Option<OwnedSemaphorePermit>) -> Response<Body> {
-        // The permit lives as long as the body: until it is sent, or its receiver is gone.
+        // The body holds the permit until it is sent or its receiver disconnects.
         let body = bytes_body(self.bytes.clone()).map_frame(move |frame| {
             let _permit = &permit;
             frame
@@ -111,11 +111,11 @@
     }
 }
 
-/// What is being given.
+/// Serves table rows and bounds how many snapshots are sent at a time.
 #[derive(Debug)]
 pub struct TableServer {
     snapshot_permits: Arc<Semaphore>,
-    /// The rows that were written lately, by the version after which they have changed.
+    /// Encoded rows by table and by the version after which they have changed.
     encoded: RefCell<Map<(Table, u64), EncodedRows>>,
 }
 
@@ -129,8 +129,10 @@
 }
 
 impl TableServer {
-    /// Answers with the rows of a table that have changed after a version; without any if this VM doesn't have the
-    /// table, or if the whole table is needed and given to as many VMs as it may be.
+    /// Responds with the rows of a table that have changed after a version.
+    ///
+    /// The status is 404 if this VM's replica is incomplete, and 503 if a snapshot is needed and
+    /// the limit of concurrent snapshots is reached.
     pub fn respond(&self, replicas: &TableReplicas, table: Table, after: u64) -> Response<Body> {
         let replica = replicas.get(table);
         if !replica.is_complete() {
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Returns rows, written once for all that ask for the same.
+    /// Returns encoded rows, from the cache if they are current.
     fn encoded_rows(
         &self,
         replica: &TableReplica,
@@ -171,7 +173,7 @@
         Ok(encoded)
     }
 
-    /// Forgets the rows as they were written.
+    /// Discards the cached rows.
     pub fn clear_cache(&self) {
         self.encoded.borrow_mut().clear();
     }
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Runs a dispatched request at an upstream that this node owns.
+//! Runs dispatched requests at upstreams that this node owns.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,37 +19,37 @@
 use crate::reply::{Answer, BodyBroken, BodySender, Reply, body};
 use crate::upstreams::{Call, CallError, Connection, Upstreams};
 
-/// The header field by which an upstream proves that it did not start a request.
+/// The header by which an upstream states that it did not start a request.
 pub const NOT_STARTED_HEADER: &str = "sedgepath-not-started";
 
-/// The header field with the time left until the deadline, in milliseconds.
+/// The header with the time left until the deadline, in milliseconds.
 pub const TIMEOUT_HEADER: &str = "sedgepath-timeout-ms";
 
-/// The header field with the deadline, in milliseconds since the Unix epoch.
+/// The header with the deadline, in milliseconds since the Unix epoch.
 pub const DEADLINE_HEADER: &str = "sedgepath-deadline-ms";
 
-/// The header field that names one sending of a request, by which the upstream can cancel it.
+/// The header with the id of a call, which a cancellation repeats.
 pub const CALL_ID_HEADER: &str = "sedgepath-call-id";
 
-/// Where upstreams take cancellations; they answer 200 only if the request will never run.
+/// The path for cancellations. The upstream responds with 200 only if the request will never run.
 const CANCEL_PATH: &str = "/cancel";
 
-/// The part of a call's time that is kept for its cancellation, in milliseconds.
+/// How long before its deadline a call is canceled, in milliseconds.
 ///
-/// A call that is given up at its deadline ends unknown. Given up this much earlier and cancelled
-/// with the upstream's confirmation, it ends as not run, which the caller may act on.
+/// A call that ends at its deadline has an unknown outcome. If the upstream confirms the
+/// cancellation in time, the request was certainly not run, and the caller may retry it.
 const CANCEL_RESERVE_MS: u64 = 100;
 
-/// The longest that a body may stand still.
+/// The longest that a body may make no progress.
 ///
-/// An upstream that stops in the middle, or a caller that stops reading, would otherwise hold one of
-/// the upstream's few slots for good.
+/// An upstream that stops sending, or a caller that stops reading, would otherwise hold one of the
+/// upstream's slots indefinitely.
 const STALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// When to come back after a refusal by an upstream, in milliseconds.
+/// The time to retry after a rejection by an upstream, in milliseconds.
 const RETRY_AFTER_MS: u64 = 200;
 
-/// Runs dispatches.
+/// Runs dispatched requests.
 #[derive(Debug, Clone)]
 pub struct Exchanges {
     handle: Handle,
@@ -58,12 +58,13 @@
 }
 
 impl Exchanges {
-    /// Creates the runner of one run of the process.
+    /// Creates a runner whose call ids contain the process's boot id.
     pub fn new(handle: Handle, upstreams: Arc<Upstreams>, boot: BootId) -> Self {
         Self { handle, upstreams, boot }
     }
 
-    /// Starts a dispatch. Dropping the receiver tells that nobody waits for the reply any more.
+    /// Starts a dispatch. Dropping the receiver reports the dispatch as canceled, unless the call
+    /// to the upstream has begun.
     pub fn start(
         &self,
         from: VmKey,
@@ -85,14 +86,14 @@
     }
 }
 
-/// An answer whose head has arrived.
+/// A response whose head has arrived.
 struct ArrivedResponse {
     response: Response<Incoming>,
     connection: Connection,
     is_head: bool,
 }
 
-/// One dispatch.
+/// A dispatch in progress.
 struct DispatchRun {
     handle: Handle,
     upstreams: Arc<Upstreams>,
@@ -185,7 +186,8 @@
         self.report_outcome(CallOutcome::NotSent);
     }
 
-    /// Asks the upstream to cancel the call; true only if it confirms that it will never run.
+    /// Cancels the call at the upstream; returns true only if it confirms that the request will
+    /// never run.
     async fn cancel(&self, call: Call) -> bool {
         let request = Request::post(CANCEL_PATH)
             .header(hyper::header::HOST, call.address.to_string())
@@ -253,7 +255,7 @@
         }
         let mut fields = passed_on(&parts.headers);
         if is_head && let Some(length) = parts.headers.get(CONTENT_LENGTH) {
-            // The length of what a GET would bring; the body that follows has none.
+            // The length that a GET would have; the response to a HEAD has no body.
             fields.push((CONTENT_LENGTH.as_str().into(), length.as_bytes().to_vec()));
         }
         let (sender, receiver) = body();
@@ -273,7 +275,7 @@
         }
     }
 
-    /// Reads a short body to its end, so that the connection can be used again.
+    /// Reads a short body to its end, so that the connection can be reused.
     async fn drain(&self, call: Call, incoming: Incoming, connection: Connection) {
         if incoming.collect().await.is_ok() {
             self.upstreams.give_back(call.upstream, connection);
@@ -286,7 +288,7 @@
     }
 }
 
-/// Moves a body on; returns whether it reached its end while somebody read it.
+/// Forwards a body; returns whether it was complete and its receiver took all of it.
 async fn forward_body(mut incoming: Incoming, sender: &BodySender) -> bool {
     loop {
         let Ok(frame) = timeout(STALL_TIMEOUT, incoming.frame()).await else { return false };
@@ -299,7 +301,7 @@
     }
 }
 
-/// Header fields that concern one connection only (RFC 9110, 7.6.1).
+/// Headers that apply to one connection only (RFC 9110, section 7.6.1).
 const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -312,7 +314,7 @@
     "upgrade",
 ];
 
-/// Returns the header fields that are passed on to the next hop.
+/// Returns the headers that are forwarded to the next hop.
 pub fn passed_on(headers: &HeaderMap) -> Vec<HeaderField> {
     let connection_options: Vec<String> = headers
         .get_all(hyper::header::CONNECTION)
@@ -335,10 +337,10 @@
         && headers.get(NOT_STARTED_HEADER).is_some_and(|value| value == "true")
 }
 
-/// Whether the end of a body can be told from a connection that broke.
+/// Returns whether the end of a body can be distinguished from a connection failure.
 ///
-/// A body that ends with its connection looks the same whole and cut short; passed on, the caller
-/// would take a part for the whole.
+/// A body that ends with its connection looks the same complete and truncated; the caller would
+/// take a truncated one as complete.
 fn is_framed(status: StatusCode, headers: &HeaderMap, incoming: &Incoming) -> bool {
     incoming.is_end_stream()
         || headers.contains_key(CONTENT_LENGTH)
--- a/crates/sedgepathd/src/homes.rs
+++ b/crates/sedgepathd/src/homes.rs
@@ -1,4 +1,4 @@
-//! The hand-over of tickets to peers at a planned stop.
+//! The handover of tickets to peers at a planned stop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,26 +14,26 @@
 use crate::hop::{HopRequest, HopTarget, Hops};
 use crate::reply::Reply;
 
-/// The longest that a peer may take to keep tickets, in milliseconds.
+/// How long a peer may take to store tickets, in milliseconds.
 const HANDOVER_TIMEOUT_MS: u64 = 3_000;
 
-/// The status by which a peer says that it keeps the tickets.
+/// The status of a peer that has stored the tickets.
 const STORED_STATUS: u16 = 204;
 
-/// A hand-over to a peer.
+/// A handover of tickets to a peer.
 #[derive(Debug)]
 pub struct HandOverJob {
-    /// Names the hand-over in its result.
+    /// Identifies the handover in its result.
     pub operation: OperationKey,
     /// The peer.
     pub to: VmKey,
-    /// Where it takes frames.
+    /// The peer's address for frames.
     pub address: SocketAddr,
     /// The tickets.
     pub tickets: TicketHandover,
 }
 
-/// Carries out hand-overs until the process ends.
+/// Runs handovers concurrently until the process ends.
 pub async fn run_hand_overs(
     mut jobs: mpsc::UnboundedReceiver<HandOverJob>,
     hops: Arc<Hops>,
@@ -73,11 +73,11 @@
     matches!(hops.send(target, request).await, Reply::Concluded { status: STORED_STATUS, .. })
 }
 
-/// Keeps the tickets that a peer hands over.
+/// Stores the tickets that a peer hands over.
 ///
 /// # Errors
 ///
-/// Fails if the body is not tickets.
+/// Fails if the body can't be decoded.
 pub fn store_tickets(handle: &Handle, body: &Bytes) -> Result<Reply, FrameError> {
     let tickets = postcard::from_bytes(body)?;
     handle.event(Event::TicketsReceived(tickets));
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -1,4 +1,4 @@
-//! Carries a request from the ingress to the owner of an upstream and the answer back.
+//! Sends requests from the ingress to the peer that owns an upstream, and returns the responses.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,40 +18,40 @@
 use crate::metrics::Metrics;
 use crate::reply::{Answer, BodyBroken, BodySender, Reply, body};
 
-/// The idle connections that are kept to one peer.
+/// The most idle connections that are kept to a peer.
 const MAX_IDLE_PER_PEER: usize = 32;
 
-/// The most time in milliseconds that the opening of a connection may take; a peer in another
-/// region answers in a tenth of it.
+/// Timeout of opening a connection to a peer, in milliseconds; ten times a response from another
+/// region.
 const CONNECT_TIMEOUT_MS: u64 = 500;
 
 type PeerStream = FrameStream<TcpStream>;
 
-/// Where a hop goes.
+/// The destination of a hop.
 #[derive(Debug, Clone)]
 pub struct HopTarget {
     /// The peer.
     pub vm: VmKey,
-    /// Where it takes frames.
+    /// The peer's address for frames.
     pub address: SocketAddr,
-    /// When the hop is given up, in milliseconds.
+    /// The deadline of the hop, in milliseconds.
     pub deadline_at_ms: u64,
 }
 
-/// A request as it goes over the hop.
+/// A request that is sent over the hop.
 #[derive(Debug, Clone)]
 pub struct HopRequest {
-    /// Names the exchange.
+    /// Identifies the exchange.
     pub id: ExchangeId,
-    /// What is asked of the peer.
+    /// The operation that the peer performs.
     pub purpose: PeerOperation,
-    /// The request's head.
+    /// The head of the request.
     pub head: HttpRequestHead,
-    /// The request's body.
+    /// The body of the request.
     pub body: Bytes,
 }
 
-/// Connections to peers, kept open between requests.
+/// Sends requests to peers over connections that are kept open between requests.
 #[derive(Debug)]
 pub struct Hops {
     own: VmKey,
@@ -63,7 +63,7 @@
 }
 
 impl Hops {
-    /// Creates the pool of a node.
+    /// Creates the client of a node; `exchanges` runs requests whose target is the node itself.
     pub fn new(
         own: VmKey,
         key: SharedKey,
@@ -75,7 +75,7 @@
     }
 
     /// Sends a request over the hop and returns its reply. Dropping the future, or the body of the
-    /// answer, tells the peer that nobody waits any more.
+    /// response, tells the peer that the ingress no longer waits.
     pub async fn send(self: &Arc<Self>, target: HopTarget, request: HopRequest) -> Reply {
         if target.vm == self.own {
             return self.send_to_self(request).await;
@@ -130,8 +130,8 @@
         }
         stream.send(&Frame::BodyEnd).await?;
         let frame = stream.receive().await?;
-        // An answer to another request, late or misdirected, ends the connection: the caller must
-        // never get another caller's answer.
+        // A response to another request, late or misdirected, ends the connection: it must not
+        // reach this request's caller.
         if response_id(&frame) != Some(id) {
             return Err(FrameError::UnexpectedFrame);
         }
@@ -183,7 +183,7 @@
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let streams = idle.get_mut(&address)?;
         while let Some(stream) = streams.pop() {
-            // A peer that has ended since closed it; a request sent there would end as lost.
+            // A closed connection is skipped; a request sent on it would count as lost.
             if is_open_and_idle(stream.get_ref()) {
                 return Some(stream);
             }
@@ -200,7 +200,7 @@
     }
 }
 
-/// Whether a connection between two exchanges is still open, with nothing received on it.
+/// Returns whether a connection between two exchanges is open, with nothing received on it.
 fn is_open_and_idle(stream: &TcpStream) -> bool {
     let received = stream.try_read(&mut [0]);
     received.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -1,4 +1,4 @@
-//! Takes the connections of peers and runs what they hand over.
+//! Accepts connections of peers and runs the requests on them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,13 +21,13 @@
 /// The most connections of peers at once.
 const MAX_CONNECTIONS: usize = 1_024;
 
-/// The longest that a peer may take for its greeting or for the rest of a request it has begun.
+/// Timeout of the handshake, and of receiving the rest of a request once it has begun.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The largest request body in bytes that a peer may hand over.
+/// The largest request body that a peer may send, in bytes.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// What the tasks of peers' connections need.
+/// Serves the connections of peers.
 #[derive(Debug)]
 pub struct Peers {
     key: SharedKey,
@@ -37,7 +37,7 @@
 }
 
 impl Peers {
-    /// Creates the server of peers' connections.
+    /// Creates a server that verifies handshakes with `key`.
     pub fn new(
         key: SharedKey,
         exchanges: Exchanges,
@@ -47,7 +47,7 @@
         Arc::new(Self { key, exchanges, callers, metrics })
     }
 
-    /// Takes connections until the process ends.
+    /// Accepts connections until the process ends.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
         let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
@@ -104,11 +104,11 @@
         };
         let reply = tokio::select! {
             reply = reply => reply?,
-            // The ingress sends nothing while it waits, so this tells that it has gone.
+            // The ingress sends nothing while it waits, so this means that it has disconnected.
             _ = stream.wait_for_close() => return Err(FrameError::UnexpectedFrame),
         };
         match reply {
-            Reply::Answer(answer) => relay_response(stream, id, *answer).await,
+            Reply::Answer(response) => relay_response(stream, id, *response).await,
             Reply::Refused(refusal) => stream.send(&Frame::Refused { id, refusal }).await,
             Reply::NotSent => {
                 let refusal = not_sent_rejection();
@@ -123,7 +123,8 @@
     }
 }
 
-/// A refusal by an owner that could not send a request to the upstream: it was not run.
+/// The rejection of a request that the owner could not send to the upstream, so that it was not
+/// run.
 fn not_sent_rejection() -> sedgepath_core::request::Rejection {
     sedgepath_core::request::Rejection {
         reason: sedgepath_core::request::RejectionReason::NoUpstream,
@@ -134,10 +135,10 @@
 async fn relay_response(
     stream: &mut FrameStream<TcpStream>,
     id: ExchangeId,
-    mut answer: Answer,
+    mut response: Answer,
 ) -> Result<(), FrameError> {
-    stream.send(&Frame::Answer { id, head: answer.head, http: answer.http }).await?;
-    while let Some(part) = answer.body.recv().await {
+    stream.send(&Frame::Answer { id, head: response.head, http: response.http }).await?;
+    while let Some(part) = response.body.recv().await {
         let Ok(bytes) = part else {
             return stream.send(&Frame::BodyAborted).await;
         };
@@ -159,7 +160,7 @@
                 body.extend_from_slice(&bytes);
             }
             Frame::BodyChunk(_) => return Err(FrameError::Oversize),
-            // A body that is shorter than declared would be run as another request.
+            // A body shorter than declared would be run as a different request.
             Frame::BodyEnd if body.len() as u64 == head.body_bytes => return Ok(body.freeze()),
             _ => return Err(FrameError::UnexpectedFrame),
         }
