--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -1,4 +1,4 @@
-//! Real daemons that send to upstreams themselves, against stand-ins of the users' platform.
+//! Tests of daemons that send to upstreams themselves, against stand-ins of the users' platform.
 
 mod platform;
 
@@ -14,7 +14,7 @@
 const READ_PATH: &str = "/reads/1?q=2";
 const CHARGE_PATH: &str = "/charges/1";
 
-/// A store with a configuration, some upstreams in it, and a VM that serves them.
+/// A store with a configuration, upstreams registered in it, and a VM that serves them.
 struct Fixture {
     store: StoreStandIn,
     upstreams: Vec<UpstreamStandIn>,
@@ -47,8 +47,8 @@
     }
 }
 
-/// A request goes from a caller to an upstream and its answer back, as both sent them; the fields that
-/// the platform asks for are added.
+/// Guards against requests or responses that are changed on the way, missing headers, and
+/// connections that are not reused.
 #[test]
 fn requests_and_responses_are_relayed() {
     let fixture = Fixture::new(1);
@@ -69,7 +69,7 @@
     assert_eq!(fixture.upstreams[0].connections(), 1, "the connection was not kept");
 }
 
-/// Bodies reach the upstream unchanged, with a length, in chunks, and larger than what is held.
+/// Guards against bodies that are changed: with a length, chunked, or larger than the buffer.
 #[test]
 fn bodies_reach_the_upstream_unchanged() {
     let fixture = Fixture::new(1);
@@ -96,8 +96,7 @@
     assert_eq!(fixture.upstreams[0].runs().last().expect("a run").body, b"pay 10");
 }
 
-/// A charge is run and its answer is lost. It must not run again, at this upstream or another, and the
-/// caller must not be told that it was not run.
+/// Guards against a charge that runs twice, or is reported as not run, after its response was lost.
 #[test]
 fn a_charge_whose_response_is_lost_runs_once() {
     for behaviour in [Behaviour::Break, Behaviour::Truncate] {
@@ -109,8 +108,7 @@
     }
 }
 
-/// An upstream breaks off in the middle of an answer. The caller of an idempotent request gets the
-/// whole answer of another upstream, never a part that looks whole.
+/// Guards against a truncated response that reaches the caller of an idempotent request.
 #[test]
 fn a_truncated_response_is_replaced_by_a_complete_one() {
     let fixture = Fixture::new(2);
@@ -122,7 +120,7 @@
     assert_eq!((response.status, response.text()), (200, format!("a1 at u{}", 1 - preferred)));
 }
 
-/// Guards against repeats whose cause, or whose use, on call can't see.
+/// Guards against retries whose cause or outcome the metrics don't show.
 #[test]
 fn attempts_are_counted_by_cause_and_outcome() {
     let fixture = Fixture::new(2);
@@ -145,8 +143,8 @@
     }
 }
 
-/// Returns which upstream has the object of all requests; finding out takes some requests, which pay for
-/// the repeat of a later one.
+/// Returns the upstream that serves the object of all requests. The requests also fill the retry
+/// budget.
 fn preferred_upstream(fixture: &Fixture) -> usize {
     let ask = |number: u8| {
         let response = caller::ask(fixture.vm.callers, "GET", READ_PATH, &format!("h{number}"));
@@ -156,8 +154,7 @@
     chosen[chosen.len() - 1]
 }
 
-/// An upstream answers a request twice. The second answer waits on the kept connection, where the next
-/// request's answer is expected; it must not be given to the next caller.
+/// Guards against an extra response on a reused connection that is given to the next request.
 #[test]
 fn an_extra_response_reaches_no_other_request() {
     let fixture = Fixture::new(1);
@@ -172,7 +169,7 @@
     }
 }
 
-/// An answer without a length ends with its connection; the caller gets it whole.
+/// Guards against a truncated response if its end is the end of the connection.
 #[test]
 fn a_response_without_a_length_is_relayed_completely() {
     let fixture = Fixture::new(1);
@@ -181,8 +178,7 @@
     assert_eq!((response.status, response.text()), (200, "a1 at u0".into()));
 }
 
-/// All upstreams are full and say that they did not run the charge: the caller is told so at once,
-/// with the time to come back, and nothing has run.
+/// Guards against a rejected charge that runs, or a rejection without a time to retry.
 #[test]
 fn a_rejection_runs_nothing_and_carries_retry_after() {
     let fixture = Fixture::new(2);
@@ -193,8 +189,7 @@
     assert!(seconds > 0.0 && seconds < 3.0, "{seconds}");
 }
 
-/// An upstream is gone and another has its address. It must not run the request; one that is named
-/// gets it.
+/// Guards against a request that runs at another upstream which has taken over the address.
 #[test]
 fn an_upstream_at_a_reused_address_runs_no_misdirected_request() {
     let fixture = Fixture::new(2);
@@ -208,7 +203,7 @@
     assert_eq!(fixture.upstreams[preferred].runs().len(), before);
 }
 
-/// A caller leaves while its request runs: the upstream sees its connection end, so that it can stop.
+/// Guards against a request that keeps running after its caller has disconnected.
 #[test]
 fn a_disconnected_caller_cancels_its_request() {
     let fixture = Fixture::new(1);
@@ -220,8 +215,8 @@
     wait_for("the cancellation", || fixture.upstreams[0].canceled_requests() == 1);
 }
 
-/// An upstream never answers. The caller is told at the route's timeout, not at its own later
-/// deadline, and not that the charge was not run.
+/// Guards against a charge that waits for the caller's deadline beyond the route's timeout, or is
+/// reported as not run.
 #[test]
 fn a_request_ends_at_the_routes_timeout() {
     let fixture = Fixture::new(1);
@@ -235,7 +230,7 @@
     });
 }
 
-/// An upstream says that it leaves, another's entry is removed. Neither gets a new request.
+/// Guards against new requests to an upstream that is leaving or whose entry was removed.
 #[test]
 fn leaving_and_removed_upstreams_get_no_new_requests() {
     let fixture = Fixture::new(3);
@@ -255,8 +250,7 @@
     assert_eq!((after[0], after[1], after[2]), (before[0], before[1], before[2] + 20));
 }
 
-/// Entries that can't be read name no upstream and disturb nothing else; neither does a configuration
-/// that can't be read.
+/// Guards against unreadable entries or configurations that disturb valid ones.
 #[test]
 fn unreadable_entries_and_configurations_are_ignored() {
     let fixture = Fixture::new(1);
@@ -278,8 +272,8 @@
     }
 }
 
-/// The VM is asked to stop while a request runs. The request gets its whole answer, the VM says that
-/// it takes no more, and it ends by itself within the grace; the last line of its log says so.
+/// Guards against a planned stop that interrupts a request, keeps the VM ready, exceeds the grace
+/// period or loses the last log line.
 #[test]
 fn a_planned_stop_completes_requests_in_flight() {
     let mut fixture = Fixture::new(1);
@@ -303,7 +297,7 @@
     assert!(last.ends_with("event=stopped requests=0"), "{last}");
 }
 
-/// The settings are read anew on a signal while a request runs: nothing is cut.
+/// Guards against a reload signal that interrupts a request.
 #[test]
 fn a_reload_interrupts_no_request() {
     let fixture = Fixture::new(1);
@@ -316,8 +310,7 @@
     assert_eq!(connection.ask("GET", READ_PATH, "a2").expect("a response").status, 200);
 }
 
-/// The store is silent, and a VM is killed and starts again. It gets configuration and upstreams from
-/// another VM and serves, though it has none of its own to go by.
+/// Guards against a VM that can't start without the store although a peer has the tables.
 #[test]
 fn a_vm_that_starts_without_the_store_fetches_tables_from_a_peer() {
     let fixture = Fixture::new(1);
@@ -332,9 +325,7 @@
     assert_eq!(response.status, 200);
 }
 
-/// An engineer on call asks two VMs for their state, and one that is not there. Each tells its
-/// configuration, its service's upstreams by state and the other VM; the lost one is an error that
-/// names the address.
+/// Guards against a status command that omits a VM's state, or hides that a VM can't be reached.
 #[test]
 fn the_command_line_shows_the_state_of_vms() {
     let fixture = Fixture::new(2);
@@ -365,9 +356,7 @@
     assert!(error.to_string().contains(&unreachable), "{error}");
 }
 
-/// A VM starts without the store; the only other VM hands its rows on over a slow link, in pieces over
-/// more than a second. They are taken as they come. Given up on and begun anew they would never be
-/// whole, and asked for again and again they would only make the link slower.
+/// Guards against a fetch that is aborted and repeated while a slow peer is still sending.
 #[test]
 fn rows_from_a_slow_peer_are_accepted() {
     let store = StoreStandIn::new().expect("a store");
@@ -386,8 +375,7 @@
     assert!(peer.request_count() <= 6, "{} requests for two tables", peer.request_count());
 }
 
-/// The store's history is gone, and an upstream left in the gap: its removal is in no feed. The VM
-/// reads all rows anew and finds it missing.
+/// Guards against a removed upstream that stays in use if the store's history lacks the removal.
 #[test]
 fn a_removal_lost_from_the_store_history_is_detected() {
     let fixture = Fixture::new(2);
@@ -407,7 +395,7 @@
     });
 }
 
-/// Callers look up where to go: VMs that serve, and none that has been killed.
+/// Guards against look-ups that omit a serving VM or still list a killed one.
 #[test]
 fn look_ups_omit_a_killed_vm() {
     let fixture = Fixture::new(1);
@@ -425,8 +413,7 @@
     });
 }
 
-/// All VMs start again, and callers come at once. The store's answer is on its way: a request that
-/// arrives before it is served when it comes, in place of being refused and coming back later.
+/// Guards against requests that are rejected by a starting VM whose tables are about to arrive.
 #[test]
 fn a_request_waits_for_a_vm_that_is_starting() {
     let fixture = Fixture::new(1);
--- a/crates/sedgepathd/tests/direct_joins.rs
+++ b/crates/sedgepathd/tests/direct_joins.rs
@@ -1,4 +1,5 @@
-//! Real daemons that join while callers ask, against stand-ins of the users' platform.
+//! Tests of daemons that join while callers send requests, against stand-ins of the users'
+//! platform.
 
 mod platform;
 
@@ -13,27 +14,28 @@
 use platform::{Site, configure, wait_for};
 use sedgepath_test_support::store::StoreStandIn;
 
-/// The callers that ask at the same time.
+/// The number of concurrent callers.
 const CALLERS: usize = 8;
 
 /// The actions of each caller.
 const ACTIONS_PER_CALLER: usize = 30;
 
-/// The time that an upstream works, in milliseconds: long enough that a killed VM has requests there.
+/// The processing time of an upstream, in milliseconds: long enough that a killed VM has requests
+/// in flight.
 const WORK_MS: u64 = 60;
 
-/// How often a caller tries an action that is said not to have run.
+/// How often a caller tries an action that is reported as not run.
 const MAX_TRIES: usize = 20;
 
-/// Where callers may go now.
+/// The addresses that callers may use.
 type EntryAddresses = Arc<Mutex<Vec<SocketAddr>>>;
 
-/// Asks for an action until it is done, or may have been; returns whether it was answered.
+/// Requests an action until it is done or may have run; returns whether it succeeded.
 fn perform_action(entry_addresses: &EntryAddresses, number: usize, action: &str) -> bool {
     for attempt in 0..MAX_TRIES {
         let addresses = entry_addresses.lock().expect("no thread panics with it").clone();
         let address = addresses[(number + attempt) % addresses.len()];
-        // Nothing was sent without a connection; a closed connection proves nothing.
+        // Without a connection nothing was sent; after a closed connection the action may have run.
         let Some(mut connection) = Connection::new(address) else { continue };
         match connection.ask("POST", "/charges/1", &format!("{action}.{attempt}")) {
             Some(response) if matches!(response.status, 408 | 421 | 429 | 503) => {
@@ -53,7 +55,7 @@
     answered.map(|(_, action)| action).collect()
 }
 
-/// Counts the runs of each action over all upstreams, whatever attempt they came with.
+/// Counts the runs of each action at all upstreams, over all its attempts.
 fn runs_by_action(upstreams: &[UpstreamStandIn]) -> BTreeMap<String, usize> {
     let mut runs = BTreeMap::new();
     for run in upstreams.iter().flat_map(UpstreamStandIn::runs) {
@@ -64,7 +66,7 @@
     runs
 }
 
-/// Guards against a charge or a message that is run twice while VMs join, one is killed, and answers are lost.
+/// Guards against an action that runs twice while VMs join, one is killed and responses are lost.
 #[test]
 fn actions_run_once_while_vms_join() {
     let store = StoreStandIn::new().expect("a store");
@@ -114,7 +116,7 @@
     );
 }
 
-/// Guards against a VM that joins and that callers are not sent to.
+/// Guards against a joined VM that look-ups at other VMs don't list.
 #[test]
 fn look_ups_at_all_vms_list_a_joined_vm() {
     let store = StoreStandIn::new().expect("a store");
--- a/crates/sedgepathd/tests/platform/caller.rs
+++ b/crates/sedgepathd/tests/platform/caller.rs
@@ -1,5 +1,5 @@
-//! A caller that shows every byte: what it sends is written as given, and an answer that breaks off is
-//! told from a whole one.
+//! An HTTP caller that sends bytes as given and distinguishes truncated responses from complete
+//! ones.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,25 +8,25 @@
 
 use super::upstream::{read_chunks, read_fields};
 
-/// An answer.
+/// A response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The header fields, names in lower case.
+    /// The headers, with names in lower case.
     pub fields: BTreeMap<String, String>,
-    /// The body; none if it broke off.
+    /// The body; `None` if it was truncated.
     pub body: Option<Vec<u8>>,
 }
 
 impl Answer {
-    /// Returns the body as text.
+    /// Returns the body as text, or a placeholder if it was truncated.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(self.body.as_deref().unwrap_or(b"(broken off)")).into()
     }
 }
 
-/// A kept connection.
+/// A persistent connection.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
@@ -34,7 +34,7 @@
 }
 
 impl Connection {
-    /// Connects.
+    /// Connects to an address; `None` if it can't.
     pub fn new(address: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect_timeout(&address, Duration::from_secs(2)).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(15))).ok()?;
@@ -42,12 +42,12 @@
         Some(Self { stream, reader })
     }
 
-    /// Writes bytes as they are.
+    /// Writes bytes unchanged.
     pub fn write(&mut self, bytes: &[u8]) -> Option<()> {
         self.stream.write_all(bytes).ok()
     }
 
-    /// Sends a request without a body.
+    /// Sends a request without a body whose deadline is `time_left_ms` milliseconds away.
     pub fn send(
         &mut self,
         method: &str,
@@ -63,7 +63,7 @@
         self.write(head.as_bytes())
     }
 
-    /// Reads an answer; `None` if the connection ends without one.
+    /// Reads a response; `None` if the connection ends before its body.
     pub fn receive(&mut self) -> Option<Answer> {
         let mut line = String::new();
         if self.reader.read_line(&mut line).ok()? == 0 {
@@ -81,19 +81,19 @@
         Some(Answer { status, fields, body })
     }
 
-    /// Sends a request and reads its answer.
+    /// Sends a request with a deadline of 3 s and reads its response.
     pub fn ask(&mut self, method: &str, path: &str, attempt_id: &str) -> Option<Answer> {
         self.send(method, path, attempt_id, 3_000)?;
         self.receive()
     }
 }
 
-/// Sends a request on a connection of its own.
+/// Sends a request on a new connection and reads its response.
 pub fn ask(address: SocketAddr, method: &str, path: &str, attempt_id: &str) -> Option<Answer> {
     Connection::new(address)?.ask(method, path, attempt_id)
 }
 
-/// Sends a plain GET on a connection of its own.
+/// Sends a GET request without platform headers on a new connection and reads its response.
 pub fn get(address: SocketAddr, path: &str) -> Option<Answer> {
     let mut connection = Connection::new(address)?;
     connection.write(format!("GET {path} HTTP/1.1\r\nHost: vm\r\n\r\n").as_bytes())?;
--- a/crates/sedgepathd/tests/platform/mod.rs
+++ b/crates/sedgepathd/tests/platform/mod.rs
@@ -1,7 +1,7 @@
-//! Stand-ins of the users' platform for tests of real daemons: its store, its upstreams, its settings.
+//! Stand-ins of the users' platform for tests of daemons: its store, upstreams and settings.
 //!
-//! They speak what the platform's pages say, and misbehave on demand. Each daemon has a loopback
-//! address of its own, since all VMs of the platform use the same ports.
+//! They implement the platform's protocols and fail on demand. Each daemon has a loopback address
+//! of its own, since all VMs of the platform use the same ports.
 
 #![allow(dead_code, reason = "each test file uses a part of the stand-ins")]
 
@@ -20,7 +20,7 @@
 use sedgepath_test_support::store::StoreStandIn;
 use tempfile::TempDir;
 
-/// The longest that a test waits for something that must happen.
+/// The longest that a test waits for a condition.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The next part of the loopback range, so that the tests of one file don't share addresses.
@@ -30,7 +30,7 @@
 ///
 /// # Panics
 ///
-/// Panics if it doesn't within [`PATIENCE`].
+/// Panics if it doesn't hold within [`WAIT_TIMEOUT`].
 pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Writes a configuration with an idempotent route and one that is not.
+/// Writes a configuration with an idempotent route and one that is not idempotent.
 pub fn configure(store: &StoreStandIn, version: &str, timeout: &str) {
     let route = |name: &str, kind: &str| {
         serde_json::json!({
@@ -65,7 +65,7 @@
     store.put("op", "config", configuration.to_string().as_bytes());
 }
 
-/// The ports that all VMs of a test use, and the store that they share.
+/// VMs that use the same ports and the same store.
 #[derive(Debug)]
 pub struct Site {
     block: u8,
@@ -75,7 +75,7 @@
 }
 
 impl Site {
-    /// Lays out a site around a store.
+    /// Reserves addresses and ports for VMs that use a store.
     pub fn new(store: SocketAddr) -> Self {
         let block = NEXT_BLOCK.fetch_add(1, Ordering::Relaxed);
         let ports = free_ports(5).expect("free ports");
@@ -87,17 +87,17 @@
         IpAddr::V4(Ipv4Addr::new(127, process, self.block, number))
     }
 
-    /// Returns where the VM of a number hears other VMs.
+    /// Returns the peer address of a VM.
     pub fn peer_address(&self, number: u8) -> SocketAddr {
         SocketAddr::new(self.ip(number), self.ports[3])
     }
 
-    /// Starts the VM of a number in a failure domain; it is not waited for.
+    /// Starts a VM in a failure domain without waiting until it is ready.
     pub fn start(&self, number: u8, domain: &str) -> Vm {
         self.start_with_store(number, domain, self.store)
     }
 
-    /// Starts a VM that reaches the store at an address of its own, such as a link's.
+    /// Starts a VM that reaches the store at another address, such as a link's.
     pub fn start_with_store(&self, number: u8, domain: &str, store: SocketAddr) -> Vm {
         let settings = self.dir.path().join(format!("vm{number}.toml"));
         fs::write(&settings, self.settings(number, domain, store)).expect("settings");
@@ -121,14 +121,14 @@
         }
     }
 
-    /// Starts a VM and waits until it takes requests.
+    /// Starts a VM and waits until it is ready.
     pub fn start_ready(&self, number: u8, domain: &str) -> Vm {
         let vm = self.start(number, domain);
         wait_for("readiness", || vm.is_ready());
         vm
     }
 
-    /// Returns what the VM of a number has written, over all its starts.
+    /// Returns the log of a VM over all its starts.
     pub fn log(&self, number: u8) -> String {
         fs::read_to_string(self.dir.path().join(format!("vm{number}.log"))).unwrap_or_default()
     }
@@ -177,32 +177,32 @@
     domain.split('-').next().unwrap_or(domain)
 }
 
-/// A daemon; it is killed when this is dropped.
+/// A daemon, which is killed when dropped.
 #[derive(Debug)]
 pub struct Vm {
     child: Child,
-    /// Where it takes callers' requests.
+    /// The address for callers' requests.
     pub callers: SocketAddr,
-    /// Where it says whether it takes requests.
+    /// The address for readiness checks.
     pub ready: SocketAddr,
-    /// Where it answers look-ups.
+    /// The address for look-ups.
     pub look_ups: SocketAddr,
-    /// Where it tells its metrics and its state.
+    /// The address for metrics and status.
     pub metrics: SocketAddr,
 }
 
 impl Vm {
-    /// Whether it says that it takes requests.
+    /// Returns whether the readiness check succeeds.
     pub fn is_ready(&self) -> bool {
         caller::get(self.ready, "/-/ready").is_some_and(|response| response.status == 200)
     }
 
-    /// Asks it to stop as planned.
+    /// Sends SIGTERM, which begins a planned stop.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Sends a signal by the option of `kill` that names it.
+    /// Sends the signal that an option of `kill` names.
     pub fn signal(&self, option: &str) {
         let id = self.child.id().to_string();
         let mut kill = start(Command::new("kill").args([option, &id])).expect("kill");
@@ -210,13 +210,13 @@
         assert!(status.success(), "the daemon has ended");
     }
 
-    /// Kills it at once.
+    /// Sends SIGKILL and waits for the end.
     pub fn kill(mut self) {
         self.child.kill().expect("kill");
         self.child.wait().expect("wait");
     }
 
-    /// Returns how it ended, if it has.
+    /// Returns the exit status, if the daemon has ended.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().expect("wait")
     }
@@ -224,7 +224,7 @@
 
 impl Drop for Vm {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The daemon may have ended already.
         drop(self.child.kill());
         drop(self.child.wait());
     }
--- a/crates/sedgepathd/tests/platform/slow_peer.rs
+++ b/crates/sedgepathd/tests/platform/slow_peer.rs
@@ -1,4 +1,4 @@
-//! A VM that is there only to hand on rows, and does so slowly.
+//! A peer that only sends rows, slowly.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -12,13 +12,13 @@
 use sedgepath_test_support::direct::heartbeat;
 use sedgepath_test_support::store::StoreStandIn;
 
-/// The pieces in which an answer comes.
+/// The number of chunks of a response body.
 const CHUNKS: usize = 10;
 
-/// The time between two of them.
+/// The pause before each chunk.
 const CHUNK_INTERVAL: Duration = Duration::from_millis(130);
 
-/// The VM; it ends with the test's process.
+/// The peer, which runs until the test's process ends.
 #[derive(Debug)]
 pub struct SlowPeer {
     socket: UdpSocket,
@@ -27,7 +27,7 @@
 }
 
 impl SlowPeer {
-    /// Starts one at an address, with the rows that the store has now.
+    /// Starts a peer at an address with the rows that the store has now.
     pub fn new(address: SocketAddr, store: &StoreStandIn) -> Self {
         let listener = TcpListener::bind(address).expect("the address is free");
         let request_count = Arc::new(AtomicUsize::new(0));
@@ -37,7 +37,7 @@
             for stream in listener.incoming().flatten() {
                 counter.fetch_add(1, Ordering::Relaxed);
                 let updates = updates.clone();
-                // A VM that has given up hears no more.
+                // The VM may have closed the connection.
                 thread::spawn(move || drop(respond(stream, &updates)));
             }
         });
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Tells a VM that it has rows.
+    /// Sends a heartbeat that announces newer rows to a VM.
     pub fn announce_rows(&self, vm: SocketAddr) {
         let mut heartbeat = heartbeat("slow", "north-a", 1);
         heartbeat.descriptor.peer_address = self.address;
@@ -59,7 +59,7 @@
         drop(self.socket.send_to(&bytes, vm));
     }
 
-    /// Returns how often it was asked for rows.
+    /// Returns the number of requests for rows.
     pub fn request_count(&self) -> usize {
         self.request_count.load(Ordering::Relaxed)
     }
--- a/crates/sedgepathd/tests/platform/upstream.rs
+++ b/crates/sedgepathd/tests/platform/upstream.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's upstreams, which counts what it runs and fails on demand.
+//! A stand-in of the platform's upstreams that records requests and fails on demand.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -8,37 +8,37 @@
 
 use sedgepath_test_support::store::StoreStandIn;
 
-/// What the upstream does with the requests that it gets.
+/// What the upstream does with requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Answers with 200.
+    /// Runs the request and responds with 200.
     Answer,
-    /// Refuses with 503 and says that it did not run the request.
+    /// Responds with 503 and states that the request was not run.
     Refuse,
-    /// Runs the request and closes the connection without an answer.
+    /// Runs the request and closes the connection without a response.
     Break,
-    /// Runs the request and closes the connection in the middle of the answer.
+    /// Runs the request and closes the connection within the response body.
     Truncate,
-    /// Runs the request and answers at the end of this many milliseconds.
+    /// Runs the request and responds after this many milliseconds.
     Slow(u64),
-    /// Answers, and answers once more on the same connection.
+    /// Runs the request and responds twice on the same connection.
     AnswerTwice,
-    /// Answers without a length; the end of the connection ends the answer.
+    /// Runs the request and responds without a length; the end of the connection ends the body.
     Unframed,
-    /// Runs the request and never answers.
+    /// Runs the request and closes the connection after a minute without a response.
     Silent,
 }
 
-/// A request that the upstream has got.
+/// A request that the upstream has received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Received {
-    /// The first line.
+    /// The request line.
     pub line: String,
-    /// The header fields, names in lower case.
+    /// The headers, with names in lower case.
     pub fields: BTreeMap<String, String>,
     /// The body.
     pub body: Vec<u8>,
-    /// Whether it was run.
+    /// Whether the request was run.
     pub run: bool,
 }
 
@@ -51,16 +51,16 @@
     canceled_requests: usize,
 }
 
-/// An upstream; it ends with the test's process.
+/// An upstream, which runs until the test's process ends.
 #[derive(Debug, Clone)]
 pub struct UpstreamStandIn {
     state: Arc<Mutex<State>>,
-    /// Its address.
+    /// The address on which it listens.
     pub address: SocketAddr,
 }
 
 impl UpstreamStandIn {
-    /// Starts an upstream of this name.
+    /// Starts an upstream with a name.
     pub fn new(name: &str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -83,12 +83,12 @@
         upstream
     }
 
-    /// Registers itself in the store.
+    /// Writes the upstream's entry to the store.
     pub fn register(&self, store: &StoreStandIn, domain: &str, state: &str, sequence: u64) {
         self.register_at(self.address, store, domain, state, sequence);
     }
 
-    /// Registers itself in the store at another address, such as a link's.
+    /// Writes the upstream's entry to the store with another address, such as a link's.
     pub fn register_at(
         &self,
         address: SocketAddr,
@@ -106,32 +106,32 @@
         store.put("servers", &name, entry.to_string().as_bytes());
     }
 
-    /// Sets what it does from now on.
+    /// Sets what the upstream does with requests that it reads from now on.
     pub fn behave(&self, behaviour: Behaviour) {
         self.lock().behaviour = behaviour;
     }
 
-    /// Takes another name, as if another upstream had got the address.
+    /// Changes the upstream's name, as if another one had got the address.
     pub fn rename(&self, name: &str) {
         self.lock().name = name.into();
     }
 
-    /// Returns the requests that it has run.
+    /// Returns the requests that were run.
     pub fn runs(&self) -> Vec<Received> {
         self.lock().received.iter().filter(|received| received.run).cloned().collect()
     }
 
-    /// Returns the requests that it has got.
+    /// Returns all received requests.
     pub fn received(&self) -> Vec<Received> {
         self.lock().received.clone()
     }
 
-    /// Returns the number of connections that were opened to it.
+    /// Returns the number of accepted connections.
     pub fn connections(&self) -> usize {
         self.lock().connections
     }
 
-    /// Returns the number of requests whose connection was closed before their answer.
+    /// Returns the number of requests whose connection was closed before the response.
     pub fn canceled_requests(&self) -> usize {
         self.lock().canceled_requests
     }
@@ -140,14 +140,14 @@
         let mut reader = BufReader::new(stream);
         while let Some(request) = read_request(&mut reader) {
             if self.respond(stream, request).is_none() {
-                // The caller may be gone already.
+                // The caller may have disconnected already.
                 drop(stream.shutdown(std::net::Shutdown::Both));
                 return;
             }
         }
     }
 
-    /// Answers a request; `None` if the connection is to be closed.
+    /// Responds to a request; `None` if the connection is to be closed.
     fn respond(&self, mut stream: &TcpStream, mut request: Received) -> Option<()> {
         let (name, behaviour) = {
             let state = self.lock();
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Works for a time, or until the connection is closed, which is counted.
+    /// Waits for a time, or until the connection is closed, which is counted.
     fn work(&self, stream: &TcpStream, time: Duration) -> Option<()> {
         stream.set_read_timeout(Some(time)).ok()?;
         let closed = matches!(stream.peek(&mut [0]), Ok(0));
@@ -239,7 +239,7 @@
     Some(Received { line: line.trim_end().into(), fields, body, run: false })
 }
 
-/// Reads header fields up to the empty line.
+/// Reads headers up to the empty line.
 pub(super) fn read_fields(reader: &mut impl BufRead) -> Option<BTreeMap<String, String>> {
     let mut fields = BTreeMap::new();
     loop {
@@ -254,7 +254,7 @@
     }
 }
 
-/// Reads a chunked body; `None` if it breaks off.
+/// Reads a chunked body; `None` if it is truncated.
 pub(super) fn read_chunks(reader: &mut impl BufRead) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
--- a/crates/sedgepathd/tests/store_responses.rs
+++ b/crates/sedgepathd/tests/store_responses.rs
@@ -1,4 +1,4 @@
-//! What the client makes of each way in which an answer can fail to come.
+//! Results of the store client for responses that are missing, truncated or errors.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,13 +9,13 @@
 use sedgepath_core::table::{Row, TableRequest, TableResult, TableService, Transaction};
 use sedgepath_test_support::store::BlockingTableClient;
 
-/// What a canned server does with one connection after it has read the request.
+/// What the test server does with a connection after it has read the request.
 enum ServerStep {
     Respond(&'static str),
     HoldConnection,
 }
 
-/// Serves one connection for each step and returns the requests it read.
+/// Serves one connection for each step and returns the requests that it read.
 fn serve(steps: Vec<ServerStep>) -> (BlockingTableClient, JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -42,7 +42,7 @@
     BlockingTableClient::new(address, "table").expect("a client")
 }
 
-/// Reads a request whose body, if any, ends with a closing brace or bracket.
+/// Reads a request with a body of the declared length.
 fn read_request(stream: &mut TcpStream) -> String {
     let mut request = Vec::new();
     let mut chunk = [0; 4096];
@@ -70,12 +70,10 @@
     TableRequest::Read(vec!["a".into()])
 }
 
+/// Guards against a commit that is reported as not applied although it may have been. The
+/// responses are: none in time, truncated, a server error, not a result, empty.
 #[test]
 fn a_failed_commit_is_unknown_and_a_failed_read_is_unavailable() {
-    // The store takes the request and then: holds it beyond the time-out, cuts its answer short,
-    // answers with a server's error, or answers something that is no result.
-    // The commit may have taken effect each time, so the caller must not hear that it did not.
-    // A read has no effect, so "unavailable" is true of it.
     let failures = || {
         vec![
             ServerStep::HoldConnection,
@@ -101,11 +99,9 @@
     }
 }
 
+/// Guards against reconnecting in a loop to a store that closes its connections under overload.
 #[test]
 fn a_call_opens_one_connection_to_a_store_that_closes_it() {
-    // The store takes connections and closes them at once, as under overload. A call tries one, and
-    // ends: were it to connect again and again until its time is up, all VMs together would keep the
-    // store down.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let client = client(listener.local_addr().expect("an address"));
     let connections = Arc::new(AtomicUsize::new(0));
@@ -123,10 +119,10 @@
     assert!(connections <= 5, "{connections} connections for 5 calls");
 }
 
+/// Guards against a commit that counts as unknown although the store rejected it or nobody
+/// listened.
 #[test]
-fn a_rejected_commit_was_not_applied() {
-    // The store answers 503, then nobody listens at its address any more.
-    // The caller hears "unavailable" both times and may safely say that nothing was written.
+fn a_rejected_commit_is_unavailable() {
     let (store, server) = serve(vec![ServerStep::Respond(
         "HTTP/1.1 503 Busy\r\ncontent-length: 0\r\nconnection: close\r\n\r\n",
     )]);
@@ -135,11 +131,10 @@
     assert_eq!(store.execute(&commit()), TableResult::Unavailable);
 }
 
+/// Guards against truncated rows: the chunked results are complete, cut off inside the last data
+/// chunk, and without the final chunk.
 #[test]
 fn only_a_complete_chunked_result_is_accepted() {
-    // The store's results come in chunks, as a long scan's do: the first one whole, the second one
-    // cut off inside its last chunk, the third without the chunk that ends it.
-    // The caller sees rows, then "unavailable" twice, never fewer rows than there are.
     let (store, server) = serve(vec![
         ServerStep::Respond(concat!(
             "HTTP/1.1 200 OK\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n",
@@ -161,10 +156,9 @@
     server.join().expect("served");
 }
 
+/// Guards against truncated rows if the end of the connection ends the result.
 #[test]
 fn a_result_without_a_length_is_accepted_only_if_complete() {
-    // The store's answer ends with its connection: once in the middle of a row, once whole.
-    // The caller sees "unavailable", then the row.
     let (store, server) = serve(vec![
         ServerStep::Respond("HTTP/1.1 200 OK\r\n\r\n{\"rows\":[{\"key\":\"a\",\"val"),
         ServerStep::Respond(concat!(
@@ -178,10 +172,10 @@
     server.join().expect("served");
 }
 
+/// Guards against a server error (502) that is taken as proof, like a rejection (429, 403), that
+/// nothing was written.
 #[test]
 fn rejections_are_unavailable_and_server_errors_unknown() {
-    // The store turns a commit away (429, 403) and fails with an error of its own (502).
-    // Only a refusal proves that nothing was written.
     let (store, server) = serve(vec![
         ServerStep::Respond("HTTP/1.1 429 Busy\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"),
         ServerStep::Respond("HTTP/1.1 403 No\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"),
--- a/crates/sedgepathd/tests/table_server.rs
+++ b/crates/sedgepathd/tests/table_server.rs
@@ -1,4 +1,4 @@
-//! Whole tables that a VM gives to others that start.
+//! Snapshots of tables that a VM sends to others that start.
 
 use http_body_util::BodyExt;
 use hyper::{Response, StatusCode};
@@ -6,10 +6,10 @@
 use sedgepathd::direct::connection_pool::Body;
 use sedgepathd::direct::table_server::{self, TableServer};
 
-/// How many VMs are given a whole table at a time.
+/// How many snapshots are sent at a time.
 const MAX_CONCURRENT_SNAPSHOTS: usize = 3;
 
-/// The memory that a VM may take for control, in bytes.
+/// The memory that a VM may use for control data, in bytes.
 const CONTROL_MEMORY_BYTES: usize = 32 * 1024 * 1024;
 
 fn replicas(rows: u32) -> TableReplicas {
@@ -36,7 +36,7 @@
     body.to_bytes().to_vec()
 }
 
-/// Guards against a VM that holds the whole table once for each of dozens that start.
+/// Guards against memory use that grows with the number of VMs that start.
 #[test]
 fn a_snapshot_is_sent_to_a_limited_number_of_vms_at_a_time() {
     let (replicas, server) = (replicas(3_000), TableServer::default());
@@ -53,7 +53,8 @@
     );
 }
 
-/// Guards against a table that comes out changed, and one whose bytes fill the links of VMs that start.
+/// Guards against a table that arrives changed, and against one that fills the links of starting
+/// VMs.
 #[test]
 fn a_snapshot_is_compressed_and_arrives_unchanged() {
     let (replicas, server) = (replicas(3_000), TableServer::default());
@@ -68,7 +69,7 @@
     assert!(body.len() * 3 < encoded_len, "{} bytes of {encoded_len}", body.len());
 }
 
-/// Guards against changes being held up behind whole tables.
+/// Guards against changes that wait behind snapshots.
 #[test]
 fn changes_are_sent_while_all_snapshot_permits_are_held() {
     let (replicas, server) = (replicas(10), TableServer::default());
@@ -78,14 +79,14 @@
     assert_eq!(server.respond(&replicas, Table::Upstreams, 10).status(), StatusCode::OK);
 }
 
-/// Guards against a VM that starts taking "no rows" for the whole table of one that has none itself.
+/// Guards against a starting VM that takes an incomplete replica for the whole table.
 #[test]
 fn a_vm_without_the_table_responds_not_found() {
     let response = TableServer::default().respond(&TableReplicas::default(), Table::Upstreams, 0);
     assert_eq!(response.status(), StatusCode::NOT_FOUND);
 }
 
-/// Guards against rows that are small on the way and fill a VM's memory when they are read.
+/// Guards against compressed rows that exhaust a VM's memory when they are decoded.
 #[test]
 fn rows_that_decompress_beyond_the_limit_are_rejected() {
     let server = TableServer::default();
