--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -84,7 +84,7 @@
         let Some(stream) = self.connect(target.address, target.deadline_at_ms).await else {
             return Reply::NotSent;
         };
-        match timeout_at(deadline, self.exchange(target.address, stream, request)).await {
+        match timeout_at(deadline, self.send_on(target.address, stream, request)).await {
             Ok(Ok(reply)) => reply,
             Ok(Err(error)) => {
                 self.metrics.dropped("frame", error.name());
@@ -116,7 +116,7 @@
         timeout_at(self.clock.instant(connect_by_ms), opening).await.ok().flatten()
     }
 
-    async fn exchange(
+    async fn send_on(
         self: &Arc<Self>,
         address: SocketAddr,
         mut stream: PeerStream,
