--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -103,7 +103,7 @@
         let fixture = Fixture::new(2);
         fixture.set_all_behaviours(behaviour);
         let response =
-            caller::ask(fixture.vm.callers, "POST", CHARGE_PATH, "a1").expect("a response");
+            caller::request(fixture.vm.callers, "POST", CHARGE_PATH, "a1").expect("a response");
         assert_eq!((response.status, fixture.runs()), (502, 1), "{behaviour:?}");
     }
 }
@@ -115,7 +115,7 @@
     let preferred = preferred_upstream(&fixture);
     fixture.upstreams[preferred].behave(Behaviour::Truncate);
 
-    let response = caller::ask(fixture.vm.callers, "GET", READ_PATH, "a1").expect("a response");
+    let response = caller::request(fixture.vm.callers, "GET", READ_PATH, "a1").expect("a response");
 
     assert_eq!((response.status, response.text()), (200, format!("a1 at u{}", 1 - preferred)));
 }
@@ -126,9 +126,9 @@
     let fixture = Fixture::new(2);
     let preferred = preferred_upstream(&fixture);
     fixture.upstreams[preferred].behave(Behaviour::Truncate);
-    caller::ask(fixture.vm.callers, "GET", READ_PATH, "a1").expect("a response");
+    caller::request(fixture.vm.callers, "GET", READ_PATH, "a1").expect("a response");
 
-    let text = attohttpc::get(format!("http://{}/metrics", fixture.vm.metrics))
+    let text = attohttpc::get(format!("http://{}/metrics", fixture.vm.metrics_address))
         .send()
         .and_then(attohttpc::Response::text)
         .expect("the metrics");
@@ -147,7 +147,7 @@
 /// budget.
 fn preferred_upstream(fixture: &Fixture) -> usize {
     let ask = |number: u8| {
-        let response = caller::ask(fixture.vm.callers, "GET", READ_PATH, &format!("h{number}"));
+        let response = caller::request(fixture.vm.callers, "GET", READ_PATH, &format!("h{number}"));
         usize::from(response.expect("a response").text().ends_with("u1"))
     };
     let chosen: Vec<usize> = (0..12).map(ask).collect();
@@ -174,7 +174,7 @@
 fn a_response_without_a_length_is_relayed_completely() {
     let fixture = Fixture::new(1);
     fixture.upstreams[0].behave(Behaviour::Unframed);
-    let response = caller::ask(fixture.vm.callers, "GET", READ_PATH, "a1").expect("a response");
+    let response = caller::request(fixture.vm.callers, "GET", READ_PATH, "a1").expect("a response");
     assert_eq!((response.status, response.text()), (200, "a1 at u0".into()));
 }
 
@@ -183,7 +183,8 @@
 fn a_rejection_runs_nothing_and_carries_retry_after() {
     let fixture = Fixture::new(2);
     fixture.set_all_behaviours(Behaviour::Refuse);
-    let response = caller::ask(fixture.vm.callers, "POST", CHARGE_PATH, "a1").expect("a response");
+    let response =
+        caller::request(fixture.vm.callers, "POST", CHARGE_PATH, "a1").expect("a response");
     assert_eq!((response.status, fixture.runs()), (503, 0));
     let seconds: f64 = response.fields["retry-after"].parse().expect("a number");
     assert!(seconds > 0.0 && seconds < 3.0, "{seconds}");
@@ -197,7 +198,8 @@
     fixture.upstreams[preferred].rename("stranger");
     let before = fixture.upstreams[preferred].runs().len();
 
-    let response = caller::ask(fixture.vm.callers, "POST", CHARGE_PATH, "a1").expect("a response");
+    let response =
+        caller::request(fixture.vm.callers, "POST", CHARGE_PATH, "a1").expect("a response");
 
     assert_eq!((response.status, response.text()), (200, format!("a1 at u{}", 1 - preferred)));
     assert_eq!(fixture.upstreams[preferred].runs().len(), before);
@@ -224,7 +226,7 @@
     fixture.upstreams[0].behave(Behaviour::Silent);
     wait_for("the new timeout", || {
         let started = Instant::now();
-        let response = caller::ask(fixture.vm.callers, "POST", CHARGE_PATH, "a1");
+        let response = caller::request(fixture.vm.callers, "POST", CHARGE_PATH, "a1");
         response.is_some_and(|response| response.status == 504)
             && started.elapsed().as_millis() < 2_000
     });
@@ -241,7 +243,7 @@
         fixture.upstreams.iter().map(|upstream| upstream.received().len()).collect();
 
     for number in 0..20 {
-        caller::ask(fixture.vm.callers, "GET", READ_PATH, &format!("a{number}"))
+        caller::request(fixture.vm.callers, "GET", READ_PATH, &format!("a{number}"))
             .expect("a response");
     }
 
@@ -267,7 +269,7 @@
     fixture.store.put("op", "config", b"{\"version\":\"0000000f\"}");
     std::thread::sleep(Duration::from_secs(1));
     for number in 0..10 {
-        let response = caller::ask(fixture.vm.callers, "GET", READ_PATH, &format!("a{number}"));
+        let response = caller::request(fixture.vm.callers, "GET", READ_PATH, &format!("a{number}"));
         assert_eq!(response.expect("a response").text(), format!("a{number} at u0"));
     }
 }
@@ -321,7 +323,7 @@
     let second = fixture.site.start(2, "north-a");
 
     wait_for("readiness without the store", || second.is_ready());
-    let response = caller::ask(second.callers, "GET", READ_PATH, "a1").expect("a response");
+    let response = caller::request(second.callers, "GET", READ_PATH, "a1").expect("a response");
     assert_eq!(response.status, 200);
 }
 
@@ -339,7 +341,7 @@
         cli::execute(&arguments, &Environment::default(), &mut out)
             .map(|()| String::from_utf8(out).expect("text"))
     };
-    let addresses = [fixture.vm.metrics.to_string(), second.metrics.to_string()];
+    let addresses = [fixture.vm.metrics_address.to_string(), second.metrics_address.to_string()];
     let expected = [
         "vm1 in north-a serves by configuration 12\n",
         "vm2 in north-b serves by configuration 12\n",
@@ -350,7 +352,7 @@
         let shown = status(&addresses).expect("the state");
         expected.iter().all(|line| shown.contains(line))
     });
-    let unreachable = second.metrics.to_string();
+    let unreachable = second.metrics_address.to_string();
     second.kill();
     let error = status(std::slice::from_ref(&unreachable)).expect_err("no state");
     assert!(error.to_string().contains(&unreachable), "{error}");
@@ -388,7 +390,7 @@
     wait_for("the removal", || {
         let before = fixture.upstreams[0].received().len();
         for number in 0..10 {
-            caller::ask(fixture.vm.callers, "GET", READ_PATH, &format!("a{number}"));
+            caller::request(fixture.vm.callers, "GET", READ_PATH, &format!("a{number}"));
         }
         fixture.upstreams[0].received().len() == before
             && fixture.upstreams[1].received().len() > before
@@ -402,7 +404,8 @@
     let second = fixture.site.start_ready(2, "north-a");
     let look_up = || {
         let path = "/-/resolve?name=shop.example&region=north&zone=north-a";
-        caller::get(fixture.vm.look_ups, path).map_or_else(String::new, |response| response.text())
+        caller::get(fixture.vm.look_up_address, path)
+            .map_or_else(String::new, |response| response.text())
     };
     let address = second.callers.to_string();
     wait_for("a look-up that names both", || look_up().contains(&address));
--- a/crates/sedgepathd/tests/direct_joins.rs
+++ b/crates/sedgepathd/tests/direct_joins.rs
@@ -17,7 +17,7 @@
 /// The number of concurrent callers.
 const CALLERS: usize = 8;
 
-/// The actions of each caller.
+/// The number of actions that each caller requests.
 const ACTIONS_PER_CALLER: usize = 30;
 
 /// The processing time of an upstream, in milliseconds: long enough that a killed VM has requests
@@ -130,7 +130,7 @@
     for vm in &vms {
         wait_for("the joined VM in look-ups", || {
             let path = "/-/resolve?name=shop.example&region=north&zone=north-b";
-            let response = platform::caller::get(vm.look_ups, path);
+            let response = platform::caller::get(vm.look_up_address, path);
             response.is_some_and(|response| response.text().contains(&joined.callers.to_string()))
         });
     }
--- a/crates/sedgepathd/tests/platform/caller.rs
+++ b/crates/sedgepathd/tests/platform/caller.rs
@@ -89,7 +89,7 @@
 }
 
 /// Sends a request on a new connection and reads its response.
-pub fn ask(address: SocketAddr, method: &str, path: &str, attempt_id: &str) -> Option<Answer> {
+pub fn request(address: SocketAddr, method: &str, path: &str, attempt_id: &str) -> Option<Answer> {
     Connection::new(address)?.ask(method, path, attempt_id)
 }
 
--- a/crates/sedgepathd/tests/platform/mod.rs
+++ b/crates/sedgepathd/tests/platform/mod.rs
@@ -115,9 +115,9 @@
         Vm {
             child,
             callers: address(0),
-            ready: address(1),
-            look_ups: address(2),
-            metrics: address(4),
+            readiness_address: address(1),
+            look_up_address: address(2),
+            metrics_address: address(4),
         }
     }
 
@@ -184,17 +184,18 @@
     /// The address for callers' requests.
     pub callers: SocketAddr,
     /// The address for readiness checks.
-    pub ready: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// The address for look-ups.
-    pub look_ups: SocketAddr,
+    pub look_up_address: SocketAddr,
     /// The address for metrics and status.
-    pub metrics: SocketAddr,
+    pub metrics_address: SocketAddr,
 }
 
 impl Vm {
     /// Returns whether the readiness check succeeds.
     pub fn is_ready(&self) -> bool {
-        caller::get(self.ready, "/-/ready").is_some_and(|response| response.status == 200)
+        caller::get(self.readiness_address, "/-/ready")
+            .is_some_and(|response| response.status == 200)
     }
 
     /// Sends SIGTERM, which begins a planned stop.
