--- a/crates/sedgepathd/src/callers.rs
+++ b/crates/sedgepathd/src/callers.rs
@@ -1,8 +1,8 @@
-//! Takes callers' look-ups and requests over HTTP.
+//! HTTP server for callers: look-ups, tickets and requests to services.
 //!
-//! `hyper` is used in place of `tiny_http`: it bounds the head's size and time, needs no thread for
-//! an idle connection, and closes a connection whose answer broke off, so that a caller can't take
-//! the next answer for the rest of this one. See docs/DESIGN.md.
+//! The server is built on `hyper`, which limits the size and arrival time of a request's head, needs
+//! no thread for an idle connection, and closes a connection whose response body was aborted, so
+//! that a caller can't mistake the next response for the rest of this one.
 
 use std::convert::Infallible;
 use std::net::{IpAddr, SocketAddr};
@@ -33,34 +33,35 @@
 use crate::metrics::Metrics;
 use crate::reply::{Answer, Reply};
 
-mod answers;
 mod collect;
-mod once;
-mod reading;
+mod deduplication;
+mod parsing;
 mod relay;
-mod serving;
+mod request_task;
+mod responses;
 mod tickets;
 
-use answers::{
-    ResponseBody, append, conclude, concluded, json_response, outcome_of, refused, whole_response,
-};
-use reading::{deadline_at_ms, number, query_value, read_body};
+use parsing::{header_number, parse_deadline_at_ms, query_value, read_body};
 use relay::RelayBody;
-use serving::{Served, Serving};
+use request_task::{RequestResult, RequestTask};
+use responses::{
+    ResponseBody, append_headers, full_response, into_home_reply, json_response, outcome_label,
+    outcome_response, rejection_response,
+};
 
-/// The header field that names a request; it is passed on to the upstream and stands on the answer.
-const REQUEST_ID: &str = "sedgepath-request-id";
+/// The header that identifies a request; it is forwarded to the upstream and copied to the response.
+const REQUEST_ID_HEADER: &str = "sedgepath-request-id";
 
-/// The path of look-ups.
+/// The path of look-up requests.
 const LOOK_UP_PATH: &str = "/v1/lookup";
 
-/// The path of tickets.
+/// The path of ticket requests.
 const TICKETS_PATH: &str = "/v1/tickets";
 
-/// The start of the paths of requests: `/v1/call/SERVICE/PATH`.
-const CALL_PREFIX: &str = "/v1/call/";
+/// The prefix of the paths of requests to services: `/v1/call/SERVICE/PATH`.
+const CALL_PATH_PREFIX: &str = "/v1/call/";
 
-/// What the tasks of callers' connections need.
+/// State shared by the tasks that serve callers' connections.
 #[derive(Debug)]
 pub struct Callers {
     name: Box<str>,
@@ -74,7 +75,7 @@
 }
 
 impl Callers {
-    /// Creates the server of callers.
+    /// Creates the server for callers.
     pub fn new(
         name: Box<str>,
         boot: BootId,
@@ -88,49 +89,51 @@
         Arc::new(Self { name, vm, boot, handle, hops, metrics, limits, ticket_key })
     }
 
-    /// Returns the way to the node.
+    /// Returns the handle to the node.
     pub fn handle(&self) -> &Handle {
         &self.handle
     }
 
-    /// Takes connections until `stop` says so, then lets those that are open finish their requests.
+    /// Accepts connections until `stop` becomes true, then waits until the open connections have
+    /// finished their requests.
     pub async fn serve(self: Arc<Self>, listener: TcpListener, mut stop: watch::Receiver<bool>) {
-        let connections = self.limits.connections;
-        let places = Arc::new(Semaphore::new(connections));
+        let max_connections = self.limits.connections;
+        let permits = Arc::new(Semaphore::new(max_connections));
         loop {
             let accepted = async {
-                let place = Arc::clone(&places).acquire_owned().await.ok()?;
-                Some((place, listener.accept().await.ok()?))
+                let permit = Arc::clone(&permits).acquire_owned().await.ok()?;
+                Some((permit, listener.accept().await.ok()?))
             };
             let accepted = tokio::select! {
                 accepted = accepted => accepted,
-                () = told_to_stop(&mut stop) => break,
+                () = wait_for_stop(&mut stop) => break,
             };
-            let Some((place, (stream, from))) = accepted else { continue };
+            let Some((permit, (stream, from))) = accepted else { continue };
             let callers = Arc::clone(&self);
             let stop = stop.clone();
             tokio::spawn(async move {
-                callers.connection(stream, from, stop).await;
-                drop(place);
+                callers.serve_connection(stream, from, stop).await;
+                drop(permit);
             });
         }
         drop(listener);
-        // All places are free once the last connection has ended.
-        let _closed = places.acquire_many(u32::try_from(connections).unwrap_or(u32::MAX)).await;
+        // All permits are available once the last connection has ended.
+        let _closed =
+            permits.acquire_many(u32::try_from(max_connections).unwrap_or(u32::MAX)).await;
     }
 
-    async fn connection(
+    async fn serve_connection(
         self: Arc<Self>,
         stream: TcpStream,
         from: SocketAddr,
         mut stop: watch::Receiver<bool>,
     ) {
-        // Small answers must not wait for the acknowledgement of earlier ones.
-        let _slower = stream.set_nodelay(true);
+        // Small responses must not wait for the acknowledgement of earlier ones.
+        let _best_effort = stream.set_nodelay(true);
         let limits = self.limits;
         let service = service_fn(move |request| {
             let callers = Arc::clone(&self);
-            async move { Ok::<_, Infallible>(callers.answer(request, from.ip()).await) }
+            async move { Ok::<_, Infallible>(callers.handle_request(request, from.ip()).await) }
         });
         let connection = hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
@@ -138,54 +141,58 @@
             .max_buf_size(limits.head_bytes)
             .serve_connection(TokioIo::new(stream), service);
         let mut connection = std::pin::pin!(connection);
-        let served = tokio::select! {
-            served = connection.as_mut() => served,
-            () = told_to_stop(&mut stop) => {
+        let result = tokio::select! {
+            result = connection.as_mut() => result,
+            () = wait_for_stop(&mut stop) => {
                 connection.as_mut().graceful_shutdown();
                 connection.await
             }
         };
-        if let Err(error) = served {
+        if let Err(error) = result {
             log::debug!("event=caller_connection_ended error={:?}", error.to_string());
         }
     }
 
-    async fn answer(
+    async fn handle_request(
         self: Arc<Self>,
         request: Request<Incoming>,
         source: IpAddr,
     ) -> Response<ResponseBody> {
         let started = Instant::now();
-        let id = request.headers().get(REQUEST_ID).cloned();
+        let id = request.headers().get(REQUEST_ID_HEADER).cloned();
         let (mut response, outcome) = if request.uri().path() == LOOK_UP_PATH {
-            (self.look_up(&request, source).await, "look_up")
+            (self.handle_look_up(&request, source).await, "look_up")
         } else if request.uri().path() == TICKETS_PATH {
-            (self.tickets(&request).await, "tickets")
-        } else if request.uri().path().starts_with(CALL_PREFIX) {
-            let response = self.call(request, source).await;
-            let outcome = outcome_of(&response);
+            (self.handle_tickets(&request).await, "tickets")
+        } else if request.uri().path().starts_with(CALL_PATH_PREFIX) {
+            let response = self.handle_call(request, source).await;
+            let outcome = outcome_label(&response);
             (response, outcome)
         } else {
-            (refused(StatusCode::NOT_FOUND, "no_such_path"), "invalid")
+            (rejection_response(StatusCode::NOT_FOUND, "no_such_path"), "invalid")
         };
-        self.metrics.request(outcome, started.elapsed().as_secs_f64());
+        self.metrics.record_request(outcome, started.elapsed().as_secs_f64());
         let headers = response.headers_mut();
         if let Some(id) = id {
-            // The caller tells by it that an answer, also one that the daemon gives, is its own.
-            headers.insert(REQUEST_ID, id);
+            // Lets the caller match the response to its request, also if the daemon itself responds.
+            headers.insert(REQUEST_ID_HEADER, id);
         }
         headers.insert("sedgepath-revision", HeaderValue::from(self.handle.revision()));
         response
     }
 
-    async fn look_up(&self, request: &Request<Incoming>, source: IpAddr) -> Response<ResponseBody> {
+    async fn handle_look_up(
+        &self,
+        request: &Request<Incoming>,
+        source: IpAddr,
+    ) -> Response<ResponseBody> {
         if request.method() != Method::GET {
-            return refused(StatusCode::METHOD_NOT_ALLOWED, "method_not_allowed");
+            return rejection_response(StatusCode::METHOD_NOT_ALLOWED, "method_not_allowed");
         }
         let Some(service) = query_value(request.uri().query(), "service") else {
-            return refused(StatusCode::BAD_REQUEST, "service_missing");
+            return rejection_response(StatusCode::BAD_REQUEST, "service_missing");
         };
-        let revision_seen = number(request.headers(), "sedgepath-revision").unwrap_or(0);
+        let revision_seen = header_number(request.headers(), "sedgepath-revision").unwrap_or(0);
         let look_up = LookUp { service: service.into(), source, revision_seen };
         match self.handle.look_up(look_up).await {
             Some(Ok(answer)) => {
@@ -197,20 +204,22 @@
                 });
                 json_response(StatusCode::OK, &body)
             }
-            Some(Err(LookUpError::NoService)) => refused(StatusCode::NOT_FOUND, "no_service"),
+            Some(Err(LookUpError::NoService)) => {
+                rejection_response(StatusCode::NOT_FOUND, "no_service")
+            }
             Some(Err(LookUpError::Configuration)) | None => {
-                refused(StatusCode::SERVICE_UNAVAILABLE, "configuration")
+                rejection_response(StatusCode::SERVICE_UNAVAILABLE, "configuration")
             }
         }
     }
 
-    async fn call(
+    async fn handle_call(
         self: &Arc<Self>,
         request: Request<Incoming>,
         source: IpAddr,
     ) -> Response<ResponseBody> {
         let (parts, incoming) = request.into_parts();
-        let path = &parts.uri.path()[CALL_PREFIX.len()..];
+        let path = &parts.uri.path()[CALL_PATH_PREFIX.len()..];
         let (service, rest) = path.split_once('/').unwrap_or((path, ""));
         let query = parts.uri.query().map(|query| format!("?{query}")).unwrap_or_default();
         let target = format!("/{rest}{query}");
@@ -218,22 +227,27 @@
             .headers
             .get("sedgepath-key")
             .map(|key| Digest::of(&[b"organisation key", key.as_bytes()]));
-        let once = match once::once(&parts.headers, service, key_digest, &self.ticket_key) {
-            Ok(once) => once,
-            Err(error) => return refused(StatusCode::BAD_REQUEST, error.name()),
+        let deduplication = match deduplication::parse_deduplication(
+            &parts.headers,
+            service,
+            key_digest,
+            &self.ticket_key,
+        ) {
+            Ok(deduplication) => deduplication,
+            Err(error) => return rejection_response(StatusCode::BAD_REQUEST, error.name()),
         };
         let body = match read_body(incoming, &self.limits).await {
             Ok(body) => body,
-            Err(status) => return refused(status, "body"),
+            Err(status) => return rejection_response(status, "body"),
         };
         let now_ms = self.handle.clock().now_ms();
         let head = RequestHead {
             service: service.into(),
             source,
             key_digest,
-            deadline_at_ms: deadline_at_ms(&parts.headers, now_ms, &self.limits),
-            deduplication: once,
-            attempt: once::attempt(&parts.headers),
+            deadline_at_ms: parse_deadline_at_ms(&parts.headers, now_ms, &self.limits),
+            deduplication,
+            attempt: deduplication::attempt_number(&parts.headers),
             idempotent: parts.method.is_idempotent(),
             digest: Digest::of(&[
                 parts.method.as_str().as_bytes(),
@@ -241,7 +255,7 @@
                 query.as_bytes(),
                 &body,
             ]),
-            revision_seen: number(&parts.headers, "sedgepath-revision").unwrap_or(0),
+            revision_seen: header_number(&parts.headers, "sedgepath-revision").unwrap_or(0),
             forwarded_by: None,
         };
         let http = HttpRequestHead {
@@ -250,12 +264,12 @@
             fields: passed_on(&parts.headers),
             body_bytes: body.len() as u64,
         };
-        let served = Serving::new(Arc::clone(self), head, http, body).serve().await;
-        self.response(served)
+        let result = RequestTask::new(Arc::clone(self), head, http, body).serve().await;
+        self.build_response(result)
     }
 
-    /// Serves a request that a peer has forwarded because this node is its ticket's home, by the
-    /// path of a caller's own request.
+    /// Serves a request that a peer forwarded because this node is the home of the request's ticket.
+    /// The request is processed in the same way as one from a caller.
     pub async fn take_home(
         self: &Arc<Self>,
         from: VmKey,
@@ -275,44 +289,56 @@
             revision_seen: 0,
             forwarded_by: Some(from),
         };
-        match Serving::new(Arc::clone(self), head, http, body).serve().await {
-            Served::Answer { answer, request, is_ended } => {
-                if !is_ended {
+        match RequestTask::new(Arc::clone(self), head, http, body).serve().await {
+            RequestResult::Response { response, request, end_reported } => {
+                if !end_reported {
                     let event = Event::RelayEnded { request, whole: true, stored: None };
                     self.handle.event(event);
                 }
-                Reply::Answer(answer)
+                Reply::Answer(response)
             }
-            served => concluded(self.response(served)).await,
+            result => into_home_reply(self.build_response(result)).await,
         }
     }
 
-    fn response(&self, served: Served) -> Response<ResponseBody> {
-        match served {
-            Served::Answer { answer, request, is_ended } => self.relay(*answer, request, is_ended),
-            Served::Outcome(outcome) => conclude(&outcome, self.handle.clock().now_ms()),
-            Served::Passed { status, fields, body } => {
+    fn build_response(&self, result: RequestResult) -> Response<ResponseBody> {
+        match result {
+            RequestResult::Response { response, request, end_reported } => {
+                self.relay_response(*response, request, end_reported)
+            }
+            RequestResult::Outcome(outcome) => {
+                outcome_response(&outcome, self.handle.clock().now_ms())
+            }
+            RequestResult::HomeResponse { status, fields, body } => {
                 let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-                let mut response = whole_response(status, body);
-                append(&mut response, &fields);
+                let mut response = full_response(status, body);
+                append_headers(&mut response, &fields);
                 response
             }
-            Served::Stopping => refused(StatusCode::SERVICE_UNAVAILABLE, "not_ready"),
+            RequestResult::Stopping => {
+                rejection_response(StatusCode::SERVICE_UNAVAILABLE, "not_ready")
+            }
         }
     }
 
-    fn relay(&self, answer: Answer, request: RequestKey, ended: bool) -> Response<ResponseBody> {
-        let status = StatusCode::from_u16(answer.head.status).unwrap_or(StatusCode::BAD_GATEWAY);
+    fn relay_response(
+        &self,
+        upstream_response: Answer,
+        request: RequestKey,
+        end_reported: bool,
+    ) -> Response<ResponseBody> {
+        let status =
+            StatusCode::from_u16(upstream_response.head.status).unwrap_or(StatusCode::BAD_GATEWAY);
         let body = RelayBody {
-            parts: answer.body,
-            left_bytes: answer.http.body_bytes,
+            chunks: upstream_response.body,
+            remaining_bytes: upstream_response.http.body_bytes,
             handle: self.handle.clone(),
             request,
-            ended,
+            end_reported,
         };
         let mut response = Response::new(UnsyncBoxBody::new(body));
         *response.status_mut() = status;
-        append(&mut response, &answer.http.fields);
+        append_headers(&mut response, &upstream_response.http.fields);
         let headers = response.headers_mut();
         headers.insert("sedgepath-outcome", HeaderValue::from_static("answered"));
         if let Ok(name) = HeaderValue::from_str(&self.name) {
@@ -322,8 +348,8 @@
     }
 }
 
-/// Waits until the daemon stops.
-async fn told_to_stop(stop: &mut watch::Receiver<bool>) {
-    // An error says that the sender is gone, and the daemon with it.
-    let _told = stop.wait_for(|stop| *stop).await.is_ok();
+/// Waits until a planned stop begins.
+async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
+    // An error means that the sender was dropped, which happens only when the daemon ends.
+    let _stopping = stop.wait_for(|stop| *stop).await.is_ok();
 }
--- a/crates/sedgepathd/src/callers/collect.rs
+++ b/crates/sedgepathd/src/callers/collect.rs
@@ -1,78 +1,79 @@
-//! The answer of a once-only request, gathered before its caller gets it.
+//! Buffers the response to a deduplicated request so that it can be stored for repeats.
 //!
-//! Repeats get the stored answer. It is handed to the node before the caller gets its first byte:
-//! the other way round, a caller that has seen the answer's head and repeats the request on a broken
-//! connection could find that nobody kept it.
+//! The response is passed to the node before the caller gets its first byte. Otherwise a caller that
+//! has seen the response's head, loses its connection and repeats the request might find no stored
+//! response.
 
 use bytes::{Bytes, BytesMut};
 use sedgepath_core::request::StoredAnswer;
 
 use crate::reply::{Answer, BodyReceiver, body};
 
-/// The largest answer that is kept for repeats, in bytes; a larger one is relayed as it comes.
+/// The largest response body that is stored for repeats, in bytes; larger bodies are streamed.
 const MAX_STORED_BYTES: usize = 64 * 1024;
 
-/// An answer that was gathered.
+/// The result of buffering a response.
 pub(super) enum Collected {
-    /// It is whole and small enough to be kept.
-    Whole(Box<Answer>, StoredAnswer),
-    /// It is too large to be kept.
-    Large(Box<Answer>),
-    /// It broke off.
-    Broken,
+    /// The body is complete and small enough to be stored.
+    Complete(Box<Answer>, StoredAnswer),
+    /// The body is too large to be stored; the response streams it from the start.
+    TooLarge(Box<Answer>),
+    /// The body ended early.
+    Aborted,
 }
 
-/// Gathers an answer. That to a `HEAD` declares the length of a body that does not come.
-pub(super) async fn collect(mut answer: Answer, is_head: bool) -> Collected {
-    let mut gathered = BytesMut::new();
-    while let Some(part) = answer.body.recv().await {
-        let Ok(bytes) = part else {
-            return Collected::Broken;
+/// Buffers a response. The length is not checked for a `HEAD` request, whose response declares the
+/// length of a body that is not sent.
+pub(super) async fn collect(mut response: Answer, is_head: bool) -> Collected {
+    let mut buffer = BytesMut::new();
+    while let Some(chunk) = response.body.recv().await {
+        let Ok(bytes) = chunk else {
+            return Collected::Aborted;
         };
-        gathered.extend_from_slice(&bytes);
-        if gathered.len() > MAX_STORED_BYTES {
-            answer.body = chain(gathered.freeze(), answer.body);
-            return Collected::Large(Box::new(answer));
+        buffer.extend_from_slice(&bytes);
+        if buffer.len() > MAX_STORED_BYTES {
+            response.body = prepend_to_body(buffer.freeze(), response.body);
+            return Collected::TooLarge(Box::new(response));
         }
     }
-    let length = gathered.len() as u64;
-    if !is_head && answer.http.body_bytes.is_some_and(|declared| declared != length) {
-        return Collected::Broken;
+    let length = buffer.len() as u64;
+    if !is_head && response.http.body_bytes.is_some_and(|declared| declared != length) {
+        return Collected::Aborted;
     }
-    let bytes = gathered.freeze();
-    let stored = stored(&answer, &bytes);
-    answer.http.body_bytes = answer.http.body_bytes.or(Some(length));
-    answer.body = whole(bytes);
-    Collected::Whole(Box::new(answer), stored)
+    let bytes = buffer.freeze();
+    let stored = to_stored_answer(&response, &bytes);
+    response.http.body_bytes = response.http.body_bytes.or(Some(length));
+    response.body = buffered_body(bytes);
+    Collected::Complete(Box::new(response), stored)
 }
 
-/// Returns a body that brings these bytes and ends.
-fn whole(bytes: Bytes) -> BodyReceiver {
+/// Returns a body that consists of these bytes.
+fn buffered_body(bytes: Bytes) -> BodyReceiver {
     let (sender, receiver) = body();
     if !bytes.is_empty() {
-        // The channel is empty and takes several parts, and the receiver is here.
-        let _taken = sender.try_send(Ok(bytes));
+        // Can't fail: the channel is empty and its receiver is still held.
+        let _sent = sender.try_send(Ok(bytes));
     }
     receiver
 }
 
-/// Returns a body that brings these bytes and then the rest.
-fn chain(first: Bytes, mut rest: BodyReceiver) -> BodyReceiver {
+/// Returns a body that starts with these bytes and continues with the rest.
+fn prepend_to_body(first: Bytes, mut rest: BodyReceiver) -> BodyReceiver {
     let (sender, receiver) = body();
     tokio::spawn(async move {
-        let mut part = Some(Ok(first));
-        while let Some(next) = part {
-            if sender.send(next).await.is_err() {
+        let mut next_chunk = Some(Ok(first));
+        while let Some(chunk) = next_chunk {
+            if sender.send(chunk).await.is_err() {
                 return;
             }
-            part = rest.recv().await;
+            next_chunk = rest.recv().await;
         }
     });
     receiver
 }
 
-fn stored(answer: &Answer, bytes: &Bytes) -> StoredAnswer {
-    let content_type = answer
+fn to_stored_answer(response: &Answer, bytes: &Bytes) -> StoredAnswer {
+    let content_type = response
         .http
         .fields
         .iter()
@@ -83,7 +84,7 @@
         Ok(text) => (text.into(), false),
         Err(_) => (to_hex(bytes), true),
     };
-    StoredAnswer { status: answer.head.status, content_type, body, hex }
+    StoredAnswer { status: response.head.status, content_type, body, hex }
 }
 
 fn to_hex(bytes: &[u8]) -> Box<str> {
@@ -95,8 +96,8 @@
     hex.into()
 }
 
-/// Returns the body of a stored answer.
-pub(super) fn body_of(stored: &StoredAnswer) -> Bytes {
+/// Decodes the body of a stored response.
+pub(super) fn stored_body(stored: &StoredAnswer) -> Bytes {
     if !stored.hex {
         return Bytes::copy_from_slice(stored.body.as_bytes());
     }
--- a/crates/sedgepathd/src/callers/reading.rs
+++ b/crates/sedgepathd/src/callers/parsing.rs
@@ -1,4 +1,4 @@
-//! Reads what callers send.
+//! Parses bodies, headers and query parameters of callers' requests.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -7,6 +7,7 @@
 
 use crate::limits::Limits;
 
+/// Reads a request's body within the limits; an error is the HTTP status of the rejection.
 pub(super) async fn read_body(incoming: Incoming, limits: &Limits) -> Result<Bytes, StatusCode> {
     let limited = Limited::new(incoming, limits.body_bytes);
     match tokio::time::timeout(limits.body_timeout(), limited.collect()).await {
@@ -19,12 +20,15 @@
     }
 }
 
-/// Returns the caller's deadline: a time from now if it sends one, else a point in time.
-pub(super) fn deadline_at_ms(headers: &HeaderMap, now_ms: u64, limits: &Limits) -> u64 {
-    if let Some(timeout_ms) = number(headers, "sedgepath-timeout-ms") {
+/// Returns a request's deadline in milliseconds since the Unix epoch.
+///
+/// A timeout relative to now takes precedence over an absolute deadline; a request with neither gets
+/// the default timeout.
+pub(super) fn parse_deadline_at_ms(headers: &HeaderMap, now_ms: u64, limits: &Limits) -> u64 {
+    if let Some(timeout_ms) = header_number(headers, "sedgepath-timeout-ms") {
         return now_ms.saturating_add(timeout_ms);
     }
-    number(headers, "sedgepath-deadline-ms").unwrap_or(now_ms + limits.default_timeout_ms)
+    header_number(headers, "sedgepath-deadline-ms").unwrap_or(now_ms + limits.default_timeout_ms)
 }
 
 pub(super) fn query_value<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
@@ -35,6 +39,6 @@
         .map(|pair| pair.1)
 }
 
-pub(super) fn number(headers: &HeaderMap, name: &str) -> Option<u64> {
+pub(super) fn header_number(headers: &HeaderMap, name: &str) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
--- a/crates/sedgepathd/src/callers/relay.rs
+++ b/crates/sedgepathd/src/callers/relay.rs
@@ -1,4 +1,4 @@
-//! The body of an answer on its way to the caller.
+//! Streams a response body to the caller and reports to the node how the relay ended.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -11,18 +11,18 @@
 use crate::driver::Handle;
 use crate::reply::{BodyBroken, BodyReceiver};
 
-/// The body of an answer on its way to the caller; tells the node how it ended.
+/// A response body that is streamed to the caller; it reports its end to the node once.
 pub(super) struct RelayBody {
-    pub(super) parts: BodyReceiver,
-    pub(super) left_bytes: Option<u64>,
+    pub(super) chunks: BodyReceiver,
+    pub(super) remaining_bytes: Option<u64>,
     pub(super) handle: Handle,
     pub(super) request: RequestKey,
-    pub(super) ended: bool,
+    pub(super) end_reported: bool,
 }
 
 impl RelayBody {
-    fn end(&mut self, whole: bool) {
-        if !std::mem::replace(&mut self.ended, true) {
+    fn report_end(&mut self, whole: bool) {
+        if !std::mem::replace(&mut self.end_reported, true) {
             let event = Event::RelayEnded { request: self.request, whole, stored: None };
             self.handle.event(event);
         }
@@ -31,10 +31,10 @@
 
 impl Drop for RelayBody {
     fn drop(&mut self) {
-        // hyper drops a body of a declared length once that length is sent, without asking for the
-        // end; before that, the caller has gone.
-        let whole = self.left_bytes == Some(0);
-        self.end(whole);
+        // hyper drops a body of declared length once that length is sent, without polling for its
+        // end. A body dropped earlier means that the caller has disconnected.
+        let whole = self.remaining_bytes == Some(0);
+        self.report_end(whole);
     }
 }
 
@@ -46,30 +46,31 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyBroken>>> {
-        let part = std::task::ready!(self.parts.poll_recv(cx));
-        Poll::Ready(match part {
+        let chunk = std::task::ready!(self.chunks.poll_recv(cx));
+        Poll::Ready(match chunk {
             Some(Ok(bytes)) => {
-                self.left_bytes =
-                    self.left_bytes.map(|left| left.saturating_sub(bytes.len() as u64));
+                self.remaining_bytes =
+                    self.remaining_bytes.map(|left| left.saturating_sub(bytes.len() as u64));
                 Some(Ok(Frame::data(bytes)))
             }
-            Some(Err(broken)) => {
-                self.end(false);
-                Some(Err(broken))
+            Some(Err(aborted)) => {
+                self.report_end(false);
+                Some(Err(aborted))
             }
-            // A body that ends before its declared length is broken, whatever its sender says.
-            None if self.left_bytes.is_some_and(|left| left > 0) => {
-                self.end(false);
+            // A body shorter than its declared length is aborted, even if its sender ended it
+            // without an error.
+            None if self.remaining_bytes.is_some_and(|left| left > 0) => {
+                self.report_end(false);
                 Some(Err(BodyBroken))
             }
             None => {
-                self.end(true);
+                self.report_end(true);
                 None
             }
         })
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left_bytes.map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.remaining_bytes.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
--- a/crates/sedgepathd/src/callers/tickets.rs
+++ b/crates/sedgepathd/src/callers/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets for callers: `POST /v1/tickets?service=NAME&count=N`.
+//! Issues tickets to callers: `POST /v1/tickets?service=NAME&count=N`.
 
 use hyper::body::Incoming;
 use hyper::header::{CACHE_CONTROL, HeaderValue};
@@ -9,37 +9,40 @@
 use serde_json::json;
 
 use super::Callers;
-use super::answers::{ResponseBody, json_response, refused};
-use super::reading::query_value;
+use super::parsing::query_value;
+use super::responses::{ResponseBody, json_response, rejection_response};
 
 impl Callers {
-    /// Answers a caller who asks for tickets.
+    /// Responds to a caller's request for tickets.
     ///
-    /// No answer may be kept by a cache: a ticket handed out twice would make the second action look
-    /// like a repeat of the first, and it would never run.
-    pub(super) async fn tickets(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
-        let mut response = self.mint(request).await;
+    /// The response must not be cached: if a ticket were issued twice, the second action would be
+    /// taken for a repeat of the first and never run.
+    pub(super) async fn handle_tickets(
+        &self,
+        request: &Request<Incoming>,
+    ) -> Response<ResponseBody> {
+        let mut response = self.mint_tickets(request).await;
         response.headers_mut().insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
         response
     }
 
-    async fn mint(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
+    async fn mint_tickets(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
         if request.method() != Method::POST {
-            return refused(StatusCode::METHOD_NOT_ALLOWED, "method_not_allowed");
+            return rejection_response(StatusCode::METHOD_NOT_ALLOWED, "method_not_allowed");
         }
         let query = request.uri().query();
         let Some(service) = query_value(query, "service") else {
-            return refused(StatusCode::BAD_REQUEST, "service_missing");
+            return rejection_response(StatusCode::BAD_REQUEST, "service_missing");
         };
         let count = query_value(query, "count").map_or(Some(1), |count| count.parse().ok());
-        match self.handle.mint(service, count.unwrap_or(0)).await {
-            Some(Ok(tickets)) => self.minted(&tickets),
-            Some(Err(error)) => refused(status(error), error.name()),
-            None => refused(StatusCode::SERVICE_UNAVAILABLE, MintError::Stopping.name()),
+        match self.handle.mint_tickets(service, count.unwrap_or(0)).await {
+            Some(Ok(tickets)) => self.tickets_response(&tickets),
+            Some(Err(error)) => rejection_response(mint_error_status(error), error.name()),
+            None => rejection_response(StatusCode::SERVICE_UNAVAILABLE, MintError::Stopping.name()),
         }
     }
 
-    fn minted(&self, tickets: &[Ticket]) -> Response<ResponseBody> {
+    fn tickets_response(&self, tickets: &[Ticket]) -> Response<ResponseBody> {
         let texts: Vec<_> =
             tickets.iter().map(|ticket| ticket::format(&self.ticket_key, ticket)).collect();
         let body = json!({
@@ -51,7 +54,7 @@
     }
 }
 
-fn status(error: MintError) -> StatusCode {
+fn mint_error_status(error: MintError) -> StatusCode {
     match error {
         MintError::NoService => StatusCode::NOT_FOUND,
         MintError::CountOutOfRange => StatusCode::BAD_REQUEST,
--- a/crates/sedgepathd/src/command.rs
+++ b/crates/sedgepathd/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line of the daemon.
+//! The daemon's command line.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,13 +10,13 @@
 use crate::settings::Settings;
 use crate::{daemon, direct};
 
-/// The exit code of a wrong command line or wrong settings.
+/// The exit code for an invalid command line or invalid settings.
 const EXIT_USAGE: u8 = 2;
 
-/// The exit code of a daemon that could not start.
+/// The exit code of a daemon that fails to start.
 const EXIT_FAILED: u8 = 1;
 
-/// Runs the daemon as the arguments ask and returns its exit code.
+/// Runs the daemon with the given arguments, without the program's name, and returns its exit code.
 pub fn main(arguments: Vec<String>) -> ExitCode {
     let options = options();
     let matches = match options.parse(arguments) {
@@ -74,16 +74,16 @@
     }
 }
 
-/// Why the options of `--direct` can't be used.
+/// The error of an invalid option of `--direct`.
 #[derive(Debug, thiserror::Error)]
 enum OptionError {
-    #[error("the port of the metrics is no port")]
-    Port(#[from] std::num::ParseIntError),
+    #[error("invalid value for --metrics-port")]
+    InvalidMetricsPort(#[from] std::num::ParseIntError),
     #[error(transparent)]
-    Mechanism(#[from] UnknownMechanism),
+    UnknownMechanism(#[from] UnknownMechanism),
 }
 
-/// Reads the options that go with `--direct`.
+/// Parses the options of `--direct`.
 fn direct_options(matches: &Matches) -> Result<direct::run::Options, OptionError> {
     let metrics_port = matches.opt_str("metrics-port").map(|port| port.parse()).transpose()?;
     let mut policy = SteeringConfig::default();
--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of the daemon and waits for its stop.
+//! Starts the daemon's components and runs them until a planned stop.
 
 use std::io;
 use std::net::{SocketAddr, ToSocketAddrs, UdpSocket};
@@ -25,30 +25,30 @@
 
 use crate::callers::Callers;
 use crate::datagrams;
-use crate::driver::{self, Clock, Outlets};
+use crate::driver::{self, Clock, DriverOutputs};
 use crate::exchange::Exchanges;
 use crate::homes;
 use crate::hop::Hops;
 use crate::logging;
 use crate::metrics::{self, Metrics};
-use crate::operators::{self, Operators};
+use crate::operators::{self, OperatorServer};
 use crate::peers::Peers;
 use crate::settings::Settings;
 use crate::start::StartError;
-use crate::store::{self, StoreTable};
+use crate::store::{self, BlockingStoreTable};
 use crate::table;
 use crate::upstreams::Upstreams;
 
-/// The longest that callers may take to read the last bytes of their answers at a planned stop.
-const LAST_BYTES_TIMEOUT: Duration = Duration::from_secs(5);
+/// The maximum time that callers have to read the rest of their responses at a planned stop.
+const CALLER_DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs the daemon until it is asked to stop.
+/// Runs the daemon until SIGTERM or SIGINT has stopped it.
 ///
 /// # Errors
 ///
-/// Fails if an address can't be listened on or a part can't be started.
+/// Fails if an address can't be listened on or a component can't be started.
 pub fn run(settings: &Settings) -> Result<(), StartError> {
-    logging::start(&settings.log_level)?;
+    logging::init(&settings.log_level)?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
@@ -65,33 +65,33 @@
         Node::new(identity(settings, boot), settings.timing.node_settings(fastrand::u64(..)));
     let (table_sender, table_jobs) = unbounded();
     let (fetch_sender, fetch_jobs) = mpsc::unbounded_channel();
-    let (hand_over_sender, hand_overs) = mpsc::unbounded_channel();
+    let (handover_sender, handovers) = mpsc::unbounded_channel();
     let datagram_key = SharedKey::new(&settings.secret, "datagrams");
-    let outlets = Outlets {
+    let outputs = DriverOutputs {
         socket: socket
             .try_clone()
             .map_err(StartError::listen("datagrams of peers", settings.peers))?,
         datagram_key: datagram_key.clone(),
         table: table_sender,
         fetches: fetch_sender,
-        hand_overs: hand_over_sender,
+        handovers: handover_sender,
         metrics: Arc::clone(&metrics),
     };
-    let (handle, node_thread) = driver::start(node, clock, outlets);
+    let (handle, node_thread) = driver::start(node, clock, outputs);
 
-    let store = Arc::new(HttpStore::new(store_address(&settings.platform)?));
+    let store = Arc::new(HttpStore::new(resolve_store_address(&settings.platform)?));
     let table: Arc<dyn TableService> =
-        Arc::new(StoreTable::new(Arc::clone(&store), runtime.handle().clone()));
+        Arc::new(BlockingStoreTable::new(Arc::clone(&store), runtime.handle().clone()));
     table::start_workers(&table, &table_jobs, &handle);
     let stopping = Arc::new(AtomicBool::new(false));
-    runtime.spawn(store::follow_list(
+    runtime.spawn(store::maintain_vm_list(
         Arc::clone(&store),
         settings.name.clone(),
-        store::vm_row(settings),
+        store::encode_vm_row(settings),
         handle.clone(),
         Arc::clone(&stopping),
     ));
-    datagrams::start(socket, datagram_key, handle.clone(), Arc::clone(&metrics));
+    datagrams::start_receiver(socket, datagram_key, handle.clone(), Arc::clone(&metrics));
 
     let frame_key = SharedKey::new(&settings.secret, "frames");
     let exchanges = Exchanges::new(handle.clone(), Upstreams::new(handle.clone()), boot);
@@ -110,10 +110,10 @@
 
     let call_key = signed_call::derive_call_key(&settings.secret);
     let operator_keys = settings.operator_keys.iter().map(|key| &**key);
-    let guard = CallVerifier::new(std::iter::once(&*settings.secret).chain(operator_keys));
+    let verifier = CallVerifier::new(std::iter::once(&*settings.secret).chain(operator_keys));
 
     let (stop_callers, callers_stop) = watch::channel(false);
-    let serving_callers = runtime.block_on(async {
+    let caller_server_task = runtime.block_on(async {
         let callers_listener = TcpListener::bind(settings.callers)
             .await
             .map_err(StartError::listen("callers", settings.callers))?;
@@ -124,14 +124,14 @@
             .build(settings.operators)
             .await
             .map_err(StartError::listen("operators", settings.operators))?;
-        let serving =
-            server.start(Operators::new(handle.clone(), Arc::clone(&table), guard).into_rpc());
-        let serving_callers = tokio::spawn(callers.serve(callers_listener, callers_stop));
+        let operator_server = server
+            .start(OperatorServer::new(handle.clone(), Arc::clone(&table), verifier).into_rpc());
+        let caller_server_task = tokio::spawn(callers.serve(callers_listener, callers_stop));
         tokio::spawn(peers.serve(peers_listener));
         tokio::spawn(operators::run_fetches(fetch_jobs, call_key, handle.clone()));
-        tokio::spawn(homes::run_hand_overs(hand_overs, hops, handle.clone(), boot));
-        tokio::spawn(serving.stopped());
-        Ok::<_, StartError>(serving_callers)
+        tokio::spawn(homes::run_hand_overs(handovers, hops, handle.clone(), boot));
+        tokio::spawn(operator_server.stopped());
+        Ok::<_, StartError>(caller_server_task)
     })?;
 
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(StartError::Runtime)?;
@@ -144,10 +144,10 @@
         log::error!("event=node_thread_panicked");
     }
     stopping.store(true, Ordering::Relaxed);
-    // The node is done with all requests; their last bytes may still be on their way to callers.
-    let _nobody_waits = stop_callers.send(true);
+    // The node has finished all requests, but callers may not have read the last bytes yet.
+    let _receiver_gone = stop_callers.send(true);
     runtime.block_on(async {
-        if tokio::time::timeout(LAST_BYTES_TIMEOUT, serving_callers).await.is_err() {
+        if tokio::time::timeout(CALLER_DRAIN_TIMEOUT, caller_server_task).await.is_err() {
             log::warn!("event=caller_connections_cut");
         }
         if store.remove(store::VM_TABLE, &settings.name).await.is_err() {
@@ -157,16 +157,16 @@
     Ok(())
 }
 
-/// Returns the address of the store, given as `http://HOST:PORT`.
-fn store_address(url: &str) -> Result<SocketAddr, StartError> {
+/// Resolves the address of the store from its URL, `http://HOST:PORT`.
+fn resolve_store_address(url: &str) -> Result<SocketAddr, StartError> {
     let failed = |source| StartError::StoreAddress { url: url.into(), source };
-    let place = url.strip_prefix("http://").unwrap_or(url).trim_end_matches('/');
-    let mut addresses = place.to_socket_addrs().map_err(failed)?;
+    let host_and_port = url.strip_prefix("http://").unwrap_or(url).trim_end_matches('/');
+    let mut addresses = host_and_port.to_socket_addrs().map_err(failed)?;
     addresses.next().ok_or_else(|| failed(io::ErrorKind::AddrNotAvailable.into()))
 }
 
 fn identity(settings: &Settings, boot: BootId) -> Identity {
-    let card = MemberDescriptor {
+    let descriptor = MemberDescriptor {
         name: settings.name.clone(),
         domain: DomainKey::of(&settings.domain),
         caller_address: settings.callers,
@@ -174,5 +174,5 @@
         operator_address: settings.operators,
         leaving: false,
     };
-    Identity::new(card, boot)
+    Identity::new(descriptor, boot)
 }
--- a/crates/sedgepathd/src/datagrams.rs
+++ b/crates/sedgepathd/src/datagrams.rs
@@ -1,4 +1,4 @@
-//! The thread that receives datagrams of peers.
+//! Receives datagrams from peers and passes them to the node.
 
 use std::net::UdpSocket;
 use std::sync::Arc;
@@ -10,18 +10,18 @@
 use crate::driver::Handle;
 use crate::metrics::Metrics;
 
-/// Starts the thread; it ends with the process.
-pub fn start(socket: UdpSocket, key: SharedKey, handle: Handle, metrics: Arc<Metrics>) {
+/// Starts the receiving thread, which runs until the process ends.
+pub fn start_receiver(socket: UdpSocket, key: SharedKey, handle: Handle, metrics: Arc<Metrics>) {
     std::thread::spawn(move || {
-        let mut opener = DatagramDecoder::new(key);
-        // One byte more than the largest datagram shows an oversize one, which the system cuts off.
+        let mut decoder = DatagramDecoder::new(key);
+        // The extra byte reveals an oversized datagram, which the system truncates to the buffer.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer) else {
                 continue;
             };
-            metrics.received_datagram(length);
-            match opener.decode(&buffer[..length]) {
+            metrics.count_received_datagram(length);
+            match decoder.decode(&buffer[..length]) {
                 Ok(envelope) => handle.event(Event::Datagram(envelope)),
                 Err(error) => {
                     metrics.dropped("datagram", error.name());
--- a/crates/sedgepathd/src/driver.rs
+++ b/crates/sedgepathd/src/driver.rs
@@ -1,7 +1,7 @@
-//! The thread that owns the node.
+//! The driver thread, which owns the node.
 //!
-//! Events come in over a channel; the node's actions go out to the sockets, the table workers
-//! and the tasks of the requests that they concern. Nothing here decides anything.
+//! Events arrive over a channel. The node's actions are passed to the sockets, the table workers and
+//! the tasks of the requests that they concern. All decisions are the node's.
 
 use std::net::UdpSocket;
 use std::sync::Arc;
@@ -27,13 +27,13 @@
 use crate::metrics::Metrics;
 use crate::table::TableJob;
 
-/// The time between two ticks of the node.
-const TICK_EVERY: Duration = Duration::from_millis(20);
+/// The interval between two ticks of the node.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The process's clock in milliseconds since the Unix epoch; it never runs backwards.
+/// The process's clock in milliseconds since the Unix epoch; it never goes backwards.
 ///
-/// The wall clock is read once. Deadlines and rights are kept on the monotonic clock, so that a
-/// wall clock set back while the process runs can't prolong a right.
+/// The wall clock is read once, at the start; after that, time advances with the monotonic clock, so
+/// that setting the wall clock back can't prolong a lease.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -41,17 +41,18 @@
 }
 
 impl Clock {
-    /// Starts the clock from the wall clock.
+    /// Creates a clock that starts at the current wall-clock time.
     pub fn new() -> Self {
         Self { started: Instant::now(), started_at_ms: unix_ms() }
     }
 
-    /// Returns the time in milliseconds.
+    /// Returns the current time in milliseconds since the Unix epoch.
     pub fn now_ms(&self) -> u64 {
         self.started_at_ms + self.started.elapsed().as_millis() as u64
     }
 
-    /// Returns the instant of a time in milliseconds.
+    /// Converts a time in milliseconds since the Unix epoch to an instant; a time before the start of
+    /// the clock becomes the start.
     pub fn instant(&self, at_ms: u64) -> tokio::time::Instant {
         let since_start_ms = at_ms.saturating_sub(self.started_at_ms);
         tokio::time::Instant::from_std(self.started + Duration::from_millis(since_start_ms))
@@ -64,25 +65,25 @@
     }
 }
 
-/// A question to the node, answered on its thread.
-type Question = Box<dyn FnOnce(&Node) + Send>;
+/// A read-only query of the node, run on the driver thread.
+type NodeQuery = Box<dyn FnOnce(&Node) + Send>;
 
-/// What the driver is told.
-enum Input {
+/// A message to the driver thread.
+enum DriverInput {
     Event(Event),
     LookUp(LookUp, oneshot::Sender<Result<LookUpAnswer, LookUpError>>),
     Request(RequestKey, RequestHead, mpsc::UnboundedSender<Action>),
-    Mint(Box<str>, u32, oneshot::Sender<Result<Vec<Ticket>, MintError>>),
+    MintTickets(Box<str>, u32, oneshot::Sender<Result<Vec<Ticket>, MintError>>),
     Change(ChangeRequest, oneshot::Sender<ChangeOutcome>),
     Dispatch(ExchangeKey, VmKey, Dispatch, mpsc::UnboundedSender<Action>),
-    Ask(Question),
+    Query(NodeQuery),
 }
 
-/// Hands events to the node and takes its actions.
+/// A handle by which other threads and tasks reach the node.
 #[derive(Debug, Clone)]
 pub struct Handle {
-    inputs: Sender<Input>,
-    numbers: Arc<AtomicU64>,
+    inputs: Sender<DriverInput>,
+    next_key: Arc<AtomicU64>,
     revision: Arc<AtomicU64>,
     clock: Clock,
 }
@@ -98,99 +99,107 @@
         self.clock
     }
 
-    /// Hands over an event that awaits nothing.
+    /// Sends an event that has no reply.
     pub fn event(&self, event: Event) {
-        self.send(Input::Event(event));
+        self.send(DriverInput::Event(event));
     }
 
-    /// Asks which entry VMs to use; none if the process is about to end.
+    /// Looks up the entry VMs of a service; returns `None` if the driver has ended.
     pub async fn look_up(&self, look_up: LookUp) -> Option<Result<LookUpAnswer, LookUpError>> {
         let (sender, receiver) = oneshot::channel();
-        self.send(Input::LookUp(look_up, sender));
+        self.send(DriverInput::LookUp(look_up, sender));
         receiver.await.ok()
     }
 
-    /// Asks for tickets; none if the process is about to end.
-    pub async fn mint(&self, service: &str, count: u32) -> Option<Result<Vec<Ticket>, MintError>> {
+    /// Mints tickets for a service; returns `None` if the driver has ended.
+    pub async fn mint_tickets(
+        &self,
+        service: &str,
+        count: u32,
+    ) -> Option<Result<Vec<Ticket>, MintError>> {
         let (sender, receiver) = oneshot::channel();
-        self.send(Input::Mint(service.into(), count, sender));
+        self.send(DriverInput::MintTickets(service.into(), count, sender));
         receiver.await.ok()
     }
 
-    /// Asks for a change of the configuration; none if the process is about to end.
-    pub async fn change(&self, request: ChangeRequest) -> Option<ChangeOutcome> {
+    /// Requests a change of the configuration; returns `None` if the driver has ended.
+    pub async fn change_configuration(&self, request: ChangeRequest) -> Option<ChangeOutcome> {
         let (sender, receiver) = oneshot::channel();
-        self.send(Input::Change(request, sender));
+        self.send(DriverInput::Change(request, sender));
         receiver.await.ok()
     }
 
-    /// Hands over a caller's request; the actions that concern it arrive on the channel.
-    pub fn request(&self, head: RequestHead) -> (RequestKey, mpsc::UnboundedReceiver<Action>) {
-        let request = RequestKey(self.next_number());
+    /// Passes a caller's request to the node; the actions for this request arrive on the channel.
+    pub fn start_request(
+        &self,
+        head: RequestHead,
+    ) -> (RequestKey, mpsc::UnboundedReceiver<Action>) {
+        let request = RequestKey(self.allocate_key());
         let (sender, receiver) = mpsc::unbounded_channel();
-        self.send(Input::Request(request, head, sender));
+        self.send(DriverInput::Request(request, head, sender));
         (request, receiver)
     }
 
-    /// Hands over a dispatched request; the actions that concern it arrive on the channel.
+    /// Passes a request dispatched by a peer to the node; the actions for this request arrive on the
+    /// channel.
     pub fn dispatch(
         &self,
         from: VmKey,
         dispatch: Dispatch,
     ) -> (ExchangeKey, mpsc::UnboundedReceiver<Action>) {
-        let exchange = ExchangeKey(self.next_number());
+        let exchange = ExchangeKey(self.allocate_key());
         let (sender, receiver) = mpsc::unbounded_channel();
-        self.send(Input::Dispatch(exchange, from, dispatch, sender));
+        self.send(DriverInput::Dispatch(exchange, from, dispatch, sender));
         (exchange, receiver)
     }
 
-    /// Asks the node something on its own thread; none if the process is about to end.
-    pub async fn ask<T: Send + 'static>(
+    /// Runs a query of the node on the driver thread; returns `None` if the driver has ended.
+    pub async fn query<T: Send + 'static>(
         &self,
-        question: impl FnOnce(&Node) -> T + Send + 'static,
+        query: impl FnOnce(&Node) -> T + Send + 'static,
     ) -> Option<T> {
         let (sender, receiver) = oneshot::channel();
-        self.send(Input::Ask(Box::new(move |node| {
-            // The asker may have gone away; then nobody needs the answer.
-            let _unread = sender.send(question(node));
+        self.send(DriverInput::Query(Box::new(move |node| {
+            // The receiver may have been dropped in the meantime.
+            let _receiver_gone = sender.send(query(node));
         })));
         receiver.await.ok()
     }
 
-    fn next_number(&self) -> u64 {
-        self.numbers.fetch_add(1, Ordering::Relaxed)
+    fn allocate_key(&self) -> u64 {
+        self.next_key.fetch_add(1, Ordering::Relaxed)
     }
 
-    fn send(&self, input: Input) {
-        // The driver ends only with the process; what comes after that concerns nobody.
-        let _ended = self.inputs.send(input);
+    fn send(&self, input: DriverInput) {
+        // Inputs are ignored once the driver has ended, as the process is stopping then.
+        let _driver_ended = self.inputs.send(input);
     }
 }
 
-/// What the driver needs to carry out actions.
+/// The channels and sockets by which the driver executes actions.
 #[derive(Debug)]
-pub struct Outlets {
-    /// The socket that datagrams leave by.
+pub struct DriverOutputs {
+    /// The socket from which datagrams are sent.
     pub socket: UdpSocket,
-    /// The key of datagrams.
+    /// The key that authenticates datagrams.
     pub datagram_key: SharedKey,
     /// The queue of the table workers.
     pub table: Sender<TableJob>,
-    /// The queue of fetches from peers.
+    /// The queue of page fetches from peers.
     pub fetches: mpsc::UnboundedSender<crate::operators::FetchJob>,
-    /// The queue of hand-overs to peers.
-    pub hand_overs: mpsc::UnboundedSender<HandOverJob>,
-    /// What is counted.
+    /// The queue of ticket handovers to peers.
+    pub handovers: mpsc::UnboundedSender<HandOverJob>,
+    /// The daemon's metrics.
     pub metrics: Arc<Metrics>,
 }
 
-/// Starts the thread that owns the node. It ends when the node has stopped.
-pub fn start(node: Node, clock: Clock, outlets: Outlets) -> (Handle, JoinHandle<()>) {
+/// Starts the driver thread, which ends when the node has stopped.
+pub fn start(node: Node, clock: Clock, outputs: DriverOutputs) -> (Handle, JoinHandle<()>) {
     let (inputs, received) = unbounded();
     let revision = Arc::new(AtomicU64::new(0));
     let handle = Handle {
         inputs,
-        numbers: Arc::new(AtomicU64::new(1)),
+        next_key: Arc::new(AtomicU64::new(1)),
         revision: Arc::clone(&revision),
         clock,
     };
@@ -198,13 +207,13 @@
         node,
         clock,
         revision,
-        outlets,
-        requests: Map::default(),
-        exchanges: Map::default(),
-        look_ups: Map::default(),
-        mints: Map::default(),
-        changes: Map::default(),
-        next_reply: 0,
+        outputs,
+        request_tasks: Map::default(),
+        exchange_tasks: Map::default(),
+        pending_look_ups: Map::default(),
+        pending_mints: Map::default(),
+        pending_changes: Map::default(),
+        next_reply_key: 0,
         stopped: false,
     };
     let thread = std::thread::spawn(move || driver.run(&received));
@@ -215,136 +224,139 @@
     node: Node,
     clock: Clock,
     revision: Arc<AtomicU64>,
-    outlets: Outlets,
-    requests: Map<RequestKey, mpsc::UnboundedSender<Action>>,
-    exchanges: Map<ExchangeKey, mpsc::UnboundedSender<Action>>,
-    look_ups: Map<ReplyKey, oneshot::Sender<Result<LookUpAnswer, LookUpError>>>,
-    mints: Map<ReplyKey, oneshot::Sender<Result<Vec<Ticket>, MintError>>>,
-    changes: Map<ReplyKey, oneshot::Sender<ChangeOutcome>>,
-    next_reply: u64,
+    outputs: DriverOutputs,
+    request_tasks: Map<RequestKey, mpsc::UnboundedSender<Action>>,
+    exchange_tasks: Map<ExchangeKey, mpsc::UnboundedSender<Action>>,
+    pending_look_ups: Map<ReplyKey, oneshot::Sender<Result<LookUpAnswer, LookUpError>>>,
+    pending_mints: Map<ReplyKey, oneshot::Sender<Result<Vec<Ticket>, MintError>>>,
+    pending_changes: Map<ReplyKey, oneshot::Sender<ChangeOutcome>>,
+    next_reply_key: u64,
     stopped: bool,
 }
 
 impl Driver {
-    fn run(mut self, inputs: &Receiver<Input>) {
+    fn run(mut self, inputs: &Receiver<DriverInput>) {
         let mut next_tick = Instant::now();
         while !self.stopped {
             let now = Instant::now();
             if now >= next_tick {
-                next_tick = now + TICK_EVERY;
+                next_tick = now + TICK_INTERVAL;
                 let actions = self.node.tick(self.clock.now_ms());
-                self.carry_out(actions);
-                self.outlets.metrics.observe(&self.node);
+                self.execute_actions(actions);
+                self.outputs.metrics.update_gauges(&self.node);
             }
             match inputs.recv_deadline(next_tick) {
-                Ok(input) => self.take(input),
+                Ok(input) => self.handle_input(input),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: DriverInput) {
         let event = match input {
-            Input::Event(event) => event,
-            Input::LookUp(look_up, sender) => {
-                let reply = self.next_reply();
-                self.look_ups.insert(reply, sender);
+            DriverInput::Event(event) => event,
+            DriverInput::LookUp(look_up, sender) => {
+                let reply = self.next_reply_key();
+                self.pending_look_ups.insert(reply, sender);
                 Event::LookUp { reply, look_up }
             }
-            Input::Mint(service, count, sender) => {
-                let reply = self.next_reply();
-                self.mints.insert(reply, sender);
+            DriverInput::MintTickets(service, count, sender) => {
+                let reply = self.next_reply_key();
+                self.pending_mints.insert(reply, sender);
                 Event::MintTickets { reply, service, count }
             }
-            Input::Change(request, sender) => {
-                let reply = self.next_reply();
-                self.changes.insert(reply, sender);
+            DriverInput::Change(request, sender) => {
+                let reply = self.next_reply_key();
+                self.pending_changes.insert(reply, sender);
                 Event::Change { reply, request }
             }
-            Input::Request(request, head, sender) => {
-                self.requests.insert(request, sender);
+            DriverInput::Request(request, head, sender) => {
+                self.request_tasks.insert(request, sender);
                 Event::Request { request, head }
             }
-            Input::Dispatch(exchange, from, dispatch, sender) => {
-                self.exchanges.insert(exchange, sender);
+            DriverInput::Dispatch(exchange, from, dispatch, sender) => {
+                self.exchange_tasks.insert(exchange, sender);
                 Event::Dispatched { exchange, from, dispatch }
             }
-            Input::Ask(question) => {
-                question(&self.node);
+            DriverInput::Query(query) => {
+                query(&self.node);
                 return;
             }
         };
         match &event {
             Event::RelayEnded { request, .. } | Event::CallerDisconnected { request } => {
-                self.requests.remove(request);
+                self.request_tasks.remove(request);
             }
             Event::CallEnded { exchange, .. } => {
-                self.exchanges.remove(exchange);
+                self.exchange_tasks.remove(exchange);
             }
             _ => {}
         }
         let actions = self.node.handle(self.clock.now_ms(), event);
-        self.carry_out(actions);
+        self.execute_actions(actions);
     }
 
-    fn next_reply(&mut self) -> ReplyKey {
-        self.next_reply += 1;
-        ReplyKey(self.next_reply)
+    fn next_reply_key(&mut self) -> ReplyKey {
+        self.next_reply_key += 1;
+        ReplyKey(self.next_reply_key)
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn execute_actions(&mut self, actions: Vec<Action>) {
         self.revision.store(self.node.configuration().revision(), Ordering::Relaxed);
         for action in actions {
-            self.outlets.metrics.count(&action);
+            self.outputs.metrics.count_action(&action);
             match action {
                 Action::AnswerLookUp { reply, answer } => {
-                    if let Some(sender) = self.look_ups.remove(&reply) {
-                        // The caller may have gone away.
-                        let _unread = sender.send(answer);
+                    if let Some(sender) = self.pending_look_ups.remove(&reply) {
+                        // The caller may have disconnected.
+                        let _receiver_gone = sender.send(answer);
                     }
                 }
                 Action::AnswerTickets { reply, tickets } => {
-                    if let Some(sender) = self.mints.remove(&reply) {
-                        // The caller may have gone away.
-                        let _unread = sender.send(tickets);
+                    if let Some(sender) = self.pending_mints.remove(&reply) {
+                        // The caller may have disconnected.
+                        let _receiver_gone = sender.send(tickets);
                     }
                 }
                 Action::HandOverTickets { operation, to, address, tickets } => {
                     let job = HandOverJob { operation, to, address, tickets };
-                    let _ended = self.outlets.hand_overs.send(job);
+                    let _receiver_ended = self.outputs.handovers.send(job);
                 }
                 Action::AnswerChange { reply, outcome } => {
-                    if let Some(sender) = self.changes.remove(&reply) {
-                        // The operator may have gone away.
-                        let _unread = sender.send(outcome);
+                    if let Some(sender) = self.pending_changes.remove(&reply) {
+                        // The operator may have disconnected.
+                        let _receiver_gone = sender.send(outcome);
                     }
                 }
                 Action::Forward { request, .. }
                 | Action::ForwardHome { request, .. }
                 | Action::RelayResponse { request, .. }
                 | Action::CancelAttempt { request, .. } => {
-                    tell(self.requests.get(&request), action);
+                    forward_action(self.request_tasks.get(&request), action);
                 }
                 Action::Conclude { request, .. } => {
-                    tell(self.requests.remove(&request).as_ref(), action);
+                    forward_action(self.request_tasks.remove(&request).as_ref(), action);
                 }
                 Action::CallUpstream { exchange, .. } | Action::CancelCall { exchange } => {
-                    tell(self.exchanges.get(&exchange), action);
+                    forward_action(self.exchange_tasks.get(&exchange), action);
                 }
                 Action::RejectDispatch { exchange, .. } => {
-                    tell(self.exchanges.remove(&exchange).as_ref(), action);
+                    forward_action(self.exchange_tasks.remove(&exchange).as_ref(), action);
                 }
                 Action::SendDatagram { to, envelope } => self.send_datagram(to, &envelope),
                 Action::Table { operation, request } => {
-                    let _ended = self.outlets.table.send(TableJob { operation, request });
+                    let _receiver_ended = self.outputs.table.send(TableJob { operation, request });
                 }
                 Action::FetchPage { operation, from, after } => {
                     let job = crate::operators::FetchJob { operation, from, after };
-                    let _ended = self.outlets.fetches.send(job);
+                    let _receiver_ended = self.outputs.fetches.send(job);
                 }
                 Action::Log(entry) => {
-                    logging::entry(&self.node.outbox().identity().descriptor.name, &entry);
+                    logging::log_timeline_entry(
+                        &self.node.outbox().identity().descriptor.name,
+                        &entry,
+                    );
                 }
                 Action::Stopped => self.stopped = true,
             }
@@ -356,21 +368,22 @@
         to: std::net::SocketAddr,
         envelope: &sedgepath_core::message::Envelope,
     ) {
-        match datagram::encode(&self.outlets.datagram_key, envelope) {
+        match datagram::encode(&self.outputs.datagram_key, envelope) {
             Ok(bytes) => {
-                self.outlets.metrics.sent_datagram(bytes.len());
-                // A datagram may be lost at any point; the protocols repeat what matters.
-                let _lost = self.outlets.socket.send_to(&bytes, to);
+                self.outputs.metrics.count_sent_datagram(bytes.len());
+                // Errors are ignored: datagrams may be lost anyway, and the protocols resend what
+                // matters.
+                let _best_effort = self.outputs.socket.send_to(&bytes, to);
             }
             Err(error) => log::error!("event=datagram_unsent reason={}", error.name()),
         }
     }
 }
 
-/// Hands an action to the task that it concerns.
-fn tell(task: Option<&mpsc::UnboundedSender<Action>>, action: Action) {
+/// Sends an action to the task of the request or exchange that it concerns.
+fn forward_action(task: Option<&mpsc::UnboundedSender<Action>>, action: Action) {
     if let Some(task) = task {
-        // A task that has ended reports that by an event of its own.
-        let _ended = task.send(action);
+        // A task that has ended reports its end by an event.
+        let _task_ended = task.send(action);
     }
 }
--- a/crates/sedgepathd/src/lib.rs
+++ b/crates/sedgepathd/src/lib.rs
@@ -1,8 +1,9 @@
-//! The shell around the steering node: sockets, threads and files.
+//! The daemon around the steering node: sockets, threads and files.
 //!
-//! One thread owns the node ([`driver`]); everything else hands it events and carries out its
-//! actions. Requests flow through tasks of an asynchronous runtime: [`callers`] takes them,
-//! [`hop`] carries them to the owner of an upstream, [`exchange`] runs them there.
+//! One thread owns the node ([`driver`]); the other threads and tasks send it events and execute its
+//! actions. Requests are processed by asynchronous tasks: [`callers`] accepts them, [`hop`] sends
+//! them to the VM that owns the upstream, and [`exchange`] runs them there. [`direct`] is the other
+//! mode of the daemon, in which each VM sends requests to upstreams itself.
 
 pub mod callers;
 pub mod command;
--- a/crates/sedgepathd/src/limits.rs
+++ b/crates/sedgepathd/src/limits.rs
@@ -1,25 +1,26 @@
-//! Bounds on what callers may take of the daemon's time and memory.
+//! Limits on the time and memory that callers' requests may use.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// The bounds, as written under `limits` in the settings.
+/// The limits on callers' connections and requests: `limits` in the settings file.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// The most connections of callers at once; further ones wait to be accepted.
+    /// The maximum number of open connections from callers; further connections wait to be accepted.
     pub connections: usize,
-    /// The most bytes of a request's head.
+    /// The maximum size of a request's head in bytes.
     pub head_bytes: usize,
-    /// The longest that a request's head may take to arrive, in milliseconds; an idle connection is
-    /// closed after it too.
+    /// The maximum time for a request's head to arrive, in milliseconds; an idle connection is closed
+    /// after the same time.
     pub head_timeout_ms: u64,
-    /// The most bytes of a request's body, which is kept until the answer to be sent again.
+    /// The maximum size of a request's body in bytes. The body is held in memory until the response
+    /// so that it can be sent again.
     pub body_bytes: usize,
-    /// The longest that a request's body may take to arrive, in milliseconds.
+    /// The maximum time for a request's body to arrive, in milliseconds.
     pub body_timeout_ms: u64,
-    /// The deadline of a request that names none, in milliseconds.
+    /// The timeout of a request without a timeout or deadline of its own, in milliseconds.
     pub default_timeout_ms: u64,
 }
 
@@ -37,12 +38,12 @@
 }
 
 impl Limits {
-    /// Returns the longest that a request's head may take to arrive.
+    /// Returns `head_timeout_ms` as a duration.
     pub fn head_timeout(&self) -> Duration {
         Duration::from_millis(self.head_timeout_ms)
     }
 
-    /// Returns the longest that a request's body may take to arrive.
+    /// Returns `body_timeout_ms` as a duration.
     pub fn body_timeout(&self) -> Duration {
         Duration::from_millis(self.body_timeout_ms)
     }
--- a/crates/sedgepathd/src/logging.rs
+++ b/crates/sedgepathd/src/logging.rs
@@ -1,13 +1,13 @@
-//! Logs: one line of `key=value` pairs for each event, on standard error.
+//! Logging to standard error, one line of `key=value` pairs per event.
 
 use sedgepath_core::timeline::TimelineEntry;
 
-/// Starts logging at a level such as `info`.
+/// Installs the logger with a level such as `info`; an unknown level means `info`.
 ///
 /// # Errors
 ///
-/// Fails if a logger is in place already.
-pub fn start(level: &str) -> Result<(), log::SetLoggerError> {
+/// Fails if a logger is already installed.
+pub fn init(level: &str) -> Result<(), log::SetLoggerError> {
     let level = level.parse().unwrap_or(log::LevelFilter::Info);
     fern::Dispatch::new()
         .level(log::LevelFilter::Warn)
@@ -20,7 +20,7 @@
         .apply()
 }
 
-/// Logs an entry of the time line.
-pub fn entry(node: &str, entry: &TimelineEntry) {
+/// Logs an entry of the node's timeline at level `info`.
+pub fn log_timeline_entry(node: &str, entry: &TimelineEntry) {
     log::info!("{}", entry.line(node));
 }
--- a/crates/sedgepathd/src/main.rs
+++ b/crates/sedgepathd/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon that runs on every entry VM.
+//! The sedgepath daemon, which runs on every entry VM.
 
 use std::process::ExitCode;
 
--- a/crates/sedgepathd/src/metrics.rs
+++ b/crates/sedgepathd/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the daemon counts, in the text form of Prometheus.
+//! The daemon's Prometheus metrics and the HTTP server that exposes them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,17 +9,17 @@
 use sedgepath_core::event::Action;
 use sedgepath_core::node::Node;
 
-/// The upper bounds in seconds of the buckets of latencies.
+/// The upper bounds of the latency histogram's buckets, in seconds.
 const LATENCY_BUCKETS_S: [f64; 12] =
     [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
 
-/// The counts, gauges and histograms of one daemon.
+/// The counters, gauges and histograms of one daemon.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
     outcomes: IntCounterVec,
     latency: HistogramVec,
-    dropped: IntCounterVec,
+    dropped_total: IntCounterVec,
     datagrams: IntCounterVec,
     datagram_bytes: IntCounterVec,
     actions: IntCounterVec,
@@ -28,11 +28,11 @@
 }
 
 impl Metrics {
-    /// Creates all of them at zero.
+    /// Creates and registers all metrics with a value of zero.
     ///
     /// # Errors
     ///
-    /// Fails if two of them have the same name.
+    /// Fails if two metrics have the same name.
     pub fn new() -> Result<Self, prometheus::Error> {
         let counter = |name: &str, help: &str, labels: &[&str]| {
             IntCounterVec::new(Opts::new(name, help), labels)
@@ -46,7 +46,7 @@
             registry: Registry::new(),
             outcomes: counter("sedgepath_requests_total", "Requests by outcome.", &["outcome"])?,
             latency: HistogramVec::new(latency, &["outcome"])?,
-            dropped: counter(
+            dropped_total: counter(
                 "sedgepath_dropped_total",
                 "Datagrams and frames that were dropped.",
                 &["what", "reason"],
@@ -66,8 +66,13 @@
     }
 
     fn register(&self) -> Result<(), prometheus::Error> {
-        let counters =
-            [&self.outcomes, &self.dropped, &self.datagrams, &self.datagram_bytes, &self.actions];
+        let counters = [
+            &self.outcomes,
+            &self.dropped_total,
+            &self.datagrams,
+            &self.datagram_bytes,
+            &self.actions,
+        ];
         for counter in counters {
             self.registry.register(Box::new(counter.clone()))?;
         }
@@ -76,31 +81,31 @@
         self.registry.register(Box::new(self.members.clone()))
     }
 
-    /// Counts a request's outcome and the time that it took.
-    pub fn request(&self, outcome: &str, seconds: f64) {
+    /// Records a request's outcome and its duration.
+    pub fn record_request(&self, outcome: &str, seconds: f64) {
         self.outcomes.with_label_values(&[outcome]).inc();
         self.latency.with_label_values(&[outcome]).observe(seconds);
     }
 
     /// Counts a datagram or frame that was dropped.
     pub fn dropped(&self, what: &str, reason: &str) {
-        self.dropped.with_label_values(&[what, reason]).inc();
+        self.dropped_total.with_label_values(&[what, reason]).inc();
     }
 
-    /// Counts a datagram sent.
-    pub fn sent_datagram(&self, bytes: usize) {
+    /// Counts a sent datagram and its size in bytes.
+    pub fn count_sent_datagram(&self, bytes: usize) {
         self.datagrams.with_label_values(&["out"]).inc();
         self.datagram_bytes.with_label_values(&["out"]).inc_by(bytes as u64);
     }
 
-    /// Counts a datagram received.
-    pub fn received_datagram(&self, bytes: usize) {
+    /// Counts a received datagram and its size in bytes.
+    pub fn count_received_datagram(&self, bytes: usize) {
         self.datagrams.with_label_values(&["in"]).inc();
         self.datagram_bytes.with_label_values(&["in"]).inc_by(bytes as u64);
     }
 
-    /// Counts an action of the node.
-    pub fn count(&self, action: &Action) {
+    /// Counts an action of the node, if it is of a kind that is counted.
+    pub fn count_action(&self, action: &Action) {
         let name = match action {
             Action::CallUpstream { .. } => "call_upstream",
             Action::RejectDispatch { .. } => "refuse",
@@ -114,16 +119,16 @@
         self.actions.with_label_values(&[name]).inc();
     }
 
-    /// Takes the gauges from the node.
-    pub fn observe(&self, node: &Node) {
+    /// Updates the gauges from the node's state.
+    pub fn update_gauges(&self, node: &Node) {
         self.revision.set(node.configuration().revision().cast_signed());
         let serving =
             node.membership().members().iter().filter(|(_, member)| member.accepts_work()).count();
         self.members.set((serving as u64).cast_signed());
     }
 
-    /// Writes all of them in the text form of Prometheus.
-    pub fn text(&self) -> Vec<u8> {
+    /// Encodes all metrics in the Prometheus text format.
+    pub fn encode_text(&self) -> Vec<u8> {
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
             log::error!("event=metrics_unwritten error={:?}", error.to_string());
@@ -132,16 +137,16 @@
     }
 }
 
-/// Why the metrics can't be served.
+/// The error if the metrics server can't listen on its address.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
-#[error("can't listen for readers of metrics on {address}")]
+#[error("can't listen for metrics requests on {address}")]
 pub struct MetricsError {
     address: SocketAddr,
     #[source]
     source: Box<dyn std::error::Error + Send + Sync>,
 }
 
-/// Starts the thread that serves the metrics; it ends with the process.
+/// Starts the thread that serves the metrics at `/metrics`; it runs until the process ends.
 ///
 /// # Errors
 ///
@@ -152,12 +157,12 @@
     std::thread::spawn(move || {
         for request in server.incoming_requests() {
             let response = if request.url() == "/metrics" {
-                tiny_http::Response::from_data(metrics.text())
+                tiny_http::Response::from_data(metrics.encode_text())
             } else {
                 tiny_http::Response::from_data(Vec::new()).with_status_code(404)
             };
-            // A reader that has gone away needs no answer.
-            let _gone = request.respond(response);
+            // The client may have disconnected.
+            let _client_gone = request.respond(response);
         }
     });
     Ok(())
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -1,4 +1,4 @@
-//! Remote calls: served to operators and peers, and made to peers.
+//! Serves remote calls from operators and peers, and fetches record pages from peers.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -27,46 +27,47 @@
 
 use crate::driver::Handle;
 
-/// The longest that a call to a peer may take.
-const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// The timeout of a remote call to a peer.
+const PEER_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The most changes that are returned at once.
-const MAX_HISTORY: u32 = 1_000;
+/// The maximum number of changes that one call of `history` returns.
+const MAX_HISTORY_CHANGES: u32 = 1_000;
 
-/// The changes beyond the node's own revision that are read along.
-const HISTORY_AHEAD: u32 = 64;
+/// The number of changes that are read beyond the node's revision, which may lag behind the table.
+const HISTORY_LOOKAHEAD_CHANGES: u32 = 64;
 
-/// A fetch of a page of a peer's records.
+/// A request to fetch a page of records from a peer.
 #[derive(Debug, Clone)]
 pub struct FetchJob {
-    /// Names the fetch in its result.
+    /// Identifies the fetch in its result.
     pub operation: OperationKey,
-    /// Where the peer takes remote calls.
+    /// The address at which the peer serves remote calls.
     pub from: SocketAddr,
-    /// The place behind which the page begins.
+    /// The position after which the page begins.
     pub after: RecordPosition,
 }
 
-/// Serves remote calls.
+/// The server of remote calls.
 #[derive(Debug)]
-pub struct Operators {
+pub struct OperatorServer {
     handle: Handle,
     table: Arc<dyn TableService>,
-    guard: Mutex<CallVerifier>,
+    verifier: Mutex<CallVerifier>,
 }
 
-impl Operators {
-    /// Creates the server's methods.
-    pub fn new(handle: Handle, table: Arc<dyn TableService>, guard: CallVerifier) -> Self {
-        Self { handle, table, guard: Mutex::new(guard) }
+impl OperatorServer {
+    /// Creates a server that reads the history from a table and accepts the calls that the verifier
+    /// accepts.
+    pub fn new(handle: Handle, table: Arc<dyn TableService>, verifier: CallVerifier) -> Self {
+        Self { handle, table, verifier: Mutex::new(verifier) }
     }
 
-    /// Checks a call's proof and returns its parameters.
-    fn open<T: Serialize>(&self, method: &str, call: SignedCall<T>) -> RpcResult<T> {
+    /// Verifies a call's signature and returns its parameters.
+    fn verify_call<T: Serialize>(&self, method: &str, call: SignedCall<T>) -> RpcResult<T> {
         let now_ms = self.handle.clock().now_ms();
-        // No code panics while it holds the lock.
-        let mut guard = self.guard.lock().unwrap_or_else(PoisonError::into_inner);
-        guard.verify(method, call, now_ms).map_err(|error| {
+        // Poisoning can be ignored: no code panics while it holds the lock.
+        let mut verifier = self.verifier.lock().unwrap_or_else(PoisonError::into_inner);
+        verifier.verify(method, call, now_ms).map_err(|error| {
             log::warn!("event=call_refused method={method} error={:?}", error.to_string());
             match error {
                 SignatureError::ClockSkew { .. } => {
@@ -79,53 +80,53 @@
         })
     }
 
-    async fn ask<T: Send + 'static>(
+    async fn query_node<T: Send + 'static>(
         &self,
-        question: impl FnOnce(&Node) -> T + Send + 'static,
+        query: impl FnOnce(&Node) -> T + Send + 'static,
     ) -> RpcResult<T> {
-        let answer = self.handle.ask(question).await;
-        answer.ok_or_else(stopping)
+        let result = self.handle.query(query).await;
+        result.ok_or_else(stopping_error)
     }
 }
 
 #[async_trait]
-impl OperatorsServer for Operators {
+impl OperatorsServer for OperatorServer {
     async fn page(&self, after: SignedCall<RecordPosition>) -> RpcResult<RecordPage> {
-        let after = self.open(method::PAGE, after)?;
-        self.ask(move |node| node.page(&after)).await
+        let after = self.verify_call(method::PAGE, after)?;
+        self.query_node(move |node| node.page(&after)).await
     }
 
     async fn change(&self, request: SignedCall<ChangeRequest>) -> RpcResult<ChangeOutcome> {
-        let request = self.open(method::CHANGE, request)?;
-        self.handle.change(request).await.ok_or_else(stopping)
+        let request = self.verify_call(method::CHANGE, request)?;
+        self.handle.change_configuration(request).await.ok_or_else(stopping_error)
     }
 
     async fn history(&self, limit: SignedCall<u32>) -> RpcResult<Vec<LoggedChange>> {
-        let limit = self.open(method::HISTORY, limit)?.min(MAX_HISTORY);
-        let revision = self.ask(|node| node.configuration().revision()).await?;
+        let limit = self.verify_call(method::HISTORY, limit)?.min(MAX_HISTORY_CHANGES);
+        let revision = self.query_node(|node| node.configuration().revision()).await?;
         let table = Arc::clone(&self.table);
         let read = move || read_history(&*table, revision, limit);
         let history = tokio::task::spawn_blocking(read).await.ok().flatten();
         history.ok_or_else(|| {
-            let text = "the platform's table can't be reached";
+            let text = "can't read the platform's table";
             ErrorObjectOwned::owned(PLATFORM_UNAVAILABLE_CODE, text, None::<()>)
         })
     }
 
     async fn status(&self, call: SignedCall<()>) -> RpcResult<NodeStatus> {
-        self.open(method::STATUS, call)?;
+        self.verify_call(method::STATUS, call)?;
         let now_ms = self.handle.clock().now_ms();
-        self.ask(move |node| status(node, now_ms)).await
+        self.query_node(move |node| node_status(node, now_ms)).await
     }
 
     async fn explain(&self, question: SignedCall<ExplainRequest>) -> RpcResult<Explanation> {
-        let question = self.open(method::EXPLAIN, question)?;
-        self.ask(move |node| node.explain(&question)).await
+        let question = self.verify_call(method::EXPLAIN, question)?;
+        self.query_node(move |node| node.explain(&question)).await
     }
 
     async fn timeline(&self, after: SignedCall<HybridTimestamp>) -> RpcResult<NodeTimeline> {
-        let after = self.open(method::TIMELINE, after)?;
-        self.ask(move |node| NodeTimeline {
+        let after = self.verify_call(method::TIMELINE, after)?;
+        self.query_node(move |node| NodeTimeline {
             node: node.outbox().identity().descriptor.name.clone(),
             entries: node.outbox().timeline().since(after),
         })
@@ -133,16 +134,16 @@
     }
 }
 
-fn stopping() -> ErrorObjectOwned {
-    ErrorObjectOwned::owned(STOPPING_CODE, "the process is about to end", None::<()>)
+fn stopping_error() -> ErrorObjectOwned {
+    ErrorObjectOwned::owned(STOPPING_CODE, "the process is stopping", None::<()>)
 }
 
-/// Reads the newest changes up to a little beyond a revision, the newest first.
+/// Reads the newest changes, the newest first, up to [`HISTORY_LOOKAHEAD_CHANGES`] beyond a revision.
 fn read_history(table: &dyn TableService, revision: u64, limit: u32) -> Option<Vec<LoggedChange>> {
     let request = TableRequest::Scan {
         prefix: LOG_KEY_PREFIX.into(),
         after: log_key(revision.saturating_sub(u64::from(limit))),
-        limit: limit + HISTORY_AHEAD,
+        limit: limit + HISTORY_LOOKAHEAD_CHANGES,
     };
     let TableResult::Rows(rows) = table.execute(&request) else {
         return None;
@@ -151,7 +152,7 @@
     Some(changes.rev().take(limit as usize).collect())
 }
 
-fn status(node: &Node, now_ms: u64) -> NodeStatus {
+fn node_status(node: &Node, now_ms: u64) -> NodeStatus {
     let members = node.membership().members().into_iter().map(|(_, member)| MemberStatus {
         name: member.descriptor.name.clone(),
         operator_address: member.descriptor.operator_address,
@@ -178,7 +179,7 @@
     }
 }
 
-/// Carries out fetches from peers until the process ends.
+/// Executes page fetches from peers, each in a task of its own, until the queue is closed.
 pub async fn run_fetches(
     mut jobs: mpsc::UnboundedReceiver<FetchJob>,
     key: SharedKey,
@@ -188,15 +189,15 @@
         let handle = handle.clone();
         let key = key.clone();
         tokio::spawn(async move {
-            let page = fetch(job.from, key, job.after).await;
+            let page = fetch_page(job.from, key, job.after).await;
             handle.event(Event::PageFetched { operation: job.operation, page });
         });
     }
 }
 
-async fn fetch(from: SocketAddr, key: SharedKey, after: RecordPosition) -> Option<RecordPage> {
+async fn fetch_page(from: SocketAddr, key: SharedKey, after: RecordPosition) -> Option<RecordPage> {
     let client = HttpClientBuilder::default()
-        .request_timeout(CALL_TIMEOUT)
+        .request_timeout(PEER_CALL_TIMEOUT)
         .build(format!("http://{from}"))
         .ok()?;
     NodeClient::new(client, key).page(after).await.ok()
--- a/crates/sedgepathd/src/reply.rs
+++ b/crates/sedgepathd/src/reply.rs
@@ -1,57 +1,59 @@
-//! The reply to a dispatched request, and bodies on their way.
+//! Replies to dispatched requests, and the channels that stream their bodies.
 
 use bytes::Bytes;
 use sedgepath_core::request::{AnswerHead, Rejection};
 use sedgepath_wire::frame::{HeaderField, HttpResponseHead};
 use tokio::sync::mpsc;
 
-/// The parts of a body that may wait for a slow reader.
-const BODY_PARTS: usize = 4;
+/// The maximum number of body chunks that are buffered for a slow reader.
+const MAX_BUFFERED_CHUNKS: usize = 4;
 
-/// A body that broke off before its end.
+/// The error of a body that was aborted before its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the body broke off before its end")]
+#[error("the body was aborted before its end")]
 pub struct BodyBroken;
 
-/// The receiving end of a body. The channel closes after the last part of a whole body; a broken
-/// one ends with an error, so that a short body is never taken for a whole one.
+/// The receiver of a body's chunks.
+///
+/// The channel closes after the last chunk of a complete body. An aborted body ends with an error,
+/// so that a truncated body is never taken for a complete one.
 pub type BodyReceiver = mpsc::Receiver<Result<Bytes, BodyBroken>>;
 
-/// The sending end of a body.
+/// The sender of a body's chunks.
 pub type BodySender = mpsc::Sender<Result<Bytes, BodyBroken>>;
 
-/// Creates the two ends of a body.
+/// Creates the channel that streams a body's chunks.
 pub fn body() -> (BodySender, BodyReceiver) {
-    mpsc::channel(BODY_PARTS)
+    mpsc::channel(MAX_BUFFERED_CHUNKS)
 }
 
-/// The answer of an upstream on its way to the caller.
+/// An upstream's response, whose body is streamed to the caller.
 #[derive(Debug)]
 pub struct Answer {
-    /// What the ingress decides by.
+    /// The part of the response's head that the ingress node uses for its decisions.
     pub head: AnswerHead,
-    /// What the caller gets.
+    /// The HTTP head that is sent to the caller.
     pub http: HttpResponseHead,
-    /// The body.
+    /// The receiver of the body's chunks.
     pub body: BodyReceiver,
 }
 
 /// The reply to a dispatched request.
 #[derive(Debug)]
 pub enum Reply {
-    /// An answer has begun.
+    /// The upstream's response has begun.
     Answer(Box<Answer>),
-    /// The request was not run.
+    /// The request was rejected and not run.
     Refused(Rejection),
-    /// Nothing was sent.
+    /// The request was not sent.
     NotSent,
-    /// The request was sent and its answer was lost.
+    /// The request was sent, but its response was lost.
     Lost,
-    /// The home of the request's ticket has given its final word.
+    /// The final response of the peer that is the home of the request's ticket.
     Concluded {
         /// The HTTP status.
         status: u16,
-        /// The header.
+        /// The header fields.
         fields: Vec<HeaderField>,
         /// The body.
         body: Bytes,
--- a/crates/sedgepathd/src/settings.rs
+++ b/crates/sedgepathd/src/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings: one YAML file, checked as a whole before anything starts.
+//! The daemon's settings, read from one YAML file that is validated before anything starts.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -22,35 +22,35 @@
     pub name: Box<str>,
     /// The name of the VM's failure domain.
     pub domain: Box<str>,
-    /// Where callers' requests are taken.
+    /// The address of the server for callers (HTTP).
     pub callers: SocketAddr,
-    /// Where frames and datagrams of peers are taken.
+    /// The address for peers' frames (TCP) and datagrams (UDP).
     pub peers: SocketAddr,
-    /// Where remote calls of operators are taken.
+    /// The address of the server for remote calls from operators and peers.
     pub operators: SocketAddr,
-    /// Where metrics are read.
+    /// The address of the metrics server.
     pub metrics: SocketAddr,
     /// The base URL of the platform, such as `http://192.0.2.1:8080`.
     pub platform: Box<str>,
-    /// The secret that all processes of the system share; at least 16 characters.
+    /// The secret shared by all processes of the system; at least 16 characters.
     pub secret: Box<str>,
-    /// The keys by which operators' calls are proved, beside the secret.
+    /// The keys, besides the secret, by which operators may sign their calls.
     #[serde(default)]
     pub operator_keys: Box<[Box<str>]>,
-    /// The least level that is logged: `error`, `warn`, `info` or `debug`.
+    /// The minimum level that is logged: `error`, `warn`, `info` or `debug`.
     #[serde(default = "default_log_level")]
     pub log_level: Box<str>,
-    /// Bounds on what callers may take.
+    /// The limits on callers' connections and requests.
     #[serde(default)]
     pub limits: Limits,
-    /// The times by which the nodes work together.
+    /// The intervals and timeouts of the protocols between nodes.
     #[serde(default)]
     pub timing: Timing,
 }
 
 impl fmt::Debug for Settings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // The secret and the keys stay out of logs and panics.
+        // The secret and the keys must not appear in logs or panic messages.
         f.debug_struct("Settings")
             .field("name", &self.name)
             .field("domain", &self.domain)
@@ -70,7 +70,8 @@
     "info".into()
 }
 
-/// The times by which the nodes work together, in milliseconds; the same on all VMs.
+/// The intervals and timeouts of the protocols between nodes, in milliseconds; all VMs must have the
+/// same values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Timing {
@@ -112,7 +113,7 @@
 }
 
 impl Timing {
-    /// Returns the settings of a node whose random choices follow a seed.
+    /// Returns the settings of a node with these times; the seed determines its random choices.
     pub fn node_settings(&self, seed: u64) -> NodeSettings {
         NodeSettings {
             heartbeat_every_ms: self.heartbeat_every_ms,
@@ -130,22 +131,22 @@
     }
 }
 
-/// Why settings can't be used.
+/// The error of a settings file that can't be used.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum SettingsError {
     /// The file can't be read.
     #[error("can't read the settings file {file}")]
-    Unread {
-        /// The file.
+    Unreadable {
+        /// The path of the file.
         file: Box<str>,
-        /// The system's error.
+        /// The operating system's error.
         #[source]
         source: std::io::Error,
     },
-    /// The file has mistakes.
+    /// The file is not valid.
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Mistakes(#[from] ErrorReport),
+    Invalid(#[from] ErrorReport),
 }
 
 impl Settings {
@@ -153,51 +154,52 @@
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read or a field is wrong; all mistakes are shown at their places.
+    /// Fails if the file can't be read or is not valid; the error shows each mistake in its context.
     pub fn read(path: &FilePath) -> Result<Self, SettingsError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
-            .map_err(|source| SettingsError::Unread { file: file.as_str().into(), source })?;
+            .map_err(|source| SettingsError::Unreadable { file: file.as_str().into(), source })?;
         Ok(Self::parse(&file, &text)?)
     }
 
-    /// Reads and checks the text of a settings file.
+    /// Parses and checks the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Fails if a field is wrong; all mistakes are shown at their places.
+    /// Fails if the text is not valid; the error shows each mistake in its context.
     pub fn parse(file: &str, text: &str) -> Result<Self, ErrorReport> {
         let documents = sedgepath_yaml::parse(text)
             .map_err(|error| ErrorReport::from_parse_error(file, text, &error))?;
-        let whole = |message: &str| LocatedError { span: Span::default(), message: message.into() };
+        let file_error =
+            |message: &str| LocatedError { span: Span::default(), message: message.into() };
         let [document] = &*documents else {
-            let message = "a settings file holds one document";
-            return Err(ErrorReport::new(file, text, vec![whole(message)]));
+            let message = "a settings file must contain exactly one YAML document";
+            return Err(ErrorReport::new(file, text, vec![file_error(message)]));
         };
         let json = document.to_json();
         let mut mistakes: Vec<_> = schema::check(&json, FIELDS, 1)
             .into_iter()
-            .map(|placed| LocatedError::from_fault(document, &placed))
+            .map(|fault| LocatedError::from_fault(document, &fault))
             .collect();
         if mistakes.is_empty() {
             match serde_json::from_value::<Self>(json) {
                 Ok(settings) => {
-                    mistakes = settings.contradictions(document);
+                    mistakes = settings.find_conflicts(document);
                     if mistakes.is_empty() {
                         return Ok(settings);
                     }
                 }
-                Err(error) => mistakes.push(whole(&error.to_string())),
+                Err(error) => mistakes.push(file_error(&error.to_string())),
             }
         }
         Err(ErrorReport::new(file, text, mistakes))
     }
 
-    /// Finds fields that are right by themselves but not together.
-    fn contradictions(&self, document: &YamlNode) -> Vec<LocatedError> {
+    /// Finds fields that are valid by themselves but conflict with each other.
+    fn find_conflicts(&self, document: &YamlNode) -> Vec<LocatedError> {
         let mut mistakes = Vec::new();
-        let mut wrong = |path: ValuePath, message: String| {
-            mistakes.push(mistake(document, &path, message));
+        let mut report = |path: ValuePath, message: String| {
+            mistakes.push(located_error(document, &path, message));
         };
         let addresses = [
             ("callers", self.callers),
@@ -207,33 +209,36 @@
         ];
         for (index, (name, address)) in addresses.iter().enumerate() {
             for (other, _) in addresses[..index].iter().filter(|(_, other)| other == address) {
-                wrong(ValuePath::field(name), format!("`{name}` is the address of `{other}` too"));
+                report(
+                    ValuePath::field(name),
+                    format!("`{name}` has the same address as `{other}`"),
+                );
             }
             if address.port() == 0 {
-                wrong(
+                report(
                     ValuePath::field(name),
-                    format!("`{name}` needs a port that others can know"),
+                    format!("`{name}` needs a fixed port; port 0 is not allowed"),
                 );
             }
         }
         let timing = |name: &str| ValuePath::field("timing").with_field(name);
         let Timing { heartbeat_every_ms, suspect_after_ms, head_every_ms, head_stale_ms, .. } =
             self.timing;
-        // Two heartbeats may be lost before a member is suspected.
+        // Losing two heartbeats in a row must not make a member suspected.
         if suspect_after_ms < 3 * heartbeat_every_ms {
             let message = format!(
                 "should be at least three times `heartbeat_every_ms` ({heartbeat_every_ms})"
             );
-            wrong(timing("suspect_after_ms"), message);
+            report(timing("suspect_after_ms"), message);
         }
         if head_stale_ms < 2 * head_every_ms {
             let message = format!("should be at least twice `head_every_ms` ({head_every_ms})");
-            wrong(timing("head_stale_ms"), message);
+            report(timing("head_stale_ms"), message);
         }
         mistakes
     }
 }
 
-fn mistake(document: &YamlNode, path: &ValuePath, message: String) -> LocatedError {
+fn located_error(document: &YamlNode, path: &ValuePath, message: String) -> LocatedError {
     LocatedError { span: document.span_of(path), message: message.into() }
 }
--- a/crates/sedgepathd/src/settings/fields.rs
+++ b/crates/sedgepathd/src/settings/fields.rs
@@ -1,12 +1,12 @@
-//! The fields of a settings file, with their bounds and defaults.
+//! The schema of a settings file: its fields with their ranges, defaults and descriptions.
 
 use sedgepath_core::schema::{Field, Shape};
 
-const fn from_to(least: u64, most: u64) -> Shape {
+const fn integer_range(least: u64, most: u64) -> Shape {
     Shape::Integer { least, most }
 }
 
-/// The fields of a settings file.
+/// The top-level fields of a settings file, with the fields of its mappings.
 pub const FIELDS: &[Field] = &[
     Field::required("name", Shape::Name, "the VM's name, unique in the system"),
     Field::required("domain", Shape::Name, "the name of the VM's failure domain"),
@@ -58,38 +58,38 @@
 const LIMITS: &[Field] = &[
     Field::optional(
         "connections",
-        from_to(1, 65_536),
+        integer_range(1, 65_536),
         "4096",
         "the most connections of callers at once; further ones wait to be accepted",
     ),
     Field::optional(
         "head_bytes",
-        from_to(8_192, 1_048_576),
+        integer_range(8_192, 1_048_576),
         "32768",
         "the most bytes of a request's head",
     ),
     Field::optional(
         "head_timeout_ms",
-        from_to(100, 600_000),
+        integer_range(100, 600_000),
         "15000",
         "the longest that a request's head may take to arrive, in milliseconds; an idle connection \
          is closed after it too",
     ),
     Field::optional(
         "body_bytes",
-        from_to(0, 67_108_864),
+        integer_range(0, 67_108_864),
         "1048576",
         "the most bytes of a request's body, which is kept until the answer to be sent again",
     ),
     Field::optional(
         "body_timeout_ms",
-        from_to(100, 600_000),
+        integer_range(100, 600_000),
         "10000",
         "the longest that a request's body may take to arrive, in milliseconds",
     ),
     Field::optional(
         "default_timeout_ms",
-        from_to(1, 600_000),
+        integer_range(1, 600_000),
         "10000",
         "the deadline of a request that names none, in milliseconds from its arrival",
     ),
@@ -98,59 +98,59 @@
 const TIMING: &[Field] = &[
     Field::optional(
         "heartbeat_every_ms",
-        from_to(20, 10_000),
+        integer_range(20, 10_000),
         "250",
         "the time between two heartbeats, in milliseconds",
     ),
     Field::optional(
         "suspect_after_ms",
-        from_to(60, 60_000),
+        integer_range(60, 60_000),
         "1500",
         "after which silence a member is suspected, in milliseconds; an owner's right to its \
          upstreams ends as long after the heartbeat that was acknowledged",
     ),
     Field::optional(
         "forget_after_ms",
-        from_to(1_000, 86_400_000),
+        integer_range(1_000, 86_400_000),
         "60000",
         "after which silence a member that the VM list no longer names is forgotten, in \
          milliseconds",
     ),
     Field::optional(
         "relay_every_ms",
-        from_to(20, 10_000),
+        integer_range(20, 10_000),
         "500",
         "the time between two summaries from one failure domain to another, in milliseconds",
     ),
     Field::optional(
         "head_every_ms",
-        from_to(100, 60_000),
+        integer_range(100, 60_000),
         "1000",
         "the time between two readings of the platform's head revision, in milliseconds",
     ),
     Field::optional(
         "head_stale_ms",
-        from_to(200, 600_000),
+        integer_range(200, 600_000),
         "3000",
         "the age of the newest reading after which other members step in as readers, in \
          milliseconds",
     ),
     Field::optional(
         "fetch_jitter_ms",
-        from_to(0, 10_000),
+        integer_range(0, 10_000),
         "100",
         "the longest random wait before records are fetched from a peer, in milliseconds",
     ),
     Field::optional(
         "boot_wait_ms",
-        from_to(0, 60_000),
+        integer_range(0, 60_000),
         "1000",
         "how long a node that can't reach the platform listens after its start before it serves by \
          what a peer gave it, in milliseconds",
     ),
     Field::optional(
         "look_up_valid_ms",
-        from_to(100, 600_000),
+        integer_range(100, 600_000),
         "5000",
         "how long a look-up's answer may be used, in milliseconds; a VM that stops as planned \
          serves as long",
--- a/crates/sedgepathd/src/start.rs
+++ b/crates/sedgepathd/src/start.rs
@@ -1,4 +1,4 @@
-//! Why the daemon could not start, whichever way it runs.
+//! The errors that keep the daemon from starting, in either mode.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,49 +7,50 @@
 
 use crate::metrics::MetricsError;
 
-/// Why the daemon could not start.
+/// The error of a daemon that can't start.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum StartError {
     /// The platform's settings can't be used.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An address can't be listened on.
+    /// A socket can't be opened on an address.
     #[error("can't listen for {what} on {address}")]
     Listen {
-        /// What was to be listened for.
+        /// What the socket is for, such as `callers`.
         what: &'static str,
-        /// The address.
+        /// The address that can't be used.
         address: SocketAddr,
         /// The system's error.
         #[source]
         source: io::Error,
     },
-    /// The store's address can't be found out.
-    #[error("can't find the address of the store {url}")]
+    /// The store's URL can't be resolved to an address.
+    #[error("can't resolve the address of the store {url}")]
     StoreAddress {
-        /// The URL of the settings.
+        /// The URL from the settings.
         url: Box<str>,
         /// The system's error.
         #[source]
         source: io::Error,
     },
-    /// The metrics can't be set up.
-    #[error("can't set up the metrics")]
+    /// The metrics can't be registered.
+    #[error("can't register the metrics")]
     Metrics(#[from] prometheus::Error),
     /// The metrics can't be served.
     #[error(transparent)]
     #[diagnostic(transparent)]
     ServeMetrics(#[from] MetricsError),
-    /// The log can't be started.
-    #[error("can't start the log")]
+    /// The logger can't be installed.
+    #[error("can't install the logger")]
     Log(#[from] log::SetLoggerError),
     /// The runtime or the signal handler can't be started.
-    #[error("can't start the runtime")]
+    #[error("can't start the runtime or the signal handler")]
     Runtime(#[source] io::Error),
 }
 
 impl StartError {
-    /// Returns what makes an error of an address that can't be listened on.
+    /// Returns a function, for `map_err`, that wraps the operating system's error in
+    /// [`StartError::Listen`].
     pub fn listen(what: &'static str, address: SocketAddr) -> impl FnOnce(io::Error) -> Self {
         move |source| Self::Listen { what, address, source }
     }
--- a/crates/sedgepathd/src/store.rs
+++ b/crates/sedgepathd/src/store.rs
@@ -1,4 +1,4 @@
-//! The users' store, as the owned way uses it: one table of rows, and one in which VMs are listed.
+//! The users' store as it is used without `--direct`: a table of records, and a table that lists VMs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,54 +16,55 @@
 use crate::driver::Handle;
 use crate::settings::Settings;
 
-/// The table in which entry VMs of the owned way are listed.
+/// The table that lists the entry VMs that run without `--direct`.
 pub const VM_TABLE: &str = "sedgepath-members";
 
-/// The time between two readings of the list of VMs.
-const LIST_EVERY: Duration = Duration::from_secs(2);
+/// The interval between two reads of the VM list.
+const VM_LIST_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The table of records, claims and tickets, for threads that wait for its answers.
+/// The table of records, claims and tickets, with calls that block the calling thread.
 #[derive(Debug)]
-pub struct StoreTable {
+pub struct BlockingStoreTable {
     store: Arc<HttpStore>,
     runtime: Runtime,
 }
 
-impl StoreTable {
-    /// Creates a table whose calls are made by a runtime; only threads outside it may wait for them.
+impl BlockingStoreTable {
+    /// Creates a table whose calls run on a runtime; it must not be used by the runtime's own threads.
     pub fn new(store: Arc<HttpStore>, runtime: Runtime) -> Self {
         Self { store, runtime }
     }
 }
 
-impl TableService for StoreTable {
+impl TableService for BlockingStoreTable {
     fn execute(&self, request: &TableRequest) -> TableResult {
-        let (answer, answers) = bounded(1);
+        let (sender, receiver) = bounded(1);
         let store = Arc::clone(&self.store);
         let request = request.clone();
         self.runtime.spawn(async move {
-            let _nobody_waits = answer.send(store.execute(RECORD_TABLE, &request).await);
+            let _receiver_gone = sender.send(store.execute(RECORD_TABLE, &request).await);
         });
-        // The runtime ends only with the process; a call that ends with it may have been sent.
-        answers.recv().unwrap_or(TableResult::Unknown)
+        // The runtime ends only with the process; a call that it dropped may have been sent.
+        receiver.recv().unwrap_or(TableResult::Unknown)
     }
 }
 
-/// The row by which a VM is listed.
+/// A row of the VM list.
 #[derive(Debug, Serialize, Deserialize)]
 struct VmRow {
     domain: Box<str>,
     peers: SocketAddr,
-    /// Whether it is about to be taken away.
+    /// Whether the VM is about to be removed.
     #[serde(default)]
     leaving: bool,
 }
 
-/// Lists this VM, and reads the list until the process stops.
+/// Adds this VM to the VM list and reads the list periodically until the process stops.
 ///
-/// A planned stop takes the row away. It stays after a VM that ends in any other way: whether a silent VM is gone or cut off is not known here, and a VM taken
-/// for gone while it serves would have its upstreams owned twice.
-pub async fn follow_list(
+/// Only a planned stop removes the row. A VM that ends in any other way stays listed, as it can't be
+/// told from one that is only cut off: if a VM that still serves were removed, its upstreams would
+/// have two owners.
+pub async fn maintain_vm_list(
     store: Arc<HttpStore>,
     name: Box<str>,
     row: Vec<u8>,
@@ -76,20 +77,22 @@
             listed = store.put(VM_TABLE, &name, &row).await.is_ok();
         }
         match store.read_table(VM_TABLE).await {
-            Ok(page) => handle.event(Event::VmList(page.rows.iter().filter_map(read_vm).collect())),
+            Ok(page) => {
+                handle.event(Event::VmList(page.rows.iter().filter_map(parse_vm_row).collect()));
+            }
             Err(error) => log::debug!("event=vm_list_unread error={:?}", error.to_string()),
         }
-        tokio::time::sleep(LIST_EVERY).await;
+        tokio::time::sleep(VM_LIST_INTERVAL).await;
     }
 }
 
-/// Returns the row by which a VM of these settings is listed.
-pub fn vm_row(settings: &Settings) -> Vec<u8> {
+/// Returns the VM list's row for a VM with these settings, encoded as JSON.
+pub fn encode_vm_row(settings: &Settings) -> Vec<u8> {
     let row = VmRow { domain: settings.domain.clone(), peers: settings.peers, leaving: false };
     serde_json::to_vec(&row).unwrap_or_default()
 }
 
-fn read_vm(row: &VersionedRow) -> Option<ListedVm> {
+fn parse_vm_row(row: &VersionedRow) -> Option<ListedVm> {
     match serde_json::from_slice::<VmRow>(row.value.as_ref()?) {
         Ok(VmRow { domain, peers, leaving }) => {
             Some(ListedVm { name: row.key.clone(), domain, peer_address: peers, leaving })
--- a/crates/sedgepathd/src/table.rs
+++ b/crates/sedgepathd/src/table.rs
@@ -1,4 +1,4 @@
-//! Threads that carry requests to the table and its answers back.
+//! Worker threads that execute the node's table requests.
 
 use std::sync::Arc;
 
@@ -9,21 +9,21 @@
 
 use crate::driver::Handle;
 
-/// The requests to the table that may be on their way at once.
-pub const WORKERS: usize = 4;
+/// The number of worker threads, and so the maximum number of table requests in flight.
+pub const WORKER_THREADS: usize = 4;
 
-/// A request to the table.
+/// A table request that waits for a worker thread.
 #[derive(Debug)]
 pub struct TableJob {
-    /// Names the request in its result.
+    /// Identifies the request in its result.
     pub operation: OperationKey,
-    /// The request.
+    /// The request to execute.
     pub request: TableRequest,
 }
 
-/// Starts the threads that execute requests to the table.
+/// Starts the worker threads, which run until the sender of the jobs is dropped.
 pub fn start_workers(table: &Arc<dyn TableService>, jobs: &Receiver<TableJob>, handle: &Handle) {
-    for _ in 0..WORKERS {
+    for _ in 0..WORKER_THREADS {
         let table = Arc::clone(table);
         let jobs = jobs.clone();
         let handle = handle.clone();
--- a/crates/sedgepathd/src/upstreams.rs
+++ b/crates/sedgepathd/src/upstreams.rs
@@ -1,8 +1,8 @@
-//! Connections to upstreams, kept open between requests.
+//! A pool of persistent connections to upstreams.
 //!
-//! An upstream takes about a millisecond for a new connection and only a few hundred in all, so the
-//! owner counts every one. `hyper` is used in place of `attohttpc` for that reason: it hands out the
-//! connection itself and returns a request that it has surely not begun to send.
+//! An upstream accepts only a limited number of connections, so the owner reports the number of open
+//! connections to the node. The pool is built on `hyper`, which exposes the connection itself and
+//! returns a request that it has certainly not begun to send.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -24,56 +24,56 @@
 /// A connection to an upstream.
 pub type Connection = SendRequest<Full<Bytes>>;
 
-/// Why a call brought no answer.
+/// The error of a call that got no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// Nothing was sent: there was no connection, or the time to send had passed.
-    #[error("nothing was sent to the upstream")]
+    /// The request was not sent: there was no connection, or the time to send it had passed.
+    #[error("the request was not sent to the upstream")]
     NotSent,
-    /// The request was sent, in part or whole, and its answer was lost.
-    #[error("the upstream's answer was lost")]
+    /// The request may have been sent, at least in part, and no response arrived.
+    #[error("the upstream's response was lost")]
     Lost,
 }
 
-/// Where and until when to call.
+/// The target and the time limits of a call.
 #[derive(Debug, Clone, Copy)]
 pub struct Call {
-    /// The upstream.
+    /// The key of the upstream.
     pub upstream: UpstreamKey,
-    /// Its address.
+    /// The address of the upstream.
     pub address: SocketAddr,
     /// Whether a new connection may be opened if none is idle.
     pub may_open: bool,
-    /// The moment after which nothing may be sent any more, in milliseconds.
+    /// The time after which the request must not be sent, in milliseconds since the Unix epoch.
     pub send_by_ms: u64,
-    /// When the call is given up, in milliseconds.
+    /// The time at which the call is canceled, in milliseconds since the Unix epoch.
     pub deadline_at_ms: u64,
 }
 
 #[derive(Debug, Default)]
-struct Connections {
+struct UpstreamConnections {
     idle: Vec<Connection>,
-    open: u32,
+    open_count: u32,
 }
 
-/// The connections to all upstreams that this node uses.
+/// The pool of connections to the upstreams that this node uses.
 #[derive(Debug)]
 pub struct Upstreams {
     handle: Handle,
-    connections: Mutex<Map<UpstreamKey, Connections>>,
+    connections: Mutex<Map<UpstreamKey, UpstreamConnections>>,
 }
 
 impl Upstreams {
-    /// Creates an empty pool.
+    /// Creates an empty pool that reports the number of open connections through the handle.
     pub fn new(handle: Handle) -> Arc<Self> {
         Arc::new(Self { handle, connections: Mutex::default() })
     }
 
-    /// Sends a request and returns the head of its answer with the connection it came over.
+    /// Sends a request and returns its response, whose body is still to be read, with the connection.
     ///
     /// # Errors
     ///
-    /// Fails if nothing could be sent or no answer came by the deadline.
+    /// Fails if the request could not be sent, or if no response arrived by the deadline.
     pub async fn call(
         self: &Arc<Self>,
         call: Call,
@@ -81,13 +81,13 @@
     ) -> Result<(Response<Incoming>, Connection), CallError> {
         let deadline = self.handle.clock().instant(call.deadline_at_ms);
         loop {
-            let (mut connection, fresh) = match self.take_idle(call.upstream) {
+            let (mut connection, is_new) = match self.take_idle(call.upstream) {
                 Some(connection) => (connection, false),
                 None if call.may_open => (self.open(call).await?, true),
                 None => return Err(CallError::NotSent),
             };
-            // The right to use this upstream may have lapsed while the connection was made or the
-            // process was paused; then another node may use the same slots already.
+            // The lease on this upstream may have expired while the connection was opened or the
+            // process was paused; another node may be using the same slots.
             if self.handle.clock().now_ms() > call.send_by_ms {
                 self.give_back(call.upstream, connection);
                 return Err(CallError::NotSent);
@@ -95,8 +95,8 @@
             match timeout_at(deadline, connection.try_send_request(request)).await {
                 Ok(Ok(response)) => return Ok((response, connection)),
                 Ok(Err(mut error)) => match error.take_message() {
-                    // The upstream had closed the idle connection; the request comes back unsent.
-                    Some(unsent) if !fresh => request = unsent,
+                    // The upstream had closed the idle connection; try again with another one.
+                    Some(unsent) if !is_new => request = unsent,
                     Some(_unsent) => return Err(CallError::NotSent),
                     None => return Err(CallError::Lost),
                 },
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Keeps a connection for the next request once its answer has been read to the end.
+    /// Returns a connection to the pool once its response has been read completely.
     pub fn give_back(&self, upstream: UpstreamKey, connection: Connection) {
         if !connection.is_closed() {
             self.lock().entry(upstream).or_default().idle.push(connection);
@@ -128,32 +128,32 @@
         let opened = timeout_at(deadline, TcpStream::connect(call.address)).await;
         let stream = opened.ok().and_then(Result::ok).ok_or(CallError::NotSent)?;
         // Small requests must not wait for the acknowledgement of earlier bytes.
-        let _slower = stream.set_nodelay(true);
+        let _best_effort = stream.set_nodelay(true);
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (connection, task) = handshake.ok().ok_or(CallError::NotSent)?;
-        self.count(call.upstream, 1);
+        self.update_open_count(call.upstream, 1);
         let pool = Arc::clone(self);
         tokio::spawn(async move {
             if let Err(error) = task.await {
                 log::debug!("event=upstream_connection_failed error={:?}", error.to_string());
             }
-            pool.count(call.upstream, -1);
+            pool.update_open_count(call.upstream, -1);
         });
         Ok(connection)
     }
 
-    fn count(&self, upstream: UpstreamKey, change: i32) {
+    fn update_open_count(&self, upstream: UpstreamKey, change: i32) {
         let open = {
             let mut connections = self.lock();
             let entry = connections.entry(upstream).or_default();
-            entry.open = entry.open.saturating_add_signed(change);
-            entry.open
+            entry.open_count = entry.open_count.saturating_add_signed(change);
+            entry.open_count
         };
         self.handle.event(Event::ConnectionsChanged { upstream, open });
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Map<UpstreamKey, Connections>> {
-        // No code panics while it holds the lock, and the table is whole between any two steps.
+    fn lock(&self) -> std::sync::MutexGuard<'_, Map<UpstreamKey, UpstreamConnections>> {
+        // Poisoning can be ignored: no code panics while it holds the lock.
         self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/sedgepathd/tests/settings.rs
+++ b/crates/sedgepathd/tests/settings.rs
@@ -66,7 +66,7 @@
               5 | operators: 127.0.0.1:3
               6 | metrics: 127.0.0.1:1
                 :          ^^^^^|^^^^^
-                :               `-- `metrics` is the address of `callers` too
+                :               `-- `metrics` has the same address as `callers`
               7 | platform: http://127.0.0.1:5
               8 | secret: sixteen characters
               9 | timing:
