--- a/crates/sedgepathd/examples/demo.rs
+++ b/crates/sedgepathd/examples/demo.rs
@@ -1,11 +1,13 @@
-//! The main job in one command: two regions, real daemons, paying and trial traffic.
+//! Runs a complete system of two regions with paying and trial traffic on this machine.
 //!
-//! Starts the platform and upstreams as stand-ins and four daemons as processes of their own (this
-//! example itself, started again with a settings file). While paying and trial callers send
-//! requests, a record is applied, an upstream is drained and an entry VM is stopped. At the end the
-//! outcomes, the latency by class and the merged time line are printed. The exit code is 0 only if
-//! nothing was lost: no answer broken, no outcome unknown, no key run twice, nothing run that was
-//! said not to have run, no paying request left without its answer.
+//! The platform and the upstreams are stand-ins; the four daemons are separate processes of this
+//! example, started with a settings file. While callers send requests, a steering record is applied,
+//! an upstream is drained and an entry VM is stopped. At the end, the outcomes, the latency by class
+//! and the merged timeline are printed.
+//!
+//! The exit code is 0 only if no response was incomplete, no outcome was unknown, no key ran twice,
+//! no request ran that was reported as not run, no upstream exceeded its slots and every paying
+//! request was answered.
 
 use std::collections::BTreeSet;
 use std::error::Error;
@@ -24,20 +26,20 @@
 use sedgepath_test_support::system::{SECRET, System};
 use sedgepath_test_support::upstream::{UpstreamFigures, UpstreamStandIn};
 
-/// How long callers send requests after the start.
-const TRAFFIC_FOR: Duration = Duration::from_secs(24);
+/// The time after the start during which callers send requests.
+const TRAFFIC_DURATION: Duration = Duration::from_secs(24);
 
-/// The callers of each class.
-const CALLERS: usize = 6;
+/// The number of callers in each class.
+const CALLERS_PER_CLASS: usize = 6;
 
-/// How often a caller comes back when it is told to.
-const RETRIES: u32 = 40;
+/// The maximum number of retries of a request that was not run.
+const MAX_RETRIES: u32 = 40;
 
-/// The entries of the time line that are printed.
+/// The number of timeline entries that are printed, counted from the end.
 const PRINTED_ENTRIES: usize = 40;
 
-/// A change of the record: more traffic to the first and the last failure domain.
-const MOVED_SHARES: &str = "\
+/// A steering record that shifts traffic to the first and the last failure domain.
+const NEW_STEERING_RECORD: &str = "\
 schema: 2
 kind: steering
 name: deposits
@@ -71,16 +73,16 @@
 
 fn run() -> Result<bool, Box<dyn Error>> {
     let upstreams = start_upstreams()?;
-    let names = DOMAINS.map(|domain| format!("{domain}-1"));
-    let daemons: Vec<_> = names.iter().map(|name| &**name).zip(DOMAINS).collect();
+    let vm_names = DOMAINS.map(|domain| format!("{domain}-1"));
+    let daemons: Vec<_> = vm_names.iter().map(|name| &**name).zip(DOMAINS).collect();
     let mut system = System::new(&std::env::current_exe()?)?
         .with_daemons(&first_records(&upstreams), &daemons)?;
-    if !system.all_serve(serves) {
+    if !system.all_serve(is_served) {
         return Err("a daemon serves nothing".into());
     }
     let entries = system.entries();
 
-    println!("traffic begins: {CALLERS} paying and {CALLERS} trial callers");
+    println!("traffic begins: {CALLERS_PER_CLASS} paying and {CALLERS_PER_CLASS} trial callers");
     let started = Instant::now();
     let stop = Arc::new(AtomicBool::new(false));
     let paying = start_callers("paying", "porch-key", &entries, &stop);
@@ -90,25 +92,29 @@
     println!("{:>5.1} s: a record is applied that moves shares", started.elapsed().as_secs_f64());
     let folder = tempfile::tempdir()?;
     let file = folder.path().join("deposits.yaml");
-    fs::write(&file, MOVED_SHARES)?;
+    fs::write(&file, NEW_STEERING_RECORD)?;
     let file = file.to_str().ok_or("the path is no text")?;
-    print!("{}", operate(&system, &["apply", file, "--note", "evening"])?);
+    print!("{}", run_operator_command(&system, &["apply", file, "--note", "evening"])?);
     thread::sleep(Duration::from_secs(4));
-    println!("{:>5.1} s: upstream {} is drained", started.elapsed().as_secs_f64(), name(0, 0));
-    print!("{}", operate(&system, &["drain", "start", &name(0, 0)])?);
+    println!(
+        "{:>5.1} s: upstream {} is drained",
+        started.elapsed().as_secs_f64(),
+        upstream_name(0, 0)
+    );
+    print!("{}", run_operator_command(&system, &["drain", "start", &upstream_name(0, 0)])?);
     thread::sleep(Duration::from_secs(4));
     println!("{:>5.1} s: entry VM {}-1 is stopped", started.elapsed().as_secs_f64(), DOMAINS[3]);
-    let leaving = system.daemons[3].as_mut().ok_or("no daemon")?;
-    leaving.signal(Signal::Term)?;
-    thread::sleep(TRAFFIC_FOR.saturating_sub(started.elapsed()));
+    let stopping_daemon = system.daemons[3].as_mut().ok_or("no daemon")?;
+    stopping_daemon.signal(Signal::Term)?;
+    thread::sleep(TRAFFIC_DURATION.saturating_sub(started.elapsed()));
     stop.store(true, Ordering::Relaxed);
 
-    let paying = join(paying)?;
-    let trial = join(trial)?;
-    print!("{}", operate(&system, &["status"])?);
-    print!("{}", operate(&system, &["explain", "deposits", "--from", "127.0.0.1"])?);
-    print_timeline(&operate(&system, &["timeline"])?);
-    Ok(report(&paying, &trial, &upstreams))
+    let paying = join_callers(paying)?;
+    let trial = join_callers(trial)?;
+    print!("{}", run_operator_command(&system, &["status"])?);
+    print!("{}", run_operator_command(&system, &["explain", "deposits", "--from", "127.0.0.1"])?);
+    print_timeline(&run_operator_command(&system, &["timeline"])?);
+    Ok(print_report(&paying, &trial, &upstreams))
 }
 
 fn start_upstreams() -> Result<Vec<Vec<UpstreamStandIn>>, Box<dyn Error>> {
@@ -120,7 +126,7 @@
     Ok(upstreams)
 }
 
-fn name(domain: usize, number: usize) -> String {
+fn upstream_name(domain: usize, number: usize) -> String {
     format!("{}-up-{number}", DOMAINS[domain])
 }
 
@@ -128,7 +134,7 @@
     let mut specs = Vec::new();
     for (domain, group) in upstreams.iter().enumerate() {
         for (number, upstream) in group.iter().enumerate() {
-            let spec = UpstreamSpec::new(&name(domain, number), DOMAINS[domain], 4);
+            let spec = UpstreamSpec::new(&upstream_name(domain, number), DOMAINS[domain], 4);
             specs.push(spec.with_address(upstream.addr()));
         }
     }
@@ -148,24 +154,25 @@
     records::steering("deposits", &shares, 30.0, 2_000)
 }
 
-fn call(class: &str, key: &str, once: &str) -> Call {
+fn call(class: &str, key: &str, idempotency_key: &str) -> Call {
     Call::new(class, "deposits", "/v1/call/deposits/confirm")
         .with_method("POST")
         .with_header("sedgepath-key", key)
-        .with_header("idempotency-key", once)
-        .with_body(once)
-        .with_retries(RETRIES)
+        .with_header("idempotency-key", idempotency_key)
+        .with_body(idempotency_key)
+        .with_retries(MAX_RETRIES)
 }
 
-/// Sends a request with a key of its own: one that was given up on is not run again.
-fn serves(entry: SocketAddr, number: usize) -> bool {
+/// Checks whether an entry VM answers a request. Each request has a key of its own, as the key of a
+/// request with an unknown outcome is not run again.
+fn is_served(entry: SocketAddr, number: usize) -> bool {
     let ready = call("paying", "porch-key", &format!("ready {entry} {number}"));
     let reply = Caller::new([entry]).call(&ready.with_retries(0));
     matches!(reply.outcome, Outcome::Answered { .. })
 }
 
-/// What one caller did: its figures and the keys that were never answered.
-struct Told {
+/// The statistics of a caller and the number of its requests that were never answered with 200.
+struct CallerResult {
     stats: CallerStats,
     unanswered: u64,
 }
@@ -175,24 +182,24 @@
     key: &'static str,
     entries: &[SocketAddr],
     stop: &Arc<AtomicBool>,
-) -> Vec<JoinHandle<Told>> {
-    (0..CALLERS)
+) -> Vec<JoinHandle<CallerResult>> {
+    (0..CALLERS_PER_CLASS)
         .map(|number| {
             let mut entries = entries.to_vec();
             entries.rotate_left(number % DOMAINS.len());
             let stop = Arc::clone(stop);
-            thread::spawn(move || send_until(class, key, number, entries, &stop))
+            thread::spawn(move || send_requests(class, key, number, entries, &stop))
         })
         .collect()
 }
 
-fn send_until(
+fn send_requests(
     class: &str,
     key: &str,
     number: usize,
     entries: Vec<SocketAddr>,
     stop: &AtomicBool,
-) -> Told {
+) -> CallerResult {
     let mut caller = Caller::new(entries);
     let mut unanswered = 0;
     let mut sent = 0;
@@ -204,21 +211,21 @@
         }
         thread::sleep(Duration::from_millis(5));
     }
-    Told { stats: caller.into_stats(), unanswered }
+    CallerResult { stats: caller.into_stats(), unanswered }
 }
 
-fn join(callers: Vec<JoinHandle<Told>>) -> Result<Told, Box<dyn Error>> {
-    let mut all = Told { stats: CallerStats::default(), unanswered: 0 };
+fn join_callers(callers: Vec<JoinHandle<CallerResult>>) -> Result<CallerResult, Box<dyn Error>> {
+    let mut total = CallerResult { stats: CallerStats::default(), unanswered: 0 };
     for caller in callers {
-        let told = caller.join().ok().ok_or("a caller panicked")?;
-        all.stats.merge(told.stats);
-        all.unanswered += told.unanswered;
+        let result = caller.join().ok().ok_or("a caller panicked")?;
+        total.stats.merge(result.stats);
+        total.unanswered += result.unanswered;
     }
-    Ok(all)
+    Ok(total)
 }
 
-/// Runs the operators' command line against the first daemon and returns what it prints.
-fn operate(system: &System, arguments: &[&str]) -> Result<String, Box<dyn Error>> {
+/// Runs a command of the operators' command line against the first daemon and returns its output.
+fn run_operator_command(system: &System, arguments: &[&str]) -> Result<String, Box<dyn Error>> {
     println!("  $ sedgepath {}", arguments.join(" "));
     let arguments: Vec<String> = arguments.iter().map(ToString::to_string).collect();
     let node = system.addresses[0].operators.to_string();
@@ -240,14 +247,19 @@
     }
 }
 
-/// Prints the figures and returns whether nothing was lost.
-fn report(paying: &Told, trial: &Told, upstreams: &[Vec<UpstreamStandIn>]) -> bool {
+/// Prints the results and returns whether all guarantees held.
+fn print_report(
+    paying: &CallerResult,
+    trial: &CallerResult,
+    upstreams: &[Vec<UpstreamStandIn>],
+) -> bool {
     println!("\nclass   answered  not run  unknown  failed   p50 ms   p99 ms  never answered");
-    for (class, told) in [("paying", paying), ("trial", trial)] {
-        let counts = told.stats.counts();
+    for (class, result) in [("paying", paying), ("trial", trial)] {
+        let counts = result.stats.counts();
         let latency = |quantile| {
-            let histogram = told.stats.latencies_us.get(class);
-            histogram.map_or(0.0, |all| all.value_at_quantile(quantile) as f64 / 1_000.0)
+            let histogram = result.stats.latencies_us.get(class);
+            histogram
+                .map_or(0.0, |histogram| histogram.value_at_quantile(quantile) as f64 / 1_000.0)
         };
         println!(
             "{class:<7} {:>8} {:>8} {:>8} {:>7} {:>8.1} {:>8.1} {:>15}",
@@ -257,31 +269,33 @@
             counts.failed,
             latency(0.5),
             latency(0.99),
-            told.unanswered
+            result.unanswered
         );
     }
-    let all: Vec<&UpstreamStandIn> = upstreams.iter().flatten().collect();
-    let twice = runs_above_one(&all);
+    let upstreams: Vec<&UpstreamStandIn> = upstreams.iter().flatten().collect();
+    let run_repeatedly = keys_run_repeatedly(&upstreams);
     let ran: BTreeSet<Box<str>> =
-        all.iter().flat_map(|upstream| upstream.runs_by_request_id().into_keys()).collect();
+        upstreams.iter().flat_map(|upstream| upstream.runs_by_request_id().into_keys()).collect();
     let attempts = paying.stats.attempts.iter().chain(&trial.stats.attempts);
-    let said_not_run: Vec<_> =
+    let reported_not_run: Vec<_> =
         attempts.filter(|attempt| matches!(attempt.outcome, Outcome::NotRun { .. })).collect();
-    let run_all_the_same =
-        said_not_run.iter().filter(|attempt| ran.contains(&attempt.request_id)).count();
-    let over = all.iter().filter(|upstream| upstream.counts().peak_in_flight > 4).count();
+    let falsely_not_run =
+        reported_not_run.iter().filter(|attempt| ran.contains(&attempt.request_id)).count();
+    let over_slots =
+        upstreams.iter().filter(|upstream| upstream.counts().peak_in_flight > 4).count();
     println!(
-        "keys run twice: {twice}; said not run but ran: {run_all_the_same}; upstreams over their \
-         slots: {over}"
+        "keys run twice: {run_repeatedly}; said not run but ran: {falsely_not_run}; upstreams over \
+         their slots: {over_slots}"
     );
-    let broken = paying.stats.counts().failed + trial.stats.counts().failed;
+    let failed = paying.stats.counts().failed + trial.stats.counts().failed;
     let unknown = paying.stats.counts().unknown + trial.stats.counts().unknown;
-    let lost = twice as u64 + run_all_the_same as u64 + over as u64 + broken + unknown;
-    println!("{}", if lost + paying.unanswered == 0 { "nothing was lost" } else { "LOST" });
-    lost + paying.unanswered == 0
+    let violations =
+        run_repeatedly as u64 + falsely_not_run as u64 + over_slots as u64 + failed + unknown;
+    println!("{}", if violations + paying.unanswered == 0 { "nothing was lost" } else { "LOST" });
+    violations + paying.unanswered == 0
 }
 
-fn runs_above_one(upstreams: &[&UpstreamStandIn]) -> usize {
+fn keys_run_repeatedly(upstreams: &[&UpstreamStandIn]) -> usize {
     let mut runs = std::collections::BTreeMap::new();
     for upstream in upstreams {
         for (key, count) in upstream.runs_by_key() {
--- a/crates/sedgepathd/examples/slopes/blocks.rs
+++ b/crates/sedgepathd/examples/slopes/blocks.rs
@@ -1,4 +1,4 @@
-//! The table of client blocks at full size.
+//! Measures the table of client blocks: its size, the time to build it and the time of a look-up.
 
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Instant;
@@ -6,28 +6,28 @@
 use sedgepath_core::blocks::{BlockTable, Cidr};
 use sedgepath_core::key::OriginKey;
 
-/// The sizes at which the table is built.
-const SIZES: [u32; 3] = [11_000, 110_000, 1_100_000];
+/// The numbers of blocks with which the table is built.
+const TABLE_SIZES: [u32; 3] = [11_000, 110_000, 1_100_000];
 
-/// The origin groups that the blocks belong to: one per site.
-const GROUPS: u32 = 420;
+/// The number of origin groups, one per site, to which the blocks belong.
+const ORIGIN_GROUPS: u32 = 420;
 
-/// The look-ups of one measurement.
-const LOOK_UPS: u32 = 2_000_000;
+/// The number of look-ups that are timed for each table.
+const LOOK_UPS_PER_TABLE: u32 = 2_000_000;
 
-/// Prints bytes, time to build and time to look up.
+/// Prints the size in bytes, the build time and the look-up time for each number of blocks.
 pub fn measure() {
     println!("blocks       bytes  bytes/block  build ms  ns/look-up");
-    for size in SIZES {
+    for size in TABLE_SIZES {
         let started = Instant::now();
         let table = BlockTable::new((0..size).map(block));
         let build_ms = started.elapsed().as_millis();
         let mut random = fastrand::Rng::with_seed(1);
         let started = Instant::now();
-        let found = (0..LOOK_UPS)
+        let found = (0..LOOK_UPS_PER_TABLE)
             .filter(|_| table.origin(IpAddr::V4(Ipv4Addr::from_bits(random.u32(..)))).is_some())
             .count();
-        let each_ns = started.elapsed().as_nanos() as f64 / f64::from(LOOK_UPS);
+        let each_ns = started.elapsed().as_nanos() as f64 / f64::from(LOOK_UPS_PER_TABLE);
         let bytes = table.size_bytes();
         println!(
             "{size:>9} {bytes:>8} {:>12.1} {build_ms:>9} {each_ns:>11.1}  ({found} found)",
@@ -36,9 +36,9 @@
     }
 }
 
-/// Returns a block of its own /24 or, past those, of a /25 within; groups change from block to block.
+/// Returns the /24 block with this number; consecutive blocks belong to different origin groups.
 fn block(number: u32) -> (Cidr, OriginKey) {
     let address = Ipv4Addr::from_bits(number.wrapping_mul(3_853) << 8);
     let cidr = Cidr { address: IpAddr::V4(address), prefix_bits: 24 };
-    (cidr, OriginKey(number % GROUPS))
+    (cidr, OriginKey(number % ORIGIN_GROUPS))
 }
--- a/crates/sedgepathd/examples/slopes/daemon.rs
+++ b/crates/sedgepathd/examples/slopes/daemon.rs
@@ -1,4 +1,4 @@
-//! What a daemon itself takes, and what the hop costs.
+//! Measures a daemon's CPU time, memory and threads, and the latency that the hop adds to a request.
 
 use std::error::Error;
 use std::fs;
@@ -12,19 +12,19 @@
 use sedgepath_test_support::system::System;
 use sedgepath_test_support::upstream::{UpstreamFigures, UpstreamStandIn};
 
-/// How long an idle daemon is watched.
-const IDLE_FOR: Duration = Duration::from_secs(10);
+/// The time over which the CPU time of an idle daemon is measured.
+const IDLE_DURATION: Duration = Duration::from_secs(10);
 
-/// The requests of each way that are timed.
+/// The number of requests that are timed on each path.
 const REQUESTS: usize = 3_000;
 
-/// The clock ticks in a second by which Linux counts processor time.
+/// The clock ticks per second in which Linux counts CPU time.
 const TICKS_PER_S: f64 = 100.0;
 
-/// The path of a request through the system.
-const CALL: &str = "/v1/call/browse/echo";
+/// The URL path of a request through an entry VM.
+const CALL_PATH: &str = "/v1/call/browse/echo";
 
-/// Prints a daemon's figures and the cost of the hop.
+/// Prints the daemon's resource usage and the latency of each path.
 pub fn measure() -> Result<(), Box<dyn Error>> {
     let upstream = UpstreamStandIn::new(UpstreamFigures::new(64))?;
     let spec = UpstreamSpec::new("b1", "south-a", 64).with_address(upstream.addr());
@@ -37,29 +37,32 @@
     }
 
     let id = system.daemons[0].as_ref().ok_or("no daemon")?.id();
-    let before_s = processor_s(id)?;
-    thread::sleep(IDLE_FOR);
-    let idle = (processor_s(id)? - before_s) / IDLE_FOR.as_secs_f64();
+    let before_s = cpu_time_s(id)?;
+    thread::sleep(IDLE_DURATION);
+    let idle_share = (cpu_time_s(id)? - before_s) / IDLE_DURATION.as_secs_f64();
     println!(
         "\ndaemon idle: {:.2}% of a core, {} kB resident, {} threads",
-        idle * 100.0,
-        status_figure(id, "VmRSS")?,
-        status_figure(id, "Threads")?
+        idle_share * 100.0,
+        status_value(id, "VmRSS")?,
+        status_value(id, "Threads")?
     );
 
     println!("\nway                                   p50 us   p99 us");
-    print_way("straight to the upstream", &over(upstream.addr(), "/echo")?);
-    print_way("through the owner's own daemon", &over(entries[1], CALL)?);
-    let before_s = processor_s(id)?;
-    print_way("through the daemon of another domain", &over(entries[0], CALL)?);
-    let each_us = (processor_s(id)? - before_s) / REQUESTS as f64 * 1e6;
+    print_latencies("straight to the upstream", &time_requests_to(upstream.addr(), "/echo")?);
+    print_latencies("through the owner's own daemon", &time_requests_to(entries[1], CALL_PATH)?);
+    let before_s = cpu_time_s(id)?;
+    print_latencies(
+        "through the daemon of another domain",
+        &time_requests_to(entries[0], CALL_PATH)?,
+    );
+    let each_us = (cpu_time_s(id)? - before_s) / REQUESTS as f64 * 1e6;
     println!("processor time of the ingress: {each_us:.0} us a request");
 
-    let before_s = processor_s(id)?;
+    let before_s = cpu_time_s(id)?;
     let started = Instant::now();
     let answered = look_ups(entries[0])?;
     let took_s = started.elapsed().as_secs_f64();
-    let used_s = processor_s(id)? - before_s;
+    let used_s = cpu_time_s(id)? - before_s;
     println!(
         "look-ups over HTTP: {:.0} a second by one caller, {:.0} us of processor time each",
         answered as f64 / took_s,
@@ -69,26 +72,25 @@
 }
 
 fn is_answered(entry: SocketAddr) -> bool {
-    let call = Call::new("guest", "browse", CALL);
+    let call = Call::new("guest", "browse", CALL_PATH);
     matches!(Caller::new([entry]).call(&call).outcome, Outcome::Answered { .. })
 }
 
-/// Sends requests over one kept connection: to an upstream, or to an entry VM whatever its look-ups
-/// prefer.
-fn over(address: SocketAddr, path: &str) -> Result<Histogram<u64>, Box<dyn Error>> {
+/// Times requests over one persistent connection to this address, without a look-up.
+fn time_requests_to(address: SocketAddr, path: &str) -> Result<Histogram<u64>, Box<dyn Error>> {
     let mut stream = std::net::TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
-    timed(|| http_get(&mut stream, path))
+    time_requests(|| http_get(&mut stream, path))
 }
 
-fn timed(
+fn time_requests(
     mut request: impl FnMut() -> Result<(), Box<dyn Error>>,
 ) -> Result<Histogram<u64>, Box<dyn Error>> {
     let mut latencies = Histogram::new(3)?;
     for number in 0..REQUESTS + REQUESTS / 10 {
         let started = Instant::now();
         request()?;
-        // The first ones warm connections up.
+        // The first requests only warm up the connections.
         if number >= REQUESTS / 10 {
             latencies.record(started.elapsed().as_micros() as u64)?;
         }
@@ -106,19 +108,19 @@
     Ok(LOOK_UPS)
 }
 
-/// Sends a request and reads its answer by the declared length.
+/// Sends a request and reads its response up to the declared length.
 fn http_get(stream: &mut std::net::TcpStream, path: &str) -> Result<(), Box<dyn Error>> {
     use std::io::{Read, Write};
     stream.write_all(format!("GET {path} HTTP/1.1\r\nhost: x\r\n\r\n").as_bytes())?;
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     let mut buffer = [0; 4_096];
     loop {
         let read = stream.read(&mut buffer)?;
         if read == 0 {
             return Err("the connection was closed".into());
         }
-        answer.extend_from_slice(&buffer[..read]);
-        let text = String::from_utf8_lossy(&answer);
+        response.extend_from_slice(&buffer[..read]);
+        let text = String::from_utf8_lossy(&response);
         let Some((head, body)) = text.split_once("\r\n\r\n") else { continue };
         let length = head.lines().find_map(|line| {
             let (name, value) = line.split_once(':')?;
@@ -130,13 +132,13 @@
     }
 }
 
-fn print_way(name: &str, latencies: &Histogram<u64>) {
+fn print_latencies(name: &str, latencies: &Histogram<u64>) {
     let quantile = |quantile| latencies.value_at_quantile(quantile);
     println!("{name:<37} {:>7} {:>8}", quantile(0.5), quantile(0.99));
 }
 
-/// Returns the processor time that a process has used, in seconds (proc(5), fields 14 and 15).
-fn processor_s(id: u32) -> Result<f64, Box<dyn Error>> {
+/// Returns the CPU time that a process has used, in seconds: fields 14 and 15 of `/proc/PID/stat`.
+fn cpu_time_s(id: u32) -> Result<f64, Box<dyn Error>> {
     let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
     let rest = stat.rsplit_once(')').ok_or("no process name")?.1;
     let ticks: u64 = rest
@@ -148,7 +150,7 @@
     Ok(ticks as f64 / TICKS_PER_S)
 }
 
-fn status_figure(id: u32, name: &str) -> Result<u64, Box<dyn Error>> {
+fn status_value(id: u32, name: &str) -> Result<u64, Box<dyn Error>> {
     let status = fs::read_to_string(format!("/proc/{id}/status"))?;
     let line = status.lines().find(|line| line.starts_with(name)).ok_or("no such figure")?;
     Ok(line.split_whitespace().nth(1).ok_or("no value")?.parse()?)
--- a/crates/sedgepathd/examples/slopes/datagrams.rs
+++ b/crates/sedgepathd/examples/slopes/datagrams.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat costs: its size, and the time to write, read and take it in.
+//! Measures a heartbeat: its size, and the time to encode, decode and process it.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Instant;
@@ -16,38 +16,39 @@
 use sedgepath_wire::datagram::{DatagramDecoder, encode};
 use sedgepath_wire::key::SharedKey;
 
-/// The members of a failure domain at full size, this node not among them.
+/// The other members of a failure domain of the largest planned size.
 const MEMBERS: u64 = 41;
 
-/// The heartbeats of one measurement.
+/// The number of heartbeats that are timed.
 const HEARTBEATS: u64 = 41 * 2_000;
 
-/// Prints bytes and time of a heartbeat in a domain of full size.
+/// Prints the size and the processing time of a heartbeat, and the memory of a member.
 pub fn measure() {
     let key = SharedKey::new("a secret for measurements", "datagrams");
-    let mut node = Node::new(Identity::new(card(0), BootId(1)), NodeSettings::default());
-    let mut opener = DatagramDecoder::new(key.clone());
+    let mut node =
+        Node::new(Identity::new(member_descriptor(0), BootId(1)), NodeSettings::default());
+    let mut decoder = DatagramDecoder::new(key.clone());
     let (mut bytes, mut now_ms) = (0, 1_000_000);
     let started = Instant::now();
     for number in 0..HEARTBEATS {
         let envelope = heartbeat(number, now_ms);
-        let Ok(sealed) = encode(&key, &envelope) else { continue };
-        bytes += sealed.len();
-        if let Ok(opened) = opener.decode(&sealed) {
-            node.handle(now_ms, Event::Datagram(opened));
+        let Ok(datagram) = encode(&key, &envelope) else { continue };
+        bytes += datagram.len();
+        if let Ok(decoded) = decoder.decode(&datagram) {
+            node.handle(now_ms, Event::Datagram(decoded));
         }
         now_ms += u64::from(number % MEMBERS == 0);
     }
     let each_us = started.elapsed().as_micros() as f64 / HEARTBEATS as f64;
     println!(
-        "\nheartbeat: {} bytes with its code, {each_us:.1} us to write, read and take in; a member \
-         takes {} bytes and its card",
+        "\nheartbeat: {} bytes with its authentication code, {each_us:.1} us to encode, decode and \
+         process; a member takes {} bytes and its descriptor",
         bytes as u64 / HEARTBEATS,
         size_of::<Member>()
     );
 }
 
-fn card(number: u64) -> MemberDescriptor {
+fn member_descriptor(number: u64) -> MemberDescriptor {
     let address = |port: u16| SocketAddr::from((Ipv4Addr::new(10, 0, 0, number as u8), port));
     MemberDescriptor {
         name: format!("lowcountry-a-{number}").into(),
@@ -59,7 +60,7 @@
     }
 }
 
-/// A heartbeat in a steady state; the first of each member brings its card.
+/// Returns a heartbeat of a steady state; the first one of each member includes its descriptor.
 fn heartbeat(number: u64, now_ms: u64) -> Envelope {
     let member = 1 + number % MEMBERS;
     let load = |service: u32| ServiceLoad { service: ServiceKey(service), slots: 12, in_flight: 3 };
@@ -73,7 +74,7 @@
     };
     let heartbeat = Heartbeat {
         sent_at_ms: now_ms,
-        descriptor: (number < MEMBERS).then(|| card(member)),
+        descriptor: (number < MEMBERS).then(|| member_descriptor(member)),
         configuration: ConfigurationStatus { revision: 1, head_age_ms: 300 },
         loads: (0..4).map(load).collect(),
         roster_digest: 7,
--- a/crates/sedgepathd/examples/slopes/main.rs
+++ b/crates/sedgepathd/examples/slopes/main.rs
@@ -1,8 +1,8 @@
-//! The slopes from which docs/CAPACITY.md is worked out, measured on this machine.
+//! Measures the resource usage on which docs/CAPACITY.md is based; run it with `--release`.
 //!
-//! Blocks of clients and look-ups at full size, a daemon's memory and processor time when idle and
-//! under load, the cost of the hop. What nodes say to each other is measured by the examples
-//! `control_slopes` and `configuration_spread` of `sedgepath-core`. To be run in release.
+//! The table of client blocks, heartbeats, and a daemon's CPU time, memory and latency are measured.
+//! The traffic between nodes is measured by the examples `control_slopes` and `configuration_spread`
+//! of `sedgepath-core`.
 
 use std::error::Error;
 use std::process::ExitCode;
