--- a/crates/sedgepathd/src/settings/fields.rs
+++ b/crates/sedgepathd/src/settings/fields.rs
@@ -6,7 +6,7 @@
     Shape::Integer { least, most }
 }
 
-/// The top-level fields of a settings file, with the fields of its mappings.
+/// The top-level fields of a settings file; those of nested mappings are part of their shapes.
 pub const FIELDS: &[Field] = &[
     Field::required("name", Shape::Name, "the VM's name, unique in the system"),
     Field::required("domain", Shape::Name, "the name of the VM's failure domain"),
