--- a/crates/sedgepath-core/examples/admission_parts.rs
+++ b/crates/sedgepath-core/examples/admission_parts.rs
@@ -7,7 +7,7 @@
 use sedgepath_core::identity::NodeSettings;
 use sedgepath_test_support::bed::Bed;
 use sedgepath_test_support::bed::upstreams::{FakeUpstream, WarmUp};
-use sedgepath_test_support::load::{self, ClassSeen, Load, LoadSeen};
+use sedgepath_test_support::load::{self, ClassStats, Load, LoadSeen};
 use sedgepath_test_support::records;
 use serde_json::json;
 
@@ -135,16 +135,16 @@
     let upstreams = [upstream("u1", 4), upstream("u2", 4), upstream("u3", 8)];
     let body = json!({ "longest_deadline_ms": 10_000, "upstreams": upstreams });
     bed.write_records(&[records::record(1, "service", "s", &body)]);
-    let warm_up = Some(WarmUp { slots: 1, over_ms: 10_000 });
+    let warm_up = Some(WarmUp { initial_slots: 1, duration_ms: 10_000 });
     let cold = FakeUpstream { slows_when_full: true, warm_up, ..FakeUpstream::new(8, 100) };
     bed.upstreams.add("u3", cold);
 }
 
-fn add(sum: &mut ClassSeen, seen: ClassSeen) {
+fn add(sum: &mut ClassStats, seen: ClassStats) {
     sum.asked += seen.asked;
     sum.answered += seen.answered;
     sum.in_time += seen.in_time;
-    sum.answer_ms.extend(seen.answer_ms);
+    sum.response_ms.extend(seen.response_ms);
     sum.refusal_ms.extend(seen.refusal_ms);
 }
 
@@ -180,7 +180,7 @@
 }
 
 fn print_row(name: &str, scenario: &Scenario, admission: AdmissionSettings, seeds: u64) {
-    let (mut paying, mut trial) = (ClassSeen::default(), ClassSeen::default());
+    let (mut paying, mut trial) = (ClassStats::default(), ClassStats::default());
     let mut slowest_ms = 0;
     for seed in 1..=seeds {
         let seen = run(scenario, admission, seed);
@@ -192,8 +192,8 @@
     refusals_ms.extend(trial.refusal_ms);
     println!(
         "{name:<18}{:>8}{:>8}{:>10.2}{:>12.2}{:>10}{:>12}{slowest_ms:>12}",
-        percentile(&mut paying.answer_ms, 50),
-        percentile(&mut paying.answer_ms, 99),
+        percentile(&mut paying.response_ms, 50),
+        percentile(&mut paying.response_ms, 99),
         share(paying.in_time, paying.asked),
         share(trial.in_time, trial.asked),
         refusals_ms.len(),
--- a/crates/sedgepath-core/examples/configuration_spread.rs
+++ b/crates/sedgepath-core/examples/configuration_spread.rs
@@ -30,7 +30,7 @@
 
 fn measure(each: usize) {
     let mut bed = Bed::new(each as u64);
-    bed.faults.hop_ms = 20;
+    bed.faults.domain_latency_ms = 20;
     let upstreams: Vec<_> = DOMAINS
         .iter()
         .map(|domain| UpstreamSpec::new(&format!("up-{domain}"), domain, 4))
--- a/crates/sedgepath-core/examples/policy/deployment.rs
+++ b/crates/sedgepath-core/examples/policy/deployment.rs
@@ -142,10 +142,10 @@
     pub fn start(&self, bed: &mut Bed, plan: Plan) {
         for domain in 0..DOMAINS {
             let region = self.regions[domain % REGIONS];
-            bed.faults.regions.insert(self.domain(domain).into(), region.into());
+            bed.faults.region_by_domain.insert(self.domain(domain).into(), region.into());
         }
-        bed.faults.hop_ms = self.hop_ms;
-        bed.faults.region_hop_ms = self.region_hop_ms;
+        bed.faults.domain_latency_ms = self.hop_ms;
+        bed.faults.region_latency_ms = self.region_hop_ms;
         bed.write_records(&self.records(plan));
         for service in &self.services {
             for number in 0..service.upstreams {
--- a/crates/sedgepath-core/examples/policy/scenario.rs
+++ b/crates/sedgepath-core/examples/policy/scenario.rs
@@ -157,7 +157,7 @@
         run.event();
         run.send(MEASURED_MS / 2);
         if scenario == Scenario::LateMeasurements {
-            run.bed.faults.loads_missing = true;
+            run.bed.faults.omit_loads = true;
         }
         run.send(MEASURED_MS / 2);
         run.bed.run_for(2 * DEADLINE_MS);
@@ -177,7 +177,7 @@
             Scenario::ColdCaches => {
                 self.bed.write_records(&deployment.steering([1, 1, 2], self.plan));
             }
-            Scenario::LateMeasurements => self.bed.faults.load_lag_ms = 5_000,
+            Scenario::LateMeasurements => self.bed.faults.load_delay_ms = 5_000,
         }
     }
 
@@ -196,7 +196,7 @@
         for service in self.deployment.services {
             for number in 0..service.upstreams {
                 let upstream = self.bed.upstreams.get(&service.upstream(number));
-                upstream.cold_runs = 20;
+                upstream.cold_requests_per_block = 20;
                 upstream.cold_extra_ms = 3 * service.service_ms;
             }
         }
--- a/crates/sedgepath-core/examples/retry_budget.rs
+++ b/crates/sedgepath-core/examples/retry_budget.rs
@@ -29,7 +29,7 @@
         let (asked, served) = seen.served(REFUSING_MS.0, REFUSING_MS.1);
         let paid = REPEAT_RATIO * asked as f64 + REPEAT_SLACK;
         let repeats = seen.repeated_at_ms.len();
-        let excess = seen.worst_excess().map_or(0, |excess| excess.repeats);
+        let excess = seen.worst_excess().map_or(0, |excess| excess.retries);
         println!(
             "{vms:>5} {asked:>8} {repeats:>8} {:>13.0}% {excess:>8} {:>7.1}%",
             100.0 * repeats as f64 / paid,
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -1,12 +1,12 @@
-//! Several node cores in one thread, with small fakes at their interfaces.
+//! A deterministic test bed: several node cores in one thread, with fakes at their interfaces.
 //!
-//! The bed plays the shell of each node: it carries actions out and hands events in, at the times of
-//! a clock that only the test moves. A seed decides every delay, so a run repeats itself exactly.
-//! Callers, upstreams and the table keep counts; tests judge by these and never look into a node.
+//! The test bed performs the actions of each node and delivers events to it, on a simulated clock
+//! that only the test advances. All delays are drawn from a seeded generator, so runs are
+//! reproducible. Callers, upstreams and the table keep counts on which tests assert.
 //!
-//! Faults are set at run time: nodes crash, restart, pause and wake; links between nodes, to the
-//! table and to upstreams are cut one way or both ways; the table is down, loses answers or applies
-//! writes late; clocks of nodes are off.
+//! Faults are injected at run time: nodes crash, restart, pause and resume; links between nodes, to
+//! the table and to upstreams are cut in one direction or in both; the table is unavailable, loses
+//! the results of commits or applies them late; node clocks are skewed.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -39,94 +39,94 @@
 
 use faults::{Faults, Place};
 use loads::LoadHistory;
-use upstreams::{FakeUpstreams, Started};
+use upstreams::{FakeUpstreams, UpstreamRun};
 
-/// The time between two ticks of a node, in milliseconds.
-const TICK_EVERY_MS: u64 = 20;
+/// The interval between two ticks of a node, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 20;
 
-/// The time between two readings of the VM list, in milliseconds.
-const LIST_EVERY_MS: u64 = 2_000;
+/// The interval at which nodes receive the VM list, in milliseconds.
+const VM_LIST_INTERVAL_MS: u64 = 2_000;
 
-/// The number of a node on the bed.
+/// The index of a node on the test bed.
 pub type NodeIndex = usize;
 
-/// The number of a caller's request on the bed.
+/// The index of a caller's request on the test bed.
 pub type CallIndex = usize;
 
-/// What a caller saw of its request.
+/// The result of a request as its caller observed it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Seen {
-    /// Nothing yet.
+    /// No result yet.
     Waiting,
-    /// The whole answer of an upstream.
+    /// The complete response of an upstream.
     Answered {
-        /// The upstream that gave it.
+        /// The upstream that sent the response.
         upstream: UpstreamKey,
     },
-    /// A final outcome without an answer.
+    /// A final outcome without a response from an upstream.
     Concluded(Outcome),
-    /// The connection to the entry VM broke.
-    Broken,
+    /// The connection to the entry VM was lost.
+    ConnectionLost,
 }
 
-/// What a node sent and received.
+/// Counts of the messages that a node sent and received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// The datagrams sent, lost ones among them.
+    /// Datagrams sent, including lost ones.
     pub sent: u64,
-    /// Their bytes, with the code and the headers of IP and UDP.
+    /// Bytes of the datagrams sent, with authentication code and IP and UDP headers.
     pub sent_bytes: u64,
-    /// The datagrams received.
+    /// Datagrams received.
     pub received: u64,
-    /// Their bytes, counted like those sent.
+    /// Bytes of the datagrams received, with the same overhead as `sent_bytes`.
     pub received_bytes: u64,
-    /// Reads and scans of the table, whether or not they were answered.
+    /// Reads and scans of the table, including those without a result.
     pub table_reads: u64,
-    /// Commits to the table, whether or not they were answered.
+    /// Commits to the table, including those without a result.
     pub table_commits: u64,
-    /// Pages of records asked of peers.
+    /// Pages of records requested from peers.
     pub fetches: u64,
-    /// The bytes of the pages that came, as JSON text.
+    /// Bytes of the pages received, as JSON.
     pub fetched_bytes: u64,
 }
 
-/// The bytes of a datagram besides its envelope: a code of 16, and 28 of IPv4 and UDP headers.
-const DATAGRAM_EXTRA_BYTES: u64 = 16 + 28;
+/// The overhead of a datagram: a 16-byte authentication code and 28 bytes of IPv4 and UDP headers.
+const DATAGRAM_OVERHEAD_BYTES: u64 = 16 + 28;
 
-/// A caller's request.
+/// A request sent by a caller.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// The node that was asked.
+    /// The node that received the request.
     pub node: NodeIndex,
-    /// When it was asked, in milliseconds of the bed's clock.
+    /// When the request was sent, in milliseconds of the simulated clock.
     pub asked_at_ms: u64,
-    /// When the outcome came, in milliseconds of the bed's clock.
+    /// When the result arrived, in milliseconds of the simulated clock.
     pub seen_at_ms: u64,
-    /// The request.
+    /// The head of the request.
     pub head: RequestHead,
-    /// What the caller saw.
+    /// The result that the caller observed.
     pub seen: Seen,
 }
 
 #[derive(Debug)]
-struct Slot {
+struct NodeSlot {
     name: Box<str>,
     domain: Box<str>,
-    card: MemberDescriptor,
+    descriptor: MemberDescriptor,
     node: Option<Node>,
-    boots: u64,
+    boot_count: u64,
     skew_ms: i64,
     paused: bool,
-    held: VecDeque<Item>,
+    held_items: VecDeque<ScheduledItem>,
     requests: BTreeMap<RequestKey, CallIndex>,
-    exchanges: BTreeMap<ExchangeKey, Exchange>,
+    dispatches: BTreeMap<ExchangeKey, PendingDispatch>,
     stopped: bool,
     traffic: Traffic,
 }
 
-/// A dispatch at its owner, and whom its reply goes to.
+/// A dispatch in progress at an owner, with the ingress node that its reply goes to.
 #[derive(Debug, Clone)]
-struct Exchange {
+struct PendingDispatch {
     ingress: NodeIndex,
     ingress_boot: u64,
     request: RequestKey,
@@ -134,97 +134,97 @@
     call: CallIndex,
 }
 
-/// What is due at a time.
+/// Work scheduled for a point in time.
 #[derive(Debug, Clone)]
-enum Item {
+enum ScheduledItem {
     Tick {
         node: NodeIndex,
         boot: u64,
     },
-    List {
+    VmList {
         node: NodeIndex,
         boot: u64,
     },
     Deliver {
         node: NodeIndex,
         boot: Option<u64>,
-        event: Box<BedEvent>,
+        event: Box<NodeEvent>,
     },
-    Asked {
+    CallerRequest {
         node: NodeIndex,
         boot: u64,
         request: RequestKey,
         head: Box<RequestHead>,
     },
-    TableArrives {
+    TableRequestArrival {
         node: NodeIndex,
         boot: u64,
         operation: OperationKey,
         request: TableRequest,
     },
-    LateWrite {
+    DelayedCommit {
         request: TableRequest,
     },
-    UpstreamArrives {
+    UpstreamArrival {
         owner: NodeIndex,
         boot: u64,
         exchange: ExchangeKey,
         upstream: UpstreamKey,
         call: Option<CallIndex>,
     },
-    UpstreamDone {
-        started: Started,
+    UpstreamEnd {
+        run: UpstreamRun,
     },
 }
 
-/// An event on its way to a node; cloneable, unlike [`Event`].
+/// An event in transit to a node; cloneable, unlike [`Event`].
 #[derive(Debug, Clone)]
-enum BedEvent {
+enum NodeEvent {
     Datagram(sedgepath_core::message::Envelope),
     Table(OperationKey, TableResult),
-    Dispatch(Dispatch, Exchange),
+    Dispatch(Dispatch, PendingDispatch),
     HopAnswered(RequestKey, u32, AnswerHead),
     HopEnded(RequestKey, u32, HopFailure),
     CallEnded(ExchangeKey, CallOutcome, u64),
     Report(UpstreamKey, UpstreamReport),
-    Fetched(OperationKey, Option<RecordPage>),
-    HandOverEnded(OperationKey, bool),
+    PageFetched(OperationKey, Option<RecordPage>),
+    TicketHandoverEnded(OperationKey, bool),
 }
 
-/// Nodes, upstreams and a table under one clock.
+/// Nodes, upstreams and a table on one simulated clock.
 #[derive(Debug)]
 pub struct Bed {
     now_ms: u64,
-    order: u64,
-    due: BTreeMap<(u64, u64), Item>,
+    last_sequence: u64,
+    scheduled: BTreeMap<(u64, u64), ScheduledItem>,
     random: fastrand::Rng,
     settings: NodeSettings,
     policy: fn() -> Box<dyn SteeringPolicy>,
     loads: LoadHistory,
-    nodes: Vec<Slot>,
+    nodes: Vec<NodeSlot>,
     table: MemoryTable,
-    /// The faults in force.
+    /// The faults currently injected.
     pub faults: Faults,
-    /// The upstreams and what they counted.
+    /// The upstreams and their counts.
     pub upstreams: FakeUpstreams,
     calls: Vec<Call>,
     changes: BTreeMap<ReplyKey, ChangeOutcome>,
-    next_number: u64,
+    last_key: u64,
     log: Vec<(NodeIndex, sedgepath_core::timeline::TimelineEntry)>,
-    minted: Vec<Ticket>,
-    /// The transactions that have reached the table.
+    minted_tickets: Vec<Ticket>,
+    /// The number of commits that have reached the table.
     pub table_commits: u64,
-    /// The readings that have reached the table.
+    /// The number of reads and scans that have reached the table.
     pub table_reads: u64,
-    absent_from_list: BTreeSet<NodeIndex>,
-    leaving_in_list: BTreeSet<NodeIndex>,
+    unlisted_nodes: BTreeSet<NodeIndex>,
+    leaving_nodes: BTreeSet<NodeIndex>,
     leaving_upstreams: Vec<ListedVm>,
 }
 
-/// The bed's clock starts well after zero, so that nothing depends on times before the start.
+/// The initial time of the simulated clock, in milliseconds, high enough to subtract timeouts from.
 pub const START_MS: u64 = 1_000_000;
 
-/// Creates a guest's repeatable request from loopback.
+/// Creates the head of a repeatable guest request from loopback.
 pub fn guest_request(service: &str, deadline_at_ms: u64) -> RequestHead {
     RequestHead {
         service: service.into(),
@@ -241,12 +241,12 @@
 }
 
 impl Bed {
-    /// Creates an empty bed whose delays are drawn from a seed.
+    /// Creates an empty test bed whose delays are drawn from a generator with this seed.
     pub fn new(seed: u64) -> Self {
         Self {
             now_ms: START_MS,
-            order: 0,
-            due: BTreeMap::new(),
+            last_sequence: 0,
+            scheduled: BTreeMap::new(),
             random: fastrand::Rng::with_seed(seed),
             settings: NodeSettings { seed, ..NodeSettings::default() },
             policy: || Box::new(HeadroomPolicy::new()),
@@ -257,24 +257,24 @@
             upstreams: FakeUpstreams::default(),
             calls: Vec::new(),
             changes: BTreeMap::new(),
-            next_number: 1,
+            last_key: 1,
             log: Vec::new(),
-            minted: Vec::new(),
+            minted_tickets: Vec::new(),
             table_commits: 0,
             table_reads: 0,
-            absent_from_list: BTreeSet::new(),
-            leaving_in_list: BTreeSet::new(),
+            unlisted_nodes: BTreeSet::new(),
+            leaving_nodes: BTreeSet::new(),
             leaving_upstreams: Vec::new(),
         }
     }
 
-    /// Sets the settings of the nodes that are added from now on.
+    /// Sets the settings of nodes added from now on.
     pub fn with_settings(mut self, settings: NodeSettings) -> Self {
         self.settings = settings;
         self
     }
 
-    /// Sets the steering policy of the nodes that are added from now on.
+    /// Sets the steering policy of nodes added from now on.
     pub fn with_policy(mut self, policy: fn() -> Box<dyn SteeringPolicy>) -> Self {
         self.policy = policy;
         self
@@ -286,7 +286,7 @@
         let address = |port: u16| {
             SocketAddr::from((Ipv4Addr::new(127, 1, (index >> 8) as u8, index as u8), port))
         };
-        let card = MemberDescriptor {
+        let descriptor = MemberDescriptor {
             name: name.into(),
             domain: DomainKey::of(domain),
             caller_address: address(1),
@@ -294,17 +294,17 @@
             operator_address: address(3),
             leaving: false,
         };
-        self.nodes.push(Slot {
+        self.nodes.push(NodeSlot {
             name: name.into(),
             domain: domain.into(),
-            card,
+            descriptor,
             node: None,
-            boots: 0,
+            boot_count: 0,
             skew_ms: 0,
             paused: false,
-            held: VecDeque::new(),
+            held_items: VecDeque::new(),
             requests: BTreeMap::new(),
-            exchanges: BTreeMap::new(),
+            dispatches: BTreeMap::new(),
             stopped: false,
             traffic: Traffic::default(),
         });
@@ -312,129 +312,130 @@
         index
     }
 
-    /// Writes records and the next head revision to the table, as an operator's change does.
+    /// Writes records to the table as an operator's change does and returns the new head revision.
     ///
     /// # Panics
     ///
-    /// Panics if a row can't be written, which only a conflict within the bed could cause.
+    /// Panics if a row can't be written because of a conflicting write.
     pub fn write_records(&mut self, records: &[RawRecord]) -> u64 {
-        crate::system::write_records(&self.table, records).expect("the bed's own change conflicts")
+        crate::system::write_records(&self.table, records)
+            .expect("another write conflicts with the test bed's change")
     }
 
-    /// Returns the time in milliseconds.
+    /// Returns the time of the simulated clock in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.now_ms
     }
 
-    /// Returns the table as it stands.
+    /// Returns the table with its current rows.
     pub fn table(&self) -> &MemoryTable {
         &self.table
     }
 
-    /// Returns a node unless it is down.
+    /// Returns a node, or `None` if it is down.
     pub fn node(&self, node: NodeIndex) -> Option<&Node> {
         self.nodes[node].node.as_ref()
     }
 
-    /// Returns the number of nodes.
+    /// Returns the number of nodes, running or not.
     pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Whether a node runs and is not paused.
+    /// Returns whether a node is running and not paused.
     pub fn runs(&self, node: NodeIndex) -> bool {
         self.nodes[node].node.is_some() && !self.nodes[node].paused
     }
 
-    /// Whether a node has stopped as planned.
+    /// Returns whether a node has completed a graceful shutdown.
     pub fn has_stopped(&self, node: NodeIndex) -> bool {
         self.nodes[node].stopped
     }
 
-    /// Returns the datagrams that a node has sent and received since it was added.
+    /// Returns the traffic of a node since it was added.
     pub fn traffic(&self, node: NodeIndex) -> Traffic {
         self.nodes[node].traffic
     }
 
-    /// Returns all calls made so far.
+    /// Returns all calls so far, by [`CallIndex`].
     pub fn calls(&self) -> &[Call] {
         &self.calls
     }
 
-    /// Returns what the nodes have logged.
+    /// Returns the timeline entries that the nodes have logged.
     pub fn log(&self) -> &[(NodeIndex, sedgepath_core::timeline::TimelineEntry)] {
         &self.log
     }
 
-    /// Starts a node that is down, with an empty memory and a new boot.
+    /// Starts a node that is down, with empty state and a new boot id.
     pub fn start(&mut self, index: NodeIndex) {
         let slot = &mut self.nodes[index];
-        slot.boots += 1;
+        slot.boot_count += 1;
         slot.paused = false;
         slot.stopped = false;
-        let boot = BootId((index as u64) << 32 | slot.boots);
+        let boot = BootId((index as u64) << 32 | slot.boot_count);
         let mut settings = self.settings.clone();
         settings.seed = self.random.u64(..);
-        let node = Node::new(Identity::new(slot.card.clone(), boot), settings);
+        let node = Node::new(Identity::new(slot.descriptor.clone(), boot), settings);
         slot.node = Some(node.with_policy((self.policy)()));
-        let boot = slot.boots;
-        let first_tick_ms = self.random.u64(0..TICK_EVERY_MS);
-        self.schedule(first_tick_ms, Item::Tick { node: index, boot });
-        self.schedule(0, Item::List { node: index, boot });
+        let boot = slot.boot_count;
+        let first_tick_ms = self.random.u64(0..TICK_INTERVAL_MS);
+        self.schedule(first_tick_ms, ScheduledItem::Tick { node: index, boot });
+        self.schedule(0, ScheduledItem::VmList { node: index, boot });
     }
 
-    /// Kills a node: its memory, its connections and what was on its way to it are gone.
+    /// Kills a node: its state, its connections and pending events of its boot are lost.
     pub fn kill(&mut self, index: NodeIndex) {
         let slot = &mut self.nodes[index];
         slot.node = None;
-        slot.held.clear();
-        let broken = std::mem::take(&mut slot.requests);
-        let dispatched = std::mem::take(&mut slot.exchanges);
-        for call in broken.into_values() {
-            self.see(call, Seen::Broken);
+        slot.held_items.clear();
+        let requests = std::mem::take(&mut slot.requests);
+        let dispatches = std::mem::take(&mut slot.dispatches);
+        for call in requests.into_values() {
+            self.record_result(call, Seen::ConnectionLost);
         }
-        // What the node had taken over may run on at an upstream; its ingress sees the hop break.
-        for exchange in dispatched.into_values() {
-            self.reply(&exchange, BedReply::Ended(HopFailure::Lost), index);
+        // The upstream may still run a dispatched request, so the ingress sees the hop as lost.
+        for pending in dispatches.into_values() {
+            self.send_reply(&pending, DispatchReply::Failed(HopFailure::Lost), index);
         }
     }
 
-    /// Stops a node's threads without its knowledge.
+    /// Suspends a node: it handles nothing until [`Self::wake`].
     pub fn pause(&mut self, index: NodeIndex) {
         self.nodes[index].paused = true;
     }
 
-    /// Lets a paused node go on; what came meanwhile is handed in at once.
+    /// Resumes a paused node; events that arrived during the pause are delivered immediately.
     pub fn wake(&mut self, index: NodeIndex) {
         self.nodes[index].paused = false;
-        let held = std::mem::take(&mut self.nodes[index].held);
+        let held = std::mem::take(&mut self.nodes[index].held_items);
         for item in held {
             self.schedule(0, item);
         }
     }
 
-    /// Asks a node to stop as planned.
+    /// Requests a graceful shutdown of a node.
     pub fn stop(&mut self, index: NodeIndex) {
         self.handle(index, Event::StopRequested);
     }
 
-    /// Sets how far a node's clock is ahead.
+    /// Sets the offset of a node's clock from the simulated clock, in milliseconds.
     pub fn set_skew_ms(&mut self, index: NodeIndex, skew_ms: i64) {
         self.nodes[index].skew_ms = skew_ms;
     }
 
-    /// Takes a node off the platform's VM list, or puts it back.
+    /// Adds a node to the platform's VM list or removes it.
     pub fn list_node(&mut self, index: NodeIndex, listed: bool) {
         if listed {
-            self.absent_from_list.remove(&index);
+            self.unlisted_nodes.remove(&index);
         } else {
-            self.absent_from_list.insert(index);
+            self.unlisted_nodes.insert(index);
         }
     }
 
     /// Marks a node as leaving in the platform's VM list.
-    pub fn list_leaving(&mut self, index: NodeIndex) {
-        self.leaving_in_list.insert(index);
+    pub fn mark_node_leaving(&mut self, index: NodeIndex) {
+        self.leaving_nodes.insert(index);
     }
 
     /// Marks an upstream as leaving in the platform's VM list.
@@ -447,7 +448,7 @@
         });
     }
 
-    /// Creates a guest's repeatable request that waits for two seconds.
+    /// Creates the head of a repeatable guest request with a deadline in two seconds.
     pub fn head(&self, service: &str) -> RequestHead {
         RequestHead {
             service: service.into(),
@@ -463,7 +464,7 @@
         }
     }
 
-    /// Sends a caller's request to a node; `head.deadline_at_ms` is by the bed's clock.
+    /// Sends a caller's request to a node; `head.deadline_at_ms` is a time of the simulated clock.
     pub fn call(&mut self, node: NodeIndex, head: RequestHead) -> CallIndex {
         let call = self.calls.len();
         let now_ms = self.now_ms;
@@ -475,55 +476,55 @@
             seen: Seen::Waiting,
         });
         if self.nodes[node].node.is_none() {
-            self.see(call, Seen::Broken);
+            self.record_result(call, Seen::ConnectionLost);
             return call;
         }
-        let request = RequestKey(self.number());
+        let request = RequestKey(self.next_key());
         self.nodes[node].requests.insert(request, call);
         let mut head = head;
         head.deadline_at_ms = head.deadline_at_ms.saturating_add_signed(self.nodes[node].skew_ms);
-        self.ask(node, request, head);
+        self.deliver_request(node, request, head);
         call
     }
 
-    /// Asks a node for tickets; there are none if it refuses or does not run.
+    /// Requests tickets from a node; returns none if it rejects the request or is not running.
     pub fn mint(&mut self, node: NodeIndex, service: &str, count: u32) -> Vec<Ticket> {
-        self.minted.clear();
+        self.minted_tickets.clear();
         if self.runs(node) {
-            let reply = ReplyKey(self.number());
+            let reply = ReplyKey(self.next_key());
             self.handle(node, Event::MintTickets { reply, service: service.into(), count });
         }
-        std::mem::take(&mut self.minted)
+        std::mem::take(&mut self.minted_tickets)
     }
 
-    /// Hands a request to a node; one that is paused finds it when it wakes.
-    fn ask(&mut self, node: NodeIndex, request: RequestKey, head: RequestHead) {
+    /// Delivers a request to a node, or holds it until the node resumes.
+    fn deliver_request(&mut self, node: NodeIndex, request: RequestKey, head: RequestHead) {
         if self.nodes[node].paused {
-            let boot = self.nodes[node].boots;
-            let item = Item::Asked { node, boot, request, head: Box::new(head) };
-            self.nodes[node].held.push_back(item);
+            let boot = self.nodes[node].boot_count;
+            let item = ScheduledItem::CallerRequest { node, boot, request, head: Box::new(head) };
+            self.nodes[node].held_items.push_back(item);
         } else {
             self.handle(node, Event::Request { request, head });
         }
     }
 
-    /// Asks a node for a change of the configuration, as an operator's command does.
+    /// Submits a configuration change to a node, as an operator's command does.
     pub fn change(&mut self, node: NodeIndex, request: ChangeRequest) -> ReplyKey {
-        let reply = ReplyKey(self.number());
+        let reply = ReplyKey(self.next_key());
         self.handle(node, Event::Change { reply, request });
         reply
     }
 
-    /// Returns what became of a change; none until the node has told.
+    /// Returns the outcome of a change, or `None` until the node has replied.
     pub fn change_outcome(&self, reply: ReplyKey) -> Option<&ChangeOutcome> {
         self.changes.get(&reply)
     }
 
-    /// Asks a node which entry VMs to use.
+    /// Looks up entry VMs at a node.
     ///
     /// # Errors
     ///
-    /// Fails as the node's look-up does.
+    /// Returns the node's error if the look-up fails.
     ///
     /// # Panics
     ///
@@ -533,89 +534,91 @@
         node: NodeIndex,
         look_up: &LookUp,
     ) -> Result<LookUpAnswer, LookUpError> {
-        self.nodes[node].node.as_mut().expect("the node is down").look_up(look_up)
+        self.nodes[node].node.as_mut().expect("the node should be running").look_up(look_up)
     }
 
-    /// Hands an event to a node at once and carries its actions out.
+    /// Delivers an event to a node immediately and performs the resulting actions.
     pub fn handle(&mut self, index: NodeIndex, event: Event) {
-        let now_ms = self.local_ms(index);
+        let now_ms = self.node_time_ms(index);
         let Some(node) = self.nodes[index].node.as_mut() else {
             return;
         };
         let actions = node.handle(now_ms, event);
-        self.carry_out(index, actions);
+        self.perform_actions(index, actions);
     }
 
-    /// Lets time pass until nodes that have just started use their upstreams: a lone one does so 2T + D
-    /// after its boot, by the longest deadline D of its failure domain's services.
+    /// Advances the clock until nodes that have just started hold the leases of their upstreams.
+    ///
+    /// A single node acquires them 2T + D after its boot, where T is the suspicion timeout and D the
+    /// longest deadline of the services in its failure domain.
     pub fn settle(&mut self, longest_deadline_ms: u64) {
         let settings = &self.settings;
-        let granted_ms = 4 * settings.heartbeat_every_ms;
-        self.run_for(2 * settings.suspect_after_ms + longest_deadline_ms + granted_ms);
+        let grant_ms = 4 * settings.heartbeat_every_ms;
+        self.run_for(2 * settings.suspect_after_ms + longest_deadline_ms + grant_ms);
     }
 
-    /// Lets time pass.
+    /// Advances the clock and processes all work that falls due.
     pub fn run_for(&mut self, duration_ms: u64) {
         let until_ms = self.now_ms + duration_ms;
-        while let Some(entry) = self.due.first_entry() {
+        while let Some(entry) = self.scheduled.first_entry() {
             let (at_ms, _) = *entry.key();
             if at_ms > until_ms {
                 break;
             }
             let item = entry.remove();
             self.now_ms = self.now_ms.max(at_ms);
-            self.take(item);
+            self.process_item(item);
         }
         self.now_ms = until_ms;
     }
 
-    /// Whether a connection can be made and answered between two nodes.
-    fn connects(&self, from: NodeIndex, to: NodeIndex) -> bool {
-        let there = self.faults.reaches(Place::Node(from), Place::Node(to));
-        let back = self.faults.reaches(Place::Node(to), Place::Node(from));
-        there && back && self.nodes[to].node.is_some()
+    /// Returns whether a node can connect to another and receive its responses.
+    fn can_connect(&self, from: NodeIndex, to: NodeIndex) -> bool {
+        let outbound = self.faults.is_open(Place::Node(from), Place::Node(to));
+        let inbound = self.faults.is_open(Place::Node(to), Place::Node(from));
+        outbound && inbound && self.nodes[to].node.is_some()
     }
 
-    fn reaches_upstream(&self, from: NodeIndex, upstream: UpstreamKey) -> bool {
-        self.faults.reaches(Place::Node(from), Place::Upstream(upstream))
+    fn can_reach_upstream(&self, from: NodeIndex, upstream: UpstreamKey) -> bool {
+        self.faults.is_open(Place::Node(from), Place::Upstream(upstream))
     }
 
     fn delay_ms(&mut self, from: NodeIndex, to: NodeIndex) -> u64 {
         if from == to {
             return 0;
         }
-        let base_ms = self.faults.delay_ms(&self.nodes[from].domain, &self.nodes[to].domain);
+        let base_ms = self.faults.latency_ms(&self.nodes[from].domain, &self.nodes[to].domain);
         base_ms + self.random.u64(0..=self.faults.jitter_ms)
     }
 
-    fn local_ms(&self, index: NodeIndex) -> u64 {
+    fn node_time_ms(&self, index: NodeIndex) -> u64 {
         self.now_ms.saturating_add_signed(self.nodes[index].skew_ms)
     }
 
-    fn is_boot(&self, index: NodeIndex, boot: u64) -> bool {
-        self.nodes[index].boots == boot && self.nodes[index].node.is_some()
+    fn is_current_boot(&self, index: NodeIndex, boot: u64) -> bool {
+        self.nodes[index].boot_count == boot && self.nodes[index].node.is_some()
     }
 
-    fn see(&mut self, call: CallIndex, seen: Seen) {
+    fn record_result(&mut self, call: CallIndex, result: Seen) {
         if self.calls[call].seen == Seen::Waiting {
-            self.calls[call].seen = seen;
+            self.calls[call].seen = result;
             self.calls[call].seen_at_ms = self.now_ms;
         }
     }
 
-    fn schedule(&mut self, delay_ms: u64, item: Item) {
-        self.order += 1;
-        self.due.insert((self.now_ms + delay_ms, self.order), item);
+    fn schedule(&mut self, delay_ms: u64, item: ScheduledItem) {
+        self.last_sequence += 1;
+        self.scheduled.insert((self.now_ms + delay_ms, self.last_sequence), item);
     }
 
-    fn number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+    fn next_key(&mut self) -> u64 {
+        self.last_key += 1;
+        self.last_key
     }
 }
 
-/// The reply to a dispatch.
-enum BedReply {
+/// The reply of an owner to a dispatch.
+enum DispatchReply {
     Answered(AnswerHead),
-    Ended(HopFailure),
+    Failed(HopFailure),
 }
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the nodes ask for between each other, callers and upstreams.
+//! Performs the actions of nodes that concern other nodes, callers and upstreams.
 
 use std::net::SocketAddr;
 
@@ -9,53 +9,62 @@
 };
 
 use super::faults::Place;
-use super::upstreams::{self, Started};
+use super::upstreams::{self, UpstreamRun};
 use super::{
-    Bed, BedEvent, BedReply, CallIndex, DATAGRAM_EXTRA_BYTES, Exchange, Item, NodeIndex, Seen,
+    Bed, CallIndex, DATAGRAM_OVERHEAD_BYTES, DispatchReply, NodeEvent, NodeIndex, PendingDispatch,
+    ScheduledItem, Seen,
 };
 
 impl Bed {
-    pub(super) fn carry_out(&mut self, index: NodeIndex, actions: Vec<Action>) {
+    pub(super) fn perform_actions(&mut self, index: NodeIndex, actions: Vec<Action>) {
         for action in actions {
-            self.act(index, action);
+            self.perform_action(index, action);
         }
     }
 
-    pub(super) fn act(&mut self, index: NodeIndex, action: Action) {
+    pub(super) fn perform_action(&mut self, index: NodeIndex, action: Action) {
         match action {
-            Action::SendDatagram { to, envelope } => self.send(index, to, &envelope),
+            Action::SendDatagram { to, envelope } => self.send_datagram(index, to, &envelope),
             Action::Forward { request, attempt, to, dispatch, .. } => {
                 self.forward(index, request, attempt, to, dispatch);
             }
             Action::ForwardHome { request, attempt, to, .. } => {
                 self.forward_home(index, request, attempt, to);
             }
-            Action::RelayResponse { request, attempt } => self.relay(index, request, attempt),
+            Action::RelayResponse { request, attempt } => {
+                self.relay_response(index, request, attempt);
+            }
             Action::AnswerTickets { tickets, .. } => {
-                self.minted = tickets.unwrap_or_default();
+                self.minted_tickets = tickets.unwrap_or_default();
             }
             Action::HandOverTickets { operation, to, tickets, .. } => {
-                self.hand_over(index, operation, to, tickets);
+                self.hand_over_tickets(index, operation, to, tickets);
             }
             Action::CancelAttempt { .. }
             | Action::AnswerLookUp { .. }
             | Action::CancelCall { .. } => {}
             Action::Conclude { request, outcome } => {
                 if let Some(call) = self.nodes[index].requests.remove(&request) {
-                    self.see(call, Seen::Concluded(outcome));
+                    self.record_result(call, Seen::Concluded(outcome));
                 }
             }
             Action::CallUpstream { exchange, upstream, send_by_ms, .. } => {
                 self.call_upstream(index, exchange, upstream, send_by_ms);
             }
             Action::RejectDispatch { exchange, refusal } => {
-                if let Some(entry) = self.nodes[index].exchanges.remove(&exchange) {
-                    self.reply(&entry, BedReply::Ended(HopFailure::Refused(refusal)), index);
+                if let Some(pending) = self.nodes[index].dispatches.remove(&exchange) {
+                    self.send_reply(
+                        &pending,
+                        DispatchReply::Failed(HopFailure::Refused(refusal)),
+                        index,
+                    );
                 }
             }
-            Action::Table { operation, request } => self.table_request(index, operation, request),
+            Action::Table { operation, request } => {
+                self.send_table_request(index, operation, request);
+            }
             Action::FetchPage { operation, from, after } => {
-                self.fetch(index, operation, from, &after);
+                self.fetch_page(index, operation, from, &after);
             }
             Action::AnswerChange { reply, outcome } => {
                 self.changes.insert(reply, outcome);
@@ -68,20 +77,21 @@
         }
     }
 
-    pub(super) fn send(
+    pub(super) fn send_datagram(
         &mut self,
         from: NodeIndex,
         to: SocketAddr,
         envelope: &sedgepath_core::message::Envelope,
     ) {
         let size = postcard::experimental::serialized_size(envelope);
-        let bytes = size.map_or(0, |size| size as u64 + DATAGRAM_EXTRA_BYTES);
+        let bytes = size.map_or(0, |size| size as u64 + DATAGRAM_OVERHEAD_BYTES);
         self.nodes[from].traffic.sent += 1;
         self.nodes[from].traffic.sent_bytes += bytes;
-        let Some(target) = self.nodes.iter().position(|slot| slot.card.peer_address == to) else {
+        let Some(target) = self.nodes.iter().position(|slot| slot.descriptor.peer_address == to)
+        else {
             return;
         };
-        if !self.faults.reaches(Place::Node(from), Place::Node(target)) {
+        if !self.faults.is_open(Place::Node(from), Place::Node(target)) {
             return;
         }
         let copies = self.faults.datagram_copies(&mut self.random);
@@ -90,9 +100,9 @@
             self.nodes[target].traffic.received_bytes += bytes;
             let delay_ms = self.delay_ms(from, target);
             let mut envelope = envelope.clone();
-            self.loads.replace(&mut envelope, &self.faults, self.now_ms);
-            let event = Box::new(BedEvent::Datagram(envelope));
-            self.schedule(delay_ms, Item::Deliver { node: target, boot: None, event });
+            self.loads.apply_faults(&mut envelope, &self.faults, self.now_ms);
+            let event = Box::new(NodeEvent::Datagram(envelope));
+            self.schedule(delay_ms, ScheduledItem::Deliver { node: target, boot: None, event });
         }
     }
 
@@ -107,21 +117,21 @@
         let Some(call) = self.nodes[index].requests.get(&request).copied() else {
             return;
         };
-        let ingress_boot = self.nodes[index].boots;
-        let exchange = Exchange { ingress: index, ingress_boot, request, attempt, call };
+        let ingress_boot = self.nodes[index].boot_count;
+        let pending = PendingDispatch { ingress: index, ingress_boot, request, attempt, call };
         let target = self.nodes.iter().position(|slot| VmKey::of(&slot.name) == to);
         match target {
-            Some(target) if self.connects(index, target) => {
+            Some(target) if self.can_connect(index, target) => {
                 let delay_ms = self.delay_ms(index, target);
-                let boot = Some(self.nodes[target].boots);
-                let event = Box::new(BedEvent::Dispatch(dispatch, exchange));
-                self.schedule(delay_ms, Item::Deliver { node: target, boot, event });
+                let boot = Some(self.nodes[target].boot_count);
+                let event = Box::new(NodeEvent::Dispatch(dispatch, pending));
+                self.schedule(delay_ms, ScheduledItem::Deliver { node: target, boot, event });
             }
-            _ => self.reply(&exchange, BedReply::Ended(HopFailure::NotSent), index),
+            _ => self.send_reply(&pending, DispatchReply::Failed(HopFailure::NotSent), index),
         }
     }
 
-    /// The home serves the request as if the caller had come to it; its outcome is the caller's.
+    /// Forwards a request to its home node, whose outcome becomes the caller's.
     pub(super) fn forward_home(
         &mut self,
         index: NodeIndex,
@@ -133,7 +143,7 @@
             return;
         };
         let target = self.nodes.iter().position(|slot| VmKey::of(&slot.name) == to);
-        let Some(target) = target.filter(|target| self.connects(index, *target)) else {
+        let Some(target) = target.filter(|target| self.can_connect(index, *target)) else {
             self.handle(index, Event::HopEnded { request, attempt, end: HopFailure::NotSent });
             return;
         };
@@ -142,20 +152,20 @@
         let mut head = self.calls[call].head.clone();
         head.forwarded_by = Some(VmKey::of(&self.nodes[index].name));
         head.deadline_at_ms = head.deadline_at_ms.saturating_add_signed(self.nodes[target].skew_ms);
-        let forwarded = RequestKey(self.number());
+        let forwarded = RequestKey(self.next_key());
         self.nodes[target].requests.insert(forwarded, call);
-        self.ask(target, forwarded, head);
+        self.deliver_request(target, forwarded, head);
     }
 
-    pub(super) fn relay(&mut self, index: NodeIndex, request: RequestKey, _attempt: u32) {
+    pub(super) fn relay_response(&mut self, index: NodeIndex, request: RequestKey, _attempt: u32) {
         let Some(call) = self.nodes[index].requests.remove(&request) else {
             return;
         };
-        if let Some(upstream) = self.upstreams.answered(call) {
-            self.see(call, Seen::Answered { upstream });
+        if let Some(upstream) = self.upstreams.responder(call) {
+            self.record_result(call, Seen::Answered { upstream });
         }
-        let once = self.calls[call].head.deduplication != Deduplication::Repeatable;
-        let stored = once.then(|| StoredAnswer {
+        let deduplicated = self.calls[call].head.deduplication != Deduplication::Repeatable;
+        let stored = deduplicated.then(|| StoredAnswer {
             status: 200,
             content_type: None,
             body: format!("call {call}").into(),
@@ -172,22 +182,22 @@
         send_by_ms: u64,
     ) {
         let delay_ms = self.faults.pause_before_send_ms;
-        let sent_at_ms = self.local_ms(index) + delay_ms;
-        if sent_at_ms > send_by_ms || !self.reaches_upstream(index, upstream) {
-            let event = BedEvent::CallEnded(exchange, CallOutcome::NotSent, 0);
-            if let Some(entry) = self.nodes[index].exchanges.get(&exchange).cloned() {
-                self.reply(&entry, BedReply::Ended(HopFailure::NotSent), index);
+        let sent_at_ms = self.node_time_ms(index) + delay_ms;
+        if sent_at_ms > send_by_ms || !self.can_reach_upstream(index, upstream) {
+            let event = NodeEvent::CallEnded(exchange, CallOutcome::NotSent, 0);
+            if let Some(pending) = self.nodes[index].dispatches.get(&exchange).cloned() {
+                self.send_reply(&pending, DispatchReply::Failed(HopFailure::NotSent), index);
             }
-            self.deliver_later(index, 0, event);
+            self.schedule_event(index, 0, event);
             return;
         }
-        let boot = self.nodes[index].boots;
-        let call = self.nodes[index].exchanges.get(&exchange).map(|entry| entry.call);
-        let item = Item::UpstreamArrives { owner: index, boot, exchange, upstream, call };
+        let boot = self.nodes[index].boot_count;
+        let call = self.nodes[index].dispatches.get(&exchange).map(|pending| pending.call);
+        let item = ScheduledItem::UpstreamArrival { owner: index, boot, exchange, upstream, call };
         self.schedule(delay_ms + 1, item);
     }
 
-    pub(super) fn upstream_arrives(
+    pub(super) fn start_upstream_run(
         &mut self,
         owner: NodeIndex,
         boot: u64,
@@ -196,28 +206,35 @@
         call: Option<CallIndex>,
     ) {
         let head = call.map(|call| self.calls[call].head.clone());
-        let started = self.upstreams.start(
-            Started { owner, boot, exchange, upstream, call, at_ms: self.now_ms },
+        let service_ms = self.upstreams.start(
+            UpstreamRun { owner, boot, exchange, upstream, call, started_at_ms: self.now_ms },
             head.as_ref(),
             &mut self.random,
         );
-        match started {
-            Ok(takes_ms) => {
-                let started = Started { owner, boot, exchange, upstream, call, at_ms: self.now_ms };
-                self.schedule(takes_ms, Item::UpstreamDone { started });
+        match service_ms {
+            Ok(service_ms) => {
+                let run = UpstreamRun {
+                    owner,
+                    boot,
+                    exchange,
+                    upstream,
+                    call,
+                    started_at_ms: self.now_ms,
+                };
+                self.schedule(service_ms, ScheduledItem::UpstreamEnd { run });
             }
-            Err(end) => self.call_ended(owner, boot, exchange, upstream, end, 0),
+            Err(end) => self.end_upstream_call(owner, boot, exchange, upstream, end, 0),
         }
     }
 
-    pub(super) fn upstream_done(&mut self, started: &Started) {
-        let end = self.upstreams.finish(started);
-        let took_ms = self.now_ms - started.at_ms;
-        let Started { owner, boot, exchange, upstream, .. } = *started;
-        self.call_ended(owner, boot, exchange, upstream, end, took_ms);
+    pub(super) fn finish_upstream_run(&mut self, run: &UpstreamRun) {
+        let end = self.upstreams.finish(run);
+        let took_ms = self.now_ms - run.started_at_ms;
+        let UpstreamRun { owner, boot, exchange, upstream, .. } = *run;
+        self.end_upstream_call(owner, boot, exchange, upstream, end, took_ms);
     }
 
-    pub(super) fn call_ended(
+    pub(super) fn end_upstream_call(
         &mut self,
         owner: NodeIndex,
         boot: u64,
@@ -226,43 +243,53 @@
         end: CallOutcome,
         took_ms: u64,
     ) {
-        if !self.is_boot(owner, boot) {
+        if !self.is_current_boot(owner, boot) {
             return;
         }
-        let end = if self.reaches_upstream(owner, upstream) { end } else { CallOutcome::Lost };
-        let report = self.upstreams.report(upstream, self.local_ms(owner));
+        let end = if self.can_reach_upstream(owner, upstream) { end } else { CallOutcome::Lost };
+        let report = self.upstreams.report(upstream, self.node_time_ms(owner));
         if let Some(report) = report.filter(|_| end != CallOutcome::Lost) {
-            self.deliver_later(owner, 0, BedEvent::Report(upstream, report));
+            self.schedule_event(owner, 0, NodeEvent::Report(upstream, report));
         }
-        if let Some(entry) = self.nodes[owner].exchanges.get(&exchange).cloned() {
+        if let Some(pending) = self.nodes[owner].dispatches.get(&exchange).cloned() {
             let domain = DomainKey::of(&self.nodes[owner].domain);
             let reply = match end {
                 CallOutcome::Completed => {
-                    BedReply::Answered(AnswerHead { status: 200, upstream, domain })
+                    DispatchReply::Answered(AnswerHead { status: 200, upstream, domain })
+                }
+                CallOutcome::Refused => {
+                    DispatchReply::Failed(HopFailure::Refused(upstreams::REFUSAL))
                 }
-                CallOutcome::Refused => BedReply::Ended(HopFailure::Refused(upstreams::REFUSAL)),
                 CallOutcome::NotSent | CallOutcome::Cancelled => {
-                    BedReply::Ended(HopFailure::NotSent)
+                    DispatchReply::Failed(HopFailure::NotSent)
                 }
-                CallOutcome::Lost => BedReply::Ended(HopFailure::Lost),
+                CallOutcome::Lost => DispatchReply::Failed(HopFailure::Lost),
             };
-            self.reply(&entry, reply, owner);
+            self.send_reply(&pending, reply, owner);
         }
-        self.deliver_later(owner, 0, BedEvent::CallEnded(exchange, end, took_ms));
+        self.schedule_event(owner, 0, NodeEvent::CallEnded(exchange, end, took_ms));
     }
 
-    /// Sends the reply to a dispatch back to its ingress.
-    pub(super) fn reply(&mut self, exchange: &Exchange, reply: BedReply, from: NodeIndex) {
-        let ingress = exchange.ingress;
-        let cut = !self.faults.reaches(Place::Node(from), Place::Node(ingress));
-        let Exchange { request, attempt, .. } = *exchange;
+    /// Sends the reply to a dispatch back to its ingress node.
+    pub(super) fn send_reply(
+        &mut self,
+        pending: &PendingDispatch,
+        reply: DispatchReply,
+        from: NodeIndex,
+    ) {
+        let ingress = pending.ingress;
+        let cut = !self.faults.is_open(Place::Node(from), Place::Node(ingress));
+        let PendingDispatch { request, attempt, .. } = *pending;
         let event = match reply {
-            _ if cut => BedEvent::HopEnded(request, attempt, HopFailure::Lost),
-            BedReply::Answered(head) => BedEvent::HopAnswered(request, attempt, head),
-            BedReply::Ended(end) => BedEvent::HopEnded(request, attempt, end),
+            _ if cut => NodeEvent::HopEnded(request, attempt, HopFailure::Lost),
+            DispatchReply::Answered(head) => NodeEvent::HopAnswered(request, attempt, head),
+            DispatchReply::Failed(end) => NodeEvent::HopEnded(request, attempt, end),
         };
         let delay_ms = self.delay_ms(from, ingress);
-        let boot = Some(exchange.ingress_boot);
-        self.schedule(delay_ms, Item::Deliver { node: ingress, boot, event: Box::new(event) });
+        let boot = Some(pending.ingress_boot);
+        self.schedule(
+            delay_ms,
+            ScheduledItem::Deliver { node: ingress, boot, event: Box::new(event) },
+        );
     }
 }
--- a/crates/sedgepath-test-support/src/bed/delivery.rs
+++ b/crates/sedgepath-test-support/src/bed/delivery.rs
@@ -1,4 +1,4 @@
-//! Hands what is due to the nodes.
+//! Delivers scheduled work to the nodes.
 
 use sedgepath_core::event::{Event, ListedVm};
 use sedgepath_core::key::{ExchangeKey, VmKey};
@@ -6,111 +6,112 @@
 use sedgepath_core::table::TableService;
 
 use super::faults::Place;
-use super::{Bed, BedEvent, BedReply, Item, LIST_EVERY_MS, NodeIndex, TICK_EVERY_MS};
+use super::{
+    Bed, DispatchReply, NodeEvent, NodeIndex, ScheduledItem, TICK_INTERVAL_MS, VM_LIST_INTERVAL_MS,
+};
 
 impl Bed {
-    pub(super) fn take(&mut self, item: Item) {
+    pub(super) fn process_item(&mut self, item: ScheduledItem) {
         let node = match &item {
-            Item::Tick { node, .. }
-            | Item::List { node, .. }
-            | Item::Deliver { node, .. }
-            | Item::Asked { node, .. } => Some(*node),
+            ScheduledItem::Tick { node, .. }
+            | ScheduledItem::VmList { node, .. }
+            | ScheduledItem::Deliver { node, .. }
+            | ScheduledItem::CallerRequest { node, .. } => Some(*node),
             _ => None,
         };
         if let Some(node) = node
             && self.nodes[node].paused
         {
-            self.nodes[node].held.push_back(item);
+            self.nodes[node].held_items.push_back(item);
             return;
         }
         match item {
-            Item::Tick { node, boot } => self.tick(node, boot),
-            Item::List { node, boot } => self.list(node, boot),
-            Item::Deliver { node, boot, event } => self.deliver(node, boot, *event),
-            Item::TableArrives { node, boot, operation, request } => {
-                self.table_arrives(node, boot, operation, &request);
+            ScheduledItem::Tick { node, boot } => self.tick(node, boot),
+            ScheduledItem::VmList { node, boot } => self.deliver_vm_list(node, boot),
+            ScheduledItem::Deliver { node, boot, event } => self.deliver_event(node, boot, *event),
+            ScheduledItem::TableRequestArrival { node, boot, operation, request } => {
+                self.execute_table_request(node, boot, operation, &request);
             }
-            Item::LateWrite { request } => {
-                // Its answer was lost when it was sent; what became of it shows in the table.
-                let _unseen = self.table.execute(&request);
+            ScheduledItem::DelayedCommit { request } => {
+                // The node has already received an unknown result.
+                let _result = self.table.execute(&request);
             }
-            Item::UpstreamArrives { owner, boot, exchange, upstream, call } => {
-                self.upstream_arrives(owner, boot, exchange, upstream, call);
+            ScheduledItem::UpstreamArrival { owner, boot, exchange, upstream, call } => {
+                self.start_upstream_run(owner, boot, exchange, upstream, call);
             }
-            Item::Asked { node, boot, request, head } => {
-                if self.is_boot(node, boot) {
+            ScheduledItem::CallerRequest { node, boot, request, head } => {
+                if self.is_current_boot(node, boot) {
                     self.handle(node, Event::Request { request, head: *head });
                 }
             }
-            Item::UpstreamDone { started } => self.upstream_done(&started),
+            ScheduledItem::UpstreamEnd { run } => self.finish_upstream_run(&run),
         }
     }
 
     pub(super) fn tick(&mut self, index: NodeIndex, boot: u64) {
-        if !self.is_boot(index, boot) {
+        if !self.is_current_boot(index, boot) {
             return;
         }
-        let now_ms = self.local_ms(index);
+        let now_ms = self.node_time_ms(index);
         if let Some(node) = self.nodes[index].node.as_mut() {
             let actions = node.tick(now_ms);
-            self.carry_out(index, actions);
+            self.perform_actions(index, actions);
         }
-        self.schedule(TICK_EVERY_MS, Item::Tick { node: index, boot });
+        self.schedule(TICK_INTERVAL_MS, ScheduledItem::Tick { node: index, boot });
     }
 
-    pub(super) fn list(&mut self, index: NodeIndex, boot: u64) {
-        if !self.is_boot(index, boot) {
+    pub(super) fn deliver_vm_list(&mut self, index: NodeIndex, boot: u64) {
+        if !self.is_current_boot(index, boot) {
             return;
         }
-        if self.faults.reaches(Place::Node(index), Place::Platform) && !self.faults.platform_down {
-            let listed = self.listed();
+        if self.faults.is_open(Place::Node(index), Place::Platform) && !self.faults.platform_down {
+            let listed = self.vm_list();
             self.handle(index, Event::VmList(listed));
         }
-        self.schedule(LIST_EVERY_MS, Item::List { node: index, boot });
+        self.schedule(VM_LIST_INTERVAL_MS, ScheduledItem::VmList { node: index, boot });
     }
 
-    pub(super) fn listed(&self) -> Vec<ListedVm> {
-        let present = self
-            .nodes
-            .iter()
-            .enumerate()
-            .filter(|(index, _)| !self.absent_from_list.contains(index));
-        let listed = present.map(|(index, slot)| ListedVm {
+    pub(super) fn vm_list(&self) -> Vec<ListedVm> {
+        let listed_nodes =
+            self.nodes.iter().enumerate().filter(|(index, _)| !self.unlisted_nodes.contains(index));
+        let listed = listed_nodes.map(|(index, slot)| ListedVm {
             name: slot.name.clone(),
             domain: slot.domain.clone(),
-            peer_address: slot.card.peer_address,
-            leaving: self.leaving_in_list.contains(&index),
+            peer_address: slot.descriptor.peer_address,
+            leaving: self.leaving_nodes.contains(&index),
         });
         listed.chain(self.leaving_upstreams.iter().cloned()).collect()
     }
 
-    pub(super) fn deliver(&mut self, index: NodeIndex, boot: Option<u64>, event: BedEvent) {
-        if boot.is_some_and(|boot| !self.is_boot(index, boot)) || self.nodes[index].node.is_none() {
-            if let BedEvent::Dispatch(_, exchange) = event {
-                self.reply(&exchange, BedReply::Ended(HopFailure::NotSent), index);
+    pub(super) fn deliver_event(&mut self, index: NodeIndex, boot: Option<u64>, event: NodeEvent) {
+        if boot.is_some_and(|boot| !self.is_current_boot(index, boot))
+            || self.nodes[index].node.is_none()
+        {
+            if let NodeEvent::Dispatch(_, pending) = event {
+                self.send_reply(&pending, DispatchReply::Failed(HopFailure::NotSent), index);
             }
             return;
         }
         let event = match event {
-            BedEvent::Datagram(envelope) => Event::Datagram(envelope),
-            BedEvent::Table(operation, result) => Event::Table { operation, result },
-            BedEvent::HopAnswered(request, attempt, head) => {
+            NodeEvent::Datagram(envelope) => Event::Datagram(envelope),
+            NodeEvent::Table(operation, result) => Event::Table { operation, result },
+            NodeEvent::HopAnswered(request, attempt, head) => {
                 Event::HopAnswered { request, attempt, head }
             }
-            BedEvent::HopEnded(request, attempt, end) => Event::HopEnded { request, attempt, end },
-            BedEvent::CallEnded(exchange, end, took_ms) => {
-                self.nodes[index].exchanges.remove(&exchange);
+            NodeEvent::HopEnded(request, attempt, end) => Event::HopEnded { request, attempt, end },
+            NodeEvent::CallEnded(exchange, end, took_ms) => {
+                self.nodes[index].dispatches.remove(&exchange);
                 Event::CallEnded { exchange, end, took_ms }
             }
-            BedEvent::Report(upstream, report) => Event::UpstreamReport { upstream, report },
-            BedEvent::HandOverEnded(operation, taken) => {
+            NodeEvent::Report(upstream, report) => Event::UpstreamReport { upstream, report },
+            NodeEvent::TicketHandoverEnded(operation, taken) => {
                 Event::TicketHandoverEnded { operation, taken }
             }
-            BedEvent::Fetched(operation, page) => Event::PageFetched { operation, page },
-            BedEvent::Dispatch(dispatch, exchange) => {
-                let key = ExchangeKey(self.number());
-                let from = VmKey::of(&self.nodes[exchange.ingress].name);
-                self.nodes[index].exchanges.insert(key, exchange);
+            NodeEvent::PageFetched(operation, page) => Event::PageFetched { operation, page },
+            NodeEvent::Dispatch(dispatch, pending) => {
+                let key = ExchangeKey(self.next_key());
+                let from = VmKey::of(&self.nodes[pending.ingress].name);
+                self.nodes[index].dispatches.insert(key, pending);
                 Event::Dispatched { exchange: key, from, dispatch }
             }
         };
--- a/crates/sedgepath-test-support/src/bed/faults.rs
+++ b/crates/sedgepath-test-support/src/bed/faults.rs
@@ -1,51 +1,50 @@
-//! The faults of a bed.
+//! Faults that a test bed injects.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use sedgepath_core::key::UpstreamKey;
 
-/// One end of a link.
+/// An endpoint of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Place {
-    /// A node, by its number.
+    /// A node, by its index.
     Node(usize),
-    /// An upstream.
+    /// An upstream, by its key.
     Upstream(UpstreamKey),
-    /// The platform.
+    /// The platform, which serves the table and the VM list.
     Platform,
 }
 
-/// The faults in force; all fields may be changed at any time.
+/// The faults currently injected; fields may be changed at any time.
 #[derive(Debug)]
 pub struct Faults {
-    /// The delay between failure domains, in milliseconds.
-    pub hop_ms: u64,
-    /// The delay between failure domains of different regions, in milliseconds, as far as
-    /// [`Faults::regions`] names them.
-    pub region_hop_ms: u64,
-    /// The regions of failure domains, by the domains' names.
-    pub regions: BTreeMap<Box<str>, Box<str>>,
-    /// How late the loads in datagrams are, in milliseconds, although the datagrams are not.
-    pub load_lag_ms: u64,
-    /// Whether datagrams carry no loads.
-    pub loads_missing: bool,
-    /// The most that is added to a delay at random, in milliseconds.
+    /// The one-way latency between failure domains of a region, in milliseconds.
+    pub domain_latency_ms: u64,
+    /// The one-way latency between failure domains of different regions, in milliseconds.
+    pub region_latency_ms: u64,
+    /// The region of each failure domain, by names; domains that are missing share one region.
+    pub region_by_domain: BTreeMap<Box<str>, Box<str>>,
+    /// The extra delay of the loads reported in datagrams, in milliseconds.
+    pub load_delay_ms: u64,
+    /// Whether loads are removed from datagrams.
+    pub omit_loads: bool,
+    /// The maximum random addition to a delay, in milliseconds.
     pub jitter_ms: u64,
-    /// The share of datagrams that are lost, in percent.
+    /// The percentage of datagrams that are lost.
     pub loss_percent: u32,
-    /// The share of datagrams that arrive twice, in percent.
+    /// The percentage of datagrams that are delivered twice.
     pub repeat_percent: u32,
-    /// The time between a node's decision to send to an upstream and the send, in milliseconds.
+    /// The delay between a node's decision to call an upstream and the send, in milliseconds.
     pub pause_before_send_ms: u64,
-    /// Whether the platform refuses everything.
+    /// Whether the platform is unavailable.
     pub platform_down: bool,
-    /// The least time of one way to the table, in milliseconds.
+    /// The minimum one-way latency to the table, in milliseconds.
     pub table_ms: u64,
-    /// The share of commits whose answer is lost, in percent.
+    /// The percentage of commits whose result is lost.
     pub lost_answers_percent: u32,
-    /// The number of commits from now on that take effect late, with no answer.
+    /// The number of upcoming commits that take effect late and whose result is lost.
     pub late_writes: u32,
-    /// How late these take effect, in milliseconds.
+    /// The delay of such late commits, in milliseconds.
     pub late_by_ms: u64,
     cut: BTreeSet<(Place, Place)>,
 }
@@ -53,11 +52,11 @@
 impl Default for Faults {
     fn default() -> Self {
         Self {
-            hop_ms: 1,
-            region_hop_ms: 1,
-            regions: BTreeMap::new(),
-            load_lag_ms: 0,
-            loads_missing: false,
+            domain_latency_ms: 1,
+            region_latency_ms: 1,
+            region_by_domain: BTreeMap::new(),
+            load_delay_ms: 0,
+            omit_loads: false,
             jitter_ms: 1,
             loss_percent: 0,
             repeat_percent: 0,
@@ -73,37 +72,37 @@
 }
 
 impl Faults {
-    /// Cuts the way from one place to another; the way back stays.
+    /// Cuts the link from one endpoint to another and leaves the reverse direction open.
     pub fn cut_one_way(&mut self, from: Place, to: Place) {
         self.cut.insert((from, to));
     }
 
-    /// Cuts both ways between two places.
+    /// Cuts the link between two endpoints in both directions.
     pub fn cut(&mut self, a: Place, b: Place) {
         self.cut_one_way(a, b);
         self.cut_one_way(b, a);
     }
 
-    /// Heals all cuts.
+    /// Restores all links that were cut.
     pub fn heal_all(&mut self) {
         self.cut.clear();
     }
 
-    /// Whether the way from one place to another is open.
-    pub fn reaches(&self, from: Place, to: Place) -> bool {
+    /// Returns whether messages pass from one endpoint to another.
+    pub fn is_open(&self, from: Place, to: Place) -> bool {
         !self.cut.contains(&(from, to))
     }
 
-    /// Returns the least delay between two failure domains, in milliseconds.
-    pub(super) fn delay_ms(&self, from: &str, to: &str) -> u64 {
+    /// Returns the minimum latency between two failure domains, in milliseconds.
+    pub(super) fn latency_ms(&self, from: &str, to: &str) -> u64 {
         if from == to {
             return 0;
         }
-        let far = self.regions.get(from) != self.regions.get(to);
-        if far { self.region_hop_ms } else { self.hop_ms }
+        let cross_region = self.region_by_domain.get(from) != self.region_by_domain.get(to);
+        if cross_region { self.region_latency_ms } else { self.domain_latency_ms }
     }
 
-    /// Draws how many copies of a datagram arrive.
+    /// Draws the number of copies of a datagram that arrive.
     pub(super) fn datagram_copies(&self, random: &mut fastrand::Rng) -> u32 {
         if random.u32(0..100) < self.loss_percent {
             return 0;
@@ -111,13 +110,13 @@
         if random.u32(0..100) < self.repeat_percent { 2 } else { 1 }
     }
 
-    /// Draws the time of one way to the table, in milliseconds.
+    /// Draws the one-way latency of a message to or from the table, in milliseconds.
     pub(super) fn table_delay_ms(&self, random: &mut fastrand::Rng) -> u64 {
         self.table_ms + random.u64(0..=self.jitter_ms)
     }
 
-    /// Draws whether the answer to a commit is lost.
-    pub(super) fn loses_answer(&self, random: &mut fastrand::Rng) -> bool {
+    /// Draws whether the result of a commit is lost.
+    pub(super) fn loses_commit_result(&self, random: &mut fastrand::Rng) -> bool {
         random.u32(0..100) < self.lost_answers_percent
     }
 }
--- a/crates/sedgepath-test-support/src/bed/platform.rs
+++ b/crates/sedgepath-test-support/src/bed/platform.rs
@@ -1,4 +1,4 @@
-//! Carries requests to the table and fetches from peers, with their faults.
+//! Performs requests to the table and page fetches from peers, subject to faults.
 
 use std::net::SocketAddr;
 
@@ -10,10 +10,10 @@
 use sedgepath_core::table::{TableRequest, TableResult};
 
 use super::faults::Place;
-use super::{Bed, BedEvent, Item, NodeIndex};
+use super::{Bed, NodeEvent, NodeIndex, ScheduledItem};
 
 impl Bed {
-    pub(super) fn table_request(
+    pub(super) fn send_table_request(
         &mut self,
         index: NodeIndex,
         operation: OperationKey,
@@ -25,19 +25,19 @@
                 self.nodes[index].traffic.table_reads += 1;
             }
         }
-        let boot = self.nodes[index].boots;
+        let boot = self.nodes[index].boot_count;
         let down = self.faults.platform_down;
-        if down || !self.faults.reaches(Place::Node(index), Place::Platform) {
-            let event = BedEvent::Table(operation, TableResult::Unavailable);
-            self.deliver_later(index, 5, event);
+        if down || !self.faults.is_open(Place::Node(index), Place::Platform) {
+            let event = NodeEvent::Table(operation, TableResult::Unavailable);
+            self.schedule_event(index, 5, event);
             return;
         }
         let delay_ms = self.faults.table_delay_ms(&mut self.random);
-        let item = Item::TableArrives { node: index, boot, operation, request };
+        let item = ScheduledItem::TableRequestArrival { node: index, boot, operation, request };
         self.schedule(delay_ms, item);
     }
 
-    pub(super) fn table_arrives(
+    pub(super) fn execute_table_request(
         &mut self,
         index: NodeIndex,
         boot: u64,
@@ -50,16 +50,21 @@
         if commits && self.faults.late_writes > 0 {
             self.faults.late_writes -= 1;
             let late_by_ms = self.faults.late_by_ms;
-            self.schedule(late_by_ms, Item::LateWrite { request: request.clone() });
-            self.answer_table(index, boot, operation, TableResult::Unknown);
+            self.schedule(late_by_ms, ScheduledItem::DelayedCommit { request: request.clone() });
+            self.send_table_result(index, boot, operation, TableResult::Unknown);
             return;
         }
         let result = self.table.execute(request);
-        let lost = commits && self.faults.loses_answer(&mut self.random);
-        self.answer_table(index, boot, operation, if lost { TableResult::Unknown } else { result });
+        let lost = commits && self.faults.loses_commit_result(&mut self.random);
+        self.send_table_result(
+            index,
+            boot,
+            operation,
+            if lost { TableResult::Unknown } else { result },
+        );
     }
 
-    pub(super) fn answer_table(
+    pub(super) fn send_table_result(
         &mut self,
         index: NodeIndex,
         boot: u64,
@@ -67,28 +72,29 @@
         result: TableResult,
     ) {
         let delay_ms = self.faults.table_delay_ms(&mut self.random);
-        let event = Box::new(BedEvent::Table(operation, result));
-        self.schedule(delay_ms, Item::Deliver { node: index, boot: Some(boot), event });
+        let event = Box::new(NodeEvent::Table(operation, result));
+        self.schedule(delay_ms, ScheduledItem::Deliver { node: index, boot: Some(boot), event });
     }
 
-    pub(super) fn fetch(
+    pub(super) fn fetch_page(
         &mut self,
         index: NodeIndex,
         operation: OperationKey,
         from: SocketAddr,
         after: &RecordPosition,
     ) {
-        let target = self.nodes.iter().position(|slot| slot.card.operator_address == from);
-        let reached = target.filter(|target| self.connects(index, *target) && self.runs(*target));
+        let target = self.nodes.iter().position(|slot| slot.descriptor.operator_address == from);
+        let reached =
+            target.filter(|target| self.can_connect(index, *target) && self.runs(*target));
         let page = reached.and_then(|target| self.node(target)).map(|node| node.page(after));
         let bytes = page.as_ref().map_or(0, |page| serde_json::json!(page).to_string().len());
         self.nodes[index].traffic.fetches += 1;
         self.nodes[index].traffic.fetched_bytes += bytes as u64;
         let delay_ms = target.map_or(0, |target| 2 * self.delay_ms(index, target));
-        self.deliver_later(index, delay_ms, BedEvent::Fetched(operation, page));
+        self.schedule_event(index, delay_ms, NodeEvent::PageFetched(operation, page));
     }
 
-    pub(super) fn hand_over(
+    pub(super) fn hand_over_tickets(
         &mut self,
         index: NodeIndex,
         operation: OperationKey,
@@ -96,15 +102,18 @@
         tickets: TicketHandover,
     ) {
         let target = self.nodes.iter().position(|slot| VmKey::of(&slot.name) == to);
-        let target = target.filter(|target| self.connects(index, *target) && self.runs(*target));
+        let target = target.filter(|target| self.can_connect(index, *target) && self.runs(*target));
         if let Some(target) = target {
             self.handle(target, Event::TicketsReceived(tickets));
         }
-        self.deliver_later(index, 10, BedEvent::HandOverEnded(operation, target.is_some()));
+        self.schedule_event(index, 10, NodeEvent::TicketHandoverEnded(operation, target.is_some()));
     }
 
-    pub(super) fn deliver_later(&mut self, index: NodeIndex, delay_ms: u64, event: BedEvent) {
-        let boot = Some(self.nodes[index].boots);
-        self.schedule(delay_ms, Item::Deliver { node: index, boot, event: Box::new(event) });
+    pub(super) fn schedule_event(&mut self, index: NodeIndex, delay_ms: u64, event: NodeEvent) {
+        let boot = Some(self.nodes[index].boot_count);
+        self.schedule(
+            delay_ms,
+            ScheduledItem::Deliver { node: index, boot, event: Box::new(event) },
+        );
     }
 }
--- a/crates/sedgepath-test-support/src/caller/report.rs
+++ b/crates/sedgepath-test-support/src/caller/report.rs
@@ -1,4 +1,4 @@
-//! What a caller was told.
+//! The outcomes that a caller records.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -7,95 +7,95 @@
 use hdrhistogram::{AdditionError, Histogram};
 use thiserror::Error;
 
-/// Why an answer cannot be used; in no case is it taken for a success.
+/// Reasons why a call failed without a valid outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CallFailure {
-    /// No entry VM could be connected to, so that nothing was sent.
+    /// No connection to an entry VM was made, so nothing was sent.
     #[error("no entry VM could be reached")]
-    NoEntry,
-    /// The request was sent and the answer's head did not come.
-    #[error("no answer came: {0}")]
-    NoAnswer(io::ErrorKind),
-    /// The body ended before its declared end, or declared none.
-    #[error("the answer is not whole: {0}")]
+    NoEntryVm,
+    /// The request was sent but no response head arrived.
+    #[error("no response arrived: {0}")]
+    NoResponse(io::ErrorKind),
+    /// The body ended early, or its length was not declared.
+    #[error("the response body is incomplete: {0}")]
     NotWhole(io::ErrorKind),
-    /// The answer does not say what became of the request.
-    #[error("the answer has no known outcome")]
-    NoOutcome,
-    /// The answer carries another request's id. This is never right.
-    #[error("the answer belongs to another request")]
-    WrongRequest,
-    /// The body differs from its digest, or from what its offset generates. This is never right.
-    #[error("the body is not what the upstream sent")]
-    WrongBody,
+    /// The response has no valid outcome header.
+    #[error("the response has no valid outcome header")]
+    MissingOutcome,
+    /// The response carries the id of another request.
+    #[error("the response belongs to another request")]
+    RequestIdMismatch,
+    /// The body matches neither its digest nor the generated content at its offset.
+    #[error("the response body differs from what the upstream sent")]
+    BodyMismatch,
 }
 
-/// What a caller was told of one request.
+/// The outcome of one request as the caller received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered, with this HTTP status.
+    /// An upstream responded.
     Answered {
         /// The HTTP status code.
         status: u16,
     },
-    /// It was not run.
+    /// The request was not run.
     NotRun {
         /// The HTTP status code.
         status: u16,
-        /// When to come back.
+        /// When to retry, in milliseconds since the Unix epoch.
         retry_at_ms: Option<u64>,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// It failed visibly.
+    /// The call failed.
     Failed(CallFailure),
 }
 
-/// One request of a call; each retry has an id of its own.
+/// One request of a call; each retry has its own request id.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Attempt {
-    /// The request's id, by which an upstream's runs can be compared.
+    /// The request id, which also identifies the runs at an upstream.
     pub request_id: Box<str>,
-    /// The class given by the call.
+    /// The class of the call.
     pub class: Box<str>,
-    /// The entry VM that it was sent to.
+    /// The last entry VM that was tried.
     pub entry: Option<SocketAddr>,
-    /// What the caller was told.
+    /// The outcome that the caller received.
     pub outcome: Outcome,
 }
 
-/// The end of a call.
+/// The result of a call.
 #[derive(Debug)]
 pub struct Reply {
-    /// The last attempt's outcome.
+    /// The outcome of the last attempt.
     pub outcome: Outcome,
-    /// The last answer's headers, with names in lower case.
+    /// The headers of the last response, with names in lower case.
     pub headers: Vec<(Box<str>, Box<str>)>,
-    /// The first mebibyte of the last answer's body; all of it was checked.
+    /// The first mebibyte of the last response body; the whole body was verified.
     pub body: Vec<u8>,
-    /// The length of the last answer's body.
+    /// The length of the last response body in bytes.
     pub length: u64,
 }
 
-/// The number of attempts by outcome.
+/// Numbers of attempts by outcome.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Answered.
+    /// Attempts with a response of an upstream.
     pub answered: u64,
-    /// Not run.
+    /// Attempts whose request was not run.
     pub not_run: u64,
-    /// Unknown.
+    /// Attempts whose request may have run.
     pub unknown: u64,
-    /// Failed visibly.
+    /// Attempts that failed without a valid outcome.
     pub failed: u64,
 }
 
-/// What callers were told, and how long they waited.
+/// Outcomes and latencies of calls.
 #[derive(Debug, Default)]
 pub struct CallerStats {
-    /// Each attempt in the order of the answers.
+    /// All attempts in the order of their completion.
     pub attempts: Vec<Attempt>,
-    /// The latencies of the answered calls in microseconds, retries included, by class.
+    /// Latencies of the answered calls in microseconds, including retries, by class.
     pub latencies_us: BTreeMap<Box<str>, Histogram<u64>>,
 }
 
@@ -114,16 +114,16 @@
         counts
     }
 
-    /// Adds another caller's figures.
+    /// Adds the statistics of another caller.
     pub fn merge(&mut self, other: Self) {
         self.attempts.extend(other.attempts);
         for (class, latencies) in other.latencies_us {
-            // It resizes itself, so that no value is out of range.
-            let _: Result<(), AdditionError> = self.of_class(&class).add(latencies);
+            // The histogram resizes itself, so no value is out of range.
+            let _: Result<(), AdditionError> = self.latencies_of_class(&class).add(latencies);
         }
     }
 
-    pub(super) fn of_class(&mut self, class: &str) -> &mut Histogram<u64> {
+    pub(super) fn latencies_of_class(&mut self, class: &str) -> &mut Histogram<u64> {
         let histogram = self.latencies_us.entry(class.into());
         histogram.or_insert_with(|| Histogram::new(3).expect("three digits are supported"))
     }
--- a/crates/sedgepath-test-support/src/clock.rs
+++ b/crates/sedgepath-test-support/src/clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock in the unit that the stand-ins report.
+//! The wall clock in milliseconds, the unit of the stand-ins' timestamps.
 
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/crates/sedgepath-test-support/src/content.rs
+++ b/crates/sedgepath-test-support/src/content.rs
@@ -1,25 +1,25 @@
-//! Bodies that can be checked without a copy of them: generated from their offset, or by digest.
+//! Bodies that can be verified without a copy: generated from their offset, or by digest.
 
 use std::fmt;
 
-/// A 64-bit FNV-1a digest: stable between builds, and enough to tell one body from another.
+/// A 64-bit FNV-1a digest, which is stable between builds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Digest(u64);
 
 impl Digest {
-    /// Creates the digest of an empty body.
+    /// Creates a digest of an empty body.
     pub const fn new() -> Self {
         Self(0xcbf2_9ce4_8422_2325)
     }
 
-    /// Creates the digest of `bytes`.
+    /// Returns the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         let mut digest = Self::new();
         digest.update(bytes);
         digest
     }
 
-    /// Adds the next bytes of a body.
+    /// Extends the digest by the next bytes of a body.
     pub fn update(&mut self, bytes: &[u8]) {
         for byte in bytes {
             self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
@@ -39,7 +39,7 @@
     }
 }
 
-/// Fills `buffer` with the bytes that a large body of this revision holds from `offset` on.
+/// Fills `buffer` with the generated content of a revision that starts at `offset`.
 pub fn fill(revision: u64, offset: u64, buffer: &mut [u8]) {
     let mut position = offset;
     let mut rest = buffer;
@@ -47,21 +47,21 @@
         let bytes = word(revision, position / 8).to_le_bytes();
         let from = (position % 8) as usize;
         let count = rest.len().min(8 - from);
-        let (now, later) = rest.split_at_mut(count);
-        now.copy_from_slice(&bytes[from..from + count]);
+        let (current, following) = rest.split_at_mut(count);
+        current.copy_from_slice(&bytes[from..from + count]);
         position += count as u64;
-        rest = later;
+        rest = following;
     }
 }
 
-/// Tells whether `bytes` are those that a large body of this revision holds from `offset` on.
+/// Returns whether `bytes` equal the generated content of a revision that starts at `offset`.
 pub fn matches(revision: u64, offset: u64, bytes: &[u8]) -> bool {
     let mut expected = vec![0; bytes.len()];
     fill(revision, offset, &mut expected);
     expected == bytes
 }
 
-/// The finaliser of splitmix64 over the word's number.
+/// Returns the 8-byte word at this index, by the `SplitMix64` finalizer.
 fn word(revision: u64, index: u64) -> u64 {
     let seed = index.wrapping_add(revision.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (seed ^ (seed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/sedgepath-test-support/src/daemon.rs
+++ b/crates/sedgepath-test-support/src/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon's process under a test's control.
+//! Control of a daemon process by a test.
 
 use std::fs::{self, File};
 use std::io;
@@ -13,53 +13,53 @@
 use crate::clock::sleep_ms;
 use crate::port;
 
-/// The option that names the settings file.
+/// The command-line option for the settings file.
 const SETTINGS_OPTION: &str = "--settings";
-const READY_LIMIT: Duration = Duration::from_secs(20);
-const POLL_MS: u64 = 10;
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL_MS: u64 = 10;
 
-/// The failures of a daemon's process.
+/// Errors of the control of a daemon process.
 #[derive(Debug, Error)]
 pub enum DaemonError {
-    /// The process could not be started, watched or signalled.
-    #[error("cannot control the daemon's process")]
+    /// The process could not be started, waited for or signalled.
+    #[error("cannot control the daemon process")]
     Process(#[from] io::Error),
-    /// The process ended before its port answered.
-    #[error("the daemon ended with {status} before it answered; its output: {output}")]
-    Ended {
-        /// How it ended.
+    /// The process exited before it accepted connections.
+    #[error("the daemon exited with {status} before it was ready; output: {output}")]
+    ExitedEarly {
+        /// The exit status of the process.
         status: ExitStatus,
-        /// What it wrote.
+        /// The output of the process.
         output: Box<str>,
     },
-    /// The port did not answer in time.
-    #[error("the daemon did not answer at {addr}; its output: {output}")]
+    /// The process did not accept connections in time.
+    #[error("the daemon does not accept connections at {addr}; output: {output}")]
     NotReady {
         /// The address that was tried.
         addr: SocketAddr,
-        /// What it wrote.
+        /// The output of the process.
         output: Box<str>,
     },
-    /// The process has ended, so that its id may belong to another one.
-    #[error("the daemon has ended")]
-    Gone,
+    /// The process has exited, so its id may belong to another process.
+    #[error("the daemon has exited")]
+    HasExited,
 }
 
-/// A signal that a test sends.
+/// A signal that a test can send to a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
-    /// Asks for a planned stop.
+    /// Requests a graceful shutdown.
     Term,
-    /// Ends the process at once.
+    /// Kills the process.
     Kill,
-    /// Pauses the process.
+    /// Suspends the process.
     Stop,
-    /// Lets a paused process go on.
+    /// Resumes a suspended process.
     Continue,
 }
 
 impl Signal {
-    fn option(self) -> &'static str {
+    fn kill_option(self) -> &'static str {
         match self {
             Self::Term => "-TERM",
             Self::Kill => "-KILL",
@@ -69,7 +69,7 @@
     }
 }
 
-/// A daemon's process; it is killed when this is dropped.
+/// A daemon process, which is killed on drop.
 #[derive(Debug)]
 pub struct DaemonProcess {
     child: Child,
@@ -81,10 +81,10 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`DaemonError`] if the process cannot be started, ends, or does not answer.
+    /// Returns a [`DaemonError`] if the process cannot be started, exits, or is not ready in time.
     pub fn new(binary: &Path, settings: &str, ready: SocketAddr) -> Result<Self, DaemonError> {
         let mut daemon = Self::spawn(binary, settings)?;
-        daemon.wait_ready(ready)?;
+        daemon.wait_until_ready(ready)?;
         Ok(daemon)
     }
 
@@ -100,28 +100,28 @@
         Ok(Self { child, dir })
     }
 
-    fn wait_ready(&mut self, addr: SocketAddr) -> Result<(), DaemonError> {
-        let deadline = Instant::now() + READY_LIMIT;
+    fn wait_until_ready(&mut self, addr: SocketAddr) -> Result<(), DaemonError> {
+        let deadline = Instant::now() + READY_TIMEOUT;
         while TcpStream::connect(addr).is_err() {
             if let Some(status) = self.child.try_wait()? {
                 let output = self.output()?;
-                return Err(DaemonError::Ended { status, output });
+                return Err(DaemonError::ExitedEarly { status, output });
             }
             if Instant::now() > deadline {
                 let output = self.output()?;
                 return Err(DaemonError::NotReady { addr, output });
             }
-            sleep_ms(POLL_MS);
+            sleep_ms(POLL_INTERVAL_MS);
         }
         Ok(())
     }
 
-    /// Returns the process's id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Returns what the process has written to its standard output and error output.
+    /// Returns what the process has written to stdout and stderr.
     ///
     /// # Errors
     ///
@@ -135,36 +135,37 @@
     ///
     /// # Errors
     ///
-    /// Returns [`DaemonError::Gone`] if it has ended, or another error if it cannot be signalled.
+    /// Returns [`DaemonError::HasExited`] if the process has exited, or another error if it
+    /// can't be signalled.
     pub fn signal(&mut self, signal: Signal) -> Result<(), DaemonError> {
-        // Until the child has been waited for, its id cannot belong to another process.
+        // The process id isn't reused before the child has been waited for.
         if self.child.try_wait()?.is_some() {
-            return Err(DaemonError::Gone);
+            return Err(DaemonError::HasExited);
         }
         let id = self.child.id().to_string();
-        let status = port::start(Command::new("kill").arg(signal.option()).arg(id))?.wait()?;
-        if status.success() { Ok(()) } else { Err(DaemonError::Gone) }
+        let status = port::start(Command::new("kill").arg(signal.kill_option()).arg(id))?.wait()?;
+        if status.success() { Ok(()) } else { Err(DaemonError::HasExited) }
     }
 
-    /// Waits until the process ends, and returns how, or `None` if it runs on at `deadline`.
+    /// Waits until the process exits and returns its status, or `None` if it still runs at `deadline`.
     ///
     /// # Errors
     ///
-    /// Returns an error if the process cannot be watched.
+    /// Returns an error if the process cannot be waited for.
     pub fn wait_until(&mut self, deadline: Instant) -> Result<Option<ExitStatus>, DaemonError> {
         loop {
             let status = self.child.try_wait()?;
             if status.is_some() || Instant::now() > deadline {
                 return Ok(status);
             }
-            sleep_ms(POLL_MS);
+            sleep_ms(POLL_INTERVAL_MS);
         }
     }
 }
 
 impl Drop for DaemonProcess {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         drop(self.child.kill());
         drop(self.child.wait());
     }
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -1,4 +1,4 @@
-//! Builders for tests of VMs that send to upstreams themselves.
+//! Builders for tests of VMs that send requests to upstreams directly.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -14,46 +14,46 @@
 use sedgepath_core::direct::{OperatorLimits, Steering, VmLocation};
 use sedgepath_core::hash::Map;
 
-/// The failure domains of tests with their regions.
+/// The failure domains used by tests, with their regions.
 pub const DOMAINS: [(&str, &str); 4] =
     [("north-a", "north"), ("north-b", "north"), ("south-a", "south"), ("south-b", "south")];
 
-/// The host of all routes of tests.
+/// The host of all routes in tests.
 pub const HOST: &str = "shop.example";
 
-/// The service of all routes of tests unless they say otherwise.
+/// The default service of routes in tests.
 pub const SERVICE: &str = "browse";
 
-/// How long an upstream stays cold in tests, in milliseconds.
+/// The duration of an upstream's cold start in tests, in milliseconds.
 pub const COLD_START_MS: u64 = 3_000;
 
-/// The requests a second that a cold upstream bears in tests.
+/// The request rate that a cold upstream sustains in tests, per second.
 pub const COLD_PER_S: f64 = 4.0;
 
-/// Returns the region of a failure domain of [`DOMAINS`].
+/// Returns the region of a failure domain, or `elsewhere` for one that isn't in [`DOMAINS`].
 pub fn region(domain: &str) -> &'static str {
     DOMAINS.iter().find(|(name, _)| *name == domain).map_or("elsewhere", |(_, region)| region)
 }
 
-/// Returns the heartbeat of a VM that serves.
+/// Returns the heartbeat of a VM that is ready to serve.
 pub fn heartbeat(name: &str, domain: &str, number: u8) -> VmHeartbeat {
     let address = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, number)), port);
-    let card = VmDescriptor {
+    let descriptor = VmDescriptor {
         name: name.into(),
         domain: domain.into(),
         region: region(domain).into(),
         caller_address: address(80),
         peer_address: address(7_000),
     };
-    let mut heartbeat = VmHeartbeat::new(card, 1, HEARTBEAT_MS);
+    let mut heartbeat = VmHeartbeat::new(descriptor, 1, HEARTBEAT_MS);
     heartbeat.state.ready = true;
     heartbeat
 }
 
-/// The time between two heartbeats of a VM in tests, in milliseconds.
+/// The interval of a VM's heartbeats in tests, in milliseconds.
 pub const HEARTBEAT_MS: u64 = 500;
 
-/// When a VM counts as silent and as forgotten in tests.
+/// The membership timing of VMs in tests.
 pub const TIMING: VmTiming = VmTiming {
     heartbeat_interval_ms: HEARTBEAT_MS,
     max_heartbeats_per_s: 100,
@@ -61,26 +61,26 @@
     forget_after_ms: 20_000,
 };
 
-/// Returns a VM's view of the others, in which it stands alone.
+/// Returns the membership table of a VM that knows no other VM.
 pub fn vms(name: &str, domain: &str, number: u8) -> VmTable {
     VmTable::new(heartbeat(name, domain, number), TIMING)
 }
 
-/// Returns a VM that knows nothing yet.
+/// Returns a VM without a configuration, upstreams or other VMs.
 pub fn vm(name: &str, domain: &str, number: u8) -> Steering {
     let regions: Map<Box<str>, Box<str>> =
         DOMAINS.iter().map(|(domain, region)| ((*domain).into(), (*region).into())).collect();
-    let place = VmLocation {
+    let location = VmLocation {
         name: name.into(),
         domain: domain.into(),
         region: region(domain).into(),
         regions,
     };
     let budget = RetryBudgetLimits { ratio: 0.2, slack: 60.0, window_ms: 10_000 };
-    Steering::new(place, OperatorLimits { budget }, vms(name, domain, number))
+    Steering::new(location, OperatorLimits { budget }, vms(name, domain, number))
 }
 
-/// Returns a route under `/KIND/`.
+/// Returns a route of this kind, under the prefix `/reads/`, `/charges/` or `/packs/`.
 pub fn route(kind: RouteKind) -> Route {
     let (name, prefix) = match kind {
         RouteKind::Idempotent => ("reads", "/reads/"),
@@ -101,7 +101,7 @@
     }
 }
 
-/// Returns a configuration with these routes on [`HOST`].
+/// Returns a configuration with these routes for [`HOST`].
 pub fn configuration(version: u64, routes: Vec<Route>) -> Arc<Configuration> {
     let settings = ServiceSettings {
         max_connections: 100,
@@ -111,7 +111,7 @@
     let services = routes
         .iter()
         .flat_map(|route| &route.weighted_services)
-        .map(|part| (part.service.clone(), settings.clone()))
+        .map(|weighted| (weighted.service.clone(), settings.clone()))
         .collect();
     let mut hosts: Map<Box<str>, Vec<Arc<Route>>> = Map::default();
     hosts.insert(HOST.into(), routes.into_iter().map(Arc::new).collect());
@@ -126,7 +126,7 @@
     configuration(version, kinds.map(route).to_vec())
 }
 
-/// Returns the entry of an upstream of [`SERVICE`] with three slots.
+/// Returns the table entry of an upstream of [`SERVICE`] with three slots.
 pub fn entry(name: &str, domain: &str, number: u8) -> UpstreamEntry {
     UpstreamEntry {
         name: name.into(),
@@ -141,12 +141,12 @@
     }
 }
 
-/// Returns a VM with a configuration and some upstreams in each failure domain, `b0` and up.
+/// Returns a VM with a configuration and `per_domain` upstreams in each failure domain.
 pub fn serving_vm(name: &str, domain: &str, number: u8, per_domain: u8) -> Steering {
     serving(vm(name, domain, number), per_domain)
 }
 
-/// Gives a VM a configuration and some upstreams in each failure domain, `b0` and up.
+/// Adds a configuration and `per_domain` upstreams in each failure domain, `b0` and up, to a VM.
 pub fn serving(mut vm: Steering, per_domain: u8) -> Steering {
     vm.apply_configuration(all_kinds(1));
     let mut next = 0;
@@ -159,7 +159,7 @@
     vm
 }
 
-/// Returns a [`serving_vm`] whose earlier requests pay for some repeats.
+/// Returns a [`serving_vm`] whose earlier requests have earned retry budget.
 pub fn earning_vm(name: &str, domain: &str, number: u8, per_domain: u8) -> Steering {
     let mut vm = serving_vm(name, domain, number, per_domain);
     for number in 0..50 {
@@ -168,13 +168,13 @@
     vm
 }
 
-/// Takes in a request for an object under `/reads/`, `/charges/` or `/packs/`.
+/// Begins a request for an object under `/reads/`, `/charges/` or `/packs/`.
 ///
 /// # Panics
 ///
-/// Panics if the VM refuses it.
+/// Panics if the VM rejects the request.
 pub fn begin(vm: &mut Steering, path: &str, object: &str, now_ms: u64) -> RequestState {
-    let asked =
+    let incoming =
         IncomingRequest { host: HOST, path, time_left_ms: Some(3_000), object: Some(object) };
-    vm.begin_request(asked, now_ms).expect("the request is refused")
+    vm.begin_request(incoming, now_ms).expect("the VM should accept the request")
 }
--- a/crates/sedgepath-test-support/src/http1.rs
+++ b/crates/sedgepath-test-support/src/http1.rs
@@ -1,73 +1,75 @@
-//! The little of HTTP/1.1 that the stand-ins need on both sides of a connection.
+//! A minimal HTTP/1.1 implementation for both sides of the stand-ins' connections.
 //!
-//! The libraries cannot be used here: they hide connections, repair or refuse malformed messages,
-//! and cannot send an answer that is shorter than it declares.
+//! HTTP libraries hide connections, correct or reject malformed messages, and cannot send a response
+//! that is shorter than its declared length, so they don't fit the stand-ins.
 
 use std::io::{self, BufRead, Read};
 
 const MAX_LINE_BYTES: u64 = 64 * 1024;
 const MAX_HEADERS: usize = 256;
 
-/// The first line and the headers of a message.
+/// The start line and the headers of a message.
 #[derive(Debug, Default)]
 pub(crate) struct Head {
-    pub(crate) start: Box<str>,
-    /// Names in lower case, in the order in which they came.
+    pub(crate) start_line: Box<str>,
+    /// Headers in the order received, with names in lower case.
     pub(crate) headers: Vec<(Box<str>, Box<str>)>,
 }
 
-/// Where the body of a message ends.
+/// How the end of a message body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Framing {
     Empty,
     Length(u64),
     Chunked,
-    /// The message does not say, so that its end cannot be told from a lost connection.
-    Unknown,
+    /// The message declares no length; its end is indistinguishable from a lost connection.
+    Undeclared,
 }
 
 impl Head {
-    /// Reads a head, or `None` if the connection was closed before its first byte.
+    /// Reads a head, or returns `None` if the connection was closed before its first byte.
     pub(crate) fn read(reader: &mut impl BufRead) -> io::Result<Option<Self>> {
         if reader.fill_buf()?.is_empty() {
             return Ok(None);
         }
-        let mut head = Self { start: read_line(reader)?.into(), headers: Vec::new() };
+        let mut head = Self { start_line: read_line(reader)?.into(), headers: Vec::new() };
         loop {
             let line = read_line(reader)?;
             if line.is_empty() {
                 return Ok(Some(head));
             }
-            let (name, value) = line.split_once(':').ok_or_else(malformed)?;
+            let (name, value) = line.split_once(':').ok_or_else(malformed_message)?;
             let name = name.trim().to_ascii_lowercase();
             head.headers.push((name.into(), value.trim().into()));
             if head.headers.len() > MAX_HEADERS {
-                return Err(malformed());
+                return Err(malformed_message());
             }
         }
     }
 
-    /// Returns the first header of this name, which must be given in lower case.
-    pub(crate) fn get(&self, name: &str) -> Option<&str> {
+    /// Returns the value of the first header with this name, which must be in lower case.
+    pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let mut headers = self.headers.iter();
-        headers.find(|(known, _)| &**known == name).map(|(_, value)| &**value)
+        headers.find(|(header, _)| &**header == name).map(|(_, value)| &**value)
     }
 
     pub(crate) fn wants_close(&self) -> bool {
-        self.get("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
+        self.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 
     /// Returns the framing that the headers declare, or `default` if they declare none.
     pub(crate) fn framing(&self, default: Framing) -> io::Result<Framing> {
-        match (self.get("transfer-encoding"), self.get("content-length")) {
+        match (self.header("transfer-encoding"), self.header("content-length")) {
             (Some(_), _) => Ok(Framing::Chunked),
-            (None, Some(length)) => length.parse().map(Framing::Length).or(Err(malformed())),
+            (None, Some(length)) => {
+                length.parse().map(Framing::Length).or(Err(malformed_message()))
+            }
             (None, None) => Ok(default),
         }
     }
 }
 
-/// Hands a body to `sink` piece by piece and returns its length.
+/// Passes a body to `sink` in chunks and returns its length.
 ///
 /// # Errors
 ///
@@ -81,7 +83,7 @@
         Framing::Empty => Ok(0),
         Framing::Length(length) => read_exact(reader, length, sink),
         Framing::Chunked => read_chunks(reader, sink),
-        Framing::Unknown => Err(malformed()),
+        Framing::Undeclared => Err(malformed_message()),
     }
 }
 
@@ -90,14 +92,14 @@
     loop {
         let line = read_line(reader)?;
         let size = line.split(';').next().unwrap_or_default().trim();
-        let size = u64::from_str_radix(size, 16).or(Err(malformed()))?;
+        let size = u64::from_str_radix(size, 16).or(Err(malformed_message()))?;
         if size == 0 {
             while !read_line(reader)?.is_empty() {}
             return Ok(total);
         }
         total += read_exact(reader, size, sink)?;
         if !read_line(reader)?.is_empty() {
-            return Err(malformed());
+            return Err(malformed_message());
         }
     }
 }
@@ -107,16 +109,16 @@
     length: u64,
     sink: &mut dyn FnMut(&[u8]),
 ) -> io::Result<u64> {
-    let mut left = length;
-    while left > 0 {
+    let mut remaining = length;
+    while remaining > 0 {
         let available = reader.fill_buf()?;
         if available.is_empty() {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        let count = left.min(available.len() as u64);
+        let count = remaining.min(available.len() as u64);
         sink(&available[..count as usize]);
         reader.consume(count as usize);
-        left -= count;
+        remaining -= count;
     }
     Ok(length)
 }
@@ -130,6 +132,6 @@
     }
 }
 
-fn malformed() -> io::Error {
+fn malformed_message() -> io::Error {
     io::ErrorKind::InvalidData.into()
 }
--- a/crates/sedgepath-test-support/src/lib.rs
+++ b/crates/sedgepath-test-support/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for what surrounds the system, for its tests and the demo.
+//! Stand-ins for the services around the system, for its tests and the demo.
 //!
-//! Each stand-in listens on loopback, can be made to fail at run time, counts what it saw, and stops
-//! when it is dropped. Tests judge by these counts.
+//! Each stand-in listens on loopback, counts what it receives, and stops when it is dropped. Faults
+//! can be injected at run time, and tests assert on the counts.
 
 pub mod bed;
 pub mod caller;
--- a/crates/sedgepath-test-support/src/link.rs
+++ b/crates/sedgepath-test-support/src/link.rs
@@ -1,4 +1,4 @@
-//! A link between two addresses that can be cut, delayed and healed while it is in use.
+//! A link between two addresses that can be cut, delayed and restored while in use.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, Read, Write};
@@ -12,49 +12,49 @@
 use crate::server::{Service, TcpServer};
 use crate::sync::lock;
 
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 const MAX_CONNECTIONS: usize = 512;
-const PIECE_BYTES: usize = 64 * 1024;
+const BUFFER_BYTES: usize = 64 * 1024;
 
-/// The directions in which a link carries nothing.
+/// The directions in which a link is cut.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum Cut {
     /// Both directions work.
     #[default]
     None,
-    /// Nothing reaches the target.
+    /// Nothing passes to the target.
     ToTarget,
-    /// Nothing comes back from the target.
+    /// Nothing passes from the target.
     FromTarget,
-    /// Nothing passes.
+    /// Neither direction works.
     Both,
 }
 
-/// What a link has carried.
+/// Counts of the data that a link has carried.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct LinkCounts {
-    /// Bytes of TCP that reached the target.
+    /// TCP bytes sent to the target.
     pub tcp_to_target_bytes: u64,
-    /// Bytes of TCP that came back.
+    /// TCP bytes sent back from the target.
     pub tcp_from_target_bytes: u64,
-    /// Datagrams that reached the target.
+    /// Datagrams sent to the target.
     pub udp_to_target: u64,
-    /// Datagrams that came back.
+    /// Datagrams sent back from the target.
     pub udp_from_target: u64,
-    /// Datagrams that were dropped because of a cut.
+    /// Datagrams dropped because the link was cut.
     pub udp_dropped: u64,
 }
 
-/// A forwarder of TCP and UDP on loopback; it stops when it is dropped.
+/// A forwarder of TCP and UDP on loopback, which stops on drop.
 ///
-/// While it is cut, TCP connections stay open and what they hold is carried after the link has
-/// healed, as retransmission would; datagrams are lost. Unlike on a real cut link, a new connection
-/// is accepted, and hangs. Datagrams from the target go to the last address that sent one; the
-/// target sees the link's address as their source.
+/// While a direction is cut, TCP connections stay open and their data is delivered after the link
+/// is restored, as by retransmission; datagrams are lost. Unlike on a real link, a new connection is
+/// accepted during a cut, and hangs. Datagrams from the target go to the last address that sent one;
+/// the target sees the link's address as the source of all datagrams.
 #[derive(Debug)]
 pub struct CuttableLink {
-    control: Arc<Control>,
-    tcp: TcpServer<Control>,
+    control: Arc<LinkControl>,
+    tcp: TcpServer<LinkControl>,
     udp: Vec<JoinHandle<()>>,
 }
 
@@ -66,43 +66,43 @@
     /// Returns an error if no port can be bound.
     pub fn new(target: SocketAddr) -> io::Result<Self> {
         let addr = SocketAddr::from((Ipv4Addr::LOCALHOST, free_port()?));
-        let control = Arc::new(Control::new(target));
+        let control = Arc::new(LinkControl::new(target));
         let near = Arc::new(UdpSocket::bind(addr)?);
         let far = Arc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?);
         far.connect(target)?;
         let tcp = TcpServer::new(addr, Arc::clone(&control))?;
         let udp = [Direction::ToTarget, Direction::FromTarget].map(|direction| {
-            let carrier = Datagrams {
+            let forwarder = DatagramForwarder {
                 control: Arc::clone(&control),
-                near: Arc::clone(&near),
-                far: Arc::clone(&far),
+                caller_socket: Arc::clone(&near),
+                target_socket: Arc::clone(&far),
                 direction,
             };
-            // A socket that fails carries nothing more, which a test sees in the counts.
-            thread::spawn(move || drop(carrier.run()))
+            // After a socket error the thread ends; tests notice that the counts stop.
+            thread::spawn(move || drop(forwarder.run()))
         });
         Ok(Self { control, tcp, udp: udp.into() })
     }
 
-    /// Returns the address to use in the target's place.
+    /// Returns the address to connect to instead of the target's.
     pub fn addr(&self) -> SocketAddr {
         self.tcp.addr()
     }
 
-    /// Cuts or heals the link.
+    /// Sets the directions in which the link is cut.
     pub fn set_cut(&self, cut: Cut) {
         lock(&self.control.state).cut = cut;
         self.control.changed.notify_all();
     }
 
-    /// Sets the delay of each datagram, and of each piece of a TCP stream.
+    /// Sets the delay of each datagram and of each chunk of a TCP stream, in milliseconds.
     pub fn set_delay_ms(&self, delay_ms: u64) {
         lock(&self.control.state).delay_ms = delay_ms;
     }
 
-    /// Breaks all connections, whatever is on its way; new ones are made as before.
+    /// Closes all TCP connections, losing data in transit; new ones can be made as before.
     pub fn break_connections(&self) {
-        for target in lock(&self.control.state).targets.values() {
+        for target in lock(&self.control.state).target_streams.values() {
             // The target may have closed it already.
             drop(target.shutdown(Shutdown::Both));
         }
@@ -130,26 +130,26 @@
 }
 
 #[derive(Debug)]
-struct Control {
+struct LinkControl {
     target: SocketAddr,
-    state: Mutex<State>,
+    state: Mutex<LinkState>,
     changed: Condvar,
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct LinkState {
     cut: Cut,
     delay_ms: u64,
     counts: LinkCounts,
     stopping: bool,
     connections: usize,
     last_sender: Option<SocketAddr>,
-    next: u64,
-    /// The connections to the target, kept to be shut down.
-    targets: BTreeMap<u64, TcpStream>,
+    last_id: u64,
+    /// The connections to the target, kept so that they can be shut down.
+    target_streams: BTreeMap<u64, TcpStream>,
 }
 
-impl State {
+impl LinkState {
     fn is_cut(&self, direction: Direction) -> bool {
         match self.cut {
             Cut::None => false,
@@ -160,13 +160,13 @@
     }
 }
 
-impl Control {
+impl LinkControl {
     fn new(target: SocketAddr) -> Self {
         Self { target, state: Mutex::default(), changed: Condvar::new() }
     }
 
-    /// Waits until the direction is open.
-    fn wait_open(&self, direction: Direction) -> io::Result<()> {
+    /// Blocks until the direction is open.
+    fn wait_until_open(&self, direction: Direction) -> io::Result<()> {
         let mut state = lock(&self.state);
         while !state.stopping && state.is_cut(direction) {
             let woken = self.changed.wait(state);
@@ -180,24 +180,29 @@
         if state.stopping {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
-        state.next += 1;
-        let id = state.next;
-        state.targets.insert(id, target);
+        state.last_id += 1;
+        let id = state.last_id;
+        state.target_streams.insert(id, target);
         Ok(id)
     }
 
-    fn pump(&self, direction: Direction, from: &TcpStream, to: &TcpStream) -> io::Result<()> {
+    fn copy_stream(
+        &self,
+        direction: Direction,
+        from: &TcpStream,
+        to: &TcpStream,
+    ) -> io::Result<()> {
         let (mut from, mut to) = (from, to);
-        let mut piece = vec![0; PIECE_BYTES];
+        let mut buffer = vec![0; BUFFER_BYTES];
         loop {
-            let count = from.read(&mut piece)?;
+            let count = from.read(&mut buffer)?;
             let delay_ms = lock(&self.state).delay_ms;
             sleep_ms(delay_ms);
-            self.wait_open(direction)?;
+            self.wait_until_open(direction)?;
             if count == 0 {
                 return to.shutdown(Shutdown::Write);
             }
-            to.write_all(&piece[..count])?;
+            to.write_all(&buffer[..count])?;
             let counts = &mut lock(&self.state).counts;
             match direction {
                 Direction::ToTarget => counts.tcp_to_target_bytes += count as u64,
@@ -206,48 +211,47 @@
         }
     }
 
-    /// Carries one direction, and ends the other too if it fails.
-    fn pump_to_end(&self, direction: Direction, from: &TcpStream, to: &TcpStream) {
-        if self.pump(direction, from, to).is_err() {
-            // Either may be closed already.
+    /// Forwards one direction and shuts down both if it fails.
+    fn forward_stream(&self, direction: Direction, from: &TcpStream, to: &TcpStream) {
+        if self.copy_stream(direction, from, to).is_err() {
+            // Either stream may be closed already.
             drop(from.shutdown(Shutdown::Both));
             drop(to.shutdown(Shutdown::Both));
         }
     }
 }
 
-impl Service for Control {
+impl Service for LinkControl {
     fn admit(&self) -> bool {
-        // Those that wait for a cut to heal count too: a caller that tries again and again would
-        // otherwise leave a thread here each time.
+        // Connections that wait for the end of a cut count too: each one occupies a thread.
         let mut state = lock(&self.state);
-        let room = state.connections < MAX_CONNECTIONS;
-        state.connections += usize::from(room);
-        room
+        let has_capacity = state.connections < MAX_CONNECTIONS;
+        state.connections += usize::from(has_capacity);
+        has_capacity
     }
 
     fn serve(&self, stream: TcpStream) -> io::Result<()> {
-        self.wait_open(Direction::ToTarget)?;
+        self.wait_until_open(Direction::ToTarget)?;
         let target = TcpStream::connect(self.target)?;
         stream.set_nodelay(true)?;
         target.set_nodelay(true)?;
         let id = self.register(target.try_clone()?)?;
         thread::scope(|scope| {
-            scope.spawn(|| self.pump_to_end(Direction::ToTarget, &stream, &target));
-            self.pump_to_end(Direction::FromTarget, &target, &stream);
+            scope.spawn(|| self.forward_stream(Direction::ToTarget, &stream, &target));
+            self.forward_stream(Direction::FromTarget, &target, &stream);
         });
-        lock(&self.state).targets.remove(&id);
+        lock(&self.state).target_streams.remove(&id);
         Ok(())
     }
 
-    fn closed(&self) {
+    fn connection_closed(&self) {
         lock(&self.state).connections -= 1;
     }
 
     fn stop(&self) {
         let mut state = lock(&self.state);
         state.stopping = true;
-        for target in state.targets.values() {
+        for target in state.target_streams.values() {
             // The target may have closed it already.
             drop(target.shutdown(Shutdown::Both));
         }
@@ -256,37 +260,38 @@
     }
 }
 
-/// Carries datagrams in one direction.
-struct Datagrams {
-    control: Arc<Control>,
-    near: Arc<UdpSocket>,
-    far: Arc<UdpSocket>,
+/// Forwards datagrams in one direction.
+struct DatagramForwarder {
+    control: Arc<LinkControl>,
+    caller_socket: Arc<UdpSocket>,
+    target_socket: Arc<UdpSocket>,
     direction: Direction,
 }
 
-impl Datagrams {
+impl DatagramForwarder {
     fn run(&self) -> io::Result<()> {
         let from = match self.direction {
-            Direction::ToTarget => &self.near,
-            Direction::FromTarget => &self.far,
+            Direction::ToTarget => &self.caller_socket,
+            Direction::FromTarget => &self.target_socket,
         };
-        let mut waiting: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
-        let mut buffer = vec![0; PIECE_BYTES];
+        let mut delayed: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
+        let mut buffer = vec![0; BUFFER_BYTES];
         while !lock(&self.control.state).stopping {
-            let due = waiting.front().map(|(due, _)| *due);
-            let left = due.map_or(POLL, |due| due.saturating_duration_since(Instant::now()));
-            from.set_read_timeout(Some(left.clamp(Duration::from_micros(100), POLL)))?;
-            // No datagram in time, or the target's port is closed: neither ends the link.
+            let due = delayed.front().map(|(due, _)| *due);
+            let timeout =
+                due.map_or(POLL_INTERVAL, |due| due.saturating_duration_since(Instant::now()));
+            from.set_read_timeout(Some(timeout.clamp(Duration::from_micros(100), POLL_INTERVAL)))?;
+            // Errors are ignored: no datagram arrived in time, or the target's port is closed.
             if let Ok((count, sender)) = from.recv_from(&mut buffer) {
                 let mut state = lock(&self.control.state);
                 let due = Instant::now() + Duration::from_millis(state.delay_ms);
-                waiting.push_back((due, buffer[..count].to_vec()));
+                delayed.push_back((due, buffer[..count].to_vec()));
                 if self.direction == Direction::ToTarget {
                     state.last_sender = Some(sender);
                 }
             }
-            while waiting.front().is_some_and(|(due, _)| *due <= Instant::now()) {
-                if let Some((_, datagram)) = waiting.pop_front() {
+            while delayed.front().is_some_and(|(due, _)| *due <= Instant::now()) {
+                if let Some((_, datagram)) = delayed.pop_front() {
                     self.deliver(&datagram);
                 }
             }
@@ -301,9 +306,11 @@
             return;
         }
         let (sent, counter) = match (self.direction, state.last_sender) {
-            (Direction::ToTarget, _) => (self.far.send(datagram), &mut state.counts.udp_to_target),
+            (Direction::ToTarget, _) => {
+                (self.target_socket.send(datagram), &mut state.counts.udp_to_target)
+            }
             (Direction::FromTarget, Some(sender)) => {
-                (self.near.send_to(datagram, sender), &mut state.counts.udp_from_target)
+                (self.caller_socket.send_to(datagram, sender), &mut state.counts.udp_from_target)
             }
             (Direction::FromTarget, None) => return,
         };
--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -1,4 +1,4 @@
-//! A steady load of paying and trial callers on a bed, and what they saw.
+//! A steady load of paying and trial callers on a test bed, with statistics of its results.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -10,64 +10,65 @@
 use crate::bed::{Bed, Call, Seen};
 use crate::records::{self, UpstreamSpec};
 
-/// How many requests a second callers of each class send, at random times.
+/// The request rate of each class; requests are sent at random times.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
-    /// Draws when callers come.
+    /// The seed of the arrival times.
     pub seed: u64,
-    /// The paying requests in a second.
+    /// Paying requests per second.
     pub paying_per_s: u64,
-    /// How many paying requests come at the same moment.
+    /// The number of paying requests that arrive at the same time.
     pub paying_at_once: u64,
-    /// The trial requests in a second.
+    /// Trial requests per second.
     pub trial_per_s: u64,
-    /// The time that each caller waits, in milliseconds.
+    /// The time from a request to its deadline, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// What callers of one class saw.
+/// Results of the requests of one class.
 #[derive(Debug, Default, Clone)]
-pub struct ClassSeen {
-    /// The requests sent.
+pub struct ClassStats {
+    /// The number of requests sent.
     pub asked: usize,
-    /// Those answered whole.
+    /// The number of complete responses.
     pub answered: usize,
-    /// Those answered whole by their deadline.
+    /// The number of complete responses before the deadline.
     pub in_time: usize,
-    /// The times until the answers, in milliseconds, in order.
-    pub answer_ms: Vec<u64>,
-    /// The times until the refusals, in milliseconds, in order.
+    /// Latencies of the responses in milliseconds, sorted.
+    pub response_ms: Vec<u64>,
+    /// Latencies of the rejections in milliseconds, sorted.
     pub refusal_ms: Vec<u64>,
 }
 
-impl ClassSeen {
-    /// Returns the time within which a share of the answers came, in milliseconds.
+impl ClassStats {
+    /// Returns a percentile of the response latencies, in milliseconds.
     pub fn percentile_ms(&self, percent: usize) -> u64 {
-        let last = self.answer_ms.len().saturating_sub(1);
-        self.answer_ms.get(last * percent / 100).copied().unwrap_or(0)
+        let last = self.response_ms.len().saturating_sub(1);
+        self.response_ms.get(last * percent / 100).copied().unwrap_or(0)
     }
 }
 
-/// What all callers saw.
+/// Results of the requests of all classes.
 #[derive(Debug, Default, Clone)]
 pub struct LoadSeen {
-    /// The paying callers.
-    pub paying: ClassSeen,
-    /// The callers on trial.
-    pub trial: ClassSeen,
-    /// The requests without an outcome.
+    /// Results of the paying requests.
+    pub paying: ClassStats,
+    /// Results of all other requests.
+    pub trial: ClassStats,
+    /// The number of requests without an outcome.
     pub waiting: usize,
-    /// The longest time until a refusal, in milliseconds.
+    /// The maximum latency of a rejection, in milliseconds.
     pub slowest_refusal_ms: u64,
 }
 
-/// Creates a bed of one failure domain `a` with owners and one service `s`; its upstreams are given
-/// by name, slots and the time that a request takes in milliseconds.
+/// Creates a test bed with one failure domain `a` and one service `s`.
+///
+/// Each upstream is given by its name, its slots and its service time in milliseconds.
 pub fn bed(seed: u64, nodes: usize, upstreams: &[(&str, u32, u64)]) -> Bed {
     bed_with(seed, nodes, upstreams, NodeSettings { seed, ..NodeSettings::default() })
 }
 
-/// Creates such a bed with settings of its nodes.
+/// Creates a test bed as [`bed`] does, with these node settings.
 pub fn bed_with(
     seed: u64,
     nodes: usize,
@@ -97,7 +98,7 @@
     bed
 }
 
-/// Creates the head of a request; its deadline is by the bed's clock.
+/// Creates the head of a request for the service `s` that expires `deadline_ms` from now.
 pub fn head(bed: &Bed, class: Class, deadline_ms: u64) -> RequestHead {
     let key = match class {
         Class::Paying => Some("payer-key"),
@@ -118,11 +119,10 @@
     }
 }
 
-/// Sends a load for some time, waits until all deadlines have passed, and returns what callers saw of
-/// the requests sent meanwhile.
+/// Sends a load for `duration_ms`, waits until all deadlines have passed, and returns the results.
 pub fn run(bed: &mut Bed, load: Load, duration_ms: u64) -> LoadSeen {
-    let first = bed.calls().len();
-    // Each class has its own draws, so paying callers come at the same times whatever the trial load.
+    let first_call = bed.calls().len();
+    // Each class has its own generator: the arrival times of one don't depend on the other's rate.
     let mut paying =
         arrivals(fastrand::Rng::with_seed(load.seed), load.paying_per_s, load.paying_at_once);
     let mut trial = arrivals(fastrand::Rng::with_seed(!load.seed), load.trial_per_s, 1);
@@ -137,43 +137,43 @@
         bed.run_for(1);
     }
     bed.run_for(load.deadline_ms * 2);
-    seen(&bed.calls()[first..])
+    summarize(&bed.calls()[first_call..])
 }
 
-/// Returns how many requests come in each next millisecond.
-fn arrivals(mut random: fastrand::Rng, per_s: u64, at_once: u64) -> impl FnMut() -> u64 {
+/// Returns a generator of the number of requests that arrive in each millisecond.
+fn arrivals(mut random: fastrand::Rng, per_s: u64, burst_size: u64) -> impl FnMut() -> u64 {
     move || {
-        let whole = per_s / 1_000;
-        let comes = random.u64(0..1_000 * at_once) < per_s % 1_000;
-        whole + if comes { at_once } else { 0 }
+        let base_count = per_s / 1_000;
+        let burst_arrives = random.u64(0..1_000 * burst_size) < per_s % 1_000;
+        base_count + if burst_arrives { burst_size } else { 0 }
     }
 }
 
-/// Sums up what the callers of requests saw.
-pub fn seen(calls: &[Call]) -> LoadSeen {
-    let mut sum = LoadSeen::default();
+/// Aggregates the results of calls by class.
+pub fn summarize(calls: &[Call]) -> LoadSeen {
+    let mut stats = LoadSeen::default();
     for call in calls {
         let took_ms = call.seen_at_ms - call.asked_at_ms;
         let paying = call.head.key_digest == Some(records::key_digest("payer-key"));
-        let class = if paying { &mut sum.paying } else { &mut sum.trial };
+        let class = if paying { &mut stats.paying } else { &mut stats.trial };
         class.asked += 1;
         match &call.seen {
-            Seen::Waiting => sum.waiting += 1,
+            Seen::Waiting => stats.waiting += 1,
             Seen::Answered { .. } => {
                 class.answered += 1;
                 class.in_time += usize::from(call.seen_at_ms <= call.head.deadline_at_ms);
-                class.answer_ms.push(took_ms);
+                class.response_ms.push(took_ms);
             }
             Seen::Concluded(Outcome::NotRun { .. }) => {
                 class.refusal_ms.push(took_ms);
-                sum.slowest_refusal_ms = sum.slowest_refusal_ms.max(took_ms);
+                stats.slowest_refusal_ms = stats.slowest_refusal_ms.max(took_ms);
             }
-            Seen::Concluded(_) | Seen::Broken => {}
+            Seen::Concluded(_) | Seen::ConnectionLost => {}
         }
     }
-    for class in [&mut sum.paying, &mut sum.trial] {
-        class.answer_ms.sort_unstable();
+    for class in [&mut stats.paying, &mut stats.trial] {
+        class.response_ms.sort_unstable();
         class.refusal_ms.sort_unstable();
     }
-    sum
+    stats
 }
--- a/crates/sedgepath-test-support/src/moves.rs
+++ b/crates/sedgepath-test-support/src/moves.rs
@@ -1,8 +1,8 @@
-//! How much traffic moved between failure domains, read from what upstreams ran and callers asked.
+//! Measures how much traffic shifts between failure domains, from the requests and upstream runs.
 //!
-//! Shares by failure domain are followed from window to window, at twenty offsets. A refused request
-//! has not moved and still counts where its traffic stood; what a domain runs beyond what stood there
-//! has moved.
+//! The split of the traffic by failure domain is compared from window to window, at several offsets
+//! of the windows. A rejected request counts as traffic that has not shifted; the share that a domain
+//! runs above its share of the previous split has shifted.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -11,92 +11,92 @@
 
 use crate::bed::Bed;
 
-/// The offsets at which windows begin, as parts of a window.
-const OFFSETS: usize = 20;
+/// The bins per window, and the number of offsets at which windows begin.
+const BINS_PER_WINDOW: usize = 20;
 
-/// Whose traffic is followed, and where it may go.
+/// The traffic that is measured, and its initial split.
 #[derive(Debug)]
 pub struct Followed<'a> {
-    /// The service.
+    /// The name of the service.
     pub service: &'a str,
-    /// Whether a caller's address belongs to the origin group.
+    /// Returns whether a caller's address belongs to an origin group, given by its index.
     pub is_origin: fn(IpAddr, usize) -> bool,
-    /// The number of the origin group.
+    /// The index of the origin group.
     pub origin: usize,
-    /// The number of each upstream's failure domain.
+    /// The index of each upstream's failure domain.
     pub domains: &'a BTreeMap<UpstreamKey, usize>,
-    /// The shares that stood at the start.
+    /// The initial share of each failure domain.
     pub shares: &'a [f64],
-    /// The window of the cap in milliseconds.
+    /// The window of the shift cap, in milliseconds.
     pub window_ms: u64,
-    /// When the first window begins, in milliseconds.
+    /// When the first window begins, in milliseconds of the simulated clock.
     pub from_ms: u64,
-    /// The requests of a window that rounding may move.
+    /// The number of requests per window that may shift because of rounding.
     pub rounding: f64,
 }
 
-/// One part of a window.
+/// The requests and runs in one bin.
 #[derive(Debug, Clone)]
 struct Bin {
-    asked: f64,
-    ran: Vec<f64>,
+    requested: f64,
+    runs_by_domain: Vec<f64>,
 }
 
 impl Followed<'_> {
-    /// Returns the greatest share of the traffic, in percent, that moved between two windows beyond
-    /// the rounding.
+    /// Returns the maximum percentage of the traffic that shifted between consecutive windows,
+    /// less the rounding.
     pub fn most_moved_percent(&self, bed: &Bed) -> f64 {
         let bins = self.bins(bed);
-        let mut most: f64 = 0.0;
-        for offset in 0..OFFSETS {
-            let mut standing = self.shares.to_vec();
-            for window in bins[offset.min(bins.len())..].chunks_exact(OFFSETS) {
-                let (ran, requests) = self.sum(window);
+        let mut max_shift: f64 = 0.0;
+        for offset in 0..BINS_PER_WINDOW {
+            let mut split = self.shares.to_vec();
+            for window in bins[offset.min(bins.len())..].chunks_exact(BINS_PER_WINDOW) {
+                let (runs, requests) = self.sum_bins(window);
                 if requests > 0.0 {
-                    let ran: Vec<_> = ran.iter().map(|ran| ran / requests).collect();
-                    let moved = follow(&mut standing, &ran) - self.rounding / requests;
-                    most = most.max(100.0 * moved);
+                    let run_shares: Vec<_> = runs.iter().map(|count| count / requests).collect();
+                    let shift = shift_split(&mut split, &run_shares) - self.rounding / requests;
+                    max_shift = max_shift.max(100.0 * shift);
                 }
             }
         }
-        most
+        max_shift
     }
 
-    /// Returns the greatest share of the traffic, in percent, that moved between two windows beyond
-    /// the rounding, where refused traffic counts where its nodes say that it stood.
+    /// Returns the maximum percentage of the traffic that shifted between consecutive windows,
+    /// less the rounding, given the splits that the nodes themselves report.
     ///
-    /// `stood` holds, for each call, the shares of its node when it was asked. A window's traffic stands
-    /// there, but for what a domain ran beyond that: nodes that move more than they say are found out by
-    /// what ran.
-    pub fn most_moved_percent_from(&self, stood: &[Vec<f64>], bed: &Bed) -> f64 {
+    /// `splits` holds, for each call, the split of its node when the call was made. The split of a
+    /// window is the average of these, adjusted for domains that ran more than their reported share,
+    /// so that a node that shifts more than it reports is detected.
+    pub fn most_moved_percent_from(&self, splits: &[Vec<f64>], bed: &Bed) -> f64 {
         let bins = self.bins(bed);
-        let stood = self.bins_of_stood(stood, bed);
-        let mut most: f64 = 0.0;
-        for offset in 0..OFFSETS {
+        let splits = self.splits_by_bin(splits, bed);
+        let mut max_shift: f64 = 0.0;
+        for offset in 0..BINS_PER_WINDOW {
             let offset = offset.min(bins.len());
             let mut last = self.shares.to_vec();
-            let windows = bins[offset..].chunks_exact(OFFSETS);
-            for (window, stood) in windows.zip(stood[offset..].chunks_exact(OFFSETS)) {
-                let (ran, requests) = self.sum(window);
+            let windows = bins[offset..].chunks_exact(BINS_PER_WINDOW);
+            for (window, splits) in windows.zip(splits[offset..].chunks_exact(BINS_PER_WINDOW)) {
+                let (runs, requests) = self.sum_bins(window);
                 if requests > 0.0 {
-                    let ran: Vec<_> = ran.iter().map(|ran| ran / requests).collect();
-                    let mut stands = average(stood);
-                    follow(&mut stands, &ran);
-                    let moved = distance(&stands, &last) - self.rounding / requests;
-                    most = most.max(100.0 * moved);
-                    last = stands;
+                    let run_shares: Vec<_> = runs.iter().map(|count| count / requests).collect();
+                    let mut split = average_split(splits);
+                    shift_split(&mut split, &run_shares);
+                    let shift = total_variation_distance(&split, &last) - self.rounding / requests;
+                    max_shift = max_shift.max(100.0 * shift);
+                    last = split;
                 }
             }
         }
-        most
+        max_shift
     }
 
-    /// Returns, for each bin, the shares that stood at each of its calls.
-    fn bins_of_stood<'s>(&self, stood: &'s [Vec<f64>], bed: &Bed) -> Vec<Vec<&'s [f64]>> {
+    /// Returns, for each bin, the splits that were in force at its calls.
+    fn splits_by_bin<'s>(&self, splits: &'s [Vec<f64>], bed: &Bed) -> Vec<Vec<&'s [f64]>> {
         let mut bins = vec![Vec::new(); self.bin_count(bed)];
-        for (index, shares) in stood.iter().enumerate() {
+        for (index, shares) in splits.iter().enumerate() {
             let asked_at_ms = bed.calls()[index].asked_at_ms;
-            if self.is_followed(bed, index)
+            if self.includes_call(bed, index)
                 && let Some(bin) = self.bin_at(asked_at_ms).and_then(|bin| bins.get_mut(bin))
             {
                 bin.push(shares.as_slice());
@@ -105,42 +105,42 @@
         bins
     }
 
-    /// Returns the shares of what ran in the last whole window.
+    /// Returns the share of each failure domain in the runs of the last complete window.
     pub fn last_shares(&self, bed: &Bed) -> Vec<f64> {
         let bins = self.bins(bed);
-        let (ran, _) = self.sum(&bins[bins.len() - OFFSETS..]);
-        let total: f64 = ran.iter().sum();
-        ran.iter().map(|ran| ran / total).collect()
+        let (runs, _) = self.sum_bins(&bins[bins.len() - BINS_PER_WINDOW..]);
+        let total: f64 = runs.iter().sum();
+        runs.iter().map(|count| count / total).collect()
     }
 
-    fn sum(&self, window: &[Bin]) -> (Vec<f64>, f64) {
-        let mut ran = vec![0.0; self.shares.len()];
+    fn sum_bins(&self, window: &[Bin]) -> (Vec<f64>, f64) {
+        let mut runs = vec![0.0; self.shares.len()];
         for bin in window {
-            for (sum, added) in ran.iter_mut().zip(&bin.ran) {
+            for (sum, added) in runs.iter_mut().zip(&bin.runs_by_domain) {
                 *sum += added;
             }
         }
-        let asked: f64 = window.iter().map(|bin| bin.asked).sum();
-        let total: f64 = ran.iter().sum();
-        (ran, total.max(asked))
+        let requested: f64 = window.iter().map(|bin| bin.requested).sum();
+        let total: f64 = runs.iter().sum();
+        (runs, total.max(requested))
     }
 
     fn bins(&self, bed: &Bed) -> Vec<Bin> {
-        let bin = Bin { asked: 0.0, ran: vec![0.0; self.shares.len()] };
+        let bin = Bin { requested: 0.0, runs_by_domain: vec![0.0; self.shares.len()] };
         let mut bins = vec![bin; self.bin_count(bed)];
-        let followed = |call: usize| self.is_followed(bed, call);
+        let includes_call = |call: usize| self.includes_call(bed, call);
         let calls = bed.calls().iter().enumerate();
-        for (_, asked) in calls.filter(|(call, _)| followed(*call)) {
+        for (_, asked) in calls.filter(|(call, _)| includes_call(*call)) {
             if let Some(bin) = self.bin_at(asked.asked_at_ms).and_then(|bin| bins.get_mut(bin)) {
-                bin.asked += 1.0;
+                bin.requested += 1.0;
             }
         }
         for (upstream, state) in bed.upstreams.iter() {
             let Some(domain) = self.domains.get(&upstream) else { continue };
-            for run in state.runs.iter().filter(|run| run.call.is_some_and(followed)) {
+            for run in state.runs.iter().filter(|run| run.call.is_some_and(includes_call)) {
                 if let Some(bin) = self.bin_at(run.started_at_ms).and_then(|bin| bins.get_mut(bin))
                 {
-                    bin.ran[*domain] += 1.0;
+                    bin.runs_by_domain[*domain] += 1.0;
                 }
             }
         }
@@ -156,35 +156,35 @@
     }
 
     fn bin_ms(&self) -> u64 {
-        self.window_ms / OFFSETS as u64
+        self.window_ms / BINS_PER_WINDOW as u64
     }
 
-    fn is_followed(&self, bed: &Bed, call: usize) -> bool {
+    fn includes_call(&self, bed: &Bed, call: usize) -> bool {
         let head = &bed.calls()[call].head;
         *head.service == *self.service && (self.is_origin)(head.source, self.origin)
     }
 }
 
-/// Returns the average of the shares in all bins.
-fn average(bins: &[Vec<&[f64]>]) -> Vec<f64> {
+/// Returns the average of the splits in all bins.
+fn average_split(bins: &[Vec<&[f64]>]) -> Vec<f64> {
     let all: Vec<&[f64]> = bins.iter().flatten().copied().collect();
     let domains = all.first().map_or(0, |shares| shares.len());
     let sum_of = |domain: usize| all.iter().map(|shares| shares[domain]).sum::<f64>();
     (0..domains).map(|domain| sum_of(domain) / all.len() as f64).collect()
 }
 
-/// Half the sum of the absolute differences.
-fn distance(a: &[f64], b: &[f64]) -> f64 {
+/// Returns half the sum of the absolute differences of two splits.
+fn total_variation_distance(a: &[f64], b: &[f64]) -> f64 {
     a.iter().zip(b).map(|(a, b)| (a - b).abs()).sum::<f64>() / 2.0
 }
 
-/// Moves the standing shares as little as makes room for what ran; returns what moved.
-fn follow(standing: &mut [f64], ran: &[f64]) -> f64 {
-    let moved: f64 = standing.iter().zip(ran).map(|(stood, ran)| (ran - stood).max(0.0)).sum();
-    let slack: f64 = standing.iter().zip(ran).map(|(stood, ran)| (stood - ran).max(0.0)).sum();
-    for (stood, ran) in standing.iter_mut().zip(ran) {
-        let taken = if slack > 0.0 { (*stood - ran).max(0.0) / slack * moved } else { 0.0 };
-        *stood = stood.max(*ran) - taken;
+/// Adjusts a split by the smallest shift that accommodates the shares run; returns that shift.
+fn shift_split(split: &mut [f64], run_shares: &[f64]) -> f64 {
+    let shift: f64 = split.iter().zip(run_shares).map(|(share, run)| (run - share).max(0.0)).sum();
+    let slack: f64 = split.iter().zip(run_shares).map(|(share, run)| (share - run).max(0.0)).sum();
+    for (share, run) in split.iter_mut().zip(run_shares) {
+        let taken = if slack > 0.0 { (*share - run).max(0.0) / slack * shift } else { 0.0 };
+        *share = share.max(*run) - taken;
     }
-    moved
+    shift
 }
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -1,7 +1,8 @@
-//! The admission of one owner, driven without a node.
+//! A harness that drives the admission of one owner without a node.
 //!
-//! Tests set what the owner may use, hand requests in and see what it asks for, at the times of a
-//! clock that only they move. Connections and reports are events that the test makes up.
+//! Tests set the owner's allowances, dispatch requests and check its decisions, on a simulated clock
+//! that only the test advances. The ends of calls, load reports and connection counts come from the
+//! test.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -16,40 +17,40 @@
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::request::{CallOutcome, Class, Dispatch, Rejection};
 
-/// The time between two ticks, in milliseconds.
-const TICK_EVERY_MS: u64 = 20;
+/// The interval between two ticks, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 20;
 
-/// Where the clock starts, in milliseconds.
-const START_MS: u64 = 1_000_000;
+/// The initial time of the simulated clock, in milliseconds.
+const START_TIME_MS: u64 = 1_000_000;
 
-/// What became of a request at the owner, as far as it has decided.
+/// The owner's decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It waits.
+    /// The request is queued.
     Queued,
-    /// It was sent to an upstream.
+    /// The request was sent to an upstream.
     Sent {
-        /// The upstream.
+        /// The upstream that the request was sent to.
         upstream: UpstreamKey,
-        /// Whether a connection may be opened for it.
+        /// Whether a connection may be opened for the request.
         may_open: bool,
-        /// The moment after which it may not be sent any more, in milliseconds.
+        /// The time after which the request must not be sent, in milliseconds.
         send_by_ms: u64,
-        /// When that was decided, in milliseconds.
+        /// When the decision was made, in milliseconds.
         at_ms: u64,
     },
-    /// It was refused.
+    /// The request was rejected.
     Refused(Rejection),
 }
 
-/// One owner of all upstreams of its records.
+/// The owner of all upstreams in its records.
 #[derive(Debug)]
 pub struct Owner {
-    /// What the owner may use; tests change it at will.
+    /// What the owner may use of each upstream; tests may change it at any time.
     pub allowances: Vec<Allowance>,
     egress: Egress,
     catalogue: Catalogue,
-    out: Outbox,
+    outbox: Outbox,
     now_ms: u64,
     decisions: Vec<Decision>,
     sent: Vec<ExchangeKey>,
@@ -57,10 +58,10 @@
 }
 
 impl Owner {
-    /// Creates an owner that may use all upstreams of the records whole.
+    /// Creates an owner with the full capacity of all upstreams in the records.
     pub fn new(records: &[RawRecord]) -> Self {
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 9));
-        let card = MemberDescriptor {
+        let descriptor = MemberDescriptor {
             name: "owner".into(),
             domain: DomainKey::of("a"),
             caller_address: address,
@@ -81,50 +82,50 @@
             })
             .collect();
         allowances.sort_unstable_by_key(|allowance| allowance.upstream);
-        let mut out = Outbox::new(Identity::new(card, BootId(1)));
-        out.set_now_ms(START_MS);
+        let mut outbox = Outbox::new(Identity::new(descriptor, BootId(1)));
+        outbox.set_now_ms(START_TIME_MS);
         Self {
             allowances,
             egress: Egress::default(),
             catalogue,
-            out,
-            now_ms: START_MS,
+            outbox,
+            now_ms: START_TIME_MS,
             decisions: Vec::new(),
             sent: Vec::new(),
             cancelled: Vec::new(),
         }
     }
 
-    /// Returns the time in milliseconds.
+    /// Returns the time of the simulated clock in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.now_ms
     }
 
-    /// Returns the owner's admission.
+    /// Returns the admission state of the owner.
     pub fn egress(&self) -> &Egress {
         &self.egress
     }
 
-    /// Puts other records in force.
+    /// Replaces the records of the owner.
     pub fn apply(&mut self, records: &[RawRecord]) {
         self.catalogue = Catalogue::new(records);
     }
 
-    /// Lets time pass, with the ticks that fall due.
+    /// Advances the clock and runs the ticks that fall due.
     pub fn pass_ms(&mut self, duration_ms: u64) {
         let until_ms = self.now_ms + duration_ms;
         loop {
-            let next_ms = (self.now_ms / TICK_EVERY_MS + 1) * TICK_EVERY_MS;
+            let next_ms = (self.now_ms / TICK_INTERVAL_MS + 1) * TICK_INTERVAL_MS;
             self.now_ms = next_ms.min(until_ms);
-            self.out.set_now_ms(self.now_ms);
+            self.outbox.set_now_ms(self.now_ms);
             if next_ms > until_ms {
                 return;
             }
-            self.step(Egress::tick);
+            self.with_admission(Egress::tick);
         }
     }
 
-    /// Hands a request in and returns its key; see [`Self::decision`].
+    /// Dispatches a request to a service and returns its key; see [`Self::decision`].
     pub fn dispatch(&mut self, service: &str, class: Class, remaining_ms: u64) -> ExchangeKey {
         self.hand_in(&Dispatch {
             service: ServiceKey::of(service),
@@ -137,15 +138,17 @@
         })
     }
 
-    /// Hands a request in and returns its key.
+    /// Dispatches a request and returns its key.
     pub fn hand_in(&mut self, dispatch: &Dispatch) -> ExchangeKey {
         let exchange = ExchangeKey(self.decisions.len() as u64);
         self.decisions.push(Decision::Queued);
-        self.step(|egress, scope, out| egress.dispatch(exchange, dispatch, scope, out));
+        self.with_admission(|egress, context, out| {
+            egress.dispatch(exchange, dispatch, context, out);
+        });
         exchange
     }
 
-    /// Hands requests in and returns those that were sent at once.
+    /// Dispatches requests to the service `s` and returns those that were sent immediately.
     pub fn dispatch_many(
         &mut self,
         count: u32,
@@ -157,7 +160,7 @@
         exchanges.into_iter().filter(|exchange| self.is_sent(*exchange)).collect()
     }
 
-    /// Hands requests in and returns all, new and queued ones, that were sent since.
+    /// Dispatches requests and returns all sent since the last [`Self::take_sent`], queued ones included.
     pub fn dispatch_and_take_sent(
         &mut self,
         count: u32,
@@ -168,18 +171,18 @@
         self.take_sent()
     }
 
-    /// Returns the requests that were sent since this was last asked.
+    /// Returns the requests that were sent since the last call of this method.
     pub fn take_sent(&mut self) -> Vec<ExchangeKey> {
         std::mem::take(&mut self.sent)
     }
 
-    /// Returns how many requests are sent at once out of many; then ends all that were sent.
+    /// Dispatches a batch of requests, returns how many were sent immediately, and ends all calls.
     pub fn fits(&mut self, class: Class) -> usize {
-        let fits = self.dispatch_many(20, class, 60).len();
+        let admitted = self.dispatch_many(20, class, 60).len();
         loop {
             let sent = self.take_sent();
             if sent.is_empty() {
-                return fits;
+                return admitted;
             }
             for exchange in sent {
                 self.end(exchange, CallOutcome::Completed);
@@ -187,40 +190,40 @@
         }
     }
 
-    /// Returns the number of requests that were sent so far.
+    /// Returns the number of requests sent so far.
     pub fn sent_count(&self) -> usize {
         self.decisions.iter().filter(|decision| matches!(decision, Decision::Sent { .. })).count()
     }
 
-    /// Returns what the owner has decided about a request.
+    /// Returns the owner's decision on a request.
     pub fn decision(&self, exchange: ExchangeKey) -> Decision {
         self.decisions[exchange.0 as usize]
     }
 
-    /// Whether a request was sent to an upstream.
+    /// Returns whether a request was sent to an upstream.
     pub fn is_sent(&self, exchange: ExchangeKey) -> bool {
         matches!(self.decision(exchange), Decision::Sent { .. })
     }
 
-    /// Returns the refusal of a request, if it was refused.
+    /// Returns the rejection of a request, or `None` if it was not rejected.
     pub fn refusal(&self, exchange: ExchangeKey) -> Option<Rejection> {
         match self.decision(exchange) {
-            Decision::Refused(refusal) => Some(refusal),
+            Decision::Refused(rejection) => Some(rejection),
             _ => None,
         }
     }
 
-    /// Returns the requests whose cancellation at the upstream was asked for.
+    /// Returns the requests that the owner asked the upstream to cancel.
     pub fn cancelled(&self) -> &[ExchangeKey] {
         &self.cancelled
     }
 
-    /// Ends a call.
+    /// Ends an upstream call with an outcome.
     pub fn end(&mut self, exchange: ExchangeKey, end: CallOutcome) {
-        self.step(|egress, scope, out| egress.call_ended(exchange, end, scope, out));
+        self.with_admission(|egress, context, out| egress.call_ended(exchange, end, context, out));
     }
 
-    /// Hands an upstream's report in, made now.
+    /// Delivers a load report of an upstream, made at the current time.
     pub fn report(&mut self, upstream: &str, in_flight: u32, slots: u32, leaving: bool) {
         let report = UpstreamReport {
             in_flight: Some(in_flight),
@@ -229,35 +232,40 @@
             made_at_ms: self.now_ms,
         };
         let upstream = UpstreamKey::of(upstream);
-        self.step(|egress, scope, out| egress.record_report(upstream, report, scope, out));
+        self.with_admission(|egress, context, out| {
+            egress.record_report(upstream, report, context, out);
+        });
     }
 
-    /// Says how many connections to an upstream are open.
+    /// Sets the number of open connections to an upstream.
     pub fn connections(&mut self, upstream: &str, open: u32) {
         self.egress.set_open_connections(UpstreamKey::of(upstream), open, self.now_ms);
     }
 
-    /// Says that nobody waits for a request any more.
+    /// Cancels a dispatch whose caller no longer waits.
     pub fn gone(&mut self, exchange: ExchangeKey) {
-        self.egress.cancel_dispatch(exchange, &mut self.out);
-        self.take_actions();
+        self.egress.cancel_dispatch(exchange, &mut self.outbox);
+        self.record_actions();
     }
 
-    /// Returns the slots and those taken that the owner reports, over all services.
+    /// Returns the slots and the requests in flight that the owner reports, over all services.
     pub fn load(&self) -> (u32, u32) {
-        let scope = AdmissionContext { allowances: &self.allowances, catalogue: &self.catalogue };
-        let loads = self.egress.loads(scope, self.now_ms);
+        let context = AdmissionContext { allowances: &self.allowances, catalogue: &self.catalogue };
+        let loads = self.egress.loads(context, self.now_ms);
         loads.iter().fold((0, 0), |sum, load| (sum.0 + load.slots, sum.1 + load.in_flight))
     }
 
-    fn step(&mut self, step: impl FnOnce(&mut Egress, AdmissionContext<'_>, &mut Outbox)) {
-        let scope = AdmissionContext { allowances: &self.allowances, catalogue: &self.catalogue };
-        step(&mut self.egress, scope, &mut self.out);
-        self.take_actions();
+    fn with_admission(
+        &mut self,
+        operate: impl FnOnce(&mut Egress, AdmissionContext<'_>, &mut Outbox),
+    ) {
+        let context = AdmissionContext { allowances: &self.allowances, catalogue: &self.catalogue };
+        operate(&mut self.egress, context, &mut self.outbox);
+        self.record_actions();
     }
 
-    fn take_actions(&mut self) {
-        for action in self.out.take_actions() {
+    fn record_actions(&mut self) {
+        for action in self.outbox.take_actions() {
             match action {
                 Action::CallUpstream { exchange, upstream, may_open, send_by_ms, .. } => {
                     let at_ms = self.now_ms;
--- a/crates/sedgepath-test-support/src/records.rs
+++ b/crates/sedgepath-test-support/src/records.rs
@@ -1,51 +1,53 @@
-//! Records of a small system, for tests and the demo.
+//! Builders of configuration records, for tests and the demo.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
 use sedgepath_core::record::RawRecord;
 use serde_json::{Value, json};
 
-/// Creates a record.
+/// Creates a record from its parts.
 pub fn record(schema: u32, kind: &str, name: &str, body: &Value) -> RawRecord {
     RawRecord { schema, kind: kind.into(), name: name.into(), body: body.to_string().into() }
 }
 
-/// Creates the record of the places, from regions and their failure domains.
+/// Creates the `places` record from regions and their failure domains.
 pub fn places(regions: &[(&str, &[&str])]) -> RawRecord {
     let regions: Vec<_> =
         regions.iter().map(|(name, domains)| json!({ "name": name, "domains": domains })).collect();
     record(1, "places", "places", &json!({ "regions": regions }))
 }
 
-/// An upstream of a service.
+/// An upstream in a service record.
 #[derive(Debug, Clone)]
 pub struct UpstreamSpec {
-    /// Its name.
+    /// The name of the upstream.
     pub name: Box<str>,
-    /// Its failure domain's name.
+    /// The name of its failure domain.
     pub domain: Box<str>,
-    /// Its address.
+    /// The address of the upstream.
     pub address: SocketAddr,
-    /// Its slots.
+    /// The declared number of concurrent requests.
     pub slots: u32,
 }
 
 impl UpstreamSpec {
-    /// Creates an upstream whose address nobody connects to.
+    /// Creates an upstream with a placeholder address.
     pub fn new(name: &str, domain: &str, slots: u32) -> Self {
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 9));
         Self { name: name.into(), domain: domain.into(), address, slots }
     }
 
-    /// Sets the address.
+    /// Sets the address of the upstream.
     pub fn with_address(mut self, address: SocketAddr) -> Self {
         self.address = address;
         self
     }
 }
 
-/// Creates the records of one service in the failure domains `north-a` and `south-a` of two regions, by
-/// equal shares of the domains named, with no effective cap and one paying organisation.
+/// Creates the records of a system with one service and one paying organisation.
+///
+/// The regions `north` and `south` have one failure domain each, `north-a` and `south-a`. The given
+/// domains get equal shares of the traffic, without an effective cap on shifts.
 pub fn one_service(
     name: &str,
     longest_deadline_ms: u64,
@@ -61,7 +63,7 @@
     ]
 }
 
-/// Creates the record of a service.
+/// Creates a `service` record.
 pub fn service(name: &str, longest_deadline_ms: u64, upstreams: &[UpstreamSpec]) -> RawRecord {
     let upstreams: Vec<_> = upstreams
         .iter()
@@ -78,7 +80,7 @@
     record(1, "service", name, &body)
 }
 
-/// Creates a steering record in which callers of all origin groups follow the same shares.
+/// Creates a `steering` record in which all origin groups have the same shares.
 pub fn steering(name: &str, shares: &[(&str, f64)], percent: f64, window_ms: u64) -> RawRecord {
     let shares: Vec<_> = shares
         .iter()
@@ -91,7 +93,7 @@
     record(1, "steering", name, &body)
 }
 
-/// Creates the record of organisations, from their names, plans and keys.
+/// Creates the `organisations` record from names, plans and keys.
 pub fn organisations(organisations: &[(&str, &str, &str)]) -> RawRecord {
     let organisations: Vec<_> = organisations
         .iter()
@@ -102,7 +104,7 @@
     record(1, "organisations", "organisations", &json!({ "organisations": organisations }))
 }
 
-/// Returns the digest of an organisation's key, as the records hold it.
+/// Returns the digest under which an organisation's key is stored in records.
 pub fn key_digest(key: &str) -> sedgepath_core::hash::Digest {
     sedgepath_core::hash::Digest::of(&[b"organisation key", key.as_bytes()])
 }
--- a/crates/sedgepath-test-support/src/server.rs
+++ b/crates/sedgepath-test-support/src/server.rs
@@ -1,4 +1,4 @@
-//! A server with one thread for each connection, which leaves none behind when it is dropped.
+//! A TCP server with one thread per connection, which joins all its threads on drop.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -9,44 +9,44 @@
 
 use crate::sync::lock;
 
-/// What is done with the connections.
+/// The handler of a server's connections.
 pub(crate) trait Service: Debug + Send + Sync + 'static {
-    /// Decides whether to keep a new connection; another one waits meanwhile.
+    /// Decides whether to accept a new connection; blocks the accept loop.
     fn admit(&self) -> bool;
 
-    /// Serves a connection to its end.
+    /// Serves a connection until it ends.
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller went away or broke the protocol.
+    /// Returns an error if the caller disconnected or violated the protocol.
     fn serve(&self, stream: TcpStream) -> io::Result<()>;
 
-    /// Notes the end of a connection that was admitted.
-    fn closed(&self);
+    /// Called at the end of a connection that was admitted.
+    fn connection_closed(&self);
 
-    /// Ends all waits that are not for a connection.
+    /// Ends all waits other than socket operations.
     fn stop(&self);
 }
 
-/// The server.
+/// A running server, which stops on drop.
 #[derive(Debug)]
 pub(crate) struct TcpServer<S: Service> {
     service: Arc<S>,
-    open: Arc<Mutex<Open>>,
+    open: Arc<Mutex<OpenConnections>>,
     addr: SocketAddr,
     acceptor: Option<JoinHandle<()>>,
 }
 
-/// The open connections, kept to be shut down.
+/// The open connections, kept so that they can be shut down.
 #[derive(Debug, Default)]
-struct Open {
+struct OpenConnections {
     stopping: bool,
-    next: u64,
+    last_id: u64,
     streams: BTreeMap<u64, TcpStream>,
 }
 
 impl<S: Service> TcpServer<S> {
-    /// Starts to listen at `addr`.
+    /// Starts a server that listens on `addr`.
     ///
     /// # Errors
     ///
@@ -56,11 +56,11 @@
         let addr = listener.local_addr()?;
         let open = Arc::default();
         let (accepting, shared) = (Arc::clone(&service), Arc::clone(&open));
-        let acceptor = thread::spawn(move || accept(&listener, &accepting, &shared));
+        let acceptor = thread::spawn(move || accept_connections(&listener, &accepting, &shared));
         Ok(Self { service, open, addr, acceptor: Some(acceptor) })
     }
 
-    /// Returns the address at which it listens.
+    /// Returns the listen address.
     pub(crate) fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -72,11 +72,11 @@
         let mut open = lock(&self.open);
         open.stopping = true;
         for stream in open.streams.values() {
-            // A caller may have closed it already.
+            // The caller may have closed the connection already.
             drop(stream.shutdown(Shutdown::Both));
         }
         drop(open);
-        // Wakes the acceptor, which sees the stop and ends.
+        // Wakes the accept loop so that it sees the stop.
         drop(TcpStream::connect(self.addr));
         if let Some(acceptor) = self.acceptor.take() {
             let _: thread::Result<()> = acceptor.join();
@@ -84,8 +84,12 @@
     }
 }
 
-/// Accepts until the server stops, then waits for the connections' threads.
-fn accept<S: Service>(listener: &TcpListener, service: &Arc<S>, open: &Arc<Mutex<Open>>) {
+/// Accepts connections until the server stops, then joins their threads.
+fn accept_connections<S: Service>(
+    listener: &TcpListener,
+    service: &Arc<S>,
+    open: &Arc<Mutex<OpenConnections>>,
+) {
     let mut threads: Vec<JoinHandle<()>> = Vec::new();
     loop {
         let accepted = listener.accept();
@@ -94,7 +98,7 @@
         }
         threads.retain(|thread| !thread.is_finished());
         if let Ok((stream, _)) = accepted {
-            threads.extend(start(service, open, stream));
+            threads.extend(start_connection(service, open, stream));
         }
     }
     for thread in threads {
@@ -102,36 +106,37 @@
     }
 }
 
-fn start<S: Service>(
+fn start_connection<S: Service>(
     service: &Arc<S>,
-    open: &Arc<Mutex<Open>>,
+    open: &Arc<Mutex<OpenConnections>>,
     stream: TcpStream,
 ) -> Option<JoinHandle<()>> {
-    let kept = stream.try_clone().ok()?;
+    let clone = stream.try_clone().ok()?;
     if !service.admit() {
         return None;
     }
-    let id = register(open, kept);
+    let id = register(open, clone);
     let (service, open) = (Arc::clone(service), Arc::clone(open));
     Some(thread::spawn(move || {
-        // A caller that goes away or breaks the protocol ends its connection, nothing more.
+        // An error concerns this connection only.
         let _: io::Result<()> = service.serve(stream);
-        // Before the stream is closed: a caller that sees the end must find it counted.
-        service.closed();
+        // Called before the stream is closed, so that counts are correct once the caller sees the end.
+        service.connection_closed();
         let stream = lock(&open).streams.remove(&id);
         drop(stream.map(|stream| stream.shutdown(Shutdown::Both)));
     }))
 }
 
-/// Keeps a connection, and shuts it at once if the stop has passed over the others already: its
-/// thread would otherwise wait for its caller and the drop for its thread.
-fn register(open: &Mutex<Open>, stream: TcpStream) -> u64 {
+/// Registers a connection, and shuts it down immediately if the server is stopping.
+///
+/// Otherwise its thread could wait for the caller forever and block the drop of the server.
+fn register(open: &Mutex<OpenConnections>, stream: TcpStream) -> u64 {
     let mut open = lock(open);
     if open.stopping {
         drop(stream.shutdown(Shutdown::Both));
     }
-    open.next += 1;
-    let id = open.next;
+    open.last_id += 1;
+    let id = open.last_id;
     open.streams.insert(id, stream);
     id
 }
--- a/crates/sedgepath-test-support/src/system.rs
+++ b/crates/sedgepath-test-support/src/system.rs
@@ -1,4 +1,4 @@
-//! A whole system on loopback: a platform, upstreams and daemons as processes of their own.
+//! A system on loopback: a platform stand-in, and daemons as separate processes.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -16,59 +16,59 @@
 use crate::port::free_ports;
 use crate::store::{BlockingTableClient, StoreStandIn};
 
-/// The secret that the daemons share.
+/// The secret that all daemons of a test share.
 pub const SECRET: &str = "a secret for tests only";
 
-/// Why a system could not be started.
+/// Errors of the control of a test system.
 #[derive(Debug, Error)]
 pub enum SystemError {
-    /// No ports are free, or the store can't be started.
-    #[error("no ports are free, or the store can't be started")]
-    Ports(#[from] io::Error),
-    /// A daemon could not be started.
+    /// No free port was found, or the store could not be started.
+    #[error("found no free port or failed to start the store")]
+    Startup(#[from] io::Error),
+    /// A daemon failed to start.
     #[error(transparent)]
     Daemon(#[from] DaemonError),
-    /// The table did not take the records.
-    #[error("the table did not take the records: {0:?}")]
-    Records(TableResult),
+    /// The table did not commit the records.
+    #[error("the table did not commit the records: {0:?}")]
+    WriteRecords(TableResult),
 }
 
-/// Where a daemon listens.
+/// The identity and the listen addresses of a daemon.
 #[derive(Debug, Clone)]
-pub struct Addresses {
-    /// The VM's name.
+pub struct DaemonAddresses {
+    /// The name of the VM.
     pub name: Box<str>,
-    /// Its failure domain's name.
+    /// The name of the VM's failure domain.
     pub domain: Box<str>,
-    /// Where it takes callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where it takes peers.
+    /// The address for peers.
     pub peers: SocketAddr,
-    /// Where it takes operators.
+    /// The address for operators.
     pub operators: SocketAddr,
-    /// Where it serves metrics.
+    /// The address that serves metrics.
     pub metrics: SocketAddr,
 }
 
-/// A store and the daemons on it. All of them end when it is dropped.
+/// A store and the daemons that use it; dropping it stops them all.
 #[derive(Debug)]
 pub struct System {
     binary: PathBuf,
-    /// The store.
+    /// The store stand-in.
     pub store: StoreStandIn,
-    /// Where the daemons listen, in the order in which they were added.
-    pub addresses: Vec<Addresses>,
-    /// The daemons; none where one has been taken away.
+    /// The addresses of the daemons, in the order in which they were added.
+    pub addresses: Vec<DaemonAddresses>,
+    /// The daemons; `None` for one that a test has stopped.
     pub daemons: Vec<Option<DaemonProcess>>,
     extra_settings: String,
 }
 
 impl System {
-    /// Starts the store; `binary` is a built `sedgepathd`.
+    /// Starts the store; `binary` is the path of `sedgepathd`.
     ///
     /// # Errors
     ///
-    /// Fails if the store can't be started.
+    /// Returns an error if the store can't be started.
     pub fn new(binary: &Path) -> Result<Self, SystemError> {
         Ok(Self {
             binary: binary.into(),
@@ -79,17 +79,17 @@
         })
     }
 
-    /// Adds lines to the settings of daemons that are started from now on.
+    /// Sets additional lines of the settings of daemons started from now on.
     pub fn with_settings(mut self, lines: &str) -> Self {
         self.extra_settings = lines.into();
         self
     }
 
-    /// Writes the first records and starts daemons, given by name and failure domain.
+    /// Writes records and starts daemons, given by name and failure domain.
     ///
     /// # Errors
     ///
-    /// Fails if the records are not taken or a daemon does not start.
+    /// Returns an error if the records are not committed or a daemon does not start.
     pub fn with_daemons(
         mut self,
         records: &[RawRecord],
@@ -102,41 +102,43 @@
         Ok(self)
     }
 
-    /// Returns where the daemons take callers, in the order in which they were added.
+    /// Returns the caller addresses of the daemons, in the order in which they were added.
     pub fn entries(&self) -> Vec<SocketAddr> {
         self.addresses.iter().map(|address| address.callers).collect()
     }
 
-    /// Asks until every daemon serves, as `serves` finds out by the number of the try; false after a
-    /// minute. A daemon serves only once its right to upstreams has begun.
+    /// Polls until `serves`, called with a caller address and the number of the attempt, has returned
+    /// true for every daemon; returns false after a minute.
+    ///
+    /// A daemon serves requests only once it holds the leases of its upstreams.
     pub fn all_serve(&self, mut serves: impl FnMut(SocketAddr, usize) -> bool) -> bool {
-        let mut tries = 0..600;
+        let mut attempts = 0..600;
         self.entries().into_iter().all(|entry| {
-            tries.any(|number| {
+            attempts.any(|number| {
                 std::thread::sleep(std::time::Duration::from_millis(100));
                 serves(entry, number)
             })
         })
     }
 
-    /// Writes records and the next head revision to the table and returns that revision.
+    /// Writes records to the table as an operator's change does and returns the new head revision.
     ///
     /// # Errors
     ///
-    /// Fails if the table does not take them.
+    /// Returns an error if the table does not commit the records.
     pub fn write_records(&self, records: &[RawRecord]) -> Result<u64, SystemError> {
         write_records(&BlockingTableClient::new(self.store.address, RECORD_TABLE)?, records)
     }
 
-    /// Adds a VM and starts a daemon on it; returns its number.
+    /// Adds a VM, starts a daemon on it, and returns its index.
     ///
     /// # Errors
     ///
-    /// Fails if no ports are free or the daemon does not start.
+    /// Returns an error if no ports are free or the daemon does not start.
     pub fn add_daemon(&mut self, name: &str, domain: &str) -> Result<usize, SystemError> {
         let ports = free_ports(4)?;
         let address = |index: usize| SocketAddr::from((Ipv4Addr::LOCALHOST, ports[index]));
-        self.addresses.push(Addresses {
+        self.addresses.push(DaemonAddresses {
             name: name.into(),
             domain: domain.into(),
             callers: address(0),
@@ -150,11 +152,11 @@
         Ok(index)
     }
 
-    /// Starts a daemon that is not running, on the addresses that it had.
+    /// Starts a daemon that is not running, on its previous addresses.
     ///
     /// # Errors
     ///
-    /// Fails if the daemon does not start.
+    /// Returns an error if the daemon does not start.
     pub fn start_daemon(&mut self, index: usize) -> Result<(), SystemError> {
         let addresses = &self.addresses[index];
         let settings = self.settings(addresses);
@@ -164,8 +166,8 @@
     }
 
     /// Returns the settings of a daemon as YAML.
-    pub fn settings(&self, addresses: &Addresses) -> String {
-        let Addresses { name, domain, callers, peers, operators, metrics } = addresses;
+    pub fn settings(&self, addresses: &DaemonAddresses) -> String {
+        let DaemonAddresses { name, domain, callers, peers, operators, metrics } = addresses;
         let platform = self.store.base_url();
         let extra = &self.extra_settings;
         format!(
@@ -176,18 +178,19 @@
     }
 }
 
-/// The most records of a change that a table takes in one transaction.
-const CHANGE_RECORDS: usize = 96;
+/// The maximum number of records in one change, by the table's limit on a transaction.
+const MAX_RECORDS_PER_CHANGE: usize = 96;
 
-/// Writes records and the next head revision to a table, as an operator's changes do; many records
-/// take several. Returns the last revision.
+/// Writes records to a table as operators' changes do, in as many changes as their number requires.
+///
+/// Returns the new head revision.
 ///
 /// # Errors
 ///
-/// Fails if the table does not take them.
+/// Returns an error if the table does not commit the records.
 pub fn write_records(table: &dyn TableService, records: &[RawRecord]) -> Result<u64, SystemError> {
     let mut revision = 0;
-    for part in records.chunks(CHANGE_RECORDS) {
+    for part in records.chunks(MAX_RECORDS_PER_CHANGE) {
         revision = write_change(table, part)?;
     }
     Ok(revision)
@@ -196,7 +199,7 @@
 fn write_change(table: &dyn TableService, records: &[RawRecord]) -> Result<u64, SystemError> {
     let head = match table.execute(&TableRequest::Read(vec!["head".into()])) {
         TableResult::Rows(rows) => rows.first().map_or(0, |row| row.value.parse().unwrap_or(0)),
-        other => return Err(SystemError::Records(other)),
+        other => return Err(SystemError::WriteRecords(other)),
     };
     let revision = head + 1;
     let put = |key: String, value: String| RowWrite {
@@ -221,6 +224,6 @@
     }
     match table.execute(&TableRequest::Commit(Transaction { writes })) {
         TableResult::Committed => Ok(revision),
-        other => Err(SystemError::Records(other)),
+        other => Err(SystemError::WriteRecords(other)),
     }
 }
--- a/crates/sedgepath-test-support/src/table.rs
+++ b/crates/sedgepath-test-support/src/table.rs
@@ -1,4 +1,4 @@
-//! The platform's table in memory, with its version rules.
+//! An in-memory implementation of the platform's table, with the same version rules.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -11,7 +11,7 @@
 use crate::store::MAX_ENTRIES;
 use crate::sync::lock;
 
-/// A transactional table in memory.
+/// A transactional in-memory table.
 #[derive(Debug, Default)]
 pub struct MemoryTable {
     rows: Mutex<Rows>,
@@ -19,14 +19,14 @@
 
 #[derive(Debug, Default)]
 struct Rows {
-    /// The version of the last commit; a row's version is that of the commit that wrote it, so a
-    /// row that is removed and created again never has an old version.
+    /// The version of the last commit, which becomes the version of the rows that it writes; a row
+    /// that is deleted and created again therefore never has an old version.
     version: RowVersion,
     by_key: BTreeMap<Box<str>, Row>,
 }
 
 impl MemoryTable {
-    /// Creates an empty table.
+    /// Creates a table without rows.
     pub fn new() -> Self {
         Self::default()
     }
@@ -59,7 +59,7 @@
         if transaction.writes.iter().map(entries).sum::<usize>() > MAX_ENTRIES {
             return TableResult::Unavailable;
         }
-        if let Some(failed) = transaction.writes.iter().find(|write| !self.holds(write)) {
+        if let Some(failed) = transaction.writes.iter().find(|write| !self.condition_holds(write)) {
             return TableResult::Conflict {
                 key: failed.key.clone(),
                 current: self.by_key.get(&failed.key).cloned(),
@@ -72,7 +72,7 @@
         TableResult::Committed
     }
 
-    fn holds(&self, write: &RowWrite) -> bool {
+    fn condition_holds(&self, write: &RowWrite) -> bool {
         let current = self.by_key.get(&write.key).map(|row| row.version);
         match write.condition {
             RowCondition::Any => true,
--- a/crates/sedgepath-test-support/src/upstream.rs
+++ b/crates/sedgepath-test-support/src/upstream.rs
@@ -1,12 +1,17 @@
-//! An upstream that counts what it is asked to do and fails on demand.
+//! An upstream stand-in that counts requests and injects faults on demand.
 //!
-//! It runs every request that it starts, also a repeated one: what must happen once is the system's
-//! concern, and the counts show whether it did.
+//! It doesn't deduplicate requests: it runs every request that it starts, and tests check the counts
+//! for duplicates.
 //!
-//! Paths: `/echo` answers with the request's body, `/headers` with the headers it received, as JSON,
-//! `/large/BYTES` with a generated body (see [`crate::content`]) under an entity tag and with ranges,
-//! `/load` with the load report, `/cancel` (POST) cancels the request named by its
-//! [`REQUEST_ID`] header unless it has started, and every other path with a line naming the request.
+//! Paths:
+//!
+//! - `/echo` returns the request body.
+//! - `/headers` returns the request headers as JSON.
+//! - `/large/BYTES` returns a generated body (see [`crate::content`]) with an entity tag and range support.
+//! - `/load` returns the load report.
+//! - `/cancel` (POST) cancels the request named by its [`CALL_ID`] or else [`REQUEST_ID`] header,
+//!   unless the request has started.
+//! - Every other path returns a line with the request's method and target.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -23,19 +28,19 @@
 pub use state::Run;
 use state::Shared;
 
-/// The header that names a request; it is repeated on the answer.
+/// The header with the request id, which is repeated in the response.
 pub const REQUEST_ID: &str = "sedgepath-request-id";
-/// The header that names one sending of a request, by which it can be cancelled.
+/// The header with the id of one attempt of a request, by which it can be cancelled.
 pub const CALL_ID: &str = "sedgepath-call-id";
-/// The header with the caller's key of a once-only request.
+/// The header with a request's idempotency key, chosen by the caller.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// The header with the system's key of a once-only request.
+/// The header with a request's ticket, issued by the system.
 pub const TICKET: &str = "sedgepath-ticket";
-/// The header with the time, in milliseconds since the Unix epoch, after which a request is refused.
+/// The header with a request's deadline, in milliseconds since the Unix epoch.
 pub const DEADLINE_MS: &str = "sedgepath-deadline-ms";
-/// The header on a refusal that says that the request was not started.
+/// The header of a rejection that states that the request was not started.
 pub const NOT_STARTED: &str = "sedgepath-not-started";
-/// The header on each answer of an upstream that is leaving.
+/// The header of each response of an upstream that is leaving.
 pub const UPSTREAM_STATE: &str = "sedgepath-upstream-state";
 /// The header with the [`crate::content::Digest`] of a body that is not generated.
 pub const DIGEST: &str = "sedgepath-body-digest";
@@ -46,7 +51,7 @@
 /// The header with the number of slots.
 pub const SLOTS: &str = "sedgepath-slots";
 
-/// An upstream on loopback; it stops when it is dropped.
+/// An upstream on loopback, which stops on drop.
 #[derive(Debug)]
 pub struct UpstreamStandIn {
     shared: Arc<Shared>,
@@ -59,64 +64,64 @@
     /// # Errors
     ///
     /// Fails if it cannot listen.
-    pub fn new(figures: UpstreamFigures) -> io::Result<Self> {
-        Self::new_at(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), figures)
+    pub fn new(config: UpstreamFigures) -> io::Result<Self> {
+        Self::new_at(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), config)
     }
 
-    /// Starts an upstream at `addr`, for example that of one that was stopped.
+    /// Starts an upstream at `addr`, for example to restart one at its previous address.
     ///
     /// # Errors
     ///
     /// Fails if it cannot listen.
-    pub fn new_at(addr: SocketAddr, figures: UpstreamFigures) -> io::Result<Self> {
-        let shared = Arc::new(Shared::new(figures));
+    pub fn new_at(addr: SocketAddr, config: UpstreamFigures) -> io::Result<Self> {
+        let shared = Arc::new(Shared::new(config));
         let server = TcpServer::new(addr, Arc::clone(&shared))?;
         Ok(Self { shared, server })
     }
 
-    /// Returns the address at which it listens.
+    /// Returns the listen address.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Sets what it does with each request from now on.
+    /// Sets the behaviour for all requests from now on.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         self.shared.lock().behaviour = behaviour;
     }
 
-    /// Sets what it does with the next `count` requests only.
+    /// Sets the behaviour for the next `count` requests only.
     pub fn behave_next(&self, count: usize, behaviour: Behaviour) {
         let mut state = self.shared.lock();
-        state.next.extend(std::iter::repeat_n(behaviour, count));
+        state.next_behaviours.extend(std::iter::repeat_n(behaviour, count));
     }
 
-    /// Answers the requests that [`Behaviour::Hang`] holds.
+    /// Responds to the requests that [`Behaviour::Hang`] holds.
     pub fn release_hung(&self) {
         self.shared.release_hung();
     }
 
-    /// Sets the time that each request takes.
+    /// Sets the service time of each request, in milliseconds.
     pub fn set_service_ms(&self, service_ms: u64) {
-        self.shared.lock().figures.service_ms = service_ms;
+        self.shared.lock().config.service_ms = service_ms;
     }
 
-    /// Makes it as cold as when it started.
+    /// Restarts the cold start, so that the next requests are slow again.
     pub fn make_cold(&self) {
         let mut state = self.shared.lock();
-        state.cold_left = state.figures.cold_requests;
+        state.cold_requests_left = state.config.cold_requests;
     }
 
-    /// Sets whether its answers and reports say that it is leaving.
+    /// Sets whether responses and load reports state that the upstream is leaving.
     pub fn set_leaving(&self, leaving: bool) {
         self.shared.lock().leaving = leaving;
     }
 
-    /// Sets how its load reports fail.
+    /// Sets the accuracy of the load reports.
     pub fn set_load_reports(&self, reports: LoadReports) {
-        self.shared.lock().reports = reports;
+        self.shared.lock().load_reports = reports;
     }
 
-    /// Replaces the large bodies by others with other entity tags.
+    /// Sets the revision of the generated bodies, which changes their content and entity tags.
     pub fn set_large_revision(&self, revision: u64) {
         self.shared.lock().large_revision = revision;
     }
@@ -126,17 +131,17 @@
         self.shared.lock().counts
     }
 
-    /// Returns each run in the order of the starts.
+    /// Returns all runs in the order of their start.
     pub fn runs(&self) -> Vec<Run> {
         self.shared.lock().runs.clone()
     }
 
-    /// Returns how often each once-only key was run.
+    /// Counts the runs by idempotency key or ticket.
     pub fn runs_by_key(&self) -> BTreeMap<Box<str>, u32> {
         count_by(&self.runs(), |run| run.key.clone())
     }
 
-    /// Returns how often each request id was run.
+    /// Counts the runs by request id.
     pub fn runs_by_request_id(&self) -> BTreeMap<Box<str>, u32> {
         count_by(&self.runs(), |run| run.request_id.clone())
     }
--- a/crates/sedgepath-test-support/src/upstream/connection.rs
+++ b/crates/sedgepath-test-support/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller: reads its requests, runs them and answers in order.
+//! A connection of a caller: reads its requests, runs them, and responds in order.
 
 use std::io::{self, BufReader, Write};
 use std::net::TcpStream;
@@ -15,21 +15,21 @@
 use crate::http1::{Framing, Head, read_body};
 
 const MAX_ECHO_BYTES: usize = 16 * 1024 * 1024;
-const PIECE_BYTES: u64 = 64 * 1024;
+const WRITE_BYTES: u64 = 64 * 1024;
 
 /// Serves requests until the caller or the upstream closes the connection.
 ///
 /// # Errors
 ///
-/// Returns an error if the caller went away or sent no HTTP.
+/// Returns an error if the caller disconnected or sent invalid HTTP.
 pub(super) fn serve(shared: &Shared, mut stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut reader = BufReader::new(stream.try_clone()?);
     while let Some(head) = Head::read(&mut reader)? {
         let request = Request::read(head, &mut reader)?;
         let close = request.head.wants_close();
-        let next = answer(shared, &request, &mut stream)?;
-        if close || next == Next::Close {
+        let reuse = respond(shared, &request, &mut stream)?;
+        if close || reuse == ConnectionReuse::Close {
             break;
         }
     }
@@ -37,41 +37,41 @@
 }
 
 #[derive(Debug, PartialEq, Eq)]
-enum Next {
+enum ConnectionReuse {
     Keep,
     Close,
 }
 
-/// A whole request.
+/// A complete request.
 struct Request {
     head: Head,
     method: Box<str>,
     target: Box<str>,
-    /// The body, or the start of one that is too large to be echoed.
+    /// The body, truncated if it is too large to be echoed.
     body: Vec<u8>,
-    length: u64,
+    body_bytes: u64,
     digest: Digest,
 }
 
 impl Request {
-    /// Reads a request to its end: one that was cut off must not be run.
+    /// Reads a complete request; an incomplete one is an error and must not be run.
     fn read(head: Head, reader: &mut BufReader<TcpStream>) -> io::Result<Self> {
         let mut body = Vec::new();
         let mut digest = Digest::new();
-        let mut keep = |piece: &[u8]| {
-            digest.update(piece);
-            let room = MAX_ECHO_BYTES - body.len();
-            body.extend_from_slice(&piece[..piece.len().min(room)]);
+        let mut keep = |chunk: &[u8]| {
+            digest.update(chunk);
+            let remaining = MAX_ECHO_BYTES - body.len();
+            body.extend_from_slice(&chunk[..chunk.len().min(remaining)]);
         };
         let length = read_body(reader, head.framing(Framing::Empty)?, &mut keep)?;
-        let mut words = head.start.split(' ');
+        let mut words = head.start_line.split(' ');
         let mut word = || words.next().unwrap_or_default().into();
         let (method, target) = (word(), word());
-        Ok(Self { head, method, target, body, length, digest })
+        Ok(Self { head, method, target, body, body_bytes: length, digest })
     }
 
     fn run(&self) -> Run {
-        let header = |name| self.head.get(name).map(Box::from);
+        let header = |name| self.head.header(name).map(Box::from);
         Run {
             at_ms: now_ms(),
             request_id: header(REQUEST_ID),
@@ -81,12 +81,12 @@
     }
 
     fn deadline_ms(&self) -> Option<u64> {
-        self.head.get(DEADLINE_MS)?.parse().ok()
+        self.head.header(DEADLINE_MS)?.parse().ok()
     }
 }
 
-/// An answer before it is written.
-struct Answer {
+/// A response before it is written.
+struct Response {
     status: &'static str,
     headers: Vec<(&'static str, String)>,
     body: Body,
@@ -97,7 +97,7 @@
     Generated { revision: u64, range: Range<u64> },
 }
 
-impl Answer {
+impl Response {
     fn new(status: &'static str, body: Vec<u8>) -> Self {
         Self {
             status,
@@ -120,60 +120,64 @@
         }
     }
 
-    fn piece(&self, from: u64, to: u64) -> Vec<u8> {
+    fn slice(&self, from: u64, to: u64) -> Vec<u8> {
         match self {
             Self::Bytes(bytes) => bytes[from as usize..to as usize].to_vec(),
             Self::Generated { revision, range } => {
-                let mut piece = vec![0; (to - from) as usize];
-                content::fill(*revision, range.start + from, &mut piece);
-                piece
+                let mut chunk = vec![0; (to - from) as usize];
+                content::fill(*revision, range.start + from, &mut chunk);
+                chunk
             }
         }
     }
 }
 
-fn answer(shared: &Shared, request: &Request, stream: &mut TcpStream) -> io::Result<Next> {
-    if let Some(answer) = control(shared, request) {
-        return write(shared, request, &answer, stream, None, 1.0);
+fn respond(
+    shared: &Shared,
+    request: &Request,
+    stream: &mut TcpStream,
+) -> io::Result<ConnectionReuse> {
+    if let Some(response) = control_response(shared, request) {
+        return write_response(shared, request, &response, stream, None, 1.0);
     }
     if request.deadline_ms().is_some_and(|deadline_ms| deadline_ms <= now_ms()) {
-        // One that a link held back past its deadline is refused as it arrives and takes no slot.
-        return write(shared, request, &refusal(), stream, None, 1.0);
+        // A request that arrives after its deadline is rejected without taking a slot.
+        return write_response(shared, request, &rejection(), stream, None, 1.0);
     }
-    let in_flight = shared.enter();
+    let in_flight = shared.begin_in_flight();
     let behaviour = shared.lock().next_behaviour();
     if let Behaviour::DelayStart { delay_ms } = behaviour {
         shared.wait_to_start(delay_ms, call_id(&request.head));
     }
-    let Some(service_ms) = start(shared, request, behaviour) else {
-        return write(shared, request, &refusal(), stream, Some(in_flight), 1.0);
+    let Some(service_ms) = start_request(shared, request, behaviour) else {
+        return write_response(shared, request, &rejection(), stream, Some(in_flight), 1.0);
     };
     shared.wait_ms(service_ms);
-    let answer = route(shared, request);
+    let response = path_response(shared, request);
     match behaviour {
         Behaviour::DelayAnswer { delay_ms } => shared.wait_ms(delay_ms),
-        Behaviour::Hang => shared.wait_released(),
-        Behaviour::Close => return Ok(Next::Close),
+        Behaviour::Hang => shared.wait_until_released(),
+        Behaviour::Close => return Ok(ConnectionReuse::Close),
         Behaviour::Truncate => {
-            write(shared, request, &answer, stream, Some(in_flight), 0.5)?;
-            return Ok(Next::Close);
+            write_response(shared, request, &response, stream, Some(in_flight), 0.5)?;
+            return Ok(ConnectionReuse::Close);
         }
         Behaviour::Normal | Behaviour::DelayStart { .. } | Behaviour::Refuse => {}
     }
-    // One that is killed answers nothing more, also if the stop ended a wait just now.
+    // A stopped upstream sends no response, even if the stop has just ended a wait.
     if shared.lock().stopping {
-        return Ok(Next::Close);
+        return Ok(ConnectionReuse::Close);
     }
-    write(shared, request, &answer, stream, Some(in_flight), 1.0)
+    write_response(shared, request, &response, stream, Some(in_flight), 1.0)
 }
 
-/// The answer to a request that was not started and will not be.
-fn refusal() -> Answer {
-    Answer::new("503 Service Unavailable", b"not started\n".to_vec())
+/// Returns the response to a request that has not been started and never will be.
+fn rejection() -> Response {
+    Response::new("503 Service Unavailable", b"not started\n".to_vec())
         .with_header(NOT_STARTED, "true")
 }
 
-fn start(shared: &Shared, request: &Request, behaviour: Behaviour) -> Option<u64> {
+fn start_request(shared: &Shared, request: &Request, behaviour: Behaviour) -> Option<u64> {
     if behaviour == Behaviour::Refuse {
         return None;
     }
@@ -184,72 +188,73 @@
     state.start(request.run(), call_id(&request.head), request.deadline_ms())
 }
 
-/// Answers what takes no slot.
-fn control(shared: &Shared, request: &Request) -> Option<Answer> {
+/// Returns the response to a control request, which takes no slot.
+fn control_response(shared: &Shared, request: &Request) -> Option<Response> {
     match (&*request.method, &*request.target) {
         ("GET", "/load") => {
             let report = shared.lock().report();
             let json = report.and_then(|report| serde_json::to_vec(&report).ok());
             Some(json.map_or_else(
-                || Answer::new("404 Not Found", Vec::new()),
-                |body| Answer::new("200 OK", body),
+                || Response::new("404 Not Found", Vec::new()),
+                |body| Response::new("200 OK", body),
             ))
         }
         ("POST", "/cancel") => {
             let id = call_id(&request.head).unwrap_or_default();
             let status = if shared.cancel(id) { "200 OK" } else { "409 Conflict" };
-            Some(Answer::new(status, Vec::new()))
+            Some(Response::new(status, Vec::new()))
         }
         _ => None,
     }
 }
 
-/// Returns what a cancellation names a request by; callers that send no call id use the request's.
+/// Returns the id by which a request can be cancelled: the call id, or else the request id.
 fn call_id(head: &Head) -> Option<&str> {
-    head.get(CALL_ID).or_else(|| head.get(REQUEST_ID))
+    head.header(CALL_ID).or_else(|| head.header(REQUEST_ID))
 }
 
-fn route(shared: &Shared, request: &Request) -> Answer {
+fn path_response(shared: &Shared, request: &Request) -> Response {
     let path = request.target.split('?').next().unwrap_or_default();
     if let Some(bytes) = path.strip_prefix("/large/") {
         let revision = shared.lock().large_revision;
         return match bytes.parse() {
-            Ok(length) => large(revision, length, &request.head),
-            Err(_) => Answer::new("404 Not Found", Vec::new()),
+            Ok(length) => generated_response(revision, length, &request.head),
+            Err(_) => Response::new("404 Not Found", Vec::new()),
         };
     }
     let body = match path {
-        "/echo" if request.length > MAX_ECHO_BYTES as u64 => {
-            return Answer::new("413 Content Too Large", Vec::new());
+        "/echo" if request.body_bytes > MAX_ECHO_BYTES as u64 => {
+            return Response::new("413 Content Too Large", Vec::new());
         }
         "/echo" => request.body.clone(),
         "/headers" => serde_json::to_vec(&request.head.headers).unwrap_or_default(),
         _ => format!("{} {}\n", request.method, request.target).into_bytes(),
     };
-    Answer::new("200 OK", body).with_header(RECEIVED_DIGEST, request.digest.to_string())
+    Response::new("200 OK", body).with_header(RECEIVED_DIGEST, request.digest.to_string())
 }
 
-fn large(revision: u64, length: u64, head: &Head) -> Answer {
+fn generated_response(revision: u64, length: u64, head: &Head) -> Response {
     let etag = format!("\"large-{length}-{revision}\"");
-    let same = head.get("if-range").is_none_or(|known| known == etag);
-    let asked = head.get("range").filter(|_| same).and_then(|range| parse_range(range, length));
-    let partial = asked.is_some();
-    let range = asked.unwrap_or(0..length);
+    let etag_matches = head.header("if-range").is_none_or(|expected| expected == etag);
+    let requested =
+        head.header("range").filter(|_| etag_matches).and_then(|range| parse_range(range, length));
+    let partial = requested.is_some();
+    let range = requested.unwrap_or(0..length);
     if range.is_empty() && length > 0 {
-        return Answer::new("416 Range Not Satisfiable", Vec::new())
+        return Response::new("416 Range Not Satisfiable", Vec::new())
             .with_header("content-range", format!("bytes */{length}"));
     }
-    let bounds = format!("bytes {}-{}/{length}", range.start, range.end.saturating_sub(1));
-    let answer = Answer {
+    let content_range = format!("bytes {}-{}/{length}", range.start, range.end.saturating_sub(1));
+    let response = Response {
         status: if partial { "206 Partial Content" } else { "200 OK" },
         headers: vec![("accept-ranges", "bytes".into())],
         body: Body::Generated { revision, range },
     };
-    let answer = answer.with_header("etag", etag);
-    if partial { answer.with_header("content-range", bounds) } else { answer }
+    let response = response.with_header("etag", etag);
+    if partial { response.with_header("content-range", content_range) } else { response }
 }
 
-/// Reads `bytes=FROM-TO` or `bytes=FROM-`; other forms are ignored, as HTTP lets a server do.
+/// Parses `bytes=FROM-TO` or `bytes=FROM-`; other forms are ignored, which HTTP permits.
 fn parse_range(range: &str, length: u64) -> Option<Range<u64>> {
     let (from, to) = range.strip_prefix("bytes=")?.split_once('-')?;
     let from: u64 = from.parse().ok()?;
@@ -257,47 +262,47 @@
     Some(from.min(length)..end.min(length))
 }
 
-/// Writes the given part of an answer that declares its whole length.
+/// Writes a fraction of a response, which declares its full length.
 ///
-/// The slot is freed before the last bytes leave: a caller that has the whole answer may send its
-/// next request at once, and the two must not be counted as in flight together.
-fn write(
+/// The slot is freed before the last bytes are written: a caller with the complete response may
+/// send its next request immediately, and the two must not both count as in flight.
+fn write_response(
     shared: &Shared,
     request: &Request,
-    answer: &Answer,
+    response: &Response,
     stream: &mut TcpStream,
     mut in_flight: Option<InFlight<'_>>,
-    part: f64,
-) -> io::Result<Next> {
-    let length = if &*request.method == "HEAD" { 0 } else { answer.body.len() };
-    let end = (length as f64 * part) as u64;
-    if end <= PIECE_BYTES {
+    fraction: f64,
+) -> io::Result<ConnectionReuse> {
+    let length = if &*request.method == "HEAD" { 0 } else { response.body.len() };
+    let end = (length as f64 * fraction) as u64;
+    if end <= WRITE_BYTES {
         drop(in_flight.take());
     }
-    let mut bytes = head_bytes(shared, request, answer);
+    let mut bytes = head_bytes(shared, request, response);
     let mut sent = 0;
     loop {
-        let next = end.min(sent + PIECE_BYTES);
-        bytes.extend(answer.body.piece(sent, next));
-        sent = next;
+        let chunk_end = end.min(sent + WRITE_BYTES);
+        bytes.extend(response.body.slice(sent, chunk_end));
+        sent = chunk_end;
         if sent == end {
             drop(in_flight.take());
         }
         stream.write_all(&bytes)?;
         bytes.clear();
         if sent == end {
-            return Ok(Next::Keep);
+            return Ok(ConnectionReuse::Keep);
         }
     }
 }
 
-fn head_bytes(shared: &Shared, request: &Request, answer: &Answer) -> Vec<u8> {
+fn head_bytes(shared: &Shared, request: &Request, response: &Response) -> Vec<u8> {
     let mut lines = vec![
-        format!("HTTP/1.1 {}", answer.status),
-        format!("content-length: {}", answer.body.len()),
+        format!("HTTP/1.1 {}", response.status),
+        format!("content-length: {}", response.body.len()),
     ];
-    lines.extend(answer.headers.iter().map(|(name, value)| format!("{name}: {value}")));
-    let id = request.head.get(REQUEST_ID);
+    lines.extend(response.headers.iter().map(|(name, value)| format!("{name}: {value}")));
+    let id = request.head.header(REQUEST_ID);
     lines.extend(id.map(|id| format!("{REQUEST_ID}: {id}")));
     let mut state = shared.lock();
     if state.leaving {
