--- a/crates/sedgepath-test-support/src/upstream/settings.rs
+++ b/crates/sedgepath-test-support/src/upstream/settings.rs
@@ -1,10 +1,10 @@
-//! What an upstream is set to do, and what it counts.
+//! Settings and counts of an upstream stand-in.
 
-/// What an upstream declares and how long it takes.
+/// The configuration of an upstream: its declared slots, limits and latencies.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamFigures {
     pub(super) slots: u32,
-    pub(super) sheds: bool,
+    pub(super) rejects_above_slots: bool,
     pub(super) max_connections: u32,
     pub(super) connect_ms: u64,
     pub(super) service_ms: u64,
@@ -13,12 +13,12 @@
 }
 
 impl UpstreamFigures {
-    /// Creates the figures of an upstream that reports `slots`, takes 350 connections and 1 ms for
-    /// each new one, and answers at once.
+    /// Creates the configuration of an upstream that reports `slots`, accepts up to 350 connections
+    /// at 1 ms each, and responds immediately.
     pub fn new(slots: u32) -> Self {
         Self {
             slots,
-            sheds: false,
+            rejects_above_slots: false,
             max_connections: 350,
             connect_ms: 1,
             service_ms: 0,
@@ -27,31 +27,31 @@
         }
     }
 
-    /// Refuses before the start what is above the slots.
+    /// Rejects requests above the slots before they start.
     pub fn with_shedding(mut self) -> Self {
-        self.sheds = true;
+        self.rejects_above_slots = true;
         self
     }
 
-    /// Sets the number of connections above which new ones are closed at once.
+    /// Sets the maximum number of connections; further ones are closed immediately.
     pub fn with_max_connections(mut self, max_connections: u32) -> Self {
         self.max_connections = max_connections;
         self
     }
 
-    /// Sets the time that a new connection takes.
+    /// Sets the time to accept a new connection, in milliseconds.
     pub fn with_connect_ms(mut self, connect_ms: u64) -> Self {
         self.connect_ms = connect_ms;
         self
     }
 
-    /// Sets the time that a request takes.
+    /// Sets the service time of a request, in milliseconds.
     pub fn with_service_ms(mut self, service_ms: u64) -> Self {
         self.service_ms = service_ms;
         self
     }
 
-    /// Sets the time that each of the first `requests` takes.
+    /// Sets the service time of each of the first `requests`, in milliseconds.
     pub fn with_cold_start(mut self, requests: u32, service_ms: u64) -> Self {
         self.cold_requests = requests;
         self.cold_service_ms = service_ms;
@@ -59,69 +59,69 @@
     }
 }
 
-/// What an upstream does with a request.
+/// How an upstream handles a request.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum Behaviour {
-    /// It runs the request and answers.
+    /// Runs the request and responds.
     #[default]
     Normal,
-    /// It starts the request only after this time.
+    /// Delays the start of the request.
     DelayStart {
-        /// The time before the start.
+        /// The delay in milliseconds.
         delay_ms: u64,
     },
-    /// It runs the request and answers after this time.
+    /// Runs the request and delays the response.
     DelayAnswer {
-        /// The time between the run and the answer.
+        /// The delay between the run and the response, in milliseconds.
         delay_ms: u64,
     },
-    /// It runs the request, declares the whole answer, sends half of its body and closes.
+    /// Runs the request, declares the full body, sends half of it, and closes the connection.
     Truncate,
-    /// It answers that it did not start the request.
+    /// Rejects the request as not started.
     Refuse,
-    /// It runs the request and does not answer until told to.
+    /// Runs the request and holds the response until it is released.
     Hang,
-    /// It runs the request and closes the connection without an answer.
+    /// Runs the request and closes the connection without a response.
     Close,
 }
 
-/// How an upstream reports its load, at `/load` and on its answers.
+/// How an upstream reports its load, at `/load` and in its response headers.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum LoadReports {
-    /// Each report is true.
+    /// Reports the current load.
     #[default]
     Fresh,
-    /// A report is repeated until it is this old.
-    Lagging {
-        /// The age at which a report is renewed.
+    /// Repeats each report until it reaches a maximum age.
+    Stale {
+        /// The age at which a report is renewed, in milliseconds.
         lag_ms: u64,
     },
-    /// Reports claim this number in flight, whatever it is.
-    Misleading {
-        /// The number claimed.
+    /// Reports a fixed number of requests in flight.
+    FixedInFlight {
+        /// The number reported.
         in_flight: u32,
     },
-    /// There are no reports.
-    Missing,
+    /// Sends no reports.
+    Disabled,
 }
 
-/// What an upstream has counted.
+/// Counts of an upstream's requests and connections.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct UpstreamCounts {
-    /// Requests received, those that were not started included.
+    /// Requests received, except control requests and those that had expired on arrival.
     pub requests: u64,
-    /// Requests in flight now.
+    /// Requests currently in flight.
     pub in_flight: u32,
-    /// The most requests in flight at once.
+    /// The maximum number of concurrent requests so far.
     pub peak_in_flight: u32,
-    /// Connections open now.
+    /// Connections currently open.
     pub connections: u32,
-    /// The most connections open at once.
+    /// The maximum number of concurrent connections so far.
     pub peak_connections: u32,
-    /// Connections opened.
+    /// Connections accepted so far.
     pub connections_opened: u64,
-    /// The most connections opened within one second.
+    /// The maximum number of connections accepted within one second.
     pub peak_opened_per_s: u32,
-    /// Connections closed at once because there were too many.
-    pub connections_refused: u64,
+    /// Connections closed immediately because the limit was reached.
+    pub connections_rejected: u64,
 }
--- a/crates/sedgepath-test-support/src/upstream/state.rs
+++ b/crates/sedgepath-test-support/src/upstream/state.rs
@@ -1,4 +1,4 @@
-//! What an upstream's connections share: its settings, its faults and its counts.
+//! State shared by the connections of an upstream: its configuration, faults and counts.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::io;
@@ -14,23 +14,23 @@
 use crate::server::Service;
 use crate::sync::lock;
 
-/// The time after which a wait without a limit looks again.
-const MAX_WAIT: Duration = Duration::from_mins(1);
+/// The interval at which a wait without a deadline re-checks its condition.
+const MAX_WAIT_STEP: Duration = Duration::from_mins(1);
 
-/// One start of a request.
+/// One execution of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
-    /// When it started, in milliseconds since the Unix epoch.
+    /// When the request started, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The request's id, if it carried one.
+    /// The request id, if any.
     pub request_id: Option<Box<str>>,
-    /// The idempotency key, or else the ticket, if it carried one.
+    /// The idempotency key, or else the ticket, if any.
     pub key: Option<Box<str>>,
-    /// The method and the target, for example `GET /calendar?week=3`.
+    /// The method and the request target, for example `GET /calendar?week=3`.
     pub request: Box<str>,
 }
 
-/// The load that an upstream reports.
+/// A load report, as `/load` returns it.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub(super) struct LoadReport {
     pub(super) in_flight: u32,
@@ -41,24 +41,24 @@
 
 #[derive(Debug)]
 pub(super) struct State {
-    pub(super) figures: UpstreamFigures,
+    pub(super) config: UpstreamFigures,
     pub(super) behaviour: Behaviour,
-    pub(super) next: VecDeque<Behaviour>,
+    pub(super) next_behaviours: VecDeque<Behaviour>,
     pub(super) leaving: bool,
-    pub(super) reports: LoadReports,
+    pub(super) load_reports: LoadReports,
     pub(super) large_revision: u64,
-    pub(super) cold_left: u32,
+    pub(super) cold_requests_left: u32,
     pub(super) counts: UpstreamCounts,
     pub(super) runs: Vec<Run>,
     pub(super) stopping: bool,
     last_report: Option<LoadReport>,
-    started: BTreeSet<Box<str>>,
-    cancelled: BTreeSet<Box<str>>,
-    hang_epoch: u64,
-    opened: VecDeque<Instant>,
+    started_calls: BTreeSet<Box<str>>,
+    cancelled_calls: BTreeSet<Box<str>>,
+    release_count: u64,
+    recently_opened: VecDeque<Instant>,
 }
 
-/// The state and the signal that the upstream stops or releases what hangs.
+/// The state, with a condition variable for stops, cancellations and releases.
 #[derive(Debug)]
 pub(super) struct Shared {
     state: Mutex<State>,
@@ -66,23 +66,23 @@
 }
 
 impl Shared {
-    pub(super) fn new(figures: UpstreamFigures) -> Self {
+    pub(super) fn new(config: UpstreamFigures) -> Self {
         let state = State {
-            figures,
+            config,
             behaviour: Behaviour::Normal,
-            next: VecDeque::new(),
+            next_behaviours: VecDeque::new(),
             leaving: false,
-            reports: LoadReports::Fresh,
+            load_reports: LoadReports::Fresh,
             large_revision: 1,
-            cold_left: figures.cold_requests,
+            cold_requests_left: config.cold_requests,
             counts: UpstreamCounts::default(),
             runs: Vec::new(),
             stopping: false,
             last_report: None,
-            started: BTreeSet::new(),
-            cancelled: BTreeSet::new(),
-            hang_epoch: 0,
-            opened: VecDeque::new(),
+            started_calls: BTreeSet::new(),
+            cancelled_calls: BTreeSet::new(),
+            release_count: 0,
+            recently_opened: VecDeque::new(),
         };
         Self { state: Mutex::new(state), changed: Condvar::new() }
     }
@@ -92,16 +92,16 @@
     }
 
     pub(super) fn release_hung(&self) {
-        self.lock().hang_epoch += 1;
+        self.lock().release_count += 1;
         self.changed.notify_all();
     }
 
-    /// Cancels a request, also one still on its way, unless it has started.
+    /// Cancels a request unless it has started; one that hasn't arrived yet is rejected on arrival.
     pub(super) fn cancel(&self, call_id: &str) -> bool {
         let mut state = self.lock();
-        let cancelled = !state.started.contains(call_id);
+        let cancelled = !state.started_calls.contains(call_id);
         if cancelled {
-            state.cancelled.insert(call_id.into());
+            state.cancelled_calls.insert(call_id.into());
         }
         drop(state);
         self.changed.notify_all();
@@ -111,7 +111,7 @@
     /// Waits for `delay_ms`, or less if the request is cancelled or the upstream stops.
     pub(super) fn wait_to_start(&self, delay_ms: u64, call_id: Option<&str>) {
         self.wait_while(Some(delay_ms), |state| {
-            !call_id.is_some_and(|id| state.cancelled.contains(id))
+            !call_id.is_some_and(|id| state.cancelled_calls.contains(id))
         });
     }
 
@@ -121,27 +121,28 @@
     }
 
     /// Waits until [`Self::release_hung`], or until the upstream stops.
-    pub(super) fn wait_released(&self) {
-        let epoch = self.lock().hang_epoch;
-        self.wait_while(None, |state| state.hang_epoch == epoch);
+    pub(super) fn wait_until_released(&self) {
+        let epoch = self.lock().release_count;
+        self.wait_while(None, |state| state.release_count == epoch);
     }
 
-    fn wait_while(&self, limit_ms: Option<u64>, go_on: impl Fn(&State) -> bool) {
+    fn wait_while(&self, limit_ms: Option<u64>, keep_waiting: impl Fn(&State) -> bool) {
         let deadline = limit_ms.map(|limit_ms| Instant::now() + Duration::from_millis(limit_ms));
         let mut state = self.lock();
-        while !state.stopping && go_on(&state) {
-            let left = deadline
-                .map_or(MAX_WAIT, |deadline| deadline.saturating_duration_since(Instant::now()));
-            if left.is_zero() {
+        while !state.stopping && keep_waiting(&state) {
+            let remaining = deadline.map_or(MAX_WAIT_STEP, |deadline| {
+                deadline.saturating_duration_since(Instant::now())
+            });
+            if remaining.is_zero() {
                 break;
             }
-            let woken = self.changed.wait_timeout(state, left);
+            let woken = self.changed.wait_timeout(state, remaining);
             state = woken.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
     /// Counts a request in flight until the returned value is dropped.
-    pub(super) fn enter(&self) -> InFlight<'_> {
+    pub(super) fn begin_in_flight(&self) -> InFlight<'_> {
         let counts = &mut self.lock().counts;
         counts.requests += 1;
         counts.in_flight += 1;
@@ -152,18 +153,18 @@
 
 impl Service for Shared {
     fn admit(&self) -> bool {
-        sleep_ms(self.lock().figures.connect_ms);
+        sleep_ms(self.lock().config.connect_ms);
         let mut state = self.lock();
-        let max_connections = state.figures.max_connections;
+        let max_connections = state.config.max_connections;
         if state.counts.connections >= max_connections {
-            state.counts.connections_refused += 1;
+            state.counts.connections_rejected += 1;
             return false;
         }
         let counts = &mut state.counts;
         counts.connections += 1;
         counts.peak_connections = counts.peak_connections.max(counts.connections);
         counts.connections_opened += 1;
-        state.count_opened(Instant::now());
+        state.record_opened(Instant::now());
         true
     }
 
@@ -171,7 +172,7 @@
         connection::serve(self, stream)
     }
 
-    fn closed(&self) {
+    fn connection_closed(&self) {
         self.lock().counts.connections -= 1;
     }
 
@@ -183,59 +184,64 @@
 
 impl State {
     pub(super) fn next_behaviour(&mut self) -> Behaviour {
-        self.next.pop_front().unwrap_or(self.behaviour)
+        self.next_behaviours.pop_front().unwrap_or(self.behaviour)
     }
 
-    /// Notes the start of a request and returns the time it takes, or `None` if it must not start.
+    /// Records the start of a request and returns its service time in milliseconds, or `None` if it
+    /// must not start.
     pub(super) fn start(
         &mut self,
         run: Run,
         call_id: Option<&str>,
         deadline_ms: Option<u64>,
     ) -> Option<u64> {
-        let cancelled = call_id.is_some_and(|id| self.cancelled.contains(id));
+        let cancelled = call_id.is_some_and(|id| self.cancelled_calls.contains(id));
         let expired = deadline_ms.is_some_and(|deadline_ms| deadline_ms <= run.at_ms);
-        let shed = self.figures.sheds && self.counts.in_flight > self.figures.slots;
+        let shed = self.config.rejects_above_slots && self.counts.in_flight > self.config.slots;
         if cancelled || expired || shed {
             return None;
         }
-        self.started.extend(call_id.map(Box::from));
+        self.started_calls.extend(call_id.map(Box::from));
         self.runs.push(run);
-        let cold = self.cold_left > 0;
-        self.cold_left = self.cold_left.saturating_sub(1);
-        Some(if cold { self.figures.cold_service_ms } else { self.figures.service_ms })
+        let cold = self.cold_requests_left > 0;
+        self.cold_requests_left = self.cold_requests_left.saturating_sub(1);
+        Some(if cold { self.config.cold_service_ms } else { self.config.service_ms })
     }
 
     pub(super) fn report(&mut self) -> Option<LoadReport> {
         let now_ms = now_ms();
         let mut report = LoadReport {
             in_flight: self.counts.in_flight,
-            slots: self.figures.slots,
+            slots: self.config.slots,
             state: if self.leaving { "leaving" } else { "live" },
             as_of_ms: now_ms,
         };
-        match self.reports {
+        match self.load_reports {
             LoadReports::Fresh => {}
-            LoadReports::Lagging { lag_ms } => {
+            LoadReports::Stale { lag_ms } => {
                 let last = self.last_report;
                 report = last
                     .filter(|last| last.as_of_ms.saturating_add(lag_ms) > now_ms)
                     .unwrap_or(report);
             }
-            LoadReports::Misleading { in_flight } => report.in_flight = in_flight,
-            LoadReports::Missing => return None,
+            LoadReports::FixedInFlight { in_flight } => report.in_flight = in_flight,
+            LoadReports::Disabled => return None,
         }
         self.last_report = Some(report);
         Some(report)
     }
 
-    fn count_opened(&mut self, now: Instant) {
-        self.opened.push_back(now);
-        while self.opened.front().is_some_and(|first| now - *first >= Duration::from_secs(1)) {
-            self.opened.pop_front();
+    fn record_opened(&mut self, now: Instant) {
+        self.recently_opened.push_back(now);
+        while self
+            .recently_opened
+            .front()
+            .is_some_and(|first| now - *first >= Duration::from_secs(1))
+        {
+            self.recently_opened.pop_front();
         }
         let peak = &mut self.counts.peak_opened_per_s;
-        *peak = (*peak).max(self.opened.len() as u32);
+        *peak = (*peak).max(self.recently_opened.len() as u32);
     }
 }
 
--- a/crates/sedgepath-test-support/tests/caller.rs
+++ b/crates/sedgepath-test-support/tests/caller.rs
@@ -1,4 +1,4 @@
-//! The caller takes for an answer only what is whole, its own and as the upstream sent it.
+//! The caller accepts only complete, unmodified responses to its own requests.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -7,17 +7,18 @@
 use sedgepath_test_support::caller::{Call, CallFailure, Caller, Outcome, OutcomeCounts};
 use sedgepath_test_support::content::{self, Digest};
 
-/// Serves the given answers in order, each on a connection of its own, and returns the requests.
+/// Serves the given responses in order, each on its own connection, and returns the requests.
 ///
-/// The text `{id}` stands for the request's id and `{lookup}` for an answer that names `entries`.
-fn entry(entries: &[SocketAddr], answers: &[&str]) -> (SocketAddr, JoinHandle<Vec<String>>) {
+/// `{id}` is replaced by the request id, and `{lookup}` by a look-up response with `entries` and
+/// this server.
+fn entry(entries: &[SocketAddr], responses: &[&str]) -> (SocketAddr, JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
-    let named: Vec<_> = entries.iter().copied().chain([addr]).collect();
-    let answers: Vec<_> =
-        answers.iter().map(|&text| text.replace("{lookup}", &lookup(&named))).collect();
+    let entry_vms: Vec<_> = entries.iter().copied().chain([addr]).collect();
+    let responses: Vec<_> =
+        responses.iter().map(|&text| text.replace("{lookup}", &lookup(&entry_vms))).collect();
     let server = thread::spawn(move || {
-        let serve = |answer: String| {
+        let serve = |response: String| {
             let (mut stream, _) = listener.accept().expect("a connection");
             let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
             let lines: Vec<_> = (&mut reader)
@@ -26,16 +27,16 @@
                 .take_while(|line| !line.is_empty())
                 .collect();
             let header = |name| lines.iter().find_map(|line| line.strip_prefix(name));
-            // What is left unread would reset the connection and take the answer with it.
+            // Unread data would reset the connection and discard the response.
             let length =
                 header("content-length: ").map_or(0, |text| text.parse().expect("a length"));
             reader.read_exact(&mut vec![0; length]).expect("a body");
             let id = header("sedgepath-request-id: ");
-            let answer = answer.replace("{id}", id.unwrap_or_default());
-            stream.write_all(answer.as_bytes()).expect("written");
+            let response = response.replace("{id}", id.unwrap_or_default());
+            stream.write_all(response.as_bytes()).expect("written");
             lines.join("\n")
         };
-        answers.into_iter().map(serve).collect()
+        responses.into_iter().map(serve).collect()
     });
     (addr, server)
 }
@@ -47,7 +48,7 @@
     format!("HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{json}", json.len())
 }
 
-/// Builds an answer that says "answered" with a body, and with a digest that fits it.
+/// Builds a response with the outcome `answered`, a body and its digest.
 fn answered(extra: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nconnection: close\r\nsedgepath-outcome: answered\r\n\
@@ -57,40 +58,39 @@
     )
 }
 
-const OWN: &str = "sedgepath-request-id: {id}\r\n";
+const OWN_REQUEST_ID: &str = "sedgepath-request-id: {id}\r\n";
 
 #[test]
-fn every_defect_of_an_answer_is_a_visible_failure() {
-    // The entry VM answers well, then with another request's answer, a changed body, half a body,
-    // no declared length, no outcome, and not at all.
-    // Only the first is taken for an answer; each of the others is a failure of its own kind.
-    let good = answered(OWN, "a page");
-    let answers = [
+fn each_response_defect_is_reported_as_a_failure() {
+    // Guards against accepting a response with a foreign request id, a changed or truncated body, no
+    // declared length or no outcome, or a connection that closes without a response.
+    let valid = answered(OWN_REQUEST_ID, "a page");
+    let responses = [
         "{lookup}",
-        &good,
+        &valid,
         &answered("sedgepath-request-id: other\r\n", "a page"),
-        &good.replace("a page", "A page"),
-        &good.replace("a page", "a p"),
-        &good.replace("content-length: 6\r\n", ""),
+        &valid.replace("a page", "A page"),
+        &valid.replace("a page", "a p"),
+        &valid.replace("content-length: 6\r\n", ""),
         "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 0\r\n\r\n",
         "",
     ];
-    let (addr, server) = entry(&[], &answers);
+    let (addr, server) = entry(&[], &responses);
     let mut caller = Caller::new([addr]);
     let call = Call::new("paying", "calendar", "/a");
-    let mut outcomes = answers[1..].iter().map(|_| caller.call(&call).outcome);
+    let mut outcomes = responses[1..].iter().map(|_| caller.call(&call).outcome);
     assert_eq!(outcomes.next(), Some(Outcome::Answered { status: 200 }));
     let failures: Vec<_> = outcomes.collect();
     assert!(
         matches!(
             &*failures,
             [
-                Outcome::Failed(CallFailure::WrongRequest),
-                Outcome::Failed(CallFailure::WrongBody),
+                Outcome::Failed(CallFailure::RequestIdMismatch),
+                Outcome::Failed(CallFailure::BodyMismatch),
                 Outcome::Failed(CallFailure::NotWhole(_)),
                 Outcome::Failed(CallFailure::NotWhole(_)),
-                Outcome::Failed(CallFailure::NoOutcome),
-                Outcome::Failed(CallFailure::NoAnswer(_)),
+                Outcome::Failed(CallFailure::MissingOutcome),
+                Outcome::Failed(CallFailure::NoResponse(_)),
             ]
         ),
         "{failures:?}"
@@ -103,40 +103,37 @@
 }
 
 #[test]
-fn a_generated_body_is_checked_against_its_offset() {
-    // The rest of a large body comes under its entity tag and whole in length, with other bytes than
-    // the tag and the offset stand for; its digest was made from these bytes and fits them.
-    // The caller holds no copy of the body and still finds it out.
-    let wrong = "--------";
+fn a_generated_body_is_verified_against_its_offset() {
+    // Guards against accepting a range of a generated body with wrong content, although its length
+    // and its digest are consistent.
+    let wrong_body = "--------";
     let partial = answered(
         "sedgepath-request-id: {id}\r\netag: \"large-100-1\"\r\ncontent-range: bytes 92-99/100\r\n",
-        wrong,
+        wrong_body,
     );
     let (addr, server) = entry(&[], &["{lookup}", &partial]);
     let mut caller = Caller::new([addr]);
     let reply = caller.call(&Call::new("paying", "guides", "/large/100"));
-    assert_eq!(reply.outcome, Outcome::Failed(CallFailure::WrongBody));
-    assert!(!content::matches(1, 92, wrong.as_bytes()));
+    assert_eq!(reply.outcome, Outcome::Failed(CallFailure::BodyMismatch));
+    assert!(!content::matches(1, 92, wrong_body.as_bytes()));
     server.join().expect("served");
 }
 
 #[test]
-fn a_caller_comes_back_only_when_and_as_often_as_told() {
-    // The first entry VM that the look-up names is gone; the second says "not run, come back" twice
-    // and then answers. A last request may have run.
-    // The caller goes past the first untold, comes back with new ids while it has retries, and
-    // never repeats the one that may have run.
+fn a_caller_retries_only_requests_that_were_not_run() {
+    // Guards against retrying a request that may have run, reusing a request id for a retry, and
+    // giving up at an entry VM that cannot be reached.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let gone = listener.local_addr().expect("an address");
+    let unreachable = listener.local_addr().expect("an address");
     drop(listener);
     let not_run = format!(
         "HTTP/1.1 503 Busy\r\nconnection: close\r\nsedgepath-outcome: not_run\r\n{}\r\n\r\n",
         "sedgepath-retry-at-ms: 1\r\ncontent-length: 0"
     );
     let unknown = not_run.replace("not_run", "unknown");
-    let good = answered(OWN, "done");
-    let (addr, server) = entry(&[gone], &["{lookup}", &not_run, &not_run, &good, &unknown]);
-    let mut caller = Caller::new([gone, addr]);
+    let valid = answered(OWN_REQUEST_ID, "done");
+    let (addr, server) = entry(&[unreachable], &["{lookup}", &not_run, &not_run, &valid, &unknown]);
+    let mut caller = Caller::new([unreachable, addr]);
     let call = Call::new("trial", "bookings", "/book").with_method("POST").with_retries(2);
     let call = call.with_header("idempotency-key", "k1").with_body("a body");
     assert_eq!(caller.call(&call).outcome, Outcome::Answered { status: 200 });
--- a/crates/sedgepath-test-support/tests/daemon.rs
+++ b/crates/sedgepath-test-support/tests/daemon.rs
@@ -1,4 +1,4 @@
-//! A process is started, signalled by its id, and never left behind.
+//! Start, signals and clean-up of daemon processes.
 
 use std::fs::{self, Permissions};
 use std::net::TcpListener;
@@ -32,34 +32,33 @@
 }
 
 #[test]
-fn a_process_is_paused_resumed_stopped_and_never_left_behind() {
-    // One process ends before it is ready; the test sees its output instead of waiting in vain.
-    // Another is paused, goes on, and is asked to stop; a signal after that is refused, since the id
-    // may by then belong to another process. A third is paused and dropped, and is gone.
+fn a_process_is_suspended_resumed_stopped_and_killed_on_drop() {
+    // Guards against a wait for a process that has exited, a signal to a process id that may have
+    // been reused, and a suspended process that outlives its handle.
     let dir = tempfile::tempdir().expect("a directory");
     let ready = TcpListener::bind("127.0.0.1:0").expect("a port");
     let ready = ready.local_addr().map(|addr| (ready, addr)).expect("an address");
     let broken = script(dir.path(), "broken", "cat $2; exit 3");
     let closed = "127.0.0.1:9".parse().expect("an address");
-    let ended = DaemonProcess::new(&broken, "name: vm-1", closed).expect_err("it ended");
-    match ended {
-        DaemonError::Ended { status, output } => {
+    let error = DaemonProcess::new(&broken, "name: vm-1", closed).expect_err("the process exited");
+    match error {
+        DaemonError::ExitedEarly { status, output } => {
             assert_eq!((status.code(), &*output), (Some(3), "name: vm-1"));
         }
-        other => panic!("{other}"),
+        unexpected => panic!("{unexpected}"),
     }
     let sleeper = script(dir.path(), "sleeper", "exec sleep 600");
     let mut daemon = DaemonProcess::new(&sleeper, "", ready.1).expect("started");
     let id = daemon.id();
     daemon.signal(Signal::Stop).expect("signalled");
-    wait_until("paused", || state(id) == Some('T'));
+    wait_until("suspended", || state(id) == Some('T'));
     daemon.signal(Signal::Continue).expect("signalled");
     wait_until("resumed", || state(id) != Some('T'));
     daemon.signal(Signal::Term).expect("signalled");
     let limit = Instant::now() + Duration::from_secs(10);
     let status = daemon.wait_until(limit).expect("watched");
     assert!(status.is_some_and(|status| !status.success()));
-    assert!(matches!(daemon.signal(Signal::Kill), Err(DaemonError::Gone)));
+    assert!(matches!(daemon.signal(Signal::Kill), Err(DaemonError::HasExited)));
     let mut dropped = DaemonProcess::new(&sleeper, "", ready.1).expect("started");
     let id = dropped.id();
     dropped.signal(Signal::Stop).expect("signalled");
--- a/crates/sedgepath-test-support/tests/link.rs
+++ b/crates/sedgepath-test-support/tests/link.rs
@@ -1,4 +1,4 @@
-//! What a link carries while it is whole, cut both ways, cut one way, and healed.
+//! Forwarding of a link while it is open, cut in one or both directions, and restored.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -7,13 +7,13 @@
 
 use sedgepath_test_support::link::{Cut, CuttableLink, LinkCounts};
 
-/// The time in which nothing must arrive through a cut; a healed link is waited for much longer.
-const SILENCE: Duration = Duration::from_millis(80);
-const LIMIT: Duration = Duration::from_secs(10);
+/// How long to check that nothing passes a cut.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(80);
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn udp() -> (UdpSocket, SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    socket.set_read_timeout(Some(LIMIT)).expect("a time-out");
+    socket.set_read_timeout(Some(READ_TIMEOUT)).expect("a time-out");
     let addr = socket.local_addr().expect("an address");
     (socket, addr)
 }
@@ -33,7 +33,7 @@
     let near = TcpStream::connect(link.addr()).expect("connected");
     let (far, _) = listener.accept().expect("accepted");
     for stream in [&near, &far] {
-        stream.set_read_timeout(Some(LIMIT)).expect("a time-out");
+        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a time-out");
     }
     (near, far)
 }
@@ -46,9 +46,7 @@
 
 #[test]
 fn datagrams_are_lost_in_the_direction_that_is_cut() {
-    // Two members exchange heartbeats; then the way to the target is cut, then the way back.
-    // The first cut drops what is sent and the second what is answered, so one of the two still
-    // hears the other: the asymmetry that makes members disagree on who is alive.
+    // Guards against a cut that also drops datagrams of the opposite direction.
     let (target, target_addr) = udp();
     let link = CuttableLink::new(target_addr).expect("a link");
     let (member, _) = udp();
@@ -74,9 +72,9 @@
 }
 
 #[test]
-fn a_connection_outlives_a_cut_and_loses_nothing() {
-    // A request's answer is on its way when the way back is cut; the request's direction works on.
-    // The caller sees nothing, then, after the link has healed, every byte in order.
+fn a_connection_survives_a_cut_without_data_loss() {
+    // Guards against a cut that delivers, loses or reorders data of a TCP connection, or that blocks
+    // the opposite direction.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let link = CuttableLink::new(listener.local_addr().expect("an address")).expect("a link");
     let (mut near, mut far) = tcp_pair(&listener, &link);
@@ -86,11 +84,11 @@
     far.write_all(b"answer").expect("written");
     near.write_all(b"more").expect("written");
     assert_eq!(read(&mut far, 4), b"more");
-    near.set_read_timeout(Some(SILENCE)).expect("a time-out");
+    near.set_read_timeout(Some(SILENCE_TIMEOUT)).expect("a time-out");
     let silent = near.read(&mut [0]).expect_err("nothing comes");
     assert_eq!(silent.kind(), ErrorKind::WouldBlock);
     assert_eq!(link.counts().tcp_from_target_bytes, 0);
-    near.set_read_timeout(Some(LIMIT)).expect("a time-out");
+    near.set_read_timeout(Some(READ_TIMEOUT)).expect("a time-out");
     link.set_cut(Cut::None);
     assert_eq!(read(&mut near, 6), b"answer");
     drop(near);
@@ -98,9 +96,8 @@
 }
 
 #[test]
-fn a_link_that_is_dropped_while_cut_ends_its_connections() {
-    // A connection waits in a link that is cut both ways, with its peers reading nothing.
-    // The drop returns, since it waits for every thread, and both ends see the connection end.
+fn dropping_a_cut_link_closes_its_connections() {
+    // Guards against a drop that hangs on a forwarding thread, or leaves its connections open.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let link = CuttableLink::new(listener.local_addr().expect("an address")).expect("a link");
     let (mut near, mut far) = tcp_pair(&listener, &link);
--- a/crates/sedgepath-test-support/tests/port.rs
+++ b/crates/sedgepath-test-support/tests/port.rs
@@ -1,4 +1,4 @@
-//! Ports for processes that a test starts.
+//! Allocation of ports for processes that a test starts.
 
 use std::net::{Ipv4Addr, TcpListener};
 use std::process::Command;
@@ -8,13 +8,12 @@
 
 use sedgepath_test_support::port::{free_port, start};
 
-const PORTS: usize = 4_000;
+const PORT_COUNT: usize = 4_000;
 
-/// One test asks for a port while others start their daemons. A process that is being started has the open
-/// sockets of this one for a moment; it must not have the port that is just being tried, or the daemon
-/// that is then told to listen there finds it in use.
+/// Guards against a child process that inherits the socket of a port being probed, which keeps the
+/// port in use after the probe.
 #[test]
-fn a_free_port_is_kept_by_no_process_that_is_being_started() {
+fn a_spawning_process_does_not_inherit_a_probed_port() {
     let stop = AtomicBool::new(false);
     thread::scope(|scope| {
         for _ in 0..4 {
@@ -26,13 +25,13 @@
                 }
             });
         }
-        let taken = (0..PORTS).filter(|_| {
+        let in_use = (0..PORT_COUNT).filter(|_| {
             let port = free_port().expect("a port");
             thread::sleep(Duration::from_micros(300));
             TcpListener::bind((Ipv4Addr::LOCALHOST, port)).is_err()
         });
-        let taken = taken.count();
+        let in_use_count = in_use.count();
         stop.store(true, Ordering::Relaxed);
-        assert_eq!(taken, 0, "of {PORTS} ports");
+        assert_eq!(in_use_count, 0, "of {PORT_COUNT} ports");
     });
 }
--- a/crates/sedgepath-test-support/tests/table.rs
+++ b/crates/sedgepath-test-support/tests/table.rs
@@ -1,4 +1,4 @@
-//! The version rules of the table and what a caller sees of each fault.
+//! The version rules of the table, and the results of its client under faults.
 
 use sedgepath_core::table::{
     Row, RowChange, RowCondition, RowWrite, TableRequest, TableResult, TableService, Transaction,
@@ -32,29 +32,26 @@
 }
 
 #[test]
-fn a_failed_condition_leaves_every_row_as_it_was() {
-    // An operator's change writes three rows; the second one's version is out of date.
-    // The caller sees the first key that failed and the row that stands there; no row is written,
-    // not even the one before it, because conditions are checked before any write.
+fn a_failed_condition_leaves_all_rows_unchanged() {
+    // Guards against a partial commit: all conditions must be checked before the first write.
     let table = MemoryTable::new();
     let head = || put("head", RowCondition::Absent, "1");
     assert_eq!(table.execute(&commit([head()])), TableResult::Committed);
     let current = read(&table, "head").expect("the head was written");
-    let racing = commit([
+    let conflicting = commit([
         put("log/1", RowCondition::Absent, "x"),
         put("head", RowCondition::Version(current.version + 1), "2"),
         head(),
     ]);
     let expected = TableResult::Conflict { key: "head".into(), current: Some(current.clone()) };
-    assert_eq!(table.execute(&racing), expected);
+    assert_eq!(table.execute(&conflicting), expected);
     assert_eq!(table.rows(), [current]);
 }
 
 #[test]
-fn a_row_that_is_created_again_never_has_an_old_version() {
-    // A claim is inserted, removed and inserted again by another node.
-    // The first node's write, conditional on the version that it knew, must conflict: were versions
-    // to start again with the row, it would pass and overwrite the other node's claim.
+fn a_recreated_row_never_has_an_old_version() {
+    // Guards against versions that restart with a recreated row: a stale conditional write would then
+    // overwrite another node's claim.
     let table = MemoryTable::new();
     let insert = commit([put("claim", RowCondition::Absent, "a")]);
     assert_eq!(table.execute(&insert), TableResult::Committed);
@@ -75,9 +72,8 @@
 }
 
 #[test]
-fn a_scan_gives_the_keys_of_its_prefix_page_by_page() {
-    // A node reads the log in pages of two, with other keys before and after those of the log.
-    // It sees each row once, in order, and an empty page at the end.
+fn a_paged_scan_returns_each_key_of_its_prefix_once() {
+    // Guards against pages that repeat or skip rows, or that contain keys outside the prefix.
     let table = MemoryTable::new();
     let keys = ["a", "log/1", "log/2", "log/3", "m"];
     let all: Vec<_> = keys.map(|key| put(key, RowCondition::Any, key)).into();
@@ -92,9 +88,8 @@
 }
 
 #[test]
-fn a_long_scan_comes_whole_over_http() {
-    // A node that boots reads 2,000 rows in one scan; the store gives 500 at once and takes 100
-    // entries in a write. The caller sees each row, in order, and those after a key alone.
+fn a_long_scan_is_complete_over_http() {
+    // Guards against a scan that stops at the page limit of the store.
     let store = StoreStandIn::new().expect("the stand-in starts");
     let client = client(&store);
     for part in 0..40 {
@@ -116,9 +111,8 @@
 }
 
 #[test]
-fn several_keys_are_read_at_one_moment_and_nothing_is_written() {
-    // A node reads a hand-over and two tickets, of which one was never used, in one call.
-    // The caller sees the rows that exist, and the store's version stays.
+fn a_read_of_several_keys_writes_nothing() {
+    // Guards against a read of several keys that changes rows, or that fails for keys without a row.
     let store = StoreStandIn::new().expect("the stand-in starts");
     let client = client(&store);
     store.put(TABLE, "handover/a", b"done");
@@ -135,9 +129,9 @@
 }
 
 #[test]
-fn a_write_of_too_many_rows_does_nothing() {
-    // The store takes a hundred entries at once; a row with a condition and a value counts twice.
-    // The caller hears that nothing was done, and the store that takes fifty such rows takes them.
+fn a_commit_of_too_many_rows_writes_nothing() {
+    // Guards against a partial write above the store's limit of 100 entries, of which a row with a
+    // condition and a value takes two.
     let store = StoreStandIn::new().expect("the stand-in starts");
     let client = client(&store);
     let rows = |count: usize| {
@@ -150,9 +144,9 @@
 }
 
 #[test]
-fn a_lost_answer_is_unknown_and_the_write_stands() {
-    // The platform carries a commit out and closes the connection without an answer.
-    // The caller sees "unknown"; a read shows the row; a repeat of the insert conflicts with it.
+fn a_commit_with_a_lost_response_has_an_unknown_result() {
+    // Guards against reporting a commit as failed, or retrying it internally, when its response is
+    // lost after the commit was applied.
     let store = StoreStandIn::new().expect("the stand-in starts");
     let client = client(&store);
     store.drop_next_answers(1);
@@ -166,10 +160,8 @@
 }
 
 #[test]
-fn a_late_write_is_absent_at_first_and_collides_with_a_tombstone() {
-    // A commit's answer is lost and the commit itself is still on its way.
-    // The caller reads back and sees nothing, then writes a tombstone. When the commit arrives at
-    // last it must conflict with the tombstone, so that it has no effect.
+fn a_delayed_commit_conflicts_with_a_tombstone() {
+    // Guards against a delayed commit that takes effect after a tombstone was written in its place.
     let store = StoreStandIn::new().expect("the stand-in starts");
     let client = client(&store);
     store.hold_next_writes(1);
@@ -179,15 +171,14 @@
     let tombstone = commit([put("claim/1", RowCondition::Absent, "not run")]);
     assert_eq!(client.execute(&tombstone), TableResult::Committed);
     assert_eq!(store.apply_held_writes(), [false]);
-    let row = read(&client, "claim/1").expect("the tombstone stands");
+    let row = read(&client, "claim/1").expect("the tombstone exists");
     assert_eq!(&*row.value, "not run");
 }
 
 #[test]
-fn an_outage_that_refuses_is_told_from_one_that_is_silent() {
-    // The platform answers 503, then closes connections without an answer, then is gone.
-    // A commit is "unavailable" when it was refused or could not be sent, and "unknown" when it was
-    // sent and nothing came back. A read is "unavailable" each time. The table stays empty.
+fn an_outage_is_unknown_only_for_commits_that_were_sent() {
+    // Guards against reporting a commit as not applied when it was sent and no response arrived, and
+    // against an unknown result for commits that were rejected or never sent, or for reads.
     let store = StoreStandIn::new().expect("the stand-in starts");
     let client = client(&store);
     let insert = commit([put("a", RowCondition::Absent, "1")]);
--- a/crates/sedgepath-test-support/tests/upstream.rs
+++ b/crates/sedgepath-test-support/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream stand-in's counts are exact and its faults visible to a caller.
+//! Exact counts and observable faults of the upstream stand-in.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -38,19 +38,19 @@
     stream.write_all(text.as_bytes()).expect("written");
 }
 
-/// Reads one answer that ends with `end`.
+/// Reads one response that ends with `end`.
 fn receive(stream: &mut TcpStream, end: &str) -> String {
     let mut text = Vec::new();
-    let mut piece = [0; 4096];
+    let mut buffer = [0; 4096];
     while !text.ends_with(end.as_bytes()) {
-        let count = stream.read(&mut piece).expect("an answer");
-        assert_ne!(count, 0, "the answer ended early");
-        text.extend_from_slice(&piece[..count]);
+        let count = stream.read(&mut buffer).expect("a response");
+        assert_ne!(count, 0, "the response ended early");
+        text.extend_from_slice(&buffer[..count]);
     }
     String::from_utf8(text).expect("text")
 }
 
-/// Tells whether the next read finds the end, rather than a byte or no news.
+/// Returns whether the next read finds the connection closed.
 fn is_closed(stream: &mut TcpStream) -> bool {
     match stream.read(&mut [0]) {
         Ok(count) => count == 0,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Waits for a count that another thread is about to reach.
+/// Waits for a condition that another thread is about to fulfil.
 fn wait_until(what: &str, reached: impl Fn() -> bool) {
     for _ in 0..2_000 {
         if reached() {
@@ -70,17 +70,15 @@
 }
 
 #[test]
-fn peaks_count_what_overlaps_and_nothing_else() {
-    // Five callers each hold a connection and a request that hangs; then they are released, and one
-    // of them sends fifty more, each as soon as it has the answer before.
-    // The peaks are five exactly, and each request id has run once.
+fn peaks_count_only_overlapping_requests() {
+    // Guards against peaks that count consecutive requests as concurrent, or miss concurrent ones.
     let upstream = upstream(UpstreamFigures::new(7).with_connect_ms(0));
     upstream.behave_next(5, Behaviour::Hang);
     let mut callers: Vec<_> = (0..5).map(|_| connect(upstream.addr())).collect();
     for (number, caller) in callers.iter_mut().enumerate() {
         send(caller, "GET /a", &format!("{REQUEST_ID}: r{number}\r\n"));
     }
-    wait_until("five hang", || upstream.counts().in_flight == 5);
+    wait_until("five requests hang", || upstream.counts().in_flight == 5);
     upstream.release_hung();
     for caller in &mut callers {
         receive(caller, "GET /a\n");
@@ -92,45 +90,43 @@
     let counts = upstream.counts();
     assert_eq!((counts.requests, counts.in_flight, counts.peak_in_flight), (55, 0, 5));
     assert_eq!((counts.connections, counts.peak_connections), (5, 5));
-    assert_eq!((counts.connections_opened, counts.connections_refused), (5, 0));
+    assert_eq!((counts.connections_opened, counts.connections_rejected), (5, 0));
     assert_eq!(upstream.runs().len(), 55);
     assert!(upstream.runs_by_request_id().values().eq(&[1; 5]));
 }
 
 #[test]
-fn an_answer_frees_its_slot_before_its_caller_can_send_again() {
-    // One caller has two connections and never more than one request: it sends each on the other
-    // connection as soon as it has the whole answer before.
-    // None is in flight after each answer, and the peak is one. Were the slot freed after the answer,
-    // the next request could be counted beside it, and a test would fail without a fault.
+fn a_response_frees_its_slot_before_the_caller_can_send_again() {
+    // Guards against freeing the slot after the response is sent: the caller's next request would
+    // then count as concurrent with the previous one.
     let upstream = upstream(UpstreamFigures::new(1));
     let mut connections = [connect(upstream.addr()), connect(upstream.addr())];
     for number in 0..2_000 {
         let connection = &mut connections[number % 2];
         send(connection, "GET /a", "");
         receive(connection, "GET /a\n");
-        assert_eq!(upstream.counts().in_flight, 0, "after answer {number}");
+        assert_eq!(upstream.counts().in_flight, 0, "after response {number}");
     }
     assert_eq!(upstream.counts().peak_in_flight, 1);
 }
 
 #[test]
 fn connections_above_the_limit_are_closed_and_counted() {
-    // An upstream that takes two connections gets a third, which is closed without an answer; one of
-    // the first two ends and a fourth is served. The peak is two.
+    // Guards against accepting connections above the limit, and against a closed connection that
+    // still counts towards the limit.
     let figures = UpstreamFigures::new(1).with_max_connections(2).with_connect_ms(0);
     let upstream = upstream(figures);
     let mut first = connect(upstream.addr());
     let mut second = connect(upstream.addr());
-    for kept in [&mut first, &mut second] {
-        send(kept, "GET /a", "");
-        receive(kept, "GET /a\n");
+    for connection in [&mut first, &mut second] {
+        send(connection, "GET /a", "");
+        receive(connection, "GET /a\n");
     }
     let mut third = connect(upstream.addr());
-    wait_until("one refused", || upstream.counts().connections_refused == 1);
+    wait_until("one connection rejected", || upstream.counts().connections_rejected == 1);
     assert!(is_closed(&mut third));
     drop(first);
-    wait_until("one closed", || upstream.counts().connections == 1);
+    wait_until("one connection closed", || upstream.counts().connections == 1);
     let mut fourth = connect(upstream.addr());
     send(&mut fourth, "GET /a", "");
     receive(&mut fourth, "GET /a\n");
@@ -140,77 +136,74 @@
 }
 
 #[test]
-fn a_truncated_answer_declares_more_than_it_brings() {
-    // The upstream runs the request, declares the whole body, sends half of it and closes.
-    // A caller that compares the length sees it; one that takes the close for the end does not.
+fn a_truncated_response_declares_its_full_length() {
+    // Guards against a truncated response that declares its actual length, which callers could not
+    // detect.
     let upstream = upstream(UpstreamFigures::new(1));
     upstream.behave_next(1, Behaviour::Truncate);
-    let cut = get(&upstream, "/large/200000").send().expect("a head");
-    assert_eq!(header(&cut, "content-length"), Some("200000"));
-    assert_eq!(cut.bytes().expect("half a body").len(), 100_000);
-    let whole = get(&upstream, "/large/200000").send().expect("a head");
-    assert_eq!(whole.bytes().expect("a body").len(), 200_000);
+    let truncated = get(&upstream, "/large/200000").send().expect("a head");
+    assert_eq!(header(&truncated, "content-length"), Some("200000"));
+    assert_eq!(truncated.bytes().expect("half a body").len(), 100_000);
+    let complete = get(&upstream, "/large/200000").send().expect("a head");
+    assert_eq!(complete.bytes().expect("a body").len(), 200_000);
     assert_eq!(upstream.runs().len(), 2);
 }
 
 #[test]
-fn a_refusal_proves_that_nothing_ran_and_a_lost_answer_does_not() {
-    // A once-only request is refused before its start, then run without an answer, then run again.
-    // The caller sees "not started", a closed connection and an answer. The key has run twice: the
-    // stand-in does not remove repeats, so that a system that repeats is found out.
+fn only_a_rejection_proves_that_a_request_did_not_run() {
+    // Guards against counting a rejected request as run, not counting one whose response is lost, and
+    // deduplicating requests in the stand-in, which would hide duplicates sent by the system.
     let upstream = upstream(UpstreamFigures::new(1));
     upstream.behave_next(1, Behaviour::Refuse);
     upstream.behave_next(1, Behaviour::Close);
     let charge = || get(&upstream, "/charge").header(IDEMPOTENCY_KEY, "k1");
-    let refused = charge().send().expect("a refusal");
-    assert_eq!(refused.status().as_u16(), 503);
-    assert_eq!(header(&refused, NOT_STARTED), Some("true"));
+    let rejected = charge().send().expect("a rejection");
+    assert_eq!(rejected.status().as_u16(), 503);
+    assert_eq!(header(&rejected, NOT_STARTED), Some("true"));
     assert_eq!(upstream.runs(), []);
-    charge().send().expect_err("no answer");
-    assert!(charge().send().expect("an answer").is_success());
+    charge().send().expect_err("no response");
+    assert!(charge().send().expect("a response").is_success());
     assert_eq!(upstream.runs_by_key(), [("k1".into(), 2)].into());
     assert_eq!(upstream.counts().requests, 3);
 }
 
 #[test]
-fn a_confirmed_cancellation_or_a_passed_deadline_prevents_the_run() {
-    // A request waits for its start and is cancelled meanwhile; another arrives after its deadline;
-    // a third has run when it is to be cancelled.
-    // The first two are answered "not started" and leave no run; the third's cancellation fails.
+fn a_confirmed_cancellation_or_an_expired_deadline_prevents_the_run() {
+    // Guards against running a request after its confirmed cancellation or its deadline, and against
+    // confirming the cancellation of a request that has run.
     let upstream = upstream(UpstreamFigures::new(1));
     let cancel = |id: &str| {
         let url = format!("http://{}/cancel", upstream.addr());
-        let answer = attohttpc::post(url).header(REQUEST_ID, id).send();
-        answer.expect("an answer").status().as_u16()
+        let response = attohttpc::post(url).header(REQUEST_ID, id).send();
+        response.expect("a response").status().as_u16()
     };
     upstream.behave_next(1, Behaviour::DelayStart { delay_ms: 60_000 });
     let mut caller = connect(upstream.addr());
     send(&mut caller, "GET /a", &format!("{REQUEST_ID}: waits\r\n"));
-    wait_until("it waits", || upstream.counts().in_flight == 1);
+    wait_until("the request waits", || upstream.counts().in_flight == 1);
     assert_eq!(cancel("waits"), 200);
     assert!(receive(&mut caller, "not started\n").starts_with("HTTP/1.1 503 "));
     let late = get(&upstream, "/a").header(DEADLINE_MS, "1").send();
-    assert_eq!(late.expect("a refusal").status().as_u16(), 503);
+    assert_eq!(late.expect("a rejection").status().as_u16(), 503);
     assert_eq!(upstream.runs(), []);
     let ran = get(&upstream, "/a").header(REQUEST_ID, "ran").send();
-    assert!(ran.expect("an answer").is_success());
+    assert!(ran.expect("a response").is_success());
     assert_eq!(cancel("ran"), 409);
 }
 
 #[test]
-fn a_large_body_can_be_resumed_on_the_same_entity_only() {
-    // A caller has the first 70,001 bytes and asks for the rest under the entity tag it knows.
-    // It gets just the rest; after the body was replaced it gets the whole new one instead.
+fn a_large_body_can_be_resumed_only_while_its_etag_matches() {
+    // Guards against resuming a download with the rest of a different body.
     let upstream = upstream(UpstreamFigures::new(1));
     let first = get(&upstream, "/large/150000").header("range", "bytes=0-70000").send();
-    let first = first.expect("an answer");
+    let first = first.expect("a response");
     assert_eq!(first.status().as_u16(), 206);
     assert_eq!(header(&first, "content-range"), Some("bytes 0-70000/150000"));
     let etag = header(&first, "etag").expect("a tag").to_owned();
     assert!(content::matches(1, 0, &first.bytes().expect("a body")));
     let resume = || {
         let request = get(&upstream, "/large/150000").header("range", "bytes=70001-");
-        request.header("if-range", &etag).send().expect("an answer")
+        request.header("if-range", &etag).send().expect("a response")
     };
     let rest = resume().bytes().expect("a body");
     assert_eq!(rest.len(), 150_000 - 70_001);
@@ -224,47 +217,46 @@
 }
 
 #[test]
-fn an_answer_names_its_request_and_its_body_and_a_report_can_mislead() {
-    // A body is echoed with its digest and the request's id. Then the upstream leaves, claims a load
-    // that it does not have, and at last reports nothing.
+fn a_response_has_its_request_id_and_digest_and_load_reports_can_be_false() {
+    // Guards against responses that can't be matched to their request or body, and against load
+    // reports that ignore the configured fault.
     let upstream = upstream(UpstreamFigures::new(3));
     let body = vec![7_u8; 100_000];
     let url = format!("http://{}/echo", upstream.addr());
     let echo = attohttpc::put(url).header(REQUEST_ID, "r1").bytes(&body).send();
-    let echo = echo.expect("an answer");
+    let echo = echo.expect("a response");
     assert_eq!(header(&echo, REQUEST_ID), Some("r1"));
     assert_eq!(header(&echo, DIGEST), Some(&*Digest::of(&body).to_string()));
     assert_eq!(header(&echo, UPSTREAM_STATE), None);
     assert_eq!(echo.bytes().expect("a body"), body);
     upstream.set_leaving(true);
-    upstream.set_load_reports(LoadReports::Misleading { in_flight: 9 });
+    upstream.set_load_reports(LoadReports::FixedInFlight { in_flight: 9 });
     let load: Value = get(&upstream, "/load").send().expect("a report").json().expect("JSON");
     assert_eq!((&load["in_flight"], &load["slots"]), (&9.into(), &3.into()));
     assert_eq!(load["state"], "leaving");
     assert!(load["as_of_ms"].is_u64());
-    upstream.set_load_reports(LoadReports::Missing);
+    upstream.set_load_reports(LoadReports::Disabled);
     assert_eq!(get(&upstream, "/load").send().expect("none").status().as_u16(), 404);
-    let answer = get(&upstream, "/a").send().expect("an answer");
-    assert_eq!(header(&answer, UPSTREAM_STATE), Some("leaving"));
-    assert_eq!(header(&answer, IN_FLIGHT), None);
+    let response = get(&upstream, "/a").send().expect("a response");
+    assert_eq!(header(&response, UPSTREAM_STATE), Some("leaving"));
+    assert_eq!(header(&response, IN_FLIGHT), None);
     assert_eq!(upstream.counts().requests, 2);
 }
 
 #[test]
-fn a_drop_ends_what_hangs_and_what_is_idle() {
-    // One caller hangs, another is idle on an open connection, and the upstream is dropped.
-    // The drop returns, since it waits for every thread; both callers see the end and no
-    // answer, and the port can be listened on again, as an upstream that is restarted does.
+fn a_drop_closes_hanging_and_idle_connections() {
+    // Guards against a drop that hangs on a connection thread, and against a port that can't be
+    // listened on again by a restarted upstream.
     let stopped = upstream(UpstreamFigures::new(1));
     let addr = stopped.addr();
     stopped.set_behaviour(Behaviour::Hang);
     let mut hanging = connect(addr);
     let mut idle = connect(addr);
     send(&mut hanging, "GET /a", "");
-    wait_until("it hangs", || stopped.counts().in_flight == 1);
+    wait_until("the request hangs", || stopped.counts().in_flight == 1);
     drop(stopped);
     assert!(is_closed(&mut idle));
     assert!(is_closed(&mut hanging));
     let again = UpstreamStandIn::new_at(addr, UpstreamFigures::new(1)).expect("restarted");
-    assert!(get(&again, "/a").send().expect("an answer").is_success());
+    assert!(get(&again, "/a").send().expect("a response").is_success());
 }
