--- a/crates/sedgepath-core/examples/admission_parts.rs
+++ b/crates/sedgepath-core/examples/admission_parts.rs
@@ -1,7 +1,10 @@
-//! What each part of admission earns: the same loads with all parts and without one of them.
+//! Compares admission with all of its mechanisms to variants with one mechanism disabled or changed.
 //!
-//! One node owns two upstreams of four slots, 100 ms a request unless said otherwise; deadlines are one
-//! second. The row `no trial` has no trial traffic at all, to compare paying with. Each line sums up the runs of all seeds: `cargo run --example admission_parts [SEEDS]`.
+//! One node owns two upstreams with four slots each; requests take 100 ms unless a scenario says
+//! otherwise, and deadlines are one second. The row `no trial` is the baseline without trial traffic.
+//! Each row aggregates the runs of all seeds.
+//!
+//! `cargo run --example admission_parts [SEEDS]`
 
 use sedgepath_core::egress::settings::{AdmissionSettings, Queueing};
 use sedgepath_core::identity::NodeSettings;
@@ -11,23 +14,23 @@
 use sedgepath_test_support::records;
 use serde_json::json;
 
-/// The time in which the owner learns before callers are counted, in milliseconds.
-const WARM_MS: u64 = 5_000;
+/// The warm-up before the measurement, in milliseconds.
+const WARM_UP_MS: u64 = 5_000;
 
-const DURATION_MS: u64 = 20_000;
+const MEASURED_MS: u64 = 20_000;
 
 const DEADLINE_MS: u64 = 1_000;
 
-/// A load and its upstreams.
+/// A load, and the upstreams that serve it.
 struct Scenario {
     name: &'static str,
     paying_per_s: u64,
     paying_at_once: u64,
     trial_per_s: u64,
-    /// What a request takes, in milliseconds.
-    takes_ms: u64,
-    /// Whether a cold upstream joins the two warm ones.
-    cold_joins: bool,
+    /// The service time of a request in milliseconds.
+    service_ms: u64,
+    /// Whether a cold upstream joins after the warm-up.
+    cold_upstream_joins: bool,
 }
 
 const ORDINARY: Scenario = Scenario {
@@ -35,8 +38,8 @@
     paying_per_s: 40,
     paying_at_once: 1,
     trial_per_s: 10,
-    takes_ms: 100,
-    cold_joins: false,
+    service_ms: 100,
+    cold_upstream_joins: false,
 };
 
 const SCENARIOS: [Scenario; 8] = [
@@ -69,7 +72,7 @@
         name: "long requests of 700 ms, 11 fit: paying 4, trial 40",
         paying_per_s: 4,
         trial_per_s: 40,
-        takes_ms: 700,
+        service_ms: 700,
         ..ORDINARY
     },
     Scenario {
@@ -77,14 +80,14 @@
         paying_per_s: 4,
         paying_at_once: 4,
         trial_per_s: 40,
-        takes_ms: 700,
+        service_ms: 700,
         ..ORDINARY
     },
     Scenario {
         name: "a cold upstream joins: paying 72, trial 20",
         paying_per_s: 72,
         trial_per_s: 20,
-        cold_joins: true,
+        cold_upstream_joins: true,
         ..ORDINARY
     },
 ];
@@ -107,9 +110,10 @@
 }
 
 fn run(scenario: &Scenario, admission: AdmissionSettings, seed: u64) -> LoadSeen {
-    let takes_ms = scenario.takes_ms;
+    let service_ms = scenario.service_ms;
     let settings = NodeSettings { seed, admission, ..NodeSettings::default() };
-    let mut bed = load::bed_with(seed, 1, &[("u1", 4, takes_ms), ("u2", 4, takes_ms)], settings);
+    let mut bed =
+        load::bed_with(seed, 1, &[("u1", 4, service_ms), ("u2", 4, service_ms)], settings);
     let load = Load {
         seed,
         paying_per_s: scenario.paying_per_s,
@@ -117,15 +121,15 @@
         trial_per_s: scenario.trial_per_s,
         deadline_ms: DEADLINE_MS,
     };
-    load::run(&mut bed, load, WARM_MS);
-    if scenario.cold_joins {
-        add_cold(&mut bed);
+    load::run(&mut bed, load, WARM_UP_MS);
+    if scenario.cold_upstream_joins {
+        add_cold_upstream(&mut bed);
     }
-    load::run(&mut bed, load, DURATION_MS)
+    load::run(&mut bed, load, MEASURED_MS)
 }
 
-/// Lists a third upstream that starts with one of eight slots and warms up in ten seconds.
-fn add_cold(bed: &mut Bed) {
+/// Adds a third upstream, which starts with one of eight slots and warms up in ten seconds.
+fn add_cold_upstream(bed: &mut Bed) {
     let upstream = |name: &str, slots: u32| {
         json!({
             "name": name, "domain": "a", "address": "127.0.0.1:9", "slots": slots,
@@ -136,16 +140,17 @@
     let body = json!({ "longest_deadline_ms": 10_000, "upstreams": upstreams });
     bed.write_records(&[records::record(1, "service", "s", &body)]);
     let warm_up = Some(WarmUp { initial_slots: 1, duration_ms: 10_000 });
-    let cold = FakeUpstream { slows_when_full: true, warm_up, ..FakeUpstream::new(8, 100) };
-    bed.upstreams.add("u3", cold);
+    let cold_upstream =
+        FakeUpstream { slows_when_full: true, warm_up, ..FakeUpstream::new(8, 100) };
+    bed.upstreams.add("u3", cold_upstream);
 }
 
-fn add(sum: &mut ClassStats, seen: ClassStats) {
-    sum.asked += seen.asked;
-    sum.answered += seen.answered;
-    sum.in_time += seen.in_time;
-    sum.response_ms.extend(seen.response_ms);
-    sum.refusal_ms.extend(seen.refusal_ms);
+fn merge_stats(sum: &mut ClassStats, stats: ClassStats) {
+    sum.asked += stats.asked;
+    sum.answered += stats.answered;
+    sum.in_time += stats.in_time;
+    sum.response_ms.extend(stats.response_ms);
+    sum.refusal_ms.extend(stats.refusal_ms);
 }
 
 fn percentile(times_ms: &mut [u64], percent: usize) -> u64 {
@@ -154,13 +159,13 @@
     times_ms.get(last * percent / 100).copied().unwrap_or(0)
 }
 
-fn share(part: usize, whole: usize) -> f64 {
-    if whole == 0 { 100.0 } else { part as f64 * 100.0 / whole as f64 }
+fn percent_of(count: usize, total: usize) -> f64 {
+    if total == 0 { 100.0 } else { count as f64 * 100.0 / total as f64 }
 }
 
 fn main() {
     let seeds = std::env::args().nth(1).and_then(|text| text.parse().ok()).unwrap_or(10);
-    println!("{seeds} seeds of {} s each", DURATION_MS / 1_000);
+    println!("{seeds} seeds of {} s each", MEASURED_MS / 1_000);
     for scenario in &SCENARIOS {
         println!("\n{}", scenario.name);
         println!(
@@ -181,22 +186,22 @@
 
 fn print_row(name: &str, scenario: &Scenario, admission: AdmissionSettings, seeds: u64) {
     let (mut paying, mut trial) = (ClassStats::default(), ClassStats::default());
-    let mut slowest_ms = 0;
+    let mut slowest_rejection_ms = 0;
     for seed in 1..=seeds {
-        let seen = run(scenario, admission, seed);
-        slowest_ms = slowest_ms.max(seen.slowest_refusal_ms);
-        add(&mut paying, seen.paying);
-        add(&mut trial, seen.trial);
+        let stats = run(scenario, admission, seed);
+        slowest_rejection_ms = slowest_rejection_ms.max(stats.slowest_refusal_ms);
+        merge_stats(&mut paying, stats.paying);
+        merge_stats(&mut trial, stats.trial);
     }
-    let mut refusals_ms = paying.refusal_ms;
-    refusals_ms.extend(trial.refusal_ms);
+    let mut rejections_ms = paying.refusal_ms;
+    rejections_ms.extend(trial.refusal_ms);
     println!(
-        "{name:<18}{:>8}{:>8}{:>10.2}{:>12.2}{:>10}{:>12}{slowest_ms:>12}",
+        "{name:<18}{:>8}{:>8}{:>10.2}{:>12.2}{:>10}{:>12}{slowest_rejection_ms:>12}",
         percentile(&mut paying.response_ms, 50),
         percentile(&mut paying.response_ms, 99),
-        share(paying.in_time, paying.asked),
-        share(trial.in_time, trial.asked),
-        refusals_ms.len(),
-        percentile(&mut refusals_ms, 99),
+        percent_of(paying.in_time, paying.asked),
+        percent_of(trial.in_time, trial.asked),
+        rejections_ms.len(),
+        percentile(&mut rejections_ms, 99),
     );
 }
--- a/crates/sedgepath-core/examples/configuration_spread.rs
+++ b/crates/sedgepath-core/examples/configuration_spread.rs
@@ -1,9 +1,9 @@
-//! How a change of the configuration spreads, and what it costs the platform and the nodes.
+//! Measures how fast configuration changes propagate, and their cost for the platform and the nodes.
 //!
-//! Node cores run on the bed under its clock: five failure domains, one way between them 20 ms, one
-//! way to the platform 2 ms. An operator asks one node after another for a change; the time until it
-//! is in force at all nodes is counted from its acceptance, in steps of the bed's clock. Prints a
-//! row for each size. Fixed seeds, so a run repeats itself.
+//! Node cores run on a test bed in five failure domains, with a one-way latency of 20 ms between
+//! domains and 2 ms to the platform. An operator submits changes to one node after another; the time
+//! until a change is in force at all nodes is measured from its acceptance. Prints a row per system
+//! size. The seeds are fixed, so runs are reproducible.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -13,23 +13,23 @@
 use sedgepath_test_support::records::{self, UpstreamSpec};
 
 const DOMAINS: [&str; 5] = ["a", "b", "c", "d", "e"];
-const NODES_EACH: [usize; 4] = [2, 8, 20, 40];
+const NODES_PER_DOMAIN: [usize; 4] = [2, 8, 20, 40];
 const CHANGES: u32 = 20;
 const STEP_MS: u64 = 10;
-const LIMIT_MS: u64 = 20_000;
-const STEADY_MS: u64 = 10_000;
+const MAX_PROPAGATION_MS: u64 = 20_000;
+const IDLE_MS: u64 = 10_000;
 
 fn main() {
     println!(
         "nodes  reads/s  in force p50 ms  max ms  fetches/node/change  fetched bytes/node/change"
     );
-    for each in NODES_EACH {
-        measure(each);
+    for nodes_per_domain in NODES_PER_DOMAIN {
+        measure(nodes_per_domain);
     }
 }
 
-fn measure(each: usize) {
-    let mut bed = Bed::new(each as u64);
+fn measure(nodes_per_domain: usize) {
+    let mut bed = Bed::new(nodes_per_domain as u64);
     bed.faults.domain_latency_ms = 20;
     let upstreams: Vec<_> = DOMAINS
         .iter()
@@ -41,27 +41,28 @@
         steering(0),
     ]);
     for domain in DOMAINS {
-        for number in 0..each {
+        for number in 0..nodes_per_domain {
             bed.add_node(&format!("{domain}-{number}"), domain);
         }
     }
     bed.run_for(10_000);
-    let before = total(&bed);
-    bed.run_for(STEADY_MS);
-    let reads = total(&bed).table_reads - before.table_reads;
-    let before = total(&bed);
-    let mut spread_ms: Vec<_> = (1..=CHANGES).map(|change| spread(&mut bed, change)).collect();
-    let after = total(&bed);
-    spread_ms.sort_unstable();
-    let per = (bed.node_count() as u64 * u64::from(CHANGES)) as f64;
+    let before = total_traffic(&bed);
+    bed.run_for(IDLE_MS);
+    let reads = total_traffic(&bed).table_reads - before.table_reads;
+    let before = total_traffic(&bed);
+    let mut times_ms: Vec<_> =
+        (1..=CHANGES).map(|change| propagation_ms(&mut bed, change)).collect();
+    let after = total_traffic(&bed);
+    times_ms.sort_unstable();
+    let node_changes = (bed.node_count() as u64 * u64::from(CHANGES)) as f64;
     println!(
         "{:>5}  {:>7.1}  {:>15}  {:>6}  {:>19.2}  {:>25.0}",
         bed.node_count(),
-        reads as f64 * 1_000.0 / STEADY_MS as f64,
-        spread_ms[spread_ms.len() / 2],
-        spread_ms[spread_ms.len() - 1],
-        (after.fetches - before.fetches) as f64 / per,
-        (after.fetched_bytes - before.fetched_bytes) as f64 / per,
+        reads as f64 * 1_000.0 / IDLE_MS as f64,
+        times_ms[times_ms.len() / 2],
+        times_ms[times_ms.len() - 1],
+        (after.fetches - before.fetches) as f64 / node_changes,
+        (after.fetched_bytes - before.fetched_bytes) as f64 / node_changes,
     );
 }
 
@@ -70,9 +71,9 @@
     records::steering("browse", &[("a", weight), ("d", 1.0)], 100.0, 10_000)
 }
 
-/// Makes a change and returns the time from its acceptance until it is in force at all nodes, in
+/// Submits a change and returns the time from its acceptance until it is in force at all nodes, in
 /// milliseconds.
-fn spread(bed: &mut Bed, change: u32) -> u64 {
+fn propagation_ms(bed: &mut Bed, change: u32) -> u64 {
     let request = ChangeRequest {
         change_id: format!("{change}").into(),
         records: vec![steering(change)],
@@ -89,20 +90,23 @@
         }
     };
     let accepted_ms = bed.now_ms();
-    while !(0..bed.node_count()).all(|node| in_force(bed, node) >= revision) {
+    while !(0..bed.node_count()).all(|node| revision_in_force(bed, node) >= revision) {
         bed.run_for(STEP_MS);
-        assert!(bed.now_ms() < accepted_ms + LIMIT_MS, "revision {revision} does not spread");
+        assert!(
+            bed.now_ms() < accepted_ms + MAX_PROPAGATION_MS,
+            "revision {revision} does not propagate"
+        );
     }
     bed.now_ms() - accepted_ms
 }
 
-fn in_force(bed: &mut Bed, node: usize) -> u64 {
+fn revision_in_force(bed: &mut Bed, node: usize) -> u64 {
     let source = IpAddr::V4(Ipv4Addr::LOCALHOST);
     let look_up = LookUp { service: "browse".into(), source, revision_seen: 0 };
     bed.look_up(node, &look_up).map_or(0, |answer| answer.revision)
 }
 
-fn total(bed: &Bed) -> Traffic {
+fn total_traffic(bed: &Bed) -> Traffic {
     let mut sum = Traffic::default();
     for node in 0..bed.node_count() {
         let traffic = bed.traffic(node);
--- a/crates/sedgepath-core/examples/control_slopes.rs
+++ b/crates/sedgepath-core/examples/control_slopes.rs
@@ -1,13 +1,11 @@
-//! Measures what membership and the owner's right cost a node, by the sizes of the system.
+//! Measures the traffic of membership and upstream leases per node, by the size of the system.
 //!
-//! Node cores run on the bed, without requests. Printed for each size: datagrams and bytes a second
-//! that a node sends and receives on average, the most that one node sends and receives together
-//! (bytes as encoded, with the code and the headers of IPv4 and UDP), and how long a join, a leave
-//! and a death take until all nodes of the own and of the other failure domains know, in
-//! milliseconds of the bed's clock. A dash stands for nodes that are not told: summaries of large
-//! failure domains leave out members that own nothing.
-//!
-//! The sizes with the default periods take most of the ten minutes of a run on one core.
+//! Node cores run on a test bed without requests. Each row has the average rates of datagrams and
+//! bytes that a node sends and receives, the maximum bytes sent and received by one node (as encoded,
+//! with authentication code and IPv4 and UDP headers), and the times until a join, a leave and a
+//! failure are known to all nodes of the same and of the other failure domains, in milliseconds of the
+//! simulated clock. A dash means that some nodes never learn of it: summaries of large failure domains
+//! omit members that own nothing.
 //!
 //! `cargo run --release -p sedgepath-core --example control_slopes`
 
@@ -19,35 +17,35 @@
 use sedgepath_test_support::bed::{Bed, NodeIndex, Traffic};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 
-/// The upstreams of a failure domain: 420 sites in 48 failure domains.
+/// The number of upstreams in a failure domain.
 const UPSTREAMS_PER_DOMAIN: usize = 9;
 
-/// The services that these upstreams belong to in turn.
+/// The services to which the upstreams are assigned in turn.
 const SERVICES: [&str; 4] = ["browse", "deposits", "guides", "keys"];
 
 const LONGEST_DEADLINE_MS: u64 = 2_000;
 
-/// The time over which datagrams are counted, in milliseconds.
+/// The period over which datagrams are counted, in milliseconds.
 const MEASURED_MS: u64 = 20_000;
 
-/// The longest time that a change is waited for, in milliseconds.
-const WAITED_MS: u64 = 60_000;
+/// The maximum time to wait until a change is known to all nodes, in milliseconds.
+const MAX_PROPAGATION_MS: u64 = 60_000;
 
-/// One size of the system.
+/// A size of the system, with its heartbeat and summary intervals.
 #[derive(Debug, Clone, Copy)]
 struct Size {
     domains: usize,
-    members: usize,
+    members_per_domain: usize,
     heartbeat_every_ms: u64,
     relay_every_ms: u64,
 }
 
 impl Size {
-    fn with_defaults(domains: usize, members: usize) -> Self {
+    fn with_defaults(domains: usize, members_per_domain: usize) -> Self {
         let settings = NodeSettings::default();
         Self {
             domains,
-            members,
+            members_per_domain,
             heartbeat_every_ms: settings.heartbeat_every_ms,
             relay_every_ms: settings.relay_every_ms,
         }
@@ -57,11 +55,11 @@
         format!("domain-{domain}")
     }
 
-    /// Creates a settled bed; node `d * members + m` is member `m` of domain `d`.
-    fn bed(self) -> Bed {
+    /// Starts a test bed and waits until its upstreams are leased.
+    fn start_bed(self) -> Bed {
         let settings = NodeSettings {
             heartbeat_every_ms: self.heartbeat_every_ms,
-            // Six periods at the default of 250 ms; three at least, see the module `membership`.
+            // At least three heartbeat intervals, which membership requires.
             suspect_after_ms: (3 * self.heartbeat_every_ms).max(1_500),
             relay_every_ms: self.relay_every_ms,
             ..NodeSettings::default()
@@ -69,7 +67,7 @@
         let mut bed = Bed::new(1).with_settings(settings);
         bed.write_records(&self.records());
         for domain in 0..self.domains {
-            for member in 0..self.members {
+            for member in 0..self.members_per_domain {
                 bed.add_node(&format!("vm-{domain}-{member}"), &Self::domain(domain));
             }
         }
@@ -82,8 +80,8 @@
         let domains: Vec<_> = (0..self.domains).map(Self::domain).collect();
         let domains: Vec<_> = domains.iter().map(String::as_str).collect();
         let mut records = vec![records::places(&[("region", &domains)])];
-        for (place, service) in SERVICES.iter().enumerate() {
-            let of_service = (0..UPSTREAMS_PER_DOMAIN).filter(|number| number % 4 == place);
+        for (index, service) in SERVICES.iter().enumerate() {
+            let of_service = (0..UPSTREAMS_PER_DOMAIN).filter(|number| number % 4 == index);
             let upstreams: Vec<_> = of_service
                 .flat_map(|number| domains.iter().map(move |domain| (number, domain)))
                 .map(|(number, domain)| UpstreamSpec {
@@ -99,103 +97,106 @@
     }
 }
 
-/// What a size costs a node, a second.
+/// The traffic of a node, averaged over all nodes except for the maximum.
 #[derive(Debug, Default)]
-struct Cost {
-    sent: f64,
-    received: f64,
-    sent_bytes: f64,
-    received_bytes: f64,
-    most_bytes: f64,
+#[expect(clippy::struct_field_names, reason = "the unit is a suffix")]
+struct NodeTraffic {
+    sent_per_s: f64,
+    received_per_s: f64,
+    sent_bytes_per_s: f64,
+    received_bytes_per_s: f64,
+    max_bytes_per_s: f64,
 }
 
-fn measure(bed: &mut Bed) -> Cost {
+fn measure_traffic(bed: &mut Bed) -> NodeTraffic {
     let nodes = bed.node_count();
     let before: Vec<Traffic> = (0..nodes).map(|node| bed.traffic(node)).collect();
     bed.run_for(MEASURED_MS);
-    let mut cost = Cost::default();
+    let mut traffic = NodeTraffic::default();
     let per_s = |after: u64, before: u64| (after - before) as f64 * 1_000.0 / MEASURED_MS as f64;
     for (node, before) in before.iter().enumerate() {
         let after = bed.traffic(node);
         let sent_bytes = per_s(after.sent_bytes, before.sent_bytes);
         let received_bytes = per_s(after.received_bytes, before.received_bytes);
-        cost.sent += per_s(after.sent, before.sent) / nodes as f64;
-        cost.received += per_s(after.received, before.received) / nodes as f64;
-        cost.sent_bytes += sent_bytes / nodes as f64;
-        cost.received_bytes += received_bytes / nodes as f64;
-        cost.most_bytes = cost.most_bytes.max(sent_bytes + received_bytes);
+        traffic.sent_per_s += per_s(after.sent, before.sent) / nodes as f64;
+        traffic.received_per_s += per_s(after.received, before.received) / nodes as f64;
+        traffic.sent_bytes_per_s += sent_bytes / nodes as f64;
+        traffic.received_bytes_per_s += received_bytes / nodes as f64;
+        traffic.max_bytes_per_s = traffic.max_bytes_per_s.max(sent_bytes + received_bytes);
     }
-    cost
+    traffic
 }
 
-/// How long a change took to reach all nodes, in milliseconds; none if it was not told to all.
+/// The times until a change was known to all nodes, in milliseconds; `None` if some never learned it.
 #[derive(Debug, Default)]
-struct Spread {
+struct Propagation {
     own_domain_ms: Option<u64>,
     other_domains_ms: Option<u64>,
 }
 
-fn spread(
+fn measure_propagation(
     bed: &mut Bed,
     name: &str,
     domain: &str,
-    known: impl Fn(Option<&Member>) -> bool,
-) -> Spread {
+    is_known: impl Fn(Option<&Member>) -> bool,
+) -> Propagation {
     let started_at_ms = bed.now_ms();
     let vm = VmKey::of(name);
-    let mut spread = Spread::default();
-    while bed.now_ms() < started_at_ms + WAITED_MS {
+    let mut propagation = Propagation::default();
+    while bed.now_ms() < started_at_ms + MAX_PROPAGATION_MS {
         bed.run_for(20);
         let after_ms = bed.now_ms() - started_at_ms;
-        let all = |own: bool| {
-            let mut others = (0..bed.node_count()).filter_map(|node: NodeIndex| bed.node(node));
-            others.all(|node| {
+        let known_to_all = |own_domain: bool| {
+            let mut nodes = (0..bed.node_count()).filter_map(|node: NodeIndex| bed.node(node));
+            nodes.all(|node| {
                 let identity = node.outbox().identity();
-                let concerned = (identity.descriptor.domain == DomainKey::of(domain)) == own;
-                !concerned || identity.vm == vm || known(node.membership().member(vm))
+                let is_counted =
+                    (identity.descriptor.domain == DomainKey::of(domain)) == own_domain;
+                !is_counted || identity.vm == vm || is_known(node.membership().member(vm))
             })
         };
-        let (own, others) = (all(true), all(false));
-        spread.own_domain_ms = spread.own_domain_ms.or(own.then_some(after_ms));
-        spread.other_domains_ms = spread.other_domains_ms.or(others.then_some(after_ms));
-        if own && others {
+        let (own_domain, other_domains) = (known_to_all(true), known_to_all(false));
+        propagation.own_domain_ms = propagation.own_domain_ms.or(own_domain.then_some(after_ms));
+        propagation.other_domains_ms =
+            propagation.other_domains_ms.or(other_domains.then_some(after_ms));
+        if own_domain && other_domains {
             break;
         }
     }
-    spread
+    propagation
 }
 
-fn print_spread(spread: &Spread) {
+fn print_propagation(propagation: &Propagation) {
     let text = |after_ms: Option<u64>| after_ms.map_or("-".to_owned(), |ms| ms.to_string());
-    print!(" {:>6}/{:<6}", text(spread.own_domain_ms), text(spread.other_domains_ms));
+    print!(" {:>6}/{:<6}", text(propagation.own_domain_ms), text(propagation.other_domains_ms));
 }
 
 fn run(size: Size) {
-    let mut bed = size.bed();
-    let cost = measure(&mut bed);
+    let mut bed = size.start_bed();
+    let traffic = measure_traffic(&mut bed);
     print!(
         "{:>5} {:>7} {:>7} {:>7} {:>7} {:>8.1} {:>8.1} {:>9.0} {:>9.0} {:>9.0} ",
         bed.node_count(),
         size.domains,
-        size.members,
+        size.members_per_domain,
         size.heartbeat_every_ms,
         size.relay_every_ms,
-        cost.sent,
-        cost.received,
-        cost.sent_bytes,
-        cost.received_bytes,
-        cost.most_bytes,
+        traffic.sent_per_s,
+        traffic.received_per_s,
+        traffic.sent_bytes_per_s,
+        traffic.received_bytes_per_s,
+        traffic.max_bytes_per_s,
     );
     let domain = Size::domain(0);
     bed.add_node("vm-new", &domain);
-    print_spread(&spread(&mut bed, "vm-new", &domain, |member| member.is_some()));
+    print_propagation(&measure_propagation(&mut bed, "vm-new", &domain, |member| member.is_some()));
     bed.run_for(10 * size.relay_every_ms);
     bed.stop(0);
     let leaving = |member: Option<&Member>| member.is_none_or(|member| member.descriptor.leaving);
-    print_spread(&spread(&mut bed, "vm-0-0", &domain, leaving));
+    print_propagation(&measure_propagation(&mut bed, "vm-0-0", &domain, leaving));
     bed.kill(1);
-    let silent = |member: Option<&Member>| member.is_none_or(|member| member.suspected);
-    print_spread(&spread(&mut bed, "vm-0-1", &domain, silent));
+    let suspected = |member: Option<&Member>| member.is_none_or(|member| member.suspected);
+    print_propagation(&measure_propagation(&mut bed, "vm-0-1", &domain, suspected));
     println!();
 }
 
@@ -216,17 +217,19 @@
         "leave_ms",
         "death_ms"
     );
-    for (domains, members) in [(5, 2), (5, 10), (5, 20), (5, 40), (10, 4), (25, 4), (50, 4)] {
-        run(Size::with_defaults(domains, members));
+    for (domains, members_per_domain) in
+        [(5, 2), (5, 10), (5, 20), (5, 40), (10, 4), (25, 4), (50, 4)]
+    {
+        run(Size::with_defaults(domains, members_per_domain));
     }
-    let large = |domains, members, heartbeat_every_ms, relay_every_ms| Size {
+    let large = |domains, members_per_domain, heartbeat_every_ms, relay_every_ms| Size {
         domains,
-        members,
+        members_per_domain,
         heartbeat_every_ms,
         relay_every_ms,
     };
-    for (domains, members) in [(5, 10), (5, 20), (5, 40), (10, 20), (20, 10), (50, 4)] {
-        run(large(domains, members, 1_000, 5_000));
+    for (domains, members_per_domain) in [(5, 10), (5, 20), (5, 40), (10, 20), (20, 10), (50, 4)] {
+        run(large(domains, members_per_domain, 1_000, 5_000));
     }
     run(large(5, 40, 1_500, 10_000));
 }
--- a/crates/sedgepath-core/examples/membership_bytes.rs
+++ b/crates/sedgepath-core/examples/membership_bytes.rs
@@ -1,7 +1,8 @@
-//! What VMs tell each other of themselves in calm, in bytes a second on the wire.
+//! Measures the steady-state traffic of membership between VMs, in bytes per second on the wire.
 //!
-//! `cargo run --release -p sedgepath-core --example membership_bytes` plays nine failure domains of three
-//! regions on one clock, with more VMs in each from row to row.
+//! Simulates nine failure domains in three regions, with an increasing number of VMs per domain.
+//!
+//! `cargo run --release -p sedgepath-core --example membership_bytes`
 
 use sedgepath_test_support::vm_net::VmNet;
 
@@ -9,10 +10,10 @@
 
 const VMS_PER_DOMAIN: [usize; 4] = [4, 12, 22, 34];
 
-/// How long VMs get used to each other before they are measured, in milliseconds.
+/// The settling time before the measurement, in milliseconds.
 const SETTLE_MS: u64 = 5_000;
 
-/// How long they are measured, in seconds.
+/// The duration of the measurement, in seconds.
 const MEASURED_S: u64 = 10;
 
 fn main() {
@@ -21,13 +22,13 @@
     for vms in VMS_PER_DOMAIN {
         let mut net = VmNet::running(DOMAINS, vms, 13);
         net.run_for(SETTLE_MS);
-        let (before, by_before) = (net.sent, net.sent_by.clone());
+        let (before, by_vm_before) = (net.sent, net.sent_by.clone());
         net.run_for(MEASURED_S * 1_000);
         let per_s = |after: u64, before: u64| (after - before) / MEASURED_S;
         let by_vm: Vec<u64> = net
             .sent_by
             .iter()
-            .zip(by_before)
+            .zip(by_vm_before)
             .map(|(after, before)| per_s(*after, before))
             .collect();
         println!(
--- a/crates/sedgepath-core/examples/policy/deployment.rs
+++ b/crates/sedgepath-core/examples/policy/deployment.rs
@@ -1,4 +1,4 @@
-//! The two deployments of the brief.
+//! The two deployments on which steering policies are compared.
 
 use std::collections::BTreeMap;
 
@@ -9,19 +9,19 @@
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use serde_json::json;
 
-/// The failure domains of a deployment.
+/// The number of failure domains in a deployment.
 pub const DOMAINS: usize = 6;
 
-/// The regions, each the home of one origin group.
+/// The number of regions, each of which is the home of one origin group.
 pub const REGIONS: usize = 3;
 
-/// The entry VMs.
+/// The number of entry VMs.
 pub const NODES: usize = 10;
 
-/// The window of the caps in milliseconds.
+/// The window of the shift caps, in milliseconds.
 pub const WINDOW_MS: u64 = 5_000;
 
-/// The cap in percent that shifts are measured against.
+/// The cap on shifts per window, in percent.
 pub const CAP_PERCENT: f64 = 10.0;
 
 /// A service and its upstreams.
@@ -36,7 +36,7 @@
 }
 
 impl Service {
-    /// Returns the requests in a second that fill all slots.
+    /// Returns the request rate that fills all slots.
     pub fn capacity_per_s(&self) -> f64 {
         self.upstreams as f64 * f64::from(self.slots) * 1_000.0 / self.service_ms as f64
     }
@@ -45,7 +45,7 @@
         format!("{}-{number}", self.name)
     }
 
-    /// Returns the number of the failure domain of each upstream.
+    /// Returns the index of each upstream's failure domain.
     pub fn domains(&self) -> BTreeMap<UpstreamKey, usize> {
         (0..self.upstreams)
             .map(|number| (UpstreamKey::of(&self.upstream(number)), number % DOMAINS))
@@ -53,16 +53,16 @@
     }
 }
 
-/// A deployment.
+/// A deployment of services in regions.
 #[derive(Debug, Clone, Copy)]
 pub struct Deployment {
     pub name: &'static str,
     pub regions: [&'static str; REGIONS],
     pub services: [Service; 4],
-    /// One way between failure domains of a region; a random part of up to 1 ms comes on top.
-    pub hop_ms: u64,
-    pub region_hop_ms: u64,
-    pub client_ms: u64,
+    /// The one-way latency between failure domains of a region, before up to 1 ms of jitter.
+    pub domain_latency_ms: u64,
+    pub region_latency_ms: u64,
+    pub client_latency_ms: u64,
 }
 
 const fn service(
@@ -85,13 +85,12 @@
         service("guides", 10, 4, 200, true),
         service("keys", 10, 4, 80, false),
     ],
-    hop_ms: 1,
-    region_hop_ms: 20,
-    client_ms: 3,
+    domain_latency_ms: 1,
+    region_latency_ms: 20,
+    client_latency_ms: 3,
 };
 
-/// Clue Cooperative Éireann. One way between its failure domains is 0.5 ms: none, with the random
-/// part of up to 1 ms.
+/// Clue Cooperative Éireann; the jitter alone gives its mean latency between domains of 0.5 ms.
 pub const CLUE: Deployment = Deployment {
     name: "Clue",
     regions: ["Leinster", "Munster", "Connacht"],
@@ -101,9 +100,9 @@
         service("packs", 10, 4, 200, true),
         service("holds", 10, 4, 100, false),
     ],
-    hop_ms: 0,
-    region_hop_ms: 35,
-    client_ms: 1,
+    domain_latency_ms: 0,
+    region_latency_ms: 35,
+    client_latency_ms: 1,
 };
 
 impl Deployment {
@@ -111,14 +110,18 @@
         format!("{}-{}", self.regions[number % REGIONS], number / REGIONS)
     }
 
-    /// Returns the shares of callers whose home is a region: most traffic stays there.
+    /// Returns the shares for callers of a home region, which keeps most of their traffic.
     pub fn shares(home: usize) -> [f64; DOMAINS] {
         std::array::from_fn(|domain| if domain % REGIONS == home { 0.38 } else { 0.06 })
     }
 
-    /// Returns the steering records; the callers of the regions follow the shares of `homes`.
-    pub fn steering(&self, homes: [usize; REGIONS], plan: Plan) -> Vec<RawRecord> {
-        let cap = json!({ "percent": plan.cap_percent, "window_ms": WINDOW_MS });
+    /// Returns the steering records in which the callers of each region have the home in `homes`.
+    pub fn steering(
+        &self,
+        homes: [usize; REGIONS],
+        parameters: SteeringParameters,
+    ) -> Vec<RawRecord> {
+        let cap = json!({ "percent": parameters.cap_percent, "window_ms": WINDOW_MS });
         let groups: Vec<_> = (0..REGIONS)
             .map(|region| {
                 let shares: Vec<_> = Self::shares(homes[region])
@@ -138,15 +141,15 @@
             .collect()
     }
 
-    /// Starts the deployment on a bed.
-    pub fn start(&self, bed: &mut Bed, plan: Plan) {
+    /// Starts the deployment on a test bed.
+    pub fn start(&self, bed: &mut Bed, parameters: SteeringParameters) {
         for domain in 0..DOMAINS {
             let region = self.regions[domain % REGIONS];
             bed.faults.region_by_domain.insert(self.domain(domain).into(), region.into());
         }
-        bed.faults.domain_latency_ms = self.hop_ms;
-        bed.faults.region_latency_ms = self.region_hop_ms;
-        bed.write_records(&self.records(plan));
+        bed.faults.domain_latency_ms = self.domain_latency_ms;
+        bed.faults.region_latency_ms = self.region_latency_ms;
+        bed.write_records(&self.records(parameters));
         for service in &self.services {
             for number in 0..service.upstreams {
                 let upstream = FakeUpstream::new(service.slots, service.service_ms);
@@ -159,12 +162,12 @@
         }
     }
 
-    fn records(&self, plan: Plan) -> Vec<RawRecord> {
+    fn records(&self, parameters: SteeringParameters) -> Vec<RawRecord> {
         let domains: Vec<_> = (0..DOMAINS).map(|domain| self.domain(domain)).collect();
-        let of_region =
+        let domains_of =
             |region: usize| [domains[region].as_str(), domains[region + REGIONS].as_str()];
         let regions: Vec<_> =
-            (0..REGIONS).map(|region| (self.regions[region], of_region(region))).collect();
+            (0..REGIONS).map(|region| (self.regions[region], domains_of(region))).collect();
         let regions: Vec<(&str, &[&str])> =
             regions.iter().map(|(name, domains)| (*name, domains.as_slice())).collect();
         let blocks: Vec<_> = (0..REGIONS)
@@ -187,13 +190,13 @@
                 .collect();
             all.push(records::service(service.name, 2_000, &upstreams));
         }
-        all.extend(self.steering([0, 1, 2], plan));
+        all.extend(self.steering([0, 1, 2], parameters));
         all
     }
 }
 
-/// What distinguishes the variants that are compared, as far as the records hold it.
+/// The steering parameters that differ between the compared variants.
 #[derive(Debug, Clone, Copy)]
-pub struct Plan {
+pub struct SteeringParameters {
     pub cap_percent: f64,
 }
--- a/crates/sedgepath-core/examples/policy/main.rs
+++ b/crates/sedgepath-core/examples/policy/main.rs
@@ -1,14 +1,21 @@
-//! Compares steering policies over the node core at the brief's two deployments.
+//! Compares steering policies on simulated nodes in two deployments.
 //!
 //! `cargo run --release -p sedgepath-core --example policy [SEEDS]`
 //!
-//! Prints for each deployment and scenario one row per policy, all from the same seeds: latency of
-//! answers (50th/99th percentile) by class; the score, which is the share of requests answered in
-//! time, weighted 3 for paying, 2 for trial and 1 for guest; the same for paying alone; the share of
-//! refusals and how soon they are given (50th/99th percentile); the share of other ends (unknown,
-//! broken); the least headroom of a failure domain; the time until a drained domain runs nothing, in
-//! milliseconds; the greatest share of a group's traffic that moved in a window, against a cap of
-//! 10 % (the baselines know no cap); and the greatest load of an upstream as a part of its slots.
+//! Prints one row per policy for each deployment and scenario, all from the same seeds, with these
+//! columns:
+//!
+//! - The response latency of each class (50th/99th percentile).
+//! - The score: the percentage of requests with a response in time, weighted 3 for paying, 2 for
+//!   trial and 1 for guest requests.
+//! - The same percentage for paying requests alone.
+//! - The percentage of rejections, and their latency (50th/99th percentile).
+//! - The percentage of other outcomes (unknown, connection lost).
+//! - The minimum headroom of a failure domain.
+//! - The time until a drained domain runs nothing, in milliseconds.
+//! - The maximum percentage of a group's traffic that shifted in a window; the cap is 10 %, except
+//!   for variants without one.
+//! - The maximum load of an upstream as a fraction of its slots.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -18,16 +25,16 @@
 mod scenario;
 
 use deployment::{CLUE, Deployment, MAGNOLIA};
-use report::{Figures, HEADING};
+use report::{TABLE_HEADING, VariantStats};
 use scenario::{Run, Scenario, VARIANTS};
 
-/// The seeds unless the command line names a number.
-const SEEDS: usize = 3;
+/// The default number of seeds.
+const DEFAULT_SEED_COUNT: usize = 3;
 
-/// The runs at once.
+/// The number of concurrent runs.
 const THREADS: usize = 4;
 
-/// One run to do.
+/// A run that is to be simulated.
 #[derive(Debug, Clone, Copy)]
 struct Job {
     deployment: Deployment,
@@ -37,22 +44,23 @@
 }
 
 fn main() {
-    let seeds = std::env::args().nth(1).and_then(|text| text.parse().ok()).unwrap_or(SEEDS);
+    let seeds =
+        std::env::args().nth(1).and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_SEED_COUNT);
     let jobs = jobs(seeds);
-    let figures = run_all(&jobs);
+    let stats = run_all(&jobs);
     println!("{seeds} seeds, 30 s measured in each run, windows of 5 s");
     for deployment in [MAGNOLIA, CLUE] {
         for scenario in Scenario::ALL {
-            println!("\n{}: {}\n\n{HEADING}", deployment.name, scenario.name());
-            for (variant, entry) in VARIANTS.iter().enumerate() {
-                let mut sum = Figures::default();
-                for (job, figures) in jobs.iter().zip(&figures) {
+            println!("\n{}: {}\n\n{TABLE_HEADING}", deployment.name, scenario.name());
+            for (variant, variant_settings) in VARIANTS.iter().enumerate() {
+                let mut total = VariantStats::default();
+                for (job, run_stats) in jobs.iter().zip(&stats) {
                     let same = job.deployment.name == deployment.name && job.scenario == scenario;
                     if same && job.variant == variant {
-                        sum.merge(figures.clone());
+                        total.merge(run_stats.clone());
                     }
                 }
-                println!("{}", sum.row(entry.name));
+                println!("{}", total.table_row(variant_settings.name));
             }
         }
     }
@@ -72,18 +80,18 @@
     jobs
 }
 
-fn run_all(jobs: &[Job]) -> Vec<Figures> {
+fn run_all(jobs: &[Job]) -> Vec<VariantStats> {
     let next = AtomicUsize::new(0);
-    let done = Mutex::new(vec![Figures::default(); jobs.len()]);
+    let done = Mutex::new(vec![VariantStats::default(); jobs.len()]);
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| {
-                while let Some((index, job)) = take(&next, jobs) {
+                while let Some((index, job)) = next_job(&next, jobs) {
                     let run =
                         Run::new(job.deployment, job.scenario, &VARIANTS[job.variant], job.seed);
-                    let mut figures = Figures::default();
-                    figures.add(&run);
-                    done.lock().expect("no run panics")[index] = figures;
+                    let mut stats = VariantStats::default();
+                    stats.add_run(&run);
+                    done.lock().expect("no run panics")[index] = stats;
                 }
             });
         }
@@ -91,7 +99,7 @@
     done.into_inner().expect("no run panics")
 }
 
-fn take<'a>(next: &AtomicUsize, jobs: &'a [Job]) -> Option<(usize, &'a Job)> {
+fn next_job<'a>(next: &AtomicUsize, jobs: &'a [Job]) -> Option<(usize, &'a Job)> {
     let index = next.fetch_add(1, Ordering::Relaxed);
     Some((index, jobs.get(index)?))
 }
--- a/crates/sedgepath-core/examples/policy/scenario.rs
+++ b/crates/sedgepath-core/examples/policy/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens to a deployment, and the callers that it happens to.
+//! Scenarios for a deployment, with simulated callers.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
@@ -14,24 +14,24 @@
 use sedgepath_test_support::records;
 use serde_json::json;
 
-use crate::deployment::{CAP_PERCENT, DOMAINS, Deployment, NODES, Plan, REGIONS};
+use crate::deployment::{CAP_PERCENT, DOMAINS, Deployment, NODES, REGIONS, SteeringParameters};
 
-/// The time before the event, in milliseconds; it is not measured.
+/// The warm-up before the event, which is not measured, in milliseconds.
 const WARM_UP_MS: u64 = 10_000;
 
-/// The time after the event, in milliseconds.
+/// The measured period, which starts with the event, in milliseconds.
 const MEASURED_MS: u64 = 30_000;
 
-/// The time that each caller waits, in milliseconds.
+/// The time from a request to its deadline, in milliseconds.
 pub const DEADLINE_MS: u64 = 1_000;
 
-/// The callers of each region; each keeps the answer to its look-up while it is valid.
-const CALLERS: u64 = 64;
+/// The number of callers in each region; each caches its look-up until it expires.
+const CALLERS_PER_REGION: u64 = 64;
 
-/// The part of the requests that comes from each region.
-const REGION_PARTS: [f64; REGIONS] = [0.4, 0.3, 0.3];
+/// The fraction of the requests that each region sends.
+const REGION_SHARES: [f64; REGIONS] = [0.4, 0.3, 0.3];
 
-/// What happens.
+/// The load and the event of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scenario {
     Ordinary,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Returns the load of the classes as parts of capacity.
+    /// Returns the load of each class as a fraction of the capacity.
     fn load(self) -> [(Class, f64); 3] {
         let [paying, trial, guest] = match self {
             Self::Overload => [0.5, 0.65, 0.15],
@@ -74,20 +74,20 @@
     }
 }
 
-/// A policy with its records.
+/// A steering policy with its parameters.
 #[derive(Debug, Clone, Copy)]
 pub struct Variant {
     pub name: &'static str,
     pub policy: fn() -> Box<dyn SteeringPolicy>,
-    pub plan: Plan,
+    pub parameters: SteeringParameters,
     /// Whether owners keep slots free for paying requests.
-    pub reserve: bool,
+    pub reserve_for_paying: bool,
 }
 
-const FREE: Plan = Plan { cap_percent: 100.0 };
-const CAPPED: Plan = Plan { cap_percent: CAP_PERCENT };
+const UNCAPPED: SteeringParameters = SteeringParameters { cap_percent: 100.0 };
+const CAPPED: SteeringParameters = SteeringParameters { cap_percent: CAP_PERCENT };
 
-fn random_by_share() -> Box<dyn SteeringPolicy> {
+fn weighted_random() -> Box<dyn SteeringPolicy> {
     Box::new(WeightedRandomPolicy)
 }
 
@@ -95,48 +95,80 @@
     Box::new(LeastLoadedPolicy)
 }
 
-fn by_headroom() -> Box<dyn SteeringPolicy> {
+fn headroom() -> Box<dyn SteeringPolicy> {
     Box::new(HeadroomPolicy::new())
 }
 
-fn without_discount() -> Box<dyn SteeringPolicy> {
+fn headroom_without_age_discount() -> Box<dyn SteeringPolicy> {
     Box::new(HeadroomPolicy::without_age_discount())
 }
 
-/// The variants that are compared. The baselines know no cap; the last two are the shipping policy
-/// with a part switched off.
+/// The compared variants: two baselines and the headroom policy without a cap, with it, and with one
+/// of its mechanisms disabled.
 pub const VARIANTS: [Variant; 6] = [
-    Variant { name: "random by share", policy: random_by_share, plan: FREE, reserve: true },
-    Variant { name: "least loaded", policy: least_loaded, plan: FREE, reserve: true },
-    Variant { name: "headroom, no cap", policy: by_headroom, plan: FREE, reserve: true },
-    Variant { name: "headroom (ships)", policy: by_headroom, plan: CAPPED, reserve: true },
-    Variant { name: "- age discount", policy: without_discount, plan: CAPPED, reserve: true },
-    Variant { name: "- paying reserve", policy: by_headroom, plan: CAPPED, reserve: false },
+    Variant {
+        name: "random by share",
+        policy: weighted_random,
+        parameters: UNCAPPED,
+        reserve_for_paying: true,
+    },
+    Variant {
+        name: "least loaded",
+        policy: least_loaded,
+        parameters: UNCAPPED,
+        reserve_for_paying: true,
+    },
+    Variant {
+        name: "headroom, no cap",
+        policy: headroom,
+        parameters: UNCAPPED,
+        reserve_for_paying: true,
+    },
+    Variant {
+        name: "headroom (ships)",
+        policy: headroom,
+        parameters: CAPPED,
+        reserve_for_paying: true,
+    },
+    Variant {
+        name: "- age discount",
+        policy: headroom_without_age_discount,
+        parameters: CAPPED,
+        reserve_for_paying: true,
+    },
+    Variant {
+        name: "- paying reserve",
+        policy: headroom,
+        parameters: CAPPED,
+        reserve_for_paying: false,
+    },
 ];
 
-/// One run: a deployment on a bed, with its callers.
+/// A run of a scenario: a deployment on a test bed, with its callers.
 #[derive(Debug)]
 pub struct Run {
     pub deployment: Deployment,
     pub scenario: Scenario,
     pub bed: Bed,
-    /// When the warm-up began, in milliseconds.
+    /// The start of the warm-up in milliseconds.
     pub started_at_ms: u64,
-    /// When the event came, in milliseconds.
+    /// The time of the event in milliseconds.
     pub event_at_ms: u64,
-    plan: Plan,
+    parameters: SteeringParameters,
     random: fastrand::Rng,
-    named: BTreeMap<Ipv4Addr, (u64, Vec<NodeIndex>)>,
+    entry_vms_by_caller: BTreeMap<Ipv4Addr, (u64, Vec<NodeIndex>)>,
 }
 
 impl Run {
-    /// Runs a scenario to its end.
+    /// Runs a scenario until all deadlines have passed.
     pub fn new(deployment: Deployment, scenario: Scenario, variant: &Variant, seed: u64) -> Self {
-        let admission =
-            AdmissionSettings { reserve_for_paying: variant.reserve, ..Default::default() };
+        let admission = AdmissionSettings {
+            reserve_for_paying: variant.reserve_for_paying,
+            ..Default::default()
+        };
         let settings = NodeSettings { admission, seed, ..NodeSettings::default() };
         let mut bed = Bed::new(seed).with_policy(variant.policy).with_settings(settings);
-        deployment.start(&mut bed, variant.plan);
+        deployment.start(&mut bed, variant.parameters);
         bed.run_for(5_000);
         let started_at_ms = bed.now_ms();
         let mut run = Self {
@@ -145,26 +177,26 @@
             bed,
             started_at_ms,
             event_at_ms: 0,
-            plan: variant.plan,
+            parameters: variant.parameters,
             random: fastrand::Rng::with_seed(seed),
-            named: BTreeMap::new(),
+            entry_vms_by_caller: BTreeMap::new(),
         };
         if scenario == Scenario::ColdCaches {
-            run.chill_caches();
+            run.make_caches_cold();
         }
-        run.send(WARM_UP_MS);
+        run.send_load(WARM_UP_MS);
         run.event_at_ms = run.bed.now_ms();
-        run.event();
-        run.send(MEASURED_MS / 2);
+        run.apply_event();
+        run.send_load(MEASURED_MS / 2);
         if scenario == Scenario::LateMeasurements {
             run.bed.faults.omit_loads = true;
         }
-        run.send(MEASURED_MS / 2);
+        run.send_load(MEASURED_MS / 2);
         run.bed.run_for(2 * DEADLINE_MS);
         run
     }
 
-    fn event(&mut self) {
+    fn apply_event(&mut self) {
         let deployment = self.deployment;
         match self.scenario {
             Scenario::Ordinary | Scenario::Overload => {}
@@ -175,7 +207,7 @@
                 self.bed.write_records(&[record]);
             }
             Scenario::ColdCaches => {
-                self.bed.write_records(&deployment.steering([1, 1, 2], self.plan));
+                self.bed.write_records(&deployment.steering([1, 1, 2], self.parameters));
             }
             Scenario::LateMeasurements => self.bed.faults.load_delay_ms = 5_000,
         }
@@ -192,7 +224,7 @@
         }
     }
 
-    fn chill_caches(&mut self) {
+    fn make_caches_cold(&mut self) {
         for service in self.deployment.services {
             for number in 0..service.upstreams {
                 let upstream = self.bed.upstreams.get(&service.upstream(number));
@@ -202,12 +234,12 @@
         }
     }
 
-    fn send(&mut self, duration_ms: u64) {
+    fn send_load(&mut self, duration_ms: u64) {
         let scenario = self.scenario;
         for _ in 0..duration_ms {
-            for (service, figures) in self.deployment.services.into_iter().enumerate() {
-                for (class, part) in scenario.load() {
-                    let per_ms = part * figures.capacity_per_s() / 1_000.0;
+            for (service, settings) in self.deployment.services.into_iter().enumerate() {
+                for (class, fraction) in scenario.load() {
+                    let per_ms = fraction * settings.capacity_per_s() / 1_000.0;
                     for _ in 0..self.arrivals(per_ms) {
                         self.call(service, class);
                     }
@@ -217,26 +249,27 @@
         }
     }
 
-    /// Draws how many requests come in a millisecond: Poisson, by inversion.
+    /// Draws a Poisson-distributed number of requests by inversion, with a maximum of 20.
     fn arrivals(&mut self, mean: f64) -> u32 {
-        let (mut count, mut left) = (0, self.random.f64());
-        let mut chance = (-mean).exp();
-        while left > chance && count < 20 {
-            left -= chance;
+        let (mut count, mut remaining) = (0, self.random.f64());
+        let mut probability = (-mean).exp();
+        while remaining > probability && count < 20 {
+            remaining -= probability;
             count += 1;
-            chance *= mean / f64::from(count);
+            probability *= mean / f64::from(count);
         }
         count
     }
 
     fn call(&mut self, service: usize, class: Class) {
-        let point = self.random.f64();
-        let region = if point < REGION_PARTS[0] {
+        let draw = self.random.f64();
+        let region = if draw < REGION_SHARES[0] {
             0
         } else {
-            1 + usize::from(point >= REGION_PARTS[0] + REGION_PARTS[1])
+            1 + usize::from(draw >= REGION_SHARES[0] + REGION_SHARES[1])
         };
-        let source = Ipv4Addr::new(10, region as u8, 0, self.random.u64(0..CALLERS) as u8);
+        let source =
+            Ipv4Addr::new(10, region as u8, 0, self.random.u64(0..CALLERS_PER_REGION) as u8);
         let key = match class {
             Class::Paying => Some("paying-key"),
             Class::Trial => Some("trial-key"),
@@ -255,22 +288,26 @@
         }
     }
 
-    /// Returns the entry VM that a caller uses: the first of its last look-up that can be reached.
+    /// Returns the entry VM that a caller uses: the first running one of its last look-up.
     fn entry_vm(&mut self, source: Ipv4Addr, region: usize, service: &str) -> Option<NodeIndex> {
-        let known = self.named.get(&source).filter(|(until_ms, _)| *until_ms > self.bed.now_ms());
-        if known.is_none() {
-            let near = |node: &NodeIndex| node % DOMAINS % REGIONS != region;
+        let cached = self
+            .entry_vms_by_caller
+            .get(&source)
+            .filter(|(until_ms, _)| *until_ms > self.bed.now_ms());
+        if cached.is_none() {
+            let is_remote = |node: &NodeIndex| node % DOMAINS % REGIONS != region;
             let mut nodes: Vec<_> = (0..NODES).filter(|node| self.bed.runs(*node)).collect();
-            nodes.sort_by_key(near);
+            nodes.sort_by_key(is_remote);
             let look_up =
                 LookUp { service: service.into(), source: IpAddr::V4(source), revision_seen: 0 };
             let answer = self.bed.look_up(*nodes.first()?, &look_up).ok()?;
-            let named = answer.entry_vms.iter();
-            let named = named.filter_map(|vm| vm.name.strip_prefix("vm-")?.parse().ok()).collect();
+            let entry_vms = answer.entry_vms.iter();
+            let entry_vms =
+                entry_vms.filter_map(|vm| vm.name.strip_prefix("vm-")?.parse().ok()).collect();
             let until_ms = self.bed.now_ms() + answer.expires_after_ms;
-            self.named.insert(source, (until_ms, named));
+            self.entry_vms_by_caller.insert(source, (until_ms, entry_vms));
         }
-        let (_, named) = self.named.get(&source)?;
-        named.iter().copied().find(|node| self.bed.runs(*node))
+        let (_, entry_vms) = self.entry_vms_by_caller.get(&source)?;
+        entry_vms.iter().copied().find(|node| self.bed.runs(*node))
     }
 }
--- a/crates/sedgepath-core/examples/retry_budget.rs
+++ b/crates/sedgepath-core/examples/retry_budget.rs
@@ -1,14 +1,14 @@
-//! Plays a day of refusals and restarts with more and more VMs, and prints what repeats are sent.
+//! Simulates rejections and restarts with increasing numbers of VMs, and prints the retries sent.
 //!
 //! `cargo run --release -p sedgepath-core --example retry_budget`
 
 use sedgepath_test_support::fleet::{Day, Levels, REPEAT_RATIO, REPEAT_SLACK, Trouble};
 
-/// The demand of all VMs together, in requests a second.
+/// The total demand of all callers, in requests per second.
 const DEMAND_PER_S: f64 = 600.0;
 
-/// When upstreams begin to refuse and when they end, in milliseconds.
-const REFUSING_MS: (u64, u64) = (12_000, 22_000);
+/// The start and the end of the period in which upstreams reject requests, in milliseconds.
+const REJECTION_PERIOD_MS: (u64, u64) = (12_000, 22_000);
 
 fn main() {
     println!(
@@ -16,24 +16,24 @@
         "VMs", "asked", "repeats", "of those paid", "excess", "served"
     );
     for vms in [2, 10, 50, 100, 200_u8] {
-        let killed = (15_000, Trouble::Kill { down_ms: 300 }, (0..vms / 2).collect());
-        let day = Day {
+        let kill = (15_000, Trouble::Kill { down_ms: 300 }, (0..vms / 2).collect());
+        let scenario = Day {
             vms,
             length_ms: 30_000,
             demand_per_s: Levels(vec![(0, DEMAND_PER_S)]),
-            refused_share: Levels(vec![(REFUSING_MS.0, 0.8), (REFUSING_MS.1, 0.0)]),
-            troubles: vec![killed],
+            refused_share: Levels(vec![(REJECTION_PERIOD_MS.0, 0.8), (REJECTION_PERIOD_MS.1, 0.0)]),
+            troubles: vec![kill],
             seed: 1,
         };
-        let seen = day.play();
-        let (asked, served) = seen.served(REFUSING_MS.0, REFUSING_MS.1);
-        let paid = REPEAT_RATIO * asked as f64 + REPEAT_SLACK;
-        let repeats = seen.repeated_at_ms.len();
-        let excess = seen.worst_excess().map_or(0, |excess| excess.retries);
+        let result = scenario.play();
+        let (requests, served) = result.served(REJECTION_PERIOD_MS.0, REJECTION_PERIOD_MS.1);
+        let budget = REPEAT_RATIO * requests as f64 + REPEAT_SLACK;
+        let retries = result.repeated_at_ms.len();
+        let excess = result.worst_excess().map_or(0, |excess| excess.retries);
         println!(
-            "{vms:>5} {asked:>8} {repeats:>8} {:>13.0}% {excess:>8} {:>7.1}%",
-            100.0 * repeats as f64 / paid,
-            100.0 * served as f64 / asked as f64
+            "{vms:>5} {requests:>8} {retries:>8} {:>13.0}% {excess:>8} {:>7.1}%",
+            100.0 * retries as f64 / budget,
+            100.0 * served as f64 / requests as f64
         );
     }
 }
