--- a/crates/sedgepathd/src/callers/request_task.rs
+++ b/crates/sedgepathd/src/callers/request_task.rs
@@ -196,7 +196,7 @@
         let id =
             ExchangeId { ingress: callers.vm, boot: callers.boot, request: self.request, attempt };
         let head = self.http.clone();
-        let request = HopRequest { id, purpose: operation, head, body: self.body.clone() };
+        let request = HopRequest { id, operation, head, body: self.body.clone() };
         let hops = Arc::clone(&callers.hops);
         let sender = self.attempt_sender.clone();
         let task = tokio::spawn(async move {
--- a/crates/sedgepathd/src/homes.rs
+++ b/crates/sedgepathd/src/homes.rs
@@ -68,7 +68,8 @@
         fields: Vec::new(),
         body_bytes: body.len() as u64,
     };
-    let request = HopRequest { id, purpose: PeerOperation::StoreTickets, head, body: body.into() };
+    let request =
+        HopRequest { id, operation: PeerOperation::StoreTickets, head, body: body.into() };
     let target = HopTarget { vm: job.to, address: job.address, deadline_at_ms };
     matches!(hops.send(target, request).await, Reply::Concluded { status: STORED_STATUS, .. })
 }
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -44,7 +44,7 @@
     /// Identifies the exchange.
     pub id: ExchangeId,
     /// The operation that the peer performs.
-    pub purpose: PeerOperation,
+    pub operation: PeerOperation,
     /// The head of the request.
     pub head: HttpRequestHead,
     /// The body of the request.
@@ -95,7 +95,7 @@
     }
 
     async fn send_to_self(&self, request: HopRequest) -> Reply {
-        let PeerOperation::Run(dispatch) = request.purpose else {
+        let PeerOperation::Run(dispatch) = request.operation else {
             return Reply::NotSent;
         };
         let reply = self.exchanges.start(self.own, dispatch, request.head, request.body);
@@ -123,7 +123,7 @@
         request: HopRequest,
     ) -> Result<Reply, FrameError> {
         let id = request.id;
-        let start = Frame::Request { id, purpose: request.purpose, head: request.head };
+        let start = Frame::Request { id, purpose: request.operation, head: request.head };
         stream.send(&start).await?;
         for chunk in request.body.chunks(MAX_CHUNK_BYTES) {
             stream.send(&Frame::BodyChunk(chunk.to_vec())).await?;
