--- a/crates/sedgepathd/src/command.rs
+++ b/crates/sedgepathd/src/command.rs
@@ -90,7 +90,7 @@
     for name in matches.opt_strs("without") {
         policy = policy.without(name.parse()?);
     }
-    Ok(direct::run::Options { metrics_port, policy })
+    Ok(direct::run::Options { metrics_port, steering_config: policy })
 }
 
 fn options() -> Options {
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -55,7 +55,7 @@
     /// The port on which metrics are served, if any.
     pub metrics_port: Option<u16>,
     /// How upstreams are chosen and how long requests may queue.
-    pub policy: SteeringConfig,
+    pub steering_config: SteeringConfig,
 }
 
 /// Runs an entry VM until a signal asks it to stop.
@@ -88,7 +88,7 @@
         settings.listen.look_ups.ok_or(SettingsError::MissingListenAddress("look-ups"))?;
     let peer_address = SocketAddr::new(settings.ip, settings.peer_ports.0);
     let steering =
-        new_steering(&settings, caller_address, peer_address).with_policy(options.policy);
+        new_steering(&settings, caller_address, peer_address).with_policy(options.steering_config);
     let socket = UdpSocket::bind(peer_address)
         .await
         .map_err(StartError::listen("heartbeats", peer_address))?;
