--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -52,7 +52,7 @@
 #[test]
 fn requests_and_responses_are_relayed() {
     let fixture = Fixture::new(1);
-    let mut connection = Connection::new(fixture.vm.callers).expect("a connection");
+    let mut connection = Connection::new(fixture.vm.caller_address).expect("a connection");
 
     for number in 0..3 {
         let response = connection.ask("GET", READ_PATH, &format!("a{number}")).expect("a response");
@@ -75,7 +75,7 @@
     let fixture = Fixture::new(1);
     let large = vec![b'x'; 700_000];
     for (number, body) in [b"pay 10".to_vec(), large].into_iter().enumerate() {
-        let mut connection = Connection::new(fixture.vm.callers).expect("a connection");
+        let mut connection = Connection::new(fixture.vm.caller_address).expect("a connection");
         let head = format!(
             "POST {CHARGE_PATH} HTTP/1.1\r\nHost: shop.example\r\nX-Sedgepath-Attempt-Id: l{number}\r\n\
              Content-Length: {}\r\n\r\n",
@@ -86,7 +86,7 @@
         assert_eq!(connection.receive().expect("a response").status, 200);
         assert_eq!(fixture.upstreams[0].runs().last().expect("a run").body, body);
     }
-    let mut connection = Connection::new(fixture.vm.callers).expect("a connection");
+    let mut connection = Connection::new(fixture.vm.caller_address).expect("a connection");
     let chunked = format!(
         "POST {CHARGE_PATH} HTTP/1.1\r\nHost: shop.example\r\nX-Sedgepath-Attempt-Id: c\r\n\
          Transfer-Encoding: chunked\r\n\r\n4\r\npay \r\n2\r\n10\r\n0\r\n\r\n"
@@ -102,8 +102,8 @@
     for behaviour in [Behaviour::Break, Behaviour::Truncate] {
         let fixture = Fixture::new(2);
         fixture.set_all_behaviours(behaviour);
-        let response =
-            caller::request(fixture.vm.callers, "POST", CHARGE_PATH, "a1").expect("a response");
+        let response = caller::request(fixture.vm.caller_address, "POST", CHARGE_PATH, "a1")
+            .expect("a response");
         assert_eq!((response.status, fixture.runs()), (502, 1), "{behaviour:?}");
     }
 }
@@ -115,7 +115,8 @@
     let preferred = preferred_upstream(&fixture);
     fixture.upstreams[preferred].behave(Behaviour::Truncate);
 
-    let response = caller::request(fixture.vm.callers, "GET", READ_PATH, "a1").expect("a response");
+    let response =
+        caller::request(fixture.vm.caller_address, "GET", READ_PATH, "a1").expect("a response");
 
     assert_eq!((response.status, response.text()), (200, format!("a1 at u{}", 1 - preferred)));
 }
@@ -126,7 +127,7 @@
     let fixture = Fixture::new(2);
     let preferred = preferred_upstream(&fixture);
     fixture.upstreams[preferred].behave(Behaviour::Truncate);
-    caller::request(fixture.vm.callers, "GET", READ_PATH, "a1").expect("a response");
+    caller::request(fixture.vm.caller_address, "GET", READ_PATH, "a1").expect("a response");
 
     let text = attohttpc::get(format!("http://{}/metrics", fixture.vm.metrics_address))
         .send()
@@ -147,7 +148,8 @@
 /// budget.
 fn preferred_upstream(fixture: &Fixture) -> usize {
     let ask = |number: u8| {
-        let response = caller::request(fixture.vm.callers, "GET", READ_PATH, &format!("h{number}"));
+        let response =
+            caller::request(fixture.vm.caller_address, "GET", READ_PATH, &format!("h{number}"));
         usize::from(response.expect("a response").text().ends_with("u1"))
     };
     let chosen: Vec<usize> = (0..12).map(ask).collect();
@@ -159,7 +161,7 @@
 fn an_extra_response_reaches_no_other_request() {
     let fixture = Fixture::new(1);
     fixture.upstreams[0].behave(Behaviour::AnswerTwice);
-    let mut connection = Connection::new(fixture.vm.callers).expect("a connection");
+    let mut connection = Connection::new(fixture.vm.caller_address).expect("a connection");
     for number in 0..12 {
         let attempt = format!("a{number}");
         let response = connection.ask("POST", CHARGE_PATH, &attempt).expect("a response");
@@ -174,7 +176,8 @@
 fn a_response_without_a_length_is_relayed_completely() {
     let fixture = Fixture::new(1);
     fixture.upstreams[0].behave(Behaviour::Unframed);
-    let response = caller::request(fixture.vm.callers, "GET", READ_PATH, "a1").expect("a response");
+    let response =
+        caller::request(fixture.vm.caller_address, "GET", READ_PATH, "a1").expect("a response");
     assert_eq!((response.status, response.text()), (200, "a1 at u0".into()));
 }
 
@@ -184,7 +187,7 @@
     let fixture = Fixture::new(2);
     fixture.set_all_behaviours(Behaviour::Refuse);
     let response =
-        caller::request(fixture.vm.callers, "POST", CHARGE_PATH, "a1").expect("a response");
+        caller::request(fixture.vm.caller_address, "POST", CHARGE_PATH, "a1").expect("a response");
     assert_eq!((response.status, fixture.runs()), (503, 0));
     let seconds: f64 = response.fields["retry-after"].parse().expect("a number");
     assert!(seconds > 0.0 && seconds < 3.0, "{seconds}");
@@ -199,7 +202,7 @@
     let before = fixture.upstreams[preferred].runs().len();
 
     let response =
-        caller::request(fixture.vm.callers, "POST", CHARGE_PATH, "a1").expect("a response");
+        caller::request(fixture.vm.caller_address, "POST", CHARGE_PATH, "a1").expect("a response");
 
     assert_eq!((response.status, response.text()), (200, format!("a1 at u{}", 1 - preferred)));
     assert_eq!(fixture.upstreams[preferred].runs().len(), before);
@@ -210,7 +213,7 @@
 fn a_disconnected_caller_cancels_its_request() {
     let fixture = Fixture::new(1);
     fixture.upstreams[0].behave(Behaviour::Silent);
-    let mut connection = Connection::new(fixture.vm.callers).expect("a connection");
+    let mut connection = Connection::new(fixture.vm.caller_address).expect("a connection");
     connection.send("GET", READ_PATH, "a1", 30_000).expect("sent");
     wait_for("the request", || fixture.upstreams[0].received().len() == 1);
     drop(connection);
@@ -226,7 +229,7 @@
     fixture.upstreams[0].behave(Behaviour::Silent);
     wait_for("the new timeout", || {
         let started = Instant::now();
-        let response = caller::request(fixture.vm.callers, "POST", CHARGE_PATH, "a1");
+        let response = caller::request(fixture.vm.caller_address, "POST", CHARGE_PATH, "a1");
         response.is_some_and(|response| response.status == 504)
             && started.elapsed().as_millis() < 2_000
     });
@@ -243,7 +246,7 @@
         fixture.upstreams.iter().map(|upstream| upstream.received().len()).collect();
 
     for number in 0..20 {
-        caller::request(fixture.vm.callers, "GET", READ_PATH, &format!("a{number}"))
+        caller::request(fixture.vm.caller_address, "GET", READ_PATH, &format!("a{number}"))
             .expect("a response");
     }
 
@@ -269,7 +272,8 @@
     fixture.store.put("op", "config", b"{\"version\":\"0000000f\"}");
     std::thread::sleep(Duration::from_secs(1));
     for number in 0..10 {
-        let response = caller::request(fixture.vm.callers, "GET", READ_PATH, &format!("a{number}"));
+        let response =
+            caller::request(fixture.vm.caller_address, "GET", READ_PATH, &format!("a{number}"));
         assert_eq!(response.expect("a response").text(), format!("a{number} at u0"));
     }
 }
@@ -280,7 +284,7 @@
 fn a_planned_stop_completes_requests_in_flight() {
     let mut fixture = Fixture::new(1);
     fixture.upstreams[0].behave(Behaviour::Slow(2_000));
-    let mut connection = Connection::new(fixture.vm.callers).expect("a connection");
+    let mut connection = Connection::new(fixture.vm.caller_address).expect("a connection");
     connection.send("POST", CHARGE_PATH, "a1", 4_000).expect("sent");
     wait_for("the request", || fixture.upstreams[0].received().len() == 1);
 
@@ -304,7 +308,7 @@
 fn a_reload_interrupts_no_request() {
     let fixture = Fixture::new(1);
     fixture.upstreams[0].behave(Behaviour::Slow(500));
-    let mut connection = Connection::new(fixture.vm.callers).expect("a connection");
+    let mut connection = Connection::new(fixture.vm.caller_address).expect("a connection");
     connection.send("GET", READ_PATH, "a1", 4_000).expect("sent");
     wait_for("the request", || fixture.upstreams[0].received().len() == 1);
     fixture.vm.signal("-HUP");
@@ -323,7 +327,8 @@
     let second = fixture.site.start(2, "north-a");
 
     wait_for("readiness without the store", || second.is_ready());
-    let response = caller::request(second.callers, "GET", READ_PATH, "a1").expect("a response");
+    let response =
+        caller::request(second.caller_address, "GET", READ_PATH, "a1").expect("a response");
     assert_eq!(response.status, 200);
 }
 
@@ -390,7 +395,7 @@
     wait_for("the removal", || {
         let before = fixture.upstreams[0].received().len();
         for number in 0..10 {
-            caller::request(fixture.vm.callers, "GET", READ_PATH, &format!("a{number}"));
+            caller::request(fixture.vm.caller_address, "GET", READ_PATH, &format!("a{number}"));
         }
         fixture.upstreams[0].received().len() == before
             && fixture.upstreams[1].received().len() > before
@@ -407,12 +412,12 @@
         caller::get(fixture.vm.look_up_address, path)
             .map_or_else(String::new, |response| response.text())
     };
-    let address = second.callers.to_string();
+    let address = second.caller_address.to_string();
     wait_for("a look-up that names both", || look_up().contains(&address));
     second.kill();
     wait_for("a look-up without the killed one", || {
         let listed = look_up();
-        !listed.contains(&address) && listed.contains(&fixture.vm.callers.to_string())
+        !listed.contains(&address) && listed.contains(&fixture.vm.caller_address.to_string())
     });
 }
 
@@ -424,7 +429,7 @@
     let starting = fixture.site.start(9, "south-a");
     let mut connection = None;
     wait_for("a listener", || {
-        connection = Connection::new(starting.callers);
+        connection = Connection::new(starting.caller_address);
         connection.is_some()
     });
     let response = connection.and_then(|mut connection| connection.ask("GET", READ_PATH, "a1"));
--- a/crates/sedgepathd/tests/direct_joins.rs
+++ b/crates/sedgepathd/tests/direct_joins.rs
@@ -79,7 +79,7 @@
     }
     let site = Site::new(store.address);
     let first = site.start_ready(1, "north-a");
-    let entry_addresses: EntryAddresses = Arc::new(Mutex::new(vec![first.callers]));
+    let entry_addresses: EntryAddresses = Arc::new(Mutex::new(vec![first.caller_address]));
     let callers: Vec<_> = (0..CALLERS)
         .map(|caller| {
             let entry_addresses = Arc::clone(&entry_addresses);
@@ -92,7 +92,7 @@
     entry_addresses
         .lock()
         .expect("no thread panics with it")
-        .extend(joined.iter().map(|vm| vm.callers));
+        .extend(joined.iter().map(|vm| vm.caller_address));
     thread::sleep(Duration::from_millis(2 * WORK_MS));
     first.kill();
     upstreams[0].behave(Behaviour::Refuse);
@@ -131,7 +131,9 @@
         wait_for("the joined VM in look-ups", || {
             let path = "/-/resolve?name=shop.example&region=north&zone=north-b";
             let response = platform::caller::get(vm.look_up_address, path);
-            response.is_some_and(|response| response.text().contains(&joined.callers.to_string()))
+            response.is_some_and(|response| {
+                response.text().contains(&joined.caller_address.to_string())
+            })
         });
     }
 }
--- a/crates/sedgepathd/tests/platform/mod.rs
+++ b/crates/sedgepathd/tests/platform/mod.rs
@@ -114,7 +114,7 @@
         let address = |index: usize| SocketAddr::new(self.ip(number), self.ports[index]);
         Vm {
             child,
-            callers: address(0),
+            caller_address: address(0),
             readiness_address: address(1),
             look_up_address: address(2),
             metrics_address: address(4),
@@ -182,7 +182,7 @@
 pub struct Vm {
     child: Child,
     /// The address for callers' requests.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// The address for readiness checks.
     pub readiness_address: SocketAddr,
     /// The address for look-ups.
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -253,7 +253,7 @@
 
 fn run_seed(seed: u64) {
     let mut soak = Soak::new(seed);
-    let addresses: Vec<_> = soak.vms.iter().flatten().map(|vm| vm.callers).collect();
+    let addresses: Vec<_> = soak.vms.iter().flatten().map(|vm| vm.caller_address).collect();
     let stop = Arc::new(AtomicBool::new(false));
     let responses: Responses = Arc::default();
     let callers: Vec<_> = (0..6)
