--- a/crates/sedgepathd/tests/platform/upstream.rs
+++ b/crates/sedgepathd/tests/platform/upstream.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Behaviour {
     /// Runs the request and responds with 200.
-    Answer,
+    Respond,
     /// Responds with 503 and states that the request was not run.
     Refuse,
     /// Runs the request and closes the connection without a response.
@@ -66,7 +66,7 @@
         let address = listener.local_addr().expect("an address");
         let state = State {
             name: name.into(),
-            behaviour: Behaviour::Answer,
+            behaviour: Behaviour::Respond,
             received: Vec::new(),
             connections: 0,
             canceled_requests: 0,
@@ -172,7 +172,7 @@
             return stream.write_all(response.as_bytes()).ok();
         }
         match behaviour {
-            Behaviour::Answer => stream.write_all(full_response.as_bytes()).ok(),
+            Behaviour::Respond => stream.write_all(full_response.as_bytes()).ok(),
             Behaviour::Refuse => {
                 let rejection = "HTTP/1.1 503 Service Unavailable\r\nX-Sedgepath-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
                 stream.write_all(rejection.as_bytes()).ok()
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -151,7 +151,7 @@
 
     fn random_behaviour(&mut self) -> Behaviour {
         let behaviours = [
-            Behaviour::Answer,
+            Behaviour::Respond,
             Behaviour::Refuse,
             Behaviour::Break,
             Behaviour::Truncate,
@@ -197,7 +197,7 @@
         self.store.hold_next_writes(0);
         self.store.apply_held_writes();
         for number in 0..4 {
-            self.upstreams[number].0.behave(Behaviour::Answer);
+            self.upstreams[number].0.behave(Behaviour::Respond);
             self.upstreams[number].1.set_cut(Cut::None);
             self.upstreams[number].1.set_delay_ms(0);
             self.register(number, "ready");
