--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -185,7 +185,7 @@
 #[test]
 fn a_rejection_runs_nothing_and_carries_retry_after() {
     let fixture = Fixture::new(2);
-    fixture.set_all_behaviours(Behaviour::Refuse);
+    fixture.set_all_behaviours(Behaviour::Reject);
     let response =
         caller::request(fixture.vm.caller_address, "POST", CHARGE_PATH, "a1").expect("a response");
     assert_eq!((response.status, fixture.runs()), (503, 0));
--- a/crates/sedgepathd/tests/direct_joins.rs
+++ b/crates/sedgepathd/tests/direct_joins.rs
@@ -95,7 +95,7 @@
         .extend(joined.iter().map(|vm| vm.caller_address));
     thread::sleep(Duration::from_millis(2 * WORK_MS));
     first.kill();
-    upstreams[0].behave(Behaviour::Refuse);
+    upstreams[0].behave(Behaviour::Reject);
     upstreams[1].behave(Behaviour::Truncate);
     let answered: Vec<String> =
         callers.into_iter().flat_map(|caller| caller.join().expect("it ends")).collect();
--- a/crates/sedgepathd/tests/platform/upstream.rs
+++ b/crates/sedgepathd/tests/platform/upstream.rs
@@ -14,7 +14,7 @@
     /// Runs the request and responds with 200.
     Respond,
     /// Responds with 503 and states that the request was not run.
-    Refuse,
+    Reject,
     /// Runs the request and closes the connection without a response.
     Break,
     /// Runs the request and closes the connection within the response body.
@@ -156,7 +156,7 @@
         let attempt_id = request.fields.get("x-sedgepath-attempt-id").cloned().unwrap_or_default();
         let expected = request.fields.get("x-sedgepath-expected-instance").cloned();
         let misdirected = expected.is_some_and(|expected| expected != name);
-        request.run = !misdirected && behaviour != Behaviour::Refuse;
+        request.run = !misdirected && behaviour != Behaviour::Reject;
         self.lock().received.push(request);
         let body = format!("{attempt_id} at {name}");
         let full_response = format!(
@@ -173,7 +173,7 @@
         }
         match behaviour {
             Behaviour::Respond => stream.write_all(full_response.as_bytes()).ok(),
-            Behaviour::Refuse => {
+            Behaviour::Reject => {
                 let rejection = "HTTP/1.1 503 Service Unavailable\r\nX-Sedgepath-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
                 stream.write_all(rejection.as_bytes()).ok()
             }
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -152,7 +152,7 @@
     fn random_behaviour(&mut self) -> Behaviour {
         let behaviours = [
             Behaviour::Respond,
-            Behaviour::Refuse,
+            Behaviour::Reject,
             Behaviour::Break,
             Behaviour::Truncate,
             Behaviour::Slow(400),
