--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -99,7 +99,7 @@
 /// Guards against a charge that runs twice, or is reported as not run, after its response was lost.
 #[test]
 fn a_charge_whose_response_is_lost_runs_once() {
-    for behaviour in [Behaviour::Break, Behaviour::Truncate] {
+    for behaviour in [Behaviour::CloseWithoutResponse, Behaviour::Truncate] {
         let fixture = Fixture::new(2);
         fixture.set_all_behaviours(behaviour);
         let response = caller::request(fixture.vm.caller_address, "POST", CHARGE_PATH, "a1")
--- a/crates/sedgepathd/tests/direct_joins.rs
+++ b/crates/sedgepathd/tests/direct_joins.rs
@@ -87,7 +87,7 @@
         })
         .collect();
 
-    upstreams[0].behave(Behaviour::Break);
+    upstreams[0].behave(Behaviour::CloseWithoutResponse);
     let joined = [site.start_ready(2, "north-a"), site.start_ready(3, "south-a")];
     entry_addresses
         .lock()
--- a/crates/sedgepathd/tests/platform/upstream.rs
+++ b/crates/sedgepathd/tests/platform/upstream.rs
@@ -16,7 +16,7 @@
     /// Responds with 503 and states that the request was not run.
     Reject,
     /// Runs the request and closes the connection without a response.
-    Break,
+    CloseWithoutResponse,
     /// Runs the request and closes the connection within the response body.
     Truncate,
     /// Runs the request and responds after this many milliseconds.
@@ -177,7 +177,7 @@
                 let rejection = "HTTP/1.1 503 Service Unavailable\r\nX-Sedgepath-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
                 stream.write_all(rejection.as_bytes()).ok()
             }
-            Behaviour::Break => None,
+            Behaviour::CloseWithoutResponse => None,
             Behaviour::Truncate => {
                 stream.write_all(&full_response.as_bytes()[..full_response.len() - 3]).ok()?;
                 None
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -153,7 +153,7 @@
         let behaviours = [
             Behaviour::Respond,
             Behaviour::Reject,
-            Behaviour::Break,
+            Behaviour::CloseWithoutResponse,
             Behaviour::Truncate,
             Behaviour::Slow(400),
             Behaviour::AnswerTwice,
