--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -99,7 +99,7 @@
 /// Guards against a charge that runs twice, or is reported as not run, after its response was lost.
 #[test]
 fn a_charge_whose_response_is_lost_runs_once() {
-    for behaviour in [Behaviour::CloseWithoutResponse, Behaviour::Truncate] {
+    for behaviour in [Behaviour::CloseWithoutResponse, Behaviour::TruncateResponse] {
         let fixture = Fixture::new(2);
         fixture.set_all_behaviours(behaviour);
         let response = caller::request(fixture.vm.caller_address, "POST", CHARGE_PATH, "a1")
@@ -113,7 +113,7 @@
 fn a_truncated_response_is_replaced_by_a_complete_one() {
     let fixture = Fixture::new(2);
     let preferred = preferred_upstream(&fixture);
-    fixture.upstreams[preferred].behave(Behaviour::Truncate);
+    fixture.upstreams[preferred].behave(Behaviour::TruncateResponse);
 
     let response =
         caller::request(fixture.vm.caller_address, "GET", READ_PATH, "a1").expect("a response");
@@ -126,7 +126,7 @@
 fn attempts_are_counted_by_cause_and_outcome() {
     let fixture = Fixture::new(2);
     let preferred = preferred_upstream(&fixture);
-    fixture.upstreams[preferred].behave(Behaviour::Truncate);
+    fixture.upstreams[preferred].behave(Behaviour::TruncateResponse);
     caller::request(fixture.vm.caller_address, "GET", READ_PATH, "a1").expect("a response");
 
     let text = attohttpc::get(format!("http://{}/metrics", fixture.vm.metrics_address))
--- a/crates/sedgepathd/tests/direct_joins.rs
+++ b/crates/sedgepathd/tests/direct_joins.rs
@@ -96,7 +96,7 @@
     thread::sleep(Duration::from_millis(2 * WORK_MS));
     first.kill();
     upstreams[0].behave(Behaviour::Reject);
-    upstreams[1].behave(Behaviour::Truncate);
+    upstreams[1].behave(Behaviour::TruncateResponse);
     let answered: Vec<String> =
         callers.into_iter().flat_map(|caller| caller.join().expect("it ends")).collect();
 
--- a/crates/sedgepathd/tests/platform/upstream.rs
+++ b/crates/sedgepathd/tests/platform/upstream.rs
@@ -18,7 +18,7 @@
     /// Runs the request and closes the connection without a response.
     CloseWithoutResponse,
     /// Runs the request and closes the connection within the response body.
-    Truncate,
+    TruncateResponse,
     /// Runs the request and responds after this many milliseconds.
     Slow(u64),
     /// Runs the request and responds twice on the same connection.
@@ -178,7 +178,7 @@
                 stream.write_all(rejection.as_bytes()).ok()
             }
             Behaviour::CloseWithoutResponse => None,
-            Behaviour::Truncate => {
+            Behaviour::TruncateResponse => {
                 stream.write_all(&full_response.as_bytes()[..full_response.len() - 3]).ok()?;
                 None
             }
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -154,7 +154,7 @@
             Behaviour::Respond,
             Behaviour::Reject,
             Behaviour::CloseWithoutResponse,
-            Behaviour::Truncate,
+            Behaviour::TruncateResponse,
             Behaviour::Slow(400),
             Behaviour::AnswerTwice,
             Behaviour::Unframed,
