--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -283,7 +283,7 @@
 #[test]
 fn a_planned_stop_completes_requests_in_flight() {
     let mut fixture = Fixture::new(1);
-    fixture.upstreams[0].behave(Behaviour::Slow(2_000));
+    fixture.upstreams[0].behave(Behaviour::DelayedByMs(2_000));
     let mut connection = Connection::new(fixture.vm.caller_address).expect("a connection");
     connection.send("POST", CHARGE_PATH, "a1", 4_000).expect("sent");
     wait_for("the request", || fixture.upstreams[0].received().len() == 1);
@@ -307,7 +307,7 @@
 #[test]
 fn a_reload_interrupts_no_request() {
     let fixture = Fixture::new(1);
-    fixture.upstreams[0].behave(Behaviour::Slow(500));
+    fixture.upstreams[0].behave(Behaviour::DelayedByMs(500));
     let mut connection = Connection::new(fixture.vm.caller_address).expect("a connection");
     connection.send("GET", READ_PATH, "a1", 4_000).expect("sent");
     wait_for("the request", || fixture.upstreams[0].received().len() == 1);
--- a/crates/sedgepathd/tests/direct_joins.rs
+++ b/crates/sedgepathd/tests/direct_joins.rs
@@ -74,7 +74,7 @@
     let upstreams: Vec<_> =
         (0..4).map(|number| UpstreamStandIn::new(&format!("u{number}"))).collect();
     for upstream in &upstreams {
-        upstream.behave(Behaviour::Slow(WORK_MS));
+        upstream.behave(Behaviour::DelayedByMs(WORK_MS));
         upstream.register(&store, "north-a", "ready", 1);
     }
     let site = Site::new(store.address);
--- a/crates/sedgepathd/tests/platform/upstream.rs
+++ b/crates/sedgepathd/tests/platform/upstream.rs
@@ -20,7 +20,7 @@
     /// Runs the request and closes the connection within the response body.
     TruncateResponse,
     /// Runs the request and responds after this many milliseconds.
-    Slow(u64),
+    DelayedByMs(u64),
     /// Runs the request and responds twice on the same connection.
     AnswerTwice,
     /// Runs the request and responds without a length; the end of the connection ends the body.
@@ -182,7 +182,7 @@
                 stream.write_all(&full_response.as_bytes()[..full_response.len() - 3]).ok()?;
                 None
             }
-            Behaviour::Slow(ms) => {
+            Behaviour::DelayedByMs(ms) => {
                 self.work(stream, Duration::from_millis(ms))?;
                 stream.write_all(full_response.as_bytes()).ok()
             }
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -155,7 +155,7 @@
             Behaviour::Reject,
             Behaviour::CloseWithoutResponse,
             Behaviour::TruncateResponse,
-            Behaviour::Slow(400),
+            Behaviour::DelayedByMs(400),
             Behaviour::AnswerTwice,
             Behaviour::Unframed,
             Behaviour::Silent,
