--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -160,7 +160,7 @@
 #[test]
 fn an_extra_response_reaches_no_other_request() {
     let fixture = Fixture::new(1);
-    fixture.upstreams[0].behave(Behaviour::AnswerTwice);
+    fixture.upstreams[0].behave(Behaviour::RespondTwice);
     let mut connection = Connection::new(fixture.vm.caller_address).expect("a connection");
     for number in 0..12 {
         let attempt = format!("a{number}");
--- a/crates/sedgepathd/tests/platform/upstream.rs
+++ b/crates/sedgepathd/tests/platform/upstream.rs
@@ -22,7 +22,7 @@
     /// Runs the request and responds after this many milliseconds.
     DelayedByMs(u64),
     /// Runs the request and responds twice on the same connection.
-    AnswerTwice,
+    RespondTwice,
     /// Runs the request and responds without a length; the end of the connection ends the body.
     Unframed,
     /// Runs the request and closes the connection after a minute without a response.
@@ -186,7 +186,7 @@
                 self.work(stream, Duration::from_millis(ms))?;
                 stream.write_all(full_response.as_bytes()).ok()
             }
-            Behaviour::AnswerTwice => {
+            Behaviour::RespondTwice => {
                 stream.write_all(full_response.as_bytes()).ok()?;
                 std::thread::sleep(Duration::from_millis(30));
                 stream.write_all(full_response.as_bytes()).ok()
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -156,7 +156,7 @@
             Behaviour::CloseWithoutResponse,
             Behaviour::TruncateResponse,
             Behaviour::DelayedByMs(400),
-            Behaviour::AnswerTwice,
+            Behaviour::RespondTwice,
             Behaviour::Unframed,
             Behaviour::Silent,
         ];
