--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -175,7 +175,7 @@
 #[test]
 fn a_response_without_a_length_is_relayed_completely() {
     let fixture = Fixture::new(1);
-    fixture.upstreams[0].behave(Behaviour::Unframed);
+    fixture.upstreams[0].behave(Behaviour::CloseDelimited);
     let response =
         caller::request(fixture.vm.caller_address, "GET", READ_PATH, "a1").expect("a response");
     assert_eq!((response.status, response.text()), (200, "a1 at u0".into()));
--- a/crates/sedgepathd/tests/platform/upstream.rs
+++ b/crates/sedgepathd/tests/platform/upstream.rs
@@ -24,7 +24,7 @@
     /// Runs the request and responds twice on the same connection.
     RespondTwice,
     /// Runs the request and responds without a length; the end of the connection ends the body.
-    Unframed,
+    CloseDelimited,
     /// Runs the request and closes the connection after a minute without a response.
     Silent,
 }
@@ -191,7 +191,7 @@
                 std::thread::sleep(Duration::from_millis(30));
                 stream.write_all(full_response.as_bytes()).ok()
             }
-            Behaviour::Unframed => {
+            Behaviour::CloseDelimited => {
                 let head = full_response.split("Content-Length").next().unwrap_or("");
                 stream
                     .write_all(format!("{head}Connection: close\r\n\r\n{body}").as_bytes())
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -157,7 +157,7 @@
             Behaviour::TruncateResponse,
             Behaviour::DelayedByMs(400),
             Behaviour::RespondTwice,
-            Behaviour::Unframed,
+            Behaviour::CloseDelimited,
             Behaviour::Silent,
         ];
         behaviours[self.random.usize(..behaviours.len())]
