--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -212,7 +212,7 @@
 #[test]
 fn a_disconnected_caller_cancels_its_request() {
     let fixture = Fixture::new(1);
-    fixture.upstreams[0].behave(Behaviour::Silent);
+    fixture.upstreams[0].behave(Behaviour::Unresponsive);
     let mut connection = Connection::new(fixture.vm.caller_address).expect("a connection");
     connection.send("GET", READ_PATH, "a1", 30_000).expect("sent");
     wait_for("the request", || fixture.upstreams[0].received().len() == 1);
@@ -226,7 +226,7 @@
 fn a_request_ends_at_the_routes_timeout() {
     let fixture = Fixture::new(1);
     configure(&fixture.store, "0000000d", "300ms");
-    fixture.upstreams[0].behave(Behaviour::Silent);
+    fixture.upstreams[0].behave(Behaviour::Unresponsive);
     wait_for("the new timeout", || {
         let started = Instant::now();
         let response = caller::request(fixture.vm.caller_address, "POST", CHARGE_PATH, "a1");
--- a/crates/sedgepathd/tests/platform/upstream.rs
+++ b/crates/sedgepathd/tests/platform/upstream.rs
@@ -26,7 +26,7 @@
     /// Runs the request and responds without a length; the end of the connection ends the body.
     CloseDelimited,
     /// Runs the request and closes the connection after a minute without a response.
-    Silent,
+    Unresponsive,
 }
 
 /// A request that the upstream has received.
@@ -198,7 +198,7 @@
                     .ok()?;
                 None
             }
-            Behaviour::Silent => {
+            Behaviour::Unresponsive => {
                 self.work(stream, Duration::from_mins(1))?;
                 None
             }
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -158,7 +158,7 @@
             Behaviour::DelayedByMs(400),
             Behaviour::RespondTwice,
             Behaviour::CloseDelimited,
-            Behaviour::Silent,
+            Behaviour::Unresponsive,
         ];
         behaviours[self.random.usize(..behaviours.len())]
     }
