--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -38,7 +38,7 @@
 
     fn set_all_behaviours(&self, behaviour: Behaviour) {
         for upstream in &self.upstreams {
-            upstream.behave(behaviour);
+            upstream.set_behaviour(behaviour);
         }
     }
 
@@ -113,7 +113,7 @@
 fn a_truncated_response_is_replaced_by_a_complete_one() {
     let fixture = Fixture::new(2);
     let preferred = preferred_upstream(&fixture);
-    fixture.upstreams[preferred].behave(Behaviour::TruncateResponse);
+    fixture.upstreams[preferred].set_behaviour(Behaviour::TruncateResponse);
 
     let response =
         caller::request(fixture.vm.caller_address, "GET", READ_PATH, "a1").expect("a response");
@@ -126,7 +126,7 @@
 fn attempts_are_counted_by_cause_and_outcome() {
     let fixture = Fixture::new(2);
     let preferred = preferred_upstream(&fixture);
-    fixture.upstreams[preferred].behave(Behaviour::TruncateResponse);
+    fixture.upstreams[preferred].set_behaviour(Behaviour::TruncateResponse);
     caller::request(fixture.vm.caller_address, "GET", READ_PATH, "a1").expect("a response");
 
     let text = attohttpc::get(format!("http://{}/metrics", fixture.vm.metrics_address))
@@ -160,7 +160,7 @@
 #[test]
 fn an_extra_response_reaches_no_other_request() {
     let fixture = Fixture::new(1);
-    fixture.upstreams[0].behave(Behaviour::RespondTwice);
+    fixture.upstreams[0].set_behaviour(Behaviour::RespondTwice);
     let mut connection = Connection::new(fixture.vm.caller_address).expect("a connection");
     for number in 0..12 {
         let attempt = format!("a{number}");
@@ -175,7 +175,7 @@
 #[test]
 fn a_response_without_a_length_is_relayed_completely() {
     let fixture = Fixture::new(1);
-    fixture.upstreams[0].behave(Behaviour::CloseDelimited);
+    fixture.upstreams[0].set_behaviour(Behaviour::CloseDelimited);
     let response =
         caller::request(fixture.vm.caller_address, "GET", READ_PATH, "a1").expect("a response");
     assert_eq!((response.status, response.text()), (200, "a1 at u0".into()));
@@ -212,7 +212,7 @@
 #[test]
 fn a_disconnected_caller_cancels_its_request() {
     let fixture = Fixture::new(1);
-    fixture.upstreams[0].behave(Behaviour::Unresponsive);
+    fixture.upstreams[0].set_behaviour(Behaviour::Unresponsive);
     let mut connection = Connection::new(fixture.vm.caller_address).expect("a connection");
     connection.send("GET", READ_PATH, "a1", 30_000).expect("sent");
     wait_for("the request", || fixture.upstreams[0].received().len() == 1);
@@ -226,7 +226,7 @@
 fn a_request_ends_at_the_routes_timeout() {
     let fixture = Fixture::new(1);
     configure(&fixture.store, "0000000d", "300ms");
-    fixture.upstreams[0].behave(Behaviour::Unresponsive);
+    fixture.upstreams[0].set_behaviour(Behaviour::Unresponsive);
     wait_for("the new timeout", || {
         let started = Instant::now();
         let response = caller::request(fixture.vm.caller_address, "POST", CHARGE_PATH, "a1");
@@ -283,7 +283,7 @@
 #[test]
 fn a_planned_stop_completes_requests_in_flight() {
     let mut fixture = Fixture::new(1);
-    fixture.upstreams[0].behave(Behaviour::DelayedByMs(2_000));
+    fixture.upstreams[0].set_behaviour(Behaviour::DelayedByMs(2_000));
     let mut connection = Connection::new(fixture.vm.caller_address).expect("a connection");
     connection.send("POST", CHARGE_PATH, "a1", 4_000).expect("sent");
     wait_for("the request", || fixture.upstreams[0].received().len() == 1);
@@ -307,7 +307,7 @@
 #[test]
 fn a_reload_interrupts_no_request() {
     let fixture = Fixture::new(1);
-    fixture.upstreams[0].behave(Behaviour::DelayedByMs(500));
+    fixture.upstreams[0].set_behaviour(Behaviour::DelayedByMs(500));
     let mut connection = Connection::new(fixture.vm.caller_address).expect("a connection");
     connection.send("GET", READ_PATH, "a1", 4_000).expect("sent");
     wait_for("the request", || fixture.upstreams[0].received().len() == 1);
--- a/crates/sedgepathd/tests/direct_joins.rs
+++ b/crates/sedgepathd/tests/direct_joins.rs
@@ -74,7 +74,7 @@
     let upstreams: Vec<_> =
         (0..4).map(|number| UpstreamStandIn::new(&format!("u{number}"))).collect();
     for upstream in &upstreams {
-        upstream.behave(Behaviour::DelayedByMs(WORK_MS));
+        upstream.set_behaviour(Behaviour::DelayedByMs(WORK_MS));
         upstream.register(&store, "north-a", "ready", 1);
     }
     let site = Site::new(store.address);
@@ -87,7 +87,7 @@
         })
         .collect();
 
-    upstreams[0].behave(Behaviour::CloseWithoutResponse);
+    upstreams[0].set_behaviour(Behaviour::CloseWithoutResponse);
     let joined = [site.start_ready(2, "north-a"), site.start_ready(3, "south-a")];
     entry_addresses
         .lock()
@@ -95,8 +95,8 @@
         .extend(joined.iter().map(|vm| vm.caller_address));
     thread::sleep(Duration::from_millis(2 * WORK_MS));
     first.kill();
-    upstreams[0].behave(Behaviour::Reject);
-    upstreams[1].behave(Behaviour::TruncateResponse);
+    upstreams[0].set_behaviour(Behaviour::Reject);
+    upstreams[1].set_behaviour(Behaviour::TruncateResponse);
     let answered: Vec<String> =
         callers.into_iter().flat_map(|caller| caller.join().expect("it ends")).collect();
 
--- a/crates/sedgepathd/tests/platform/upstream.rs
+++ b/crates/sedgepathd/tests/platform/upstream.rs
@@ -107,7 +107,7 @@
     }
 
     /// Sets what the upstream does with requests that it reads from now on.
-    pub fn behave(&self, behaviour: Behaviour) {
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         self.lock().behaviour = behaviour;
     }
 
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -119,7 +119,7 @@
             3 => self.signal(vm, "-HUP"),
             4 | 5 => {
                 let behaviour = self.random_behaviour();
-                self.upstreams[upstream].0.behave(behaviour);
+                self.upstreams[upstream].0.set_behaviour(behaviour);
             }
             6 => {
                 let cut = self.random_cut();
@@ -197,7 +197,7 @@
         self.store.hold_next_writes(0);
         self.store.apply_held_writes();
         for number in 0..4 {
-            self.upstreams[number].0.behave(Behaviour::Respond);
+            self.upstreams[number].0.set_behaviour(Behaviour::Respond);
             self.upstreams[number].1.set_cut(Cut::None);
             self.upstreams[number].1.set_delay_ms(0);
             self.register(number, "ready");
