--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -57,14 +57,14 @@
     for number in 0..3 {
         let response = connection.ask("GET", READ_PATH, &format!("a{number}")).expect("a response");
         assert_eq!((response.status, response.text()), (200, format!("a{number} at u0")));
-        assert_eq!(response.fields["x-sedgepath-response-signature"], format!("s.a{number}"));
+        assert_eq!(response.headers["x-sedgepath-response-signature"], format!("s.a{number}"));
     }
 
     let runs = fixture.upstreams[0].runs();
     assert_eq!(runs.len(), 3);
     assert_eq!(runs[0].line, format!("GET {READ_PATH} HTTP/1.1"));
-    assert_eq!(runs[0].fields["x-sedgepath-expected-instance"], "u0");
-    let left_ms: u64 = runs[0].fields["x-sedgepath-deadline-ms"].parse().expect("a number");
+    assert_eq!(runs[0].headers["x-sedgepath-expected-instance"], "u0");
+    let left_ms: u64 = runs[0].headers["x-sedgepath-deadline-ms"].parse().expect("a number");
     assert!((1..=3_000).contains(&left_ms), "{left_ms}");
     assert_eq!(fixture.upstreams[0].connections(), 1, "the connection was not kept");
 }
@@ -189,7 +189,7 @@
     let response =
         caller::request(fixture.vm.caller_address, "POST", CHARGE_PATH, "a1").expect("a response");
     assert_eq!((response.status, fixture.runs()), (503, 0));
-    let seconds: f64 = response.fields["retry-after"].parse().expect("a number");
+    let seconds: f64 = response.headers["retry-after"].parse().expect("a number");
     assert!(seconds > 0.0 && seconds < 3.0, "{seconds}");
 }
 
@@ -293,7 +293,7 @@
 
     let response = connection.receive().expect("a response");
     assert_eq!((response.status, response.text()), (200, "a1 at u0".into()));
-    assert_eq!(response.fields.get("connection").map(String::as_str), Some("close"));
+    assert_eq!(response.headers.get("connection").map(String::as_str), Some("close"));
     let started = Instant::now();
     wait_for("the end", || fixture.vm.ended().is_some());
     assert!(started.elapsed() < Duration::from_secs(6));
--- a/crates/sedgepathd/tests/direct_joins.rs
+++ b/crates/sedgepathd/tests/direct_joins.rs
@@ -59,7 +59,7 @@
 fn runs_by_action(upstreams: &[UpstreamStandIn]) -> BTreeMap<String, usize> {
     let mut runs = BTreeMap::new();
     for run in upstreams.iter().flat_map(UpstreamStandIn::runs) {
-        let attempt = &run.fields["x-sedgepath-attempt-id"];
+        let attempt = &run.headers["x-sedgepath-attempt-id"];
         let action = attempt.split('.').next().unwrap_or(attempt);
         *runs.entry(action.to_owned()).or_insert(0) += 1;
     }
--- a/crates/sedgepathd/tests/platform/caller.rs
+++ b/crates/sedgepathd/tests/platform/caller.rs
@@ -14,7 +14,7 @@
     /// The status code.
     pub status: u16,
     /// The headers, with names in lower case.
-    pub fields: BTreeMap<String, String>,
+    pub headers: BTreeMap<String, String>,
     /// The body; `None` if it was truncated.
     pub body: Option<Vec<u8>>,
 }
@@ -78,7 +78,7 @@
             let mut body = vec![0; length];
             self.reader.read_exact(&mut body).ok().map(|()| body)
         };
-        Some(Answer { status, fields, body })
+        Some(Answer { status, headers: fields, body })
     }
 
     /// Sends a request with a deadline of 3 s and reads its response.
--- a/crates/sedgepathd/tests/platform/upstream.rs
+++ b/crates/sedgepathd/tests/platform/upstream.rs
@@ -35,7 +35,7 @@
     /// The request line.
     pub line: String,
     /// The headers, with names in lower case.
-    pub fields: BTreeMap<String, String>,
+    pub headers: BTreeMap<String, String>,
     /// The body.
     pub body: Vec<u8>,
     /// Whether the request was run.
@@ -153,8 +153,8 @@
             let state = self.lock();
             (state.name.clone(), state.behaviour)
         };
-        let attempt_id = request.fields.get("x-sedgepath-attempt-id").cloned().unwrap_or_default();
-        let expected = request.fields.get("x-sedgepath-expected-instance").cloned();
+        let attempt_id = request.headers.get("x-sedgepath-attempt-id").cloned().unwrap_or_default();
+        let expected = request.headers.get("x-sedgepath-expected-instance").cloned();
         let misdirected = expected.is_some_and(|expected| expected != name);
         request.run = !misdirected && behaviour != Behaviour::Reject;
         self.lock().received.push(request);
@@ -236,7 +236,7 @@
         reader.read_exact(&mut body).ok()?;
         body
     };
-    Some(Received { line: line.trim_end().into(), fields, body, run: false })
+    Some(Received { line: line.trim_end().into(), headers: fields, body, run: false })
 }
 
 /// Reads headers up to the empty line.
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -242,7 +242,7 @@
         };
         let answer = open.send(method, path, &attempt, 1_500).and_then(|()| open.receive());
         let closes =
-            |answer: &Answer| answer.fields.get("connection").is_some_and(|v| v == "close");
+            |answer: &Answer| answer.headers.get("connection").is_some_and(|v| v == "close");
         if answer.as_ref().is_some_and(|answer| answer.body.is_some() && !closes(answer)) {
             connection = Some(open);
         }
@@ -294,7 +294,7 @@
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for (upstream, _) in &soak.upstreams {
         for run in upstream.runs() {
-            let attempt = run.fields.get("x-sedgepath-attempt-id").cloned().unwrap_or_default();
+            let attempt = run.headers.get("x-sedgepath-attempt-id").cloned().unwrap_or_default();
             if run.line.starts_with("POST") {
                 *runs.entry(attempt).or_default() += 1;
             }
