--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -55,7 +55,8 @@
     let mut connection = Connection::new(fixture.vm.caller_address).expect("a connection");
 
     for number in 0..3 {
-        let response = connection.ask("GET", READ_PATH, &format!("a{number}")).expect("a response");
+        let response =
+            connection.request("GET", READ_PATH, &format!("a{number}")).expect("a response");
         assert_eq!((response.status, response.text()), (200, format!("a{number} at u0")));
         assert_eq!(response.headers["x-sedgepath-response-signature"], format!("s.a{number}"));
     }
@@ -164,7 +165,7 @@
     let mut connection = Connection::new(fixture.vm.caller_address).expect("a connection");
     for number in 0..12 {
         let attempt = format!("a{number}");
-        let response = connection.ask("POST", CHARGE_PATH, &attempt).expect("a response");
+        let response = connection.request("POST", CHARGE_PATH, &attempt).expect("a response");
         if response.status == 200 {
             assert_eq!(response.text(), format!("{attempt} at u0"));
         }
@@ -313,7 +314,7 @@
     wait_for("the request", || fixture.upstreams[0].received().len() == 1);
     fixture.vm.signal("-HUP");
     assert_eq!(connection.receive().expect("a response").status, 200);
-    assert_eq!(connection.ask("GET", READ_PATH, "a2").expect("a response").status, 200);
+    assert_eq!(connection.request("GET", READ_PATH, "a2").expect("a response").status, 200);
 }
 
 /// Guards against a VM that can't start without the store although a peer has the tables.
@@ -432,6 +433,6 @@
         connection = Connection::new(starting.caller_address);
         connection.is_some()
     });
-    let response = connection.and_then(|mut connection| connection.ask("GET", READ_PATH, "a1"));
+    let response = connection.and_then(|mut connection| connection.request("GET", READ_PATH, "a1"));
     assert_eq!(response.expect("a response").status, 200);
 }
--- a/crates/sedgepathd/tests/direct_joins.rs
+++ b/crates/sedgepathd/tests/direct_joins.rs
@@ -37,7 +37,7 @@
         let address = addresses[(number + attempt) % addresses.len()];
         // Without a connection nothing was sent; after a closed connection the action may have run.
         let Some(mut connection) = Connection::new(address) else { continue };
-        match connection.ask("POST", "/charges/1", &format!("{action}.{attempt}")) {
+        match connection.request("POST", "/charges/1", &format!("{action}.{attempt}")) {
             Some(response) if matches!(response.status, 408 | 421 | 429 | 503) => {
                 thread::sleep(Duration::from_millis(50));
             }
--- a/crates/sedgepathd/tests/platform/caller.rs
+++ b/crates/sedgepathd/tests/platform/caller.rs
@@ -82,7 +82,7 @@
     }
 
     /// Sends a request with a deadline of 3 s and reads its response.
-    pub fn ask(&mut self, method: &str, path: &str, attempt_id: &str) -> Option<Answer> {
+    pub fn request(&mut self, method: &str, path: &str, attempt_id: &str) -> Option<Answer> {
         self.send(method, path, attempt_id, 3_000)?;
         self.receive()
     }
@@ -90,7 +90,7 @@
 
 /// Sends a request on a new connection and reads its response.
 pub fn request(address: SocketAddr, method: &str, path: &str, attempt_id: &str) -> Option<Answer> {
-    Connection::new(address)?.ask(method, path, attempt_id)
+    Connection::new(address)?.request(method, path, attempt_id)
 }
 
 /// Sends a GET request without platform headers on a new connection and reads its response.
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -345,7 +345,7 @@
         for request in 0..8 {
             let attempt = format!("calm-{number}-{request}");
             let answer = Connection::new(*address)
-                .and_then(|mut connection| connection.ask("GET", "/reads/1", &attempt));
+                .and_then(|mut connection| connection.request("GET", "/reads/1", &attempt));
             let status = answer.as_ref().map(|answer| answer.status);
             if status != Some(200) {
                 failures.push(format!("{attempt} after the faults: {status:?}"));
