--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -296,9 +296,9 @@
     assert_eq!((response.status, response.text()), (200, "a1 at u0".into()));
     assert_eq!(response.headers.get("connection").map(String::as_str), Some("close"));
     let started = Instant::now();
-    wait_for("the end", || fixture.vm.ended().is_some());
+    wait_for("the end", || fixture.vm.exit_status().is_some());
     assert!(started.elapsed() < Duration::from_secs(6));
-    assert!(fixture.vm.ended().is_some_and(|status| status.success()));
+    assert!(fixture.vm.exit_status().is_some_and(|status| status.success()));
     let log = fixture.site.log(1);
     let last = log.lines().last().expect("a line");
     assert!(last.ends_with("event=stopped requests=0"), "{last}");
--- a/crates/sedgepathd/tests/platform/mod.rs
+++ b/crates/sedgepathd/tests/platform/mod.rs
@@ -218,7 +218,7 @@
     }
 
     /// Returns the exit status, if the daemon has ended.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().expect("wait")
     }
 }
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -169,7 +169,7 @@
 
     fn signal(&mut self, number: usize, option: &str) {
         if let Some(vm) = &mut self.vms[number]
-            && vm.ended().is_none()
+            && vm.exit_status().is_none()
         {
             vm.signal(option);
         }
@@ -178,7 +178,7 @@
     /// Restarts the VMs that have ended, as the platform does.
     fn restart_ended_vms(&mut self) {
         for number in 0..3 {
-            let ended = self.vms[number].as_mut().is_none_or(|vm| vm.ended().is_some());
+            let ended = self.vms[number].as_mut().is_none_or(|vm| vm.exit_status().is_some());
             if ended {
                 self.vms[number] = None;
                 self.vms[number] = Some(self.start(number));
@@ -207,7 +207,7 @@
         let mut vms = std::mem::take(&mut self.vms);
         wait_for("readiness after all faults", || {
             for (number, vm) in vms.iter_mut().enumerate() {
-                if vm.as_mut().is_none_or(|vm| vm.ended().is_some()) {
+                if vm.as_mut().is_none_or(|vm| vm.exit_status().is_some()) {
                     *vm = None;
                     *vm = Some(self.start(number));
                 }
