--- a/crates/sedgepathd/src/callers.rs
+++ b/crates/sedgepathd/src/callers.rs
@@ -270,7 +270,7 @@
 
     /// Serves a request that a peer forwarded because this node is the home of the request's ticket.
     /// The request is processed in the same way as one from a caller.
-    pub async fn take_home(
+    pub async fn serve_as_home(
         self: &Arc<Self>,
         from: VmKey,
         home: HomeRequest,
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -97,7 +97,7 @@
                     Ok(reply.await.unwrap_or(Reply::Lost))
                 }
                 PeerOperation::ServeAsHome(home) => {
-                    Ok(self.callers.take_home(id.ingress, home, head, body).await)
+                    Ok(self.callers.serve_as_home(id.ingress, home, head, body).await)
                 }
                 PeerOperation::StoreTickets => homes::store_tickets(self.callers.handle(), &body),
             }
