--- a/crates/sedgepathd/src/callers.rs
+++ b/crates/sedgepathd/src/callers.rs
@@ -293,7 +293,7 @@
             RequestResult::Response { response, request, end_reported } => {
                 if !end_reported {
                     let event = Event::RelayEnded { request, whole: true, stored: None };
-                    self.handle.event(event);
+                    self.handle.send_event(event);
                 }
                 Reply::Answer(response)
             }
--- a/crates/sedgepathd/src/callers/relay.rs
+++ b/crates/sedgepathd/src/callers/relay.rs
@@ -24,7 +24,7 @@
     fn report_end(&mut self, whole: bool) {
         if !std::mem::replace(&mut self.end_reported, true) {
             let event = Event::RelayEnded { request: self.request, whole, stored: None };
-            self.handle.event(event);
+            self.handle.send_event(event);
         }
     }
 }
--- a/crates/sedgepathd/src/callers/request_task.rs
+++ b/crates/sedgepathd/src/callers/request_task.rs
@@ -67,7 +67,7 @@
             task.abort();
         }
         if !self.outcome_decided {
-            self.callers.handle.event(Event::CallerDisconnected { request: self.request });
+            self.callers.handle.send_event(Event::CallerDisconnected { request: self.request });
         }
     }
 }
@@ -145,14 +145,14 @@
         let relay_ended = |whole, stored| Event::RelayEnded { request, whole, stored };
         match collect(response, &*self.http.method == "HEAD").await {
             Collected::Complete(response, stored) => {
-                self.callers.handle.event(relay_ended(true, Some(stored)));
+                self.callers.handle.send_event(relay_ended(true, Some(stored)));
                 RequestResult::Response { response, request, end_reported: true }
             }
             Collected::TooLarge(response) => {
                 RequestResult::Response { response, request, end_reported: false }
             }
             Collected::Aborted => {
-                self.callers.handle.event(relay_ended(false, None));
+                self.callers.handle.send_event(relay_ended(false, None));
                 RequestResult::Outcome(Outcome::Unknown {
                     retry_after_ms: ABORTED_RESPONSE_RETRY_AFTER_MS,
                 })
@@ -213,13 +213,13 @@
             Reply::Answer(response) => {
                 let head = response.head.clone();
                 self.responses.insert(attempt, response);
-                self.callers.handle.event(Event::HopAnswered { request, attempt, head });
+                self.callers.handle.send_event(Event::HopAnswered { request, attempt, head });
                 return;
             }
             Reply::Refused(refusal) => HopFailure::Refused(refusal),
             Reply::NotSent => HopFailure::NotSent,
             Reply::Lost | Reply::Concluded { .. } => HopFailure::Lost,
         };
-        self.callers.handle.event(Event::HopEnded { request, attempt, end });
+        self.callers.handle.send_event(Event::HopEnded { request, attempt, end });
     }
 }
--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -137,7 +137,7 @@
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(StartError::Runtime)?;
     std::thread::spawn(move || {
         for _signal in signals.forever() {
-            handle.event(Event::StopRequested);
+            handle.send_event(Event::StopRequested);
         }
     });
     if node_thread.join().is_err() {
--- a/crates/sedgepathd/src/datagrams.rs
+++ b/crates/sedgepathd/src/datagrams.rs
@@ -22,7 +22,7 @@
             };
             metrics.count_received_datagram(length);
             match decoder.decode(&buffer[..length]) {
-                Ok(envelope) => handle.event(Event::Datagram(envelope)),
+                Ok(envelope) => handle.send_event(Event::Datagram(envelope)),
                 Err(error) => {
                     metrics.dropped("datagram", error.name());
                     log::debug!("event=datagram_dropped from={from} reason={}", error.name());
--- a/crates/sedgepathd/src/driver.rs
+++ b/crates/sedgepathd/src/driver.rs
@@ -100,7 +100,7 @@
     }
 
     /// Sends an event that has no reply.
-    pub fn event(&self, event: Event) {
+    pub fn send_event(&self, event: Event) {
         self.send(DriverInput::Event(event));
     }
 
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -116,7 +116,7 @@
                 action = actions.recv() => action,
                 () = reply.closed(), if !canceled => {
                     canceled = true;
-                    self.handle.event(Event::DispatchCanceled { exchange: self.exchange });
+                    self.handle.send_event(Event::DispatchCanceled { exchange: self.exchange });
                     continue;
                 }
             };
@@ -236,7 +236,7 @@
         let ArrivedResponse { response, connection, is_head } = arrived;
         let (parts, incoming) = response.into_parts();
         if let Some(report) = parse_report(&parts.headers, self.handle.clock().now_ms()) {
-            self.handle.event(Event::UpstreamReport { upstream: call.upstream, report });
+            self.handle.send_event(Event::UpstreamReport { upstream: call.upstream, report });
         }
         if is_not_started(parts.status, &parts.headers) {
             let rejection = Rejection {
@@ -284,7 +284,7 @@
 
     fn report_outcome(&self, end: CallOutcome) {
         let took_ms = self.started.elapsed().as_millis() as u64;
-        self.handle.event(Event::CallEnded { exchange: self.exchange, end, took_ms });
+        self.handle.send_event(Event::CallEnded { exchange: self.exchange, end, took_ms });
     }
 }
 
--- a/crates/sedgepathd/src/homes.rs
+++ b/crates/sedgepathd/src/homes.rs
@@ -46,7 +46,7 @@
             let operation = job.operation;
             let deadline_at_ms = handle.clock().now_ms() + HANDOVER_TIMEOUT_MS;
             let stored = send_tickets(&hops, job, boot, deadline_at_ms).await;
-            handle.event(Event::TicketHandoverEnded { operation, taken: stored });
+            handle.send_event(Event::TicketHandoverEnded { operation, taken: stored });
         });
     }
 }
@@ -81,6 +81,6 @@
 /// Fails if the body can't be decoded.
 pub fn store_tickets(handle: &Handle, body: &Bytes) -> Result<Reply, FrameError> {
     let tickets = postcard::from_bytes(body)?;
-    handle.event(Event::TicketsReceived(tickets));
+    handle.send_event(Event::TicketsReceived(tickets));
     Ok(Reply::Concluded { status: STORED_STATUS, fields: Vec::new(), body: Bytes::new() })
 }
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -190,7 +190,7 @@
         let key = key.clone();
         tokio::spawn(async move {
             let page = fetch_page(job.from, key, job.after).await;
-            handle.event(Event::PageFetched { operation: job.operation, page });
+            handle.send_event(Event::PageFetched { operation: job.operation, page });
         });
     }
 }
--- a/crates/sedgepathd/src/store.rs
+++ b/crates/sedgepathd/src/store.rs
@@ -78,7 +78,8 @@
         }
         match store.read_table(VM_TABLE).await {
             Ok(page) => {
-                handle.event(Event::VmList(page.rows.iter().filter_map(parse_vm_row).collect()));
+                handle
+                    .send_event(Event::VmList(page.rows.iter().filter_map(parse_vm_row).collect()));
             }
             Err(error) => log::debug!("event=vm_list_unread error={:?}", error.to_string()),
         }
--- a/crates/sedgepathd/src/table.rs
+++ b/crates/sedgepathd/src/table.rs
@@ -30,7 +30,7 @@
         std::thread::spawn(move || {
             for job in jobs {
                 let result = table.execute(&job.request);
-                handle.event(Event::Table { operation: job.operation, result });
+                handle.send_event(Event::Table { operation: job.operation, result });
             }
         });
     }
--- a/crates/sedgepathd/src/upstreams.rs
+++ b/crates/sedgepathd/src/upstreams.rs
@@ -149,7 +149,7 @@
             entry.open_count = entry.open_count.saturating_add_signed(change);
             entry.open_count
         };
-        self.handle.event(Event::ConnectionsChanged { upstream, open });
+        self.handle.send_event(Event::ConnectionsChanged { upstream, open });
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Map<UpstreamKey, UpstreamConnections>> {
