--- a/crates/sedgepathd/src/driver.rs
+++ b/crates/sedgepathd/src/driver.rs
@@ -142,7 +142,7 @@
 
     /// Passes a request dispatched by a peer to the node; the actions for this request arrive on the
     /// channel.
-    pub fn dispatch(
+    pub fn start_dispatch(
         &self,
         from: VmKey,
         dispatch: Dispatch,
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -73,7 +73,7 @@
         body: Bytes,
     ) -> oneshot::Receiver<Reply> {
         let (sender, receiver) = oneshot::channel();
-        let (exchange, actions) = self.handle.dispatch(from, dispatch);
+        let (exchange, actions) = self.handle.start_dispatch(from, dispatch);
         let run = DispatchRun {
             handle: self.handle.clone(),
             upstreams: Arc::clone(&self.upstreams),
