--- a/crates/sedgepathd/src/datagrams.rs
+++ b/crates/sedgepathd/src/datagrams.rs
@@ -24,7 +24,7 @@
             match decoder.decode(&buffer[..length]) {
                 Ok(envelope) => handle.send_event(Event::Datagram(envelope)),
                 Err(error) => {
-                    metrics.dropped("datagram", error.name());
+                    metrics.count_dropped("datagram", error.name());
                     log::debug!("event=datagram_dropped from={from} reason={}", error.name());
                 }
             }
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -87,7 +87,7 @@
         match timeout_at(deadline, self.send_on(target.address, stream, request)).await {
             Ok(Ok(reply)) => reply,
             Ok(Err(error)) => {
-                self.metrics.dropped("frame", error.name());
+                self.metrics.count_dropped("frame", error.name());
                 Reply::Lost
             }
             Err(_elapsed) => Reply::Lost,
--- a/crates/sedgepathd/src/metrics.rs
+++ b/crates/sedgepathd/src/metrics.rs
@@ -88,7 +88,7 @@
     }
 
     /// Counts a datagram or frame that was dropped.
-    pub fn dropped(&self, what: &str, reason: &str) {
+    pub fn count_dropped(&self, what: &str, reason: &str) {
         self.dropped_total.with_label_values(&[what, reason]).inc();
     }
 
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -60,7 +60,7 @@
             let peers = Arc::clone(&self);
             tokio::spawn(async move {
                 if let Err(error) = peers.serve_connection(stream).await {
-                    peers.metrics.dropped("frame", error.name());
+                    peers.metrics.count_dropped("frame", error.name());
                     log::debug!("event=peer_connection_ended reason={}", error.name());
                 }
                 drop(permit);
