--- a/crates/sedgepathd/src/callers/request_task.rs
+++ b/crates/sedgepathd/src/callers/request_task.rs
@@ -216,7 +216,7 @@
                 self.callers.handle.send_event(Event::HopAnswered { request, attempt, head });
                 return;
             }
-            Reply::Refused(refusal) => HopFailure::Refused(refusal),
+            Reply::Rejected(refusal) => HopFailure::Refused(refusal),
             Reply::NotSent => HopFailure::NotSent,
             Reply::Lost | Reply::Concluded { .. } => HopFailure::Lost,
         };
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -135,7 +135,7 @@
                     return;
                 }
                 Some(Action::RejectDispatch { refusal: rejection, .. }) => {
-                    let _canceled = reply.send(Reply::Refused(rejection));
+                    let _canceled = reply.send(Reply::Rejected(rejection));
                     return;
                 }
                 Some(_) => {}
@@ -171,7 +171,7 @@
                     reason: RejectionReason::Cancelled,
                     retry_after_ms: RETRY_AFTER_MS,
                 };
-                let _canceled = reply.send(Reply::Refused(rejection));
+                let _canceled = reply.send(Reply::Rejected(rejection));
                 self.report_outcome(CallOutcome::Cancelled);
             }
             Err(CallError::Lost) => {
@@ -243,7 +243,7 @@
                 reason: RejectionReason::UpstreamRefused,
                 retry_after_ms: RETRY_AFTER_MS,
             };
-            let _canceled = reply.send(Reply::Refused(rejection));
+            let _canceled = reply.send(Reply::Rejected(rejection));
             self.drain(call, incoming, connection).await;
             self.report_outcome(CallOutcome::Refused);
             return;
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -144,7 +144,7 @@
             }
             Frame::Refused { refusal, .. } => {
                 self.release(address, stream);
-                Ok(Reply::Refused(refusal))
+                Ok(Reply::Rejected(refusal))
             }
             Frame::HomeResponse { status, fields, body, .. } => {
                 self.release(address, stream);
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -109,7 +109,7 @@
         };
         match reply {
             Reply::Answer(response) => relay_response(stream, id, *response).await,
-            Reply::Refused(refusal) => stream.send(&Frame::Refused { id, refusal }).await,
+            Reply::Rejected(refusal) => stream.send(&Frame::Refused { id, refusal }).await,
             Reply::NotSent => {
                 let refusal = not_sent_rejection();
                 stream.send(&Frame::Refused { id, refusal }).await
--- a/crates/sedgepathd/src/reply.rs
+++ b/crates/sedgepathd/src/reply.rs
@@ -44,7 +44,7 @@
     /// The upstream's response has begun.
     Answer(Box<Answer>),
     /// The request was rejected and not run.
-    Refused(Rejection),
+    Rejected(Rejection),
     /// The request was not sent.
     NotSent,
     /// The request was sent, but its response was lost.
