--- a/crates/sedgepathd/src/callers/request_task.rs
+++ b/crates/sedgepathd/src/callers/request_task.rs
@@ -218,7 +218,7 @@
             }
             Reply::Rejected(refusal) => HopFailure::Refused(refusal),
             Reply::NotSent => HopFailure::NotSent,
-            Reply::Lost | Reply::Concluded { .. } => HopFailure::Lost,
+            Reply::ResponseLost | Reply::Concluded { .. } => HopFailure::Lost,
         };
         self.callers.handle.send_event(Event::HopEnded { request, attempt, end });
     }
--- a/crates/sedgepathd/src/callers/responses.rs
+++ b/crates/sedgepathd/src/callers/responses.rs
@@ -115,7 +115,7 @@
         Ok(body) => {
             Reply::Concluded { status: parts.status.as_u16(), fields, body: body.to_bytes() }
         }
-        Err(BodyBroken) => Reply::Lost,
+        Err(BodyBroken) => Reply::ResponseLost,
     }
 }
 
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -166,7 +166,7 @@
                 self.relay_response(call, domain, arrived, reply).await;
             }
             Err(CallError::NotSent) => self.reply_not_sent(reply),
-            Err(CallError::Lost) if self.cancel(call).await => {
+            Err(CallError::ResponseLost) if self.cancel(call).await => {
                 let rejection = Rejection {
                     reason: RejectionReason::Cancelled,
                     retry_after_ms: RETRY_AFTER_MS,
@@ -174,8 +174,8 @@
                 let _canceled = reply.send(Reply::Rejected(rejection));
                 self.report_outcome(CallOutcome::Cancelled);
             }
-            Err(CallError::Lost) => {
-                let _canceled = reply.send(Reply::Lost);
+            Err(CallError::ResponseLost) => {
+                let _canceled = reply.send(Reply::ResponseLost);
                 self.report_outcome(CallOutcome::Lost);
             }
         }
@@ -249,7 +249,7 @@
             return;
         }
         if !is_framed(parts.status, &parts.headers, &incoming) {
-            let _canceled = reply.send(Reply::Lost);
+            let _canceled = reply.send(Reply::ResponseLost);
             self.report_outcome(CallOutcome::Lost);
             return;
         }
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -88,9 +88,9 @@
             Ok(Ok(reply)) => reply,
             Ok(Err(error)) => {
                 self.metrics.count_dropped("frame", error.name());
-                Reply::Lost
+                Reply::ResponseLost
             }
-            Err(_elapsed) => Reply::Lost,
+            Err(_elapsed) => Reply::ResponseLost,
         }
     }
 
@@ -99,7 +99,7 @@
             return Reply::NotSent;
         };
         let reply = self.exchanges.start(self.own, dispatch, request.head, request.body);
-        reply.await.unwrap_or(Reply::Lost)
+        reply.await.unwrap_or(Reply::ResponseLost)
     }
 
     async fn connect(&self, address: SocketAddr, deadline_at_ms: u64) -> Option<PeerStream> {
@@ -152,7 +152,7 @@
             }
             Frame::ResponseLost { .. } => {
                 self.release(address, stream);
-                Ok(Reply::Lost)
+                Ok(Reply::ResponseLost)
             }
             _ => Err(FrameError::UnexpectedFrame),
         }
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -94,7 +94,7 @@
             match purpose {
                 PeerOperation::Run(dispatch) => {
                     let reply = self.exchanges.start(id.ingress, dispatch, head, body);
-                    Ok(reply.await.unwrap_or(Reply::Lost))
+                    Ok(reply.await.unwrap_or(Reply::ResponseLost))
                 }
                 PeerOperation::ServeAsHome(home) => {
                     Ok(self.callers.serve_as_home(id.ingress, home, head, body).await)
@@ -114,7 +114,7 @@
                 let refusal = not_sent_rejection();
                 stream.send(&Frame::Refused { id, refusal }).await
             }
-            Reply::Lost => stream.send(&Frame::ResponseLost { id }).await,
+            Reply::ResponseLost => stream.send(&Frame::ResponseLost { id }).await,
             Reply::Concluded { status, fields, body } => {
                 let body = body.to_vec();
                 stream.send(&Frame::HomeResponse { id, status, fields, body }).await
--- a/crates/sedgepathd/src/reply.rs
+++ b/crates/sedgepathd/src/reply.rs
@@ -48,7 +48,7 @@
     /// The request was not sent.
     NotSent,
     /// The request was sent, but its response was lost.
-    Lost,
+    ResponseLost,
     /// The final response of the peer that is the home of the request's ticket.
     Concluded {
         /// The HTTP status.
--- a/crates/sedgepathd/src/upstreams.rs
+++ b/crates/sedgepathd/src/upstreams.rs
@@ -32,7 +32,7 @@
     NotSent,
     /// The request may have been sent, at least in part, and no response arrived.
     #[error("the upstream's response was lost")]
-    Lost,
+    ResponseLost,
 }
 
 /// The target and the time limits of a call.
@@ -98,9 +98,9 @@
                     // The upstream had closed the idle connection; try again with another one.
                     Some(unsent) if !is_new => request = unsent,
                     Some(_unsent) => return Err(CallError::NotSent),
-                    None => return Err(CallError::Lost),
+                    None => return Err(CallError::ResponseLost),
                 },
-                Err(_elapsed) => return Err(CallError::Lost),
+                Err(_elapsed) => return Err(CallError::ResponseLost),
             }
         }
     }
