--- a/crates/sedgepathd/src/callers/request_task.rs
+++ b/crates/sedgepathd/src/callers/request_task.rs
@@ -126,7 +126,7 @@
                 },
                 Some((attempt, reply)) = self.attempt_replies.recv() => {
                     // Dropping `self` reports the request as disconnected, so the node forgets it.
-                    if let Reply::Concluded { status, fields, body } = reply {
+                    if let Reply::HomeResponse { status, fields, body } = reply {
                         return RequestResult::HomeResponse { status, fields, body };
                     }
                     self.handle_reply(attempt, reply);
@@ -218,7 +218,7 @@
             }
             Reply::Rejected(refusal) => HopFailure::Refused(refusal),
             Reply::NotSent => HopFailure::NotSent,
-            Reply::ResponseLost | Reply::Concluded { .. } => HopFailure::Lost,
+            Reply::ResponseLost | Reply::HomeResponse { .. } => HopFailure::Lost,
         };
         self.callers.handle.send_event(Event::HopEnded { request, attempt, end });
     }
--- a/crates/sedgepathd/src/callers/responses.rs
+++ b/crates/sedgepathd/src/callers/responses.rs
@@ -113,7 +113,7 @@
     let fields = passed_on(&parts.headers);
     match body.collect().await {
         Ok(body) => {
-            Reply::Concluded { status: parts.status.as_u16(), fields, body: body.to_bytes() }
+            Reply::HomeResponse { status: parts.status.as_u16(), fields, body: body.to_bytes() }
         }
         Err(BodyBroken) => Reply::ResponseLost,
     }
--- a/crates/sedgepathd/src/homes.rs
+++ b/crates/sedgepathd/src/homes.rs
@@ -71,7 +71,7 @@
     let request =
         HopRequest { id, operation: PeerOperation::StoreTickets, head, body: body.into() };
     let target = HopTarget { vm: job.to, address: job.address, deadline_at_ms };
-    matches!(hops.send(target, request).await, Reply::Concluded { status: STORED_STATUS, .. })
+    matches!(hops.send(target, request).await, Reply::HomeResponse { status: STORED_STATUS, .. })
 }
 
 /// Stores the tickets that a peer hands over.
@@ -82,5 +82,5 @@
 pub fn store_tickets(handle: &Handle, body: &Bytes) -> Result<Reply, FrameError> {
     let tickets = postcard::from_bytes(body)?;
     handle.send_event(Event::TicketsReceived(tickets));
-    Ok(Reply::Concluded { status: STORED_STATUS, fields: Vec::new(), body: Bytes::new() })
+    Ok(Reply::HomeResponse { status: STORED_STATUS, fields: Vec::new(), body: Bytes::new() })
 }
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -148,7 +148,7 @@
             }
             Frame::HomeResponse { status, fields, body, .. } => {
                 self.release(address, stream);
-                Ok(Reply::Concluded { status, fields, body: body.into() })
+                Ok(Reply::HomeResponse { status, fields, body: body.into() })
             }
             Frame::ResponseLost { .. } => {
                 self.release(address, stream);
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -115,7 +115,7 @@
                 stream.send(&Frame::Refused { id, refusal }).await
             }
             Reply::ResponseLost => stream.send(&Frame::ResponseLost { id }).await,
-            Reply::Concluded { status, fields, body } => {
+            Reply::HomeResponse { status, fields, body } => {
                 let body = body.to_vec();
                 stream.send(&Frame::HomeResponse { id, status, fields, body }).await
             }
--- a/crates/sedgepathd/src/reply.rs
+++ b/crates/sedgepathd/src/reply.rs
@@ -50,7 +50,7 @@
     /// The request was sent, but its response was lost.
     ResponseLost,
     /// The final response of the peer that is the home of the request's ticket.
-    Concluded {
+    HomeResponse {
         /// The HTTP status.
         status: u16,
         /// The header fields.
