--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -267,7 +267,7 @@
         let _canceled = reply.send(Reply::Answer(Box::new(response)));
         let complete = forward_body(incoming, &sender).await;
         if complete {
-            self.upstreams.give_back(call.upstream, connection);
+            self.upstreams.release(call.upstream, connection);
         }
         self.report_outcome(if complete { CallOutcome::Completed } else { CallOutcome::Lost });
         if !complete {
@@ -278,7 +278,7 @@
     /// Reads a short body to its end, so that the connection can be reused.
     async fn drain(&self, call: Call, incoming: Incoming, connection: Connection) {
         if incoming.collect().await.is_ok() {
-            self.upstreams.give_back(call.upstream, connection);
+            self.upstreams.release(call.upstream, connection);
         }
     }
 
--- a/crates/sedgepathd/src/upstreams.rs
+++ b/crates/sedgepathd/src/upstreams.rs
@@ -89,7 +89,7 @@
             // The lease on this upstream may have expired while the connection was opened or the
             // process was paused; another node may be using the same slots.
             if self.handle.clock().now_ms() > call.send_by_ms {
-                self.give_back(call.upstream, connection);
+                self.release(call.upstream, connection);
                 return Err(CallError::NotSent);
             }
             match timeout_at(deadline, connection.try_send_request(request)).await {
@@ -106,7 +106,7 @@
     }
 
     /// Returns a connection to the pool once its response has been read completely.
-    pub fn give_back(&self, upstream: UpstreamKey, connection: Connection) {
+    pub fn release(&self, upstream: UpstreamKey, connection: Connection) {
         if !connection.is_closed() {
             self.lock().entry(upstream).or_default().idle.push(connection);
         }
