--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -57,7 +57,7 @@
     let metrics = Arc::new(Metrics::new()?);
     metrics::serve(settings.metrics, Arc::clone(&metrics))?;
     let socket = UdpSocket::bind(settings.peers)
-        .map_err(StartError::listen("datagrams of peers", settings.peers))?;
+        .map_err(StartError::listen_failed("datagrams of peers", settings.peers))?;
 
     let clock = Clock::new();
     let boot = BootId::new(clock.now_ms(), fastrand::u64(..));
@@ -70,7 +70,7 @@
     let outputs = DriverOutputs {
         socket: socket
             .try_clone()
-            .map_err(StartError::listen("datagrams of peers", settings.peers))?,
+            .map_err(StartError::listen_failed("datagrams of peers", settings.peers))?,
         datagram_key: datagram_key.clone(),
         table: table_sender,
         fetches: fetch_sender,
@@ -116,14 +116,14 @@
     let caller_server_task = runtime.block_on(async {
         let callers_listener = TcpListener::bind(settings.callers)
             .await
-            .map_err(StartError::listen("callers", settings.callers))?;
+            .map_err(StartError::listen_failed("callers", settings.callers))?;
         let peers_listener = TcpListener::bind(settings.peers)
             .await
-            .map_err(StartError::listen("peers", settings.peers))?;
+            .map_err(StartError::listen_failed("peers", settings.peers))?;
         let server = Server::builder()
             .build(settings.operators)
             .await
-            .map_err(StartError::listen("operators", settings.operators))?;
+            .map_err(StartError::listen_failed("operators", settings.operators))?;
         let operator_server = server
             .start(OperatorServer::new(handle.clone(), Arc::clone(&table), verifier).into_rpc());
         let caller_server_task = tokio::spawn(callers.serve(callers_listener, callers_stop));
--- a/crates/sedgepathd/src/direct/run.rs
+++ b/crates/sedgepathd/src/direct/run.rs
@@ -91,7 +91,7 @@
         new_steering(&settings, caller_address, peer_address).with_policy(options.steering_config);
     let socket = UdpSocket::bind(peer_address)
         .await
-        .map_err(StartError::listen("heartbeats", peer_address))?;
+        .map_err(StartError::listen_failed("heartbeats", peer_address))?;
     let shared = SharedState::new(settings, steering, socket, log_clock, Metrics::new()?);
 
     let caller_listener = bind("callers", caller_address).await?;
@@ -199,7 +199,7 @@
 }
 
 async fn bind(what: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
-    TcpListener::bind(address).await.map_err(StartError::listen(what, address))
+    TcpListener::bind(address).await.map_err(StartError::listen_failed(what, address))
 }
 
 /// Removes expired state and closes unneeded connections until the process ends.
--- a/crates/sedgepathd/src/start.rs
+++ b/crates/sedgepathd/src/start.rs
@@ -51,7 +51,10 @@
 impl StartError {
     /// Returns a function, for `map_err`, that wraps the operating system's error in
     /// [`StartError::Listen`].
-    pub fn listen(what: &'static str, address: SocketAddr) -> impl FnOnce(io::Error) -> Self {
+    pub fn listen_failed(
+        what: &'static str,
+        address: SocketAddr,
+    ) -> impl FnOnce(io::Error) -> Self {
         move |source| Self::Listen { what, address, source }
     }
 }
