--- a/crates/sedgepathd/src/callers.rs
+++ b/crates/sedgepathd/src/callers.rs
@@ -295,7 +295,7 @@
                     let event = Event::RelayEnded { request, whole: true, stored: None };
                     self.handle.send_event(event);
                 }
-                Reply::Answer(response)
+                Reply::UpstreamResponse(response)
             }
             result => into_home_reply(self.build_response(result)).await,
         }
--- a/crates/sedgepathd/src/callers/request_task.rs
+++ b/crates/sedgepathd/src/callers/request_task.rs
@@ -210,7 +210,7 @@
     fn handle_reply(&mut self, attempt: u32, reply: Reply) {
         let request = self.request;
         let end = match reply {
-            Reply::Answer(response) => {
+            Reply::UpstreamResponse(response) => {
                 let head = response.head.clone();
                 self.responses.insert(attempt, response);
                 self.callers.handle.send_event(Event::HopAnswered { request, attempt, head });
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -264,7 +264,7 @@
             http: HttpResponseHead { fields, body_bytes: incoming.size_hint().exact() },
             body: receiver,
         };
-        let _canceled = reply.send(Reply::Answer(Box::new(response)));
+        let _canceled = reply.send(Reply::UpstreamResponse(Box::new(response)));
         let complete = forward_body(incoming, &sender).await;
         if complete {
             self.upstreams.release(call.upstream, connection);
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -140,7 +140,7 @@
                 let (sender, receiver) = body();
                 let hops = Arc::clone(self);
                 tokio::spawn(async move { hops.forward_body(address, stream, sender).await });
-                Ok(Reply::Answer(Box::new(Answer { head, http, body: receiver })))
+                Ok(Reply::UpstreamResponse(Box::new(Answer { head, http, body: receiver })))
             }
             Frame::Refused { refusal, .. } => {
                 self.release(address, stream);
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -108,7 +108,7 @@
             _ = stream.wait_for_close() => return Err(FrameError::UnexpectedFrame),
         };
         match reply {
-            Reply::Answer(response) => relay_response(stream, id, *response).await,
+            Reply::UpstreamResponse(response) => relay_response(stream, id, *response).await,
             Reply::Rejected(refusal) => stream.send(&Frame::Refused { id, refusal }).await,
             Reply::NotSent => {
                 let refusal = not_sent_rejection();
--- a/crates/sedgepathd/src/reply.rs
+++ b/crates/sedgepathd/src/reply.rs
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub enum Reply {
     /// The upstream's response has begun.
-    Answer(Box<Answer>),
+    UpstreamResponse(Box<Answer>),
     /// The request was rejected and not run.
     Rejected(Rejection),
     /// The request was not sent.
