--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -26,7 +26,7 @@
 use crate::callers::Callers;
 use crate::datagrams;
 use crate::driver::{self, Clock, DriverOutputs};
-use crate::exchange::Exchanges;
+use crate::exchange::DispatchRunner;
 use crate::homes;
 use crate::hop::Hops;
 use crate::logging;
@@ -94,7 +94,7 @@
     datagrams::start_receiver(socket, datagram_key, handle.clone(), Arc::clone(&metrics));
 
     let frame_key = SharedKey::new(&settings.secret, "frames");
-    let exchanges = Exchanges::new(handle.clone(), Upstreams::new(handle.clone()), boot);
+    let exchanges = DispatchRunner::new(handle.clone(), Upstreams::new(handle.clone()), boot);
     let vm = sedgepath_core::key::VmKey::of(&settings.name);
     let hops = Hops::new(vm, frame_key.clone(), clock, exchanges.clone(), Arc::clone(&metrics));
     let callers = Callers::new(
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -51,13 +51,13 @@
 
 /// Runs dispatched requests.
 #[derive(Debug, Clone)]
-pub struct Exchanges {
+pub struct DispatchRunner {
     handle: Handle,
     upstreams: Arc<Upstreams>,
     boot: BootId,
 }
 
-impl Exchanges {
+impl DispatchRunner {
     /// Creates a runner whose call ids contain the process's boot id.
     pub fn new(handle: Handle, upstreams: Arc<Upstreams>, boot: BootId) -> Self {
         Self { handle, upstreams, boot }
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout_at;
 
 use crate::driver::Clock;
-use crate::exchange::Exchanges;
+use crate::exchange::DispatchRunner;
 use crate::metrics::Metrics;
 use crate::reply::{Answer, BodyBroken, BodySender, Reply, body};
 
@@ -57,7 +57,7 @@
     own: VmKey,
     key: SharedKey,
     clock: Clock,
-    exchanges: Exchanges,
+    exchanges: DispatchRunner,
     metrics: Arc<Metrics>,
     idle: Mutex<Map<SocketAddr, Vec<PeerStream>>>,
 }
@@ -68,7 +68,7 @@
         own: VmKey,
         key: SharedKey,
         clock: Clock,
-        exchanges: Exchanges,
+        exchanges: DispatchRunner,
         metrics: Arc<Metrics>,
     ) -> Arc<Self> {
         Arc::new(Self { own, key, clock, exchanges, metrics, idle: Mutex::default() })
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use crate::callers::Callers;
-use crate::exchange::Exchanges;
+use crate::exchange::DispatchRunner;
 use crate::homes;
 use crate::metrics::Metrics;
 use crate::reply::{Answer, Reply};
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct Peers {
     key: SharedKey,
-    exchanges: Exchanges,
+    exchanges: DispatchRunner,
     callers: Arc<Callers>,
     metrics: Arc<Metrics>,
 }
@@ -40,7 +40,7 @@
     /// Creates a server that verifies handshakes with `key`.
     pub fn new(
         key: SharedKey,
-        exchanges: Exchanges,
+        exchanges: DispatchRunner,
         callers: Arc<Callers>,
         metrics: Arc<Metrics>,
     ) -> Arc<Self> {
