--- a/crates/sedgepathd/src/driver.rs
+++ b/crates/sedgepathd/src/driver.rs
@@ -22,7 +22,7 @@
 use sedgepath_wire::time::unix_ms;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::homes::HandOverJob;
+use crate::homes::TicketHandoverJob;
 use crate::logging;
 use crate::metrics::Metrics;
 use crate::table::TableJob;
@@ -188,7 +188,7 @@
     /// The queue of page fetches from peers.
     pub fetches: mpsc::UnboundedSender<crate::operators::FetchJob>,
     /// The queue of ticket handovers to peers.
-    pub handovers: mpsc::UnboundedSender<HandOverJob>,
+    pub handovers: mpsc::UnboundedSender<TicketHandoverJob>,
     /// The daemon's metrics.
     pub metrics: Arc<Metrics>,
 }
@@ -320,7 +320,7 @@
                     }
                 }
                 Action::HandOverTickets { operation, to, address, tickets } => {
-                    let job = HandOverJob { operation, to, address, tickets };
+                    let job = TicketHandoverJob { operation, to, address, tickets };
                     let _receiver_ended = self.outputs.handovers.send(job);
                 }
                 Action::AnswerChange { reply, outcome } => {
--- a/crates/sedgepathd/src/homes.rs
+++ b/crates/sedgepathd/src/homes.rs
@@ -22,7 +22,7 @@
 
 /// A handover of tickets to a peer.
 #[derive(Debug)]
-pub struct HandOverJob {
+pub struct TicketHandoverJob {
     /// Identifies the handover in its result.
     pub operation: OperationKey,
     /// The peer.
@@ -35,7 +35,7 @@
 
 /// Runs handovers concurrently until the process ends.
 pub async fn run_hand_overs(
-    mut jobs: mpsc::UnboundedReceiver<HandOverJob>,
+    mut jobs: mpsc::UnboundedReceiver<TicketHandoverJob>,
     hops: Arc<Hops>,
     handle: Handle,
     boot: BootId,
@@ -53,7 +53,7 @@
 
 async fn send_tickets(
     hops: &Arc<Hops>,
-    job: HandOverJob,
+    job: TicketHandoverJob,
     boot: BootId,
     deadline_at_ms: u64,
 ) -> bool {
