--- a/crates/sedgepathd/src/callers.rs
+++ b/crates/sedgepathd/src/callers.rs
@@ -28,7 +28,7 @@
 
 use crate::driver::Handle;
 use crate::exchange::passed_on;
-use crate::hop::Hops;
+use crate::hop::HopClient;
 use crate::limits::Limits;
 use crate::metrics::Metrics;
 use crate::reply::{Answer, Reply};
@@ -68,7 +68,7 @@
     vm: VmKey,
     boot: BootId,
     handle: Handle,
-    hops: Arc<Hops>,
+    hops: Arc<HopClient>,
     metrics: Arc<Metrics>,
     limits: Limits,
     ticket_key: SharedKey,
@@ -80,7 +80,7 @@
         name: Box<str>,
         boot: BootId,
         handle: Handle,
-        hops: Arc<Hops>,
+        hops: Arc<HopClient>,
         metrics: Arc<Metrics>,
         limits: Limits,
         ticket_key: SharedKey,
--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -28,7 +28,7 @@
 use crate::driver::{self, Clock, DriverOutputs};
 use crate::exchange::DispatchRunner;
 use crate::homes;
-use crate::hop::Hops;
+use crate::hop::HopClient;
 use crate::logging;
 use crate::metrics::{self, Metrics};
 use crate::operators::{self, OperatorServer};
@@ -96,7 +96,8 @@
     let frame_key = SharedKey::new(&settings.secret, "frames");
     let exchanges = DispatchRunner::new(handle.clone(), Upstreams::new(handle.clone()), boot);
     let vm = sedgepath_core::key::VmKey::of(&settings.name);
-    let hops = Hops::new(vm, frame_key.clone(), clock, exchanges.clone(), Arc::clone(&metrics));
+    let hops =
+        HopClient::new(vm, frame_key.clone(), clock, exchanges.clone(), Arc::clone(&metrics));
     let callers = Callers::new(
         settings.name.clone(),
         boot,
--- a/crates/sedgepathd/src/homes.rs
+++ b/crates/sedgepathd/src/homes.rs
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc;
 
 use crate::driver::Handle;
-use crate::hop::{HopRequest, HopTarget, Hops};
+use crate::hop::{HopClient, HopRequest, HopTarget};
 use crate::reply::Reply;
 
 /// How long a peer may take to store tickets, in milliseconds.
@@ -36,7 +36,7 @@
 /// Runs handovers concurrently until the process ends.
 pub async fn run_hand_overs(
     mut jobs: mpsc::UnboundedReceiver<TicketHandoverJob>,
-    hops: Arc<Hops>,
+    hops: Arc<HopClient>,
     handle: Handle,
     boot: BootId,
 ) {
@@ -52,7 +52,7 @@
 }
 
 async fn send_tickets(
-    hops: &Arc<Hops>,
+    hops: &Arc<HopClient>,
     job: TicketHandoverJob,
     boot: BootId,
     deadline_at_ms: u64,
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -53,7 +53,7 @@
 
 /// Sends requests to peers over connections that are kept open between requests.
 #[derive(Debug)]
-pub struct Hops {
+pub struct HopClient {
     own: VmKey,
     key: SharedKey,
     clock: Clock,
@@ -62,7 +62,7 @@
     idle: Mutex<Map<SocketAddr, Vec<PeerStream>>>,
 }
 
-impl Hops {
+impl HopClient {
     /// Creates the client of a node; `exchanges` runs requests whose target is the node itself.
     pub fn new(
         own: VmKey,
