--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -32,7 +32,7 @@
 use crate::logging;
 use crate::metrics::{self, Metrics};
 use crate::operators::{self, OperatorServer};
-use crate::peers::Peers;
+use crate::peers::PeerServer;
 use crate::settings::Settings;
 use crate::start::StartError;
 use crate::store::{self, BlockingStoreTable};
@@ -107,7 +107,7 @@
         settings.limits,
         SharedKey::new(&settings.secret, "tickets"),
     );
-    let peers = Peers::new(frame_key, exchanges, Arc::clone(&callers), metrics);
+    let peers = PeerServer::new(frame_key, exchanges, Arc::clone(&callers), metrics);
 
     let call_key = signed_call::derive_call_key(&settings.secret);
     let operator_keys = settings.operator_keys.iter().map(|key| &**key);
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -29,14 +29,14 @@
 
 /// Serves the connections of peers.
 #[derive(Debug)]
-pub struct Peers {
+pub struct PeerServer {
     key: SharedKey,
     exchanges: DispatchRunner,
     callers: Arc<Callers>,
     metrics: Arc<Metrics>,
 }
 
-impl Peers {
+impl PeerServer {
     /// Creates a server that verifies handshakes with `key`.
     pub fn new(
         key: SharedKey,
