--- a/crates/sedgepathd/tests/direct.rs
+++ b/crates/sedgepathd/tests/direct.rs
@@ -7,7 +7,7 @@
 use platform::caller::{self, Connection};
 use platform::slow_peer::SlowPeer;
 use platform::upstream::{Behaviour, UpstreamStandIn};
-use platform::{Site, Vm, configure, wait_for};
+use platform::{TestCluster, Vm, configure, wait_for};
 use sedgepath::cli::{self, Environment};
 use sedgepath_test_support::store::{StoreMode, StoreStandIn};
 
@@ -18,7 +18,7 @@
 struct Fixture {
     store: StoreStandIn,
     upstreams: Vec<UpstreamStandIn>,
-    site: Site,
+    site: TestCluster,
     vm: Vm,
 }
 
@@ -31,7 +31,7 @@
         for upstream in &upstreams {
             upstream.register(&store, "north-a", "ready", 1);
         }
-        let site = Site::new(store.address);
+        let site = TestCluster::new(store.address);
         let vm = site.start_ready(1, "north-a");
         Self { store, upstreams, site, vm }
     }
@@ -370,7 +370,7 @@
     let store = StoreStandIn::new().expect("a store");
     configure(&store, "0000000c", "3000ms");
     UpstreamStandIn::new("u0").register(&store, "north-a", "ready", 1);
-    let site = Site::new(store.address);
+    let site = TestCluster::new(store.address);
     let peer = SlowPeer::new(site.peer_address(1), &store);
     store.set_mode(StoreMode::Unresponsive);
 
--- a/crates/sedgepathd/tests/direct_joins.rs
+++ b/crates/sedgepathd/tests/direct_joins.rs
@@ -11,7 +11,7 @@
 
 use platform::caller::Connection;
 use platform::upstream::{Behaviour, UpstreamStandIn};
-use platform::{Site, configure, wait_for};
+use platform::{TestCluster, configure, wait_for};
 use sedgepath_test_support::store::StoreStandIn;
 
 /// The number of concurrent callers.
@@ -77,7 +77,7 @@
         upstream.set_behaviour(Behaviour::DelayedByMs(WORK_MS));
         upstream.register(&store, "north-a", "ready", 1);
     }
-    let site = Site::new(store.address);
+    let site = TestCluster::new(store.address);
     let first = site.start_ready(1, "north-a");
     let entry_addresses: EntryAddresses = Arc::new(Mutex::new(vec![first.caller_address]));
     let callers: Vec<_> = (0..CALLERS)
@@ -123,7 +123,7 @@
     configure(&store, "0000000c", "3000ms");
     let upstream = UpstreamStandIn::new("u0");
     upstream.register(&store, "north-a", "ready", 1);
-    let site = Site::new(store.address);
+    let site = TestCluster::new(store.address);
     let vms = [site.start_ready(1, "north-a"), site.start_ready(2, "north-b")];
     let joined = site.start_ready(3, "north-b");
 
--- a/crates/sedgepathd/tests/platform/mod.rs
+++ b/crates/sedgepathd/tests/platform/mod.rs
@@ -67,14 +67,14 @@
 
 /// VMs that use the same ports and the same store.
 #[derive(Debug)]
-pub struct Site {
+pub struct TestCluster {
     block: u8,
     ports: Vec<u16>,
     store: SocketAddr,
     dir: TempDir,
 }
 
-impl Site {
+impl TestCluster {
     /// Reserves addresses and ports for VMs that use a store.
     pub fn new(store: SocketAddr) -> Self {
         let block = NEXT_BLOCK.fetch_add(1, Ordering::Relaxed);
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -17,7 +17,7 @@
 
 use platform::caller::{Answer, Connection};
 use platform::upstream::{Behaviour, UpstreamStandIn};
-use platform::{Site, Vm, wait_for};
+use platform::{TestCluster, Vm, wait_for};
 use sedgepath_test_support::link::{Cut, CuttableLink};
 use sedgepath_test_support::store::{StoreMode, StoreStandIn};
 
@@ -47,7 +47,7 @@
     store: StoreStandIn,
     store_links: Vec<CuttableLink>,
     upstreams: Vec<(UpstreamStandIn, CuttableLink)>,
-    site: Site,
+    site: TestCluster,
     vms: Vec<Option<Vm>>,
     version: u64,
     sequence: u64,
@@ -66,7 +66,7 @@
                 (upstream, link)
             })
             .collect();
-        let site = Site::new(store.address);
+        let site = TestCluster::new(store.address);
         let mut soak = Self {
             random: fastrand::Rng::with_seed(seed),
             store,
