--- a/crates/sedgepathd/tests/platform/upstream.rs
+++ b/crates/sedgepathd/tests/platform/upstream.rs
@@ -31,7 +31,7 @@
 
 /// A request that the upstream has received.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Received {
+pub struct ReceivedRequest {
     /// The request line.
     pub line: String,
     /// The headers, with names in lower case.
@@ -46,7 +46,7 @@
 struct State {
     name: String,
     behaviour: Behaviour,
-    received: Vec<Received>,
+    received: Vec<ReceivedRequest>,
     connections: usize,
     canceled_requests: usize,
 }
@@ -117,12 +117,12 @@
     }
 
     /// Returns the requests that were run.
-    pub fn runs(&self) -> Vec<Received> {
+    pub fn runs(&self) -> Vec<ReceivedRequest> {
         self.lock().received.iter().filter(|received| received.run).cloned().collect()
     }
 
     /// Returns all received requests.
-    pub fn received(&self) -> Vec<Received> {
+    pub fn received(&self) -> Vec<ReceivedRequest> {
         self.lock().received.clone()
     }
 
@@ -148,7 +148,7 @@
     }
 
     /// Responds to a request; `None` if the connection is to be closed.
-    fn respond(&self, mut stream: &TcpStream, mut request: Received) -> Option<()> {
+    fn respond(&self, mut stream: &TcpStream, mut request: ReceivedRequest) -> Option<()> {
         let (name, behaviour) = {
             let state = self.lock();
             (state.name.clone(), state.behaviour)
@@ -222,7 +222,7 @@
     }
 }
 
-fn read_request(reader: &mut impl BufRead) -> Option<Received> {
+fn read_request(reader: &mut impl BufRead) -> Option<ReceivedRequest> {
     let mut line = String::new();
     if reader.read_line(&mut line).ok()? == 0 {
         return None;
@@ -236,7 +236,7 @@
         reader.read_exact(&mut body).ok()?;
         body
     };
-    Some(Received { line: line.trim_end().into(), headers: fields, body, run: false })
+    Some(ReceivedRequest { line: line.trim_end().into(), headers: fields, body, run: false })
 }
 
 /// Reads headers up to the empty line.
