--- a/crates/sedgepathd/tests/platform/caller.rs
+++ b/crates/sedgepathd/tests/platform/caller.rs
@@ -10,7 +10,7 @@
 
 /// A response.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// The status code.
     pub status: u16,
     /// The headers, with names in lower case.
@@ -19,7 +19,7 @@
     pub body: Option<Vec<u8>>,
 }
 
-impl Answer {
+impl Response {
     /// Returns the body as text, or a placeholder if it was truncated.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(self.body.as_deref().unwrap_or(b"(broken off)")).into()
@@ -64,7 +64,7 @@
     }
 
     /// Reads a response; `None` if the connection ends before its body.
-    pub fn receive(&mut self) -> Option<Answer> {
+    pub fn receive(&mut self) -> Option<Response> {
         let mut line = String::new();
         if self.reader.read_line(&mut line).ok()? == 0 {
             return None;
@@ -78,23 +78,28 @@
             let mut body = vec![0; length];
             self.reader.read_exact(&mut body).ok().map(|()| body)
         };
-        Some(Answer { status, headers: fields, body })
+        Some(Response { status, headers: fields, body })
     }
 
     /// Sends a request with a deadline of 3 s and reads its response.
-    pub fn request(&mut self, method: &str, path: &str, attempt_id: &str) -> Option<Answer> {
+    pub fn request(&mut self, method: &str, path: &str, attempt_id: &str) -> Option<Response> {
         self.send(method, path, attempt_id, 3_000)?;
         self.receive()
     }
 }
 
 /// Sends a request on a new connection and reads its response.
-pub fn request(address: SocketAddr, method: &str, path: &str, attempt_id: &str) -> Option<Answer> {
+pub fn request(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    attempt_id: &str,
+) -> Option<Response> {
     Connection::new(address)?.request(method, path, attempt_id)
 }
 
 /// Sends a GET request without platform headers on a new connection and reads its response.
-pub fn get(address: SocketAddr, path: &str) -> Option<Answer> {
+pub fn get(address: SocketAddr, path: &str) -> Option<Response> {
     let mut connection = Connection::new(address)?;
     connection.write(format!("GET {path} HTTP/1.1\r\nHost: vm\r\n\r\n").as_bytes())?;
     connection.receive()
--- a/crates/sedgepathd/tests/soak.rs
+++ b/crates/sedgepathd/tests/soak.rs
@@ -15,7 +15,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use platform::caller::{Answer, Connection};
+use platform::caller::{Connection, Response};
 use platform::upstream::{Behaviour, UpstreamStandIn};
 use platform::{TestCluster, Vm, wait_for};
 use sedgepath_test_support::link::{Cut, CuttableLink};
@@ -40,7 +40,7 @@
 const DOMAINS: [&str; 3] = ["north-a", "north-b", "south-a"];
 
 /// The response to each attempt, by attempt id; none if no response arrived.
-type Responses = Arc<Mutex<BTreeMap<String, Option<Answer>>>>;
+type Responses = Arc<Mutex<BTreeMap<String, Option<Response>>>>;
 
 struct Soak {
     random: fastrand::Rng,
@@ -242,7 +242,7 @@
         };
         let answer = open.send(method, path, &attempt, 1_500).and_then(|()| open.receive());
         let closes =
-            |answer: &Answer| answer.headers.get("connection").is_some_and(|v| v == "close");
+            |answer: &Response| answer.headers.get("connection").is_some_and(|v| v == "close");
         if answer.as_ref().is_some_and(|answer| answer.body.is_some() && !closes(answer)) {
             connection = Some(open);
         }
@@ -287,7 +287,7 @@
 /// Returns a description of every violated guarantee.
 fn find_failures(
     soak: &Soak,
-    responses: &BTreeMap<String, Option<Answer>>,
+    responses: &BTreeMap<String, Option<Response>>,
     addresses: &[std::net::SocketAddr],
 ) -> Vec<String> {
     let mut failures = Vec::new();
