--- a/crates/sedgepathd/src/callers.rs
+++ b/crates/sedgepathd/src/callers.rs
@@ -63,7 +63,7 @@
 
 /// State shared by the tasks that serve callers' connections.
 #[derive(Debug)]
-pub struct Callers {
+pub struct CallerServer {
     name: Box<str>,
     vm: VmKey,
     boot: BootId,
@@ -74,7 +74,7 @@
     ticket_key: SharedKey,
 }
 
-impl Callers {
+impl CallerServer {
     /// Creates the server for callers.
     pub fn new(
         name: Box<str>,
--- a/crates/sedgepathd/src/callers/request_task.rs
+++ b/crates/sedgepathd/src/callers/request_task.rs
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-use super::Callers;
+use super::CallerServer;
 use super::collect::{Collected, collect};
 use crate::hop::{HopRequest, HopTarget};
 use crate::reply::{Answer, Reply};
@@ -48,7 +48,7 @@
 
 /// A request in flight, with its attempts and their replies.
 pub(super) struct RequestTask {
-    callers: Arc<Callers>,
+    callers: Arc<CallerServer>,
     request: RequestKey,
     head: RequestHead,
     http: HttpRequestHead,
@@ -75,7 +75,7 @@
 impl RequestTask {
     /// Creates the task of a request and passes the request to the node.
     pub(super) fn new(
-        callers: Arc<Callers>,
+        callers: Arc<CallerServer>,
         head: RequestHead,
         http: HttpRequestHead,
         body: Bytes,
--- a/crates/sedgepathd/src/callers/tickets.rs
+++ b/crates/sedgepathd/src/callers/tickets.rs
@@ -8,11 +8,11 @@
 use sedgepath_wire::ticket;
 use serde_json::json;
 
-use super::Callers;
+use super::CallerServer;
 use super::parsing::query_value;
 use super::responses::{ResponseBody, json_response, rejection_response};
 
-impl Callers {
+impl CallerServer {
     /// Responds to a caller's request for tickets.
     ///
     /// The response must not be cached: if a ticket were issued twice, the second action would be
--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -23,7 +23,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-use crate::callers::Callers;
+use crate::callers::CallerServer;
 use crate::datagrams;
 use crate::driver::{self, Clock, DriverOutputs};
 use crate::exchange::DispatchRunner;
@@ -98,7 +98,7 @@
     let vm = sedgepath_core::key::VmKey::of(&settings.name);
     let hops =
         HopClient::new(vm, frame_key.clone(), clock, exchanges.clone(), Arc::clone(&metrics));
-    let callers = Callers::new(
+    let callers = CallerServer::new(
         settings.name.clone(),
         boot,
         handle.clone(),
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-use crate::callers::Callers;
+use crate::callers::CallerServer;
 use crate::exchange::DispatchRunner;
 use crate::homes;
 use crate::metrics::Metrics;
@@ -32,7 +32,7 @@
 pub struct PeerServer {
     key: SharedKey,
     exchanges: DispatchRunner,
-    callers: Arc<Callers>,
+    callers: Arc<CallerServer>,
     metrics: Arc<Metrics>,
 }
 
@@ -41,7 +41,7 @@
     pub fn new(
         key: SharedKey,
         exchanges: DispatchRunner,
-        callers: Arc<Callers>,
+        callers: Arc<CallerServer>,
         metrics: Arc<Metrics>,
     ) -> Arc<Self> {
         Arc::new(Self { key, exchanges, callers, metrics })
