--- a/crates/sedgepathd/src/callers.rs
+++ b/crates/sedgepathd/src/callers.rs
@@ -26,7 +26,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, watch};
 
-use crate::driver::Handle;
+use crate::driver::NodeHandle;
 use crate::exchange::passed_on;
 use crate::hop::HopClient;
 use crate::limits::Limits;
@@ -67,7 +67,7 @@
     name: Box<str>,
     vm: VmKey,
     boot: BootId,
-    handle: Handle,
+    handle: NodeHandle,
     hops: Arc<HopClient>,
     metrics: Arc<Metrics>,
     limits: Limits,
@@ -79,7 +79,7 @@
     pub fn new(
         name: Box<str>,
         boot: BootId,
-        handle: Handle,
+        handle: NodeHandle,
         hops: Arc<HopClient>,
         metrics: Arc<Metrics>,
         limits: Limits,
@@ -90,7 +90,7 @@
     }
 
     /// Returns the handle to the node.
-    pub fn handle(&self) -> &Handle {
+    pub fn handle(&self) -> &NodeHandle {
         &self.handle
     }
 
--- a/crates/sedgepathd/src/callers/relay.rs
+++ b/crates/sedgepathd/src/callers/relay.rs
@@ -8,14 +8,14 @@
 use sedgepath_core::event::Event;
 use sedgepath_core::key::RequestKey;
 
-use crate::driver::Handle;
+use crate::driver::NodeHandle;
 use crate::reply::{BodyBroken, BodyReceiver};
 
 /// A response body that is streamed to the caller; it reports its end to the node once.
 pub(super) struct RelayBody {
     pub(super) chunks: BodyReceiver,
     pub(super) remaining_bytes: Option<u64>,
-    pub(super) handle: Handle,
+    pub(super) handle: NodeHandle,
     pub(super) request: RequestKey,
     pub(super) end_reported: bool,
 }
--- a/crates/sedgepathd/src/datagrams.rs
+++ b/crates/sedgepathd/src/datagrams.rs
@@ -7,11 +7,16 @@
 use sedgepath_wire::datagram::{DatagramDecoder, MAX_DATAGRAM_BYTES};
 use sedgepath_wire::key::SharedKey;
 
-use crate::driver::Handle;
+use crate::driver::NodeHandle;
 use crate::metrics::Metrics;
 
 /// Starts the receiving thread, which runs until the process ends.
-pub fn start_receiver(socket: UdpSocket, key: SharedKey, handle: Handle, metrics: Arc<Metrics>) {
+pub fn start_receiver(
+    socket: UdpSocket,
+    key: SharedKey,
+    handle: NodeHandle,
+    metrics: Arc<Metrics>,
+) {
     std::thread::spawn(move || {
         let mut decoder = DatagramDecoder::new(key);
         // The extra byte reveals an oversized datagram, which the system truncates to the buffer.
--- a/crates/sedgepathd/src/driver.rs
+++ b/crates/sedgepathd/src/driver.rs
@@ -81,14 +81,14 @@
 
 /// A handle by which other threads and tasks reach the node.
 #[derive(Debug, Clone)]
-pub struct Handle {
+pub struct NodeHandle {
     inputs: Sender<DriverInput>,
     next_key: Arc<AtomicU64>,
     revision: Arc<AtomicU64>,
     clock: Clock,
 }
 
-impl Handle {
+impl NodeHandle {
     /// Returns the configuration revision in force.
     pub fn revision(&self) -> u64 {
         self.revision.load(Ordering::Relaxed)
@@ -194,10 +194,10 @@
 }
 
 /// Starts the driver thread, which ends when the node has stopped.
-pub fn start(node: Node, clock: Clock, outputs: DriverOutputs) -> (Handle, JoinHandle<()>) {
+pub fn start(node: Node, clock: Clock, outputs: DriverOutputs) -> (NodeHandle, JoinHandle<()>) {
     let (inputs, received) = unbounded();
     let revision = Arc::new(AtomicU64::new(0));
-    let handle = Handle {
+    let handle = NodeHandle {
         inputs,
         next_key: Arc::new(AtomicU64::new(1)),
         revision: Arc::clone(&revision),
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-use crate::driver::Handle;
+use crate::driver::NodeHandle;
 use crate::reply::{Answer, BodyBroken, BodySender, Reply, body};
 use crate::upstreams::{Call, CallError, Connection, Upstreams};
 
@@ -52,14 +52,14 @@
 /// Runs dispatched requests.
 #[derive(Debug, Clone)]
 pub struct DispatchRunner {
-    handle: Handle,
+    handle: NodeHandle,
     upstreams: Arc<Upstreams>,
     boot: BootId,
 }
 
 impl DispatchRunner {
     /// Creates a runner whose call ids contain the process's boot id.
-    pub fn new(handle: Handle, upstreams: Arc<Upstreams>, boot: BootId) -> Self {
+    pub fn new(handle: NodeHandle, upstreams: Arc<Upstreams>, boot: BootId) -> Self {
         Self { handle, upstreams, boot }
     }
 
@@ -95,7 +95,7 @@
 
 /// A dispatch in progress.
 struct DispatchRun {
-    handle: Handle,
+    handle: NodeHandle,
     upstreams: Arc<Upstreams>,
     exchange: ExchangeKey,
     call_id: Box<str>,
--- a/crates/sedgepathd/src/homes.rs
+++ b/crates/sedgepathd/src/homes.rs
@@ -10,7 +10,7 @@
 use sedgepath_wire::frame::{ExchangeId, FrameError, HttpRequestHead, PeerOperation};
 use tokio::sync::mpsc;
 
-use crate::driver::Handle;
+use crate::driver::NodeHandle;
 use crate::hop::{HopClient, HopRequest, HopTarget};
 use crate::reply::Reply;
 
@@ -37,7 +37,7 @@
 pub async fn run_hand_overs(
     mut jobs: mpsc::UnboundedReceiver<TicketHandoverJob>,
     hops: Arc<HopClient>,
-    handle: Handle,
+    handle: NodeHandle,
     boot: BootId,
 ) {
     while let Some(job) = jobs.recv().await {
@@ -79,7 +79,7 @@
 /// # Errors
 ///
 /// Fails if the body can't be decoded.
-pub fn store_tickets(handle: &Handle, body: &Bytes) -> Result<Reply, FrameError> {
+pub fn store_tickets(handle: &NodeHandle, body: &Bytes) -> Result<Reply, FrameError> {
     let tickets = postcard::from_bytes(body)?;
     handle.send_event(Event::TicketsReceived(tickets));
     Ok(Reply::HomeResponse { status: STORED_STATUS, fields: Vec::new(), body: Bytes::new() })
--- a/crates/sedgepathd/src/operators.rs
+++ b/crates/sedgepathd/src/operators.rs
@@ -25,7 +25,7 @@
 use serde::Serialize;
 use tokio::sync::mpsc;
 
-use crate::driver::Handle;
+use crate::driver::NodeHandle;
 
 /// The timeout of a remote call to a peer.
 const PEER_CALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -50,7 +50,7 @@
 /// The server of remote calls.
 #[derive(Debug)]
 pub struct OperatorServer {
-    handle: Handle,
+    handle: NodeHandle,
     table: Arc<dyn TableService>,
     verifier: Mutex<CallVerifier>,
 }
@@ -58,7 +58,7 @@
 impl OperatorServer {
     /// Creates a server that reads the history from a table and accepts the calls that the verifier
     /// accepts.
-    pub fn new(handle: Handle, table: Arc<dyn TableService>, verifier: CallVerifier) -> Self {
+    pub fn new(handle: NodeHandle, table: Arc<dyn TableService>, verifier: CallVerifier) -> Self {
         Self { handle, table, verifier: Mutex::new(verifier) }
     }
 
@@ -183,7 +183,7 @@
 pub async fn run_fetches(
     mut jobs: mpsc::UnboundedReceiver<FetchJob>,
     key: SharedKey,
-    handle: Handle,
+    handle: NodeHandle,
 ) {
     while let Some(job) = jobs.recv().await {
         let handle = handle.clone();
--- a/crates/sedgepathd/src/store.rs
+++ b/crates/sedgepathd/src/store.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::runtime::Handle as Runtime;
 
-use crate::driver::Handle;
+use crate::driver::NodeHandle;
 use crate::settings::Settings;
 
 /// The table that lists the entry VMs that run without `--direct`.
@@ -68,7 +68,7 @@
     store: Arc<HttpStore>,
     name: Box<str>,
     row: Vec<u8>,
-    handle: Handle,
+    handle: NodeHandle,
     stopping: Arc<AtomicBool>,
 ) {
     let mut listed = false;
--- a/crates/sedgepathd/src/table.rs
+++ b/crates/sedgepathd/src/table.rs
@@ -7,7 +7,7 @@
 use sedgepath_core::key::OperationKey;
 use sedgepath_core::table::{TableRequest, TableService};
 
-use crate::driver::Handle;
+use crate::driver::NodeHandle;
 
 /// The number of worker threads, and so the maximum number of table requests in flight.
 pub const WORKER_THREADS: usize = 4;
@@ -22,7 +22,11 @@
 }
 
 /// Starts the worker threads, which run until the sender of the jobs is dropped.
-pub fn start_workers(table: &Arc<dyn TableService>, jobs: &Receiver<TableJob>, handle: &Handle) {
+pub fn start_workers(
+    table: &Arc<dyn TableService>,
+    jobs: &Receiver<TableJob>,
+    handle: &NodeHandle,
+) {
     for _ in 0..WORKER_THREADS {
         let table = Arc::clone(table);
         let jobs = jobs.clone();
--- a/crates/sedgepathd/src/upstreams.rs
+++ b/crates/sedgepathd/src/upstreams.rs
@@ -19,7 +19,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout_at;
 
-use crate::driver::Handle;
+use crate::driver::NodeHandle;
 
 /// A connection to an upstream.
 pub type Connection = SendRequest<Full<Bytes>>;
@@ -59,13 +59,13 @@
 /// The pool of connections to the upstreams that this node uses.
 #[derive(Debug)]
 pub struct Upstreams {
-    handle: Handle,
+    handle: NodeHandle,
     connections: Mutex<Map<UpstreamKey, UpstreamConnections>>,
 }
 
 impl Upstreams {
     /// Creates an empty pool that reports the number of open connections through the handle.
-    pub fn new(handle: Handle) -> Arc<Self> {
+    pub fn new(handle: NodeHandle) -> Arc<Self> {
         Arc::new(Self { handle, connections: Mutex::default() })
     }
 
