--- a/crates/sedgepathd/src/callers/relay.rs
+++ b/crates/sedgepathd/src/callers/relay.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::key::RequestKey;
 
 use crate::driver::NodeHandle;
-use crate::reply::{BodyBroken, BodyReceiver};
+use crate::reply::{BodyAborted, BodyReceiver};
 
 /// A response body that is streamed to the caller; it reports its end to the node once.
 pub(super) struct RelayBody {
@@ -40,12 +40,12 @@
 
 impl hyper::body::Body for RelayBody {
     type Data = Bytes;
-    type Error = BodyBroken;
+    type Error = BodyAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         let chunk = std::task::ready!(self.chunks.poll_recv(cx));
         Poll::Ready(match chunk {
             Some(Ok(bytes)) => {
@@ -61,7 +61,7 @@
             // without an error.
             None if self.remaining_bytes.is_some_and(|left| left > 0) => {
                 self.report_end(false);
-                Some(Err(BodyBroken))
+                Some(Err(BodyAborted))
             }
             None => {
                 self.report_end(true);
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -16,7 +16,7 @@
 use tokio::time::timeout;
 
 use crate::driver::NodeHandle;
-use crate::reply::{Answer, BodyBroken, BodySender, Reply, body};
+use crate::reply::{Answer, BodyAborted, BodySender, Reply, body};
 use crate::upstreams::{Call, CallError, Connection, Upstreams};
 
 /// The header by which an upstream states that it did not start a request.
@@ -271,7 +271,7 @@
         }
         self.report_outcome(if complete { CallOutcome::Completed } else { CallOutcome::Lost });
         if !complete {
-            let _canceled = sender.send(Err(BodyBroken)).await;
+            let _canceled = sender.send(Err(BodyAborted)).await;
         }
     }
 
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -16,7 +16,7 @@
 use crate::driver::Clock;
 use crate::exchange::DispatchRunner;
 use crate::metrics::Metrics;
-use crate::reply::{Answer, BodyBroken, BodySender, Reply, body};
+use crate::reply::{Answer, BodyAborted, BodySender, Reply, body};
 
 /// The most idle connections that are kept to a peer.
 const MAX_IDLE_PER_PEER: usize = 32;
@@ -170,7 +170,7 @@
                     self.release(address, stream);
                     return;
                 }
-                _ => Err(BodyBroken),
+                _ => Err(BodyAborted),
             };
             let aborted = part.is_err();
             if sender.send(part).await.is_err() || aborted {
--- a/crates/sedgepathd/src/reply.rs
+++ b/crates/sedgepathd/src/reply.rs
@@ -11,16 +11,16 @@
 /// The error of a body that was aborted before its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the body was aborted before its end")]
-pub struct BodyBroken;
+pub struct BodyAborted;
 
 /// The receiver of a body's chunks.
 ///
 /// The channel closes after the last chunk of a complete body. An aborted body ends with an error,
 /// so that a truncated body is never taken for a complete one.
-pub type BodyReceiver = mpsc::Receiver<Result<Bytes, BodyBroken>>;
+pub type BodyReceiver = mpsc::Receiver<Result<Bytes, BodyAborted>>;
 
 /// The sender of a body's chunks.
-pub type BodySender = mpsc::Sender<Result<Bytes, BodyBroken>>;
+pub type BodySender = mpsc::Sender<Result<Bytes, BodyAborted>>;
 
 /// Creates the channel that streams a body's chunks.
 pub fn body() -> (BodySender, BodyReceiver) {
