--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -37,7 +37,7 @@
 use crate::start::StartError;
 use crate::store::{self, BlockingStoreTable};
 use crate::table;
-use crate::upstreams::Upstreams;
+use crate::upstreams::UpstreamPool;
 
 /// The maximum time that callers have to read the rest of their responses at a planned stop.
 const CALLER_DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
@@ -94,7 +94,7 @@
     datagrams::start_receiver(socket, datagram_key, handle.clone(), Arc::clone(&metrics));
 
     let frame_key = SharedKey::new(&settings.secret, "frames");
-    let exchanges = DispatchRunner::new(handle.clone(), Upstreams::new(handle.clone()), boot);
+    let exchanges = DispatchRunner::new(handle.clone(), UpstreamPool::new(handle.clone()), boot);
     let vm = sedgepath_core::key::VmKey::of(&settings.name);
     let hops =
         HopClient::new(vm, frame_key.clone(), clock, exchanges.clone(), Arc::clone(&metrics));
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -17,7 +17,7 @@
 
 use crate::driver::NodeHandle;
 use crate::reply::{Answer, BodyAborted, BodySender, Reply, body};
-use crate::upstreams::{Call, CallError, Connection, Upstreams};
+use crate::upstreams::{Call, CallError, Connection, UpstreamPool};
 
 /// The header by which an upstream states that it did not start a request.
 pub const NOT_STARTED_HEADER: &str = "sedgepath-not-started";
@@ -53,13 +53,13 @@
 #[derive(Debug, Clone)]
 pub struct DispatchRunner {
     handle: NodeHandle,
-    upstreams: Arc<Upstreams>,
+    upstreams: Arc<UpstreamPool>,
     boot: BootId,
 }
 
 impl DispatchRunner {
     /// Creates a runner whose call ids contain the process's boot id.
-    pub fn new(handle: NodeHandle, upstreams: Arc<Upstreams>, boot: BootId) -> Self {
+    pub fn new(handle: NodeHandle, upstreams: Arc<UpstreamPool>, boot: BootId) -> Self {
         Self { handle, upstreams, boot }
     }
 
@@ -96,7 +96,7 @@
 /// A dispatch in progress.
 struct DispatchRun {
     handle: NodeHandle,
-    upstreams: Arc<Upstreams>,
+    upstreams: Arc<UpstreamPool>,
     exchange: ExchangeKey,
     call_id: Box<str>,
     started: Instant,
--- a/crates/sedgepathd/src/upstreams.rs
+++ b/crates/sedgepathd/src/upstreams.rs
@@ -58,12 +58,12 @@
 
 /// The pool of connections to the upstreams that this node uses.
 #[derive(Debug)]
-pub struct Upstreams {
+pub struct UpstreamPool {
     handle: NodeHandle,
     connections: Mutex<Map<UpstreamKey, UpstreamConnections>>,
 }
 
-impl Upstreams {
+impl UpstreamPool {
     /// Creates an empty pool that reports the number of open connections through the handle.
     pub fn new(handle: NodeHandle) -> Arc<Self> {
         Arc::new(Self { handle, connections: Mutex::default() })
