--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -17,7 +17,7 @@
 
 use crate::driver::NodeHandle;
 use crate::reply::{Answer, BodyAborted, BodySender, Reply, body};
-use crate::upstreams::{Call, CallError, Connection, UpstreamPool};
+use crate::upstreams::{CallError, Connection, UpstreamCall, UpstreamPool};
 
 /// The header by which an upstream states that it did not start a request.
 pub const NOT_STARTED_HEADER: &str = "sedgepath-not-started";
@@ -130,7 +130,8 @@
                     deadline_at_ms,
                     ..
                 }) => {
-                    let call = Call { upstream, address, may_open, send_by_ms, deadline_at_ms };
+                    let call =
+                        UpstreamCall { upstream, address, may_open, send_by_ms, deadline_at_ms };
                     self.run_call(call, domain, head, body, reply).await;
                     return;
                 }
@@ -146,7 +147,7 @@
 
     async fn run_call(
         &self,
-        call: Call,
+        call: UpstreamCall,
         domain: DomainKey,
         head: HttpRequestHead,
         body: Bytes,
@@ -159,7 +160,7 @@
             return;
         };
         let cancel_at_ms = call.deadline_at_ms.saturating_sub(CANCEL_RESERVE_MS).max(now_ms);
-        let shortened = Call { deadline_at_ms: cancel_at_ms, ..call };
+        let shortened = UpstreamCall { deadline_at_ms: cancel_at_ms, ..call };
         match self.upstreams.call(shortened, request).await {
             Ok((response, connection)) => {
                 let arrived = ArrivedResponse { response, connection, is_head };
@@ -188,7 +189,7 @@
 
     /// Cancels the call at the upstream; returns true only if it confirms that the request will
     /// never run.
-    async fn cancel(&self, call: Call) -> bool {
+    async fn cancel(&self, call: UpstreamCall) -> bool {
         let request = Request::post(CANCEL_PATH)
             .header(hyper::header::HOST, call.address.to_string())
             .header(CALL_ID_HEADER, &*self.call_id)
@@ -208,7 +209,7 @@
         &self,
         head: &HttpRequestHead,
         body: Bytes,
-        call: &Call,
+        call: &UpstreamCall,
         now_ms: u64,
     ) -> Option<Request<Full<Bytes>>> {
         let is_set_here =
@@ -228,7 +229,7 @@
 
     async fn relay_response(
         &self,
-        call: Call,
+        call: UpstreamCall,
         domain: DomainKey,
         arrived: ArrivedResponse,
         reply: oneshot::Sender<Reply>,
@@ -276,7 +277,7 @@
     }
 
     /// Reads a short body to its end, so that the connection can be reused.
-    async fn drain(&self, call: Call, incoming: Incoming, connection: Connection) {
+    async fn drain(&self, call: UpstreamCall, incoming: Incoming, connection: Connection) {
         if incoming.collect().await.is_ok() {
             self.upstreams.release(call.upstream, connection);
         }
--- a/crates/sedgepathd/src/upstreams.rs
+++ b/crates/sedgepathd/src/upstreams.rs
@@ -37,7 +37,7 @@
 
 /// The target and the time limits of a call.
 #[derive(Debug, Clone, Copy)]
-pub struct Call {
+pub struct UpstreamCall {
     /// The key of the upstream.
     pub upstream: UpstreamKey,
     /// The address of the upstream.
@@ -76,7 +76,7 @@
     /// Fails if the request could not be sent, or if no response arrived by the deadline.
     pub async fn call(
         self: &Arc<Self>,
-        call: Call,
+        call: UpstreamCall,
         mut request: Request<Full<Bytes>>,
     ) -> Result<(Response<Incoming>, Connection), CallError> {
         let deadline = self.handle.clock().instant(call.deadline_at_ms);
@@ -123,7 +123,7 @@
         None
     }
 
-    async fn open(self: &Arc<Self>, call: Call) -> Result<Connection, CallError> {
+    async fn open(self: &Arc<Self>, call: UpstreamCall) -> Result<Connection, CallError> {
         let deadline = self.handle.clock().instant(call.deadline_at_ms);
         let opened = timeout_at(deadline, TcpStream::connect(call.address)).await;
         let stream = opened.ok().and_then(Result::ok).ok_or(CallError::NotSent)?;
