--- a/crates/sedgepathd/src/callers.rs
+++ b/crates/sedgepathd/src/callers.rs
@@ -31,7 +31,7 @@
 use crate::hop::HopClient;
 use crate::limits::Limits;
 use crate::metrics::Metrics;
-use crate::reply::{Answer, Reply};
+use crate::reply::{Reply, UpstreamResponse};
 
 mod collect;
 mod deduplication;
@@ -323,7 +323,7 @@
 
     fn relay_response(
         &self,
-        upstream_response: Answer,
+        upstream_response: UpstreamResponse,
         request: RequestKey,
         end_reported: bool,
     ) -> Response<ResponseBody> {
--- a/crates/sedgepathd/src/callers/collect.rs
+++ b/crates/sedgepathd/src/callers/collect.rs
@@ -7,7 +7,7 @@
 use bytes::{Bytes, BytesMut};
 use sedgepath_core::request::StoredAnswer;
 
-use crate::reply::{Answer, BodyReceiver, body};
+use crate::reply::{BodyReceiver, UpstreamResponse, body};
 
 /// The largest response body that is stored for repeats, in bytes; larger bodies are streamed.
 const MAX_STORED_BYTES: usize = 64 * 1024;
@@ -15,16 +15,16 @@
 /// The result of buffering a response.
 pub(super) enum Collected {
     /// The body is complete and small enough to be stored.
-    Complete(Box<Answer>, StoredAnswer),
+    Complete(Box<UpstreamResponse>, StoredAnswer),
     /// The body is too large to be stored; the response streams it from the start.
-    TooLarge(Box<Answer>),
+    TooLarge(Box<UpstreamResponse>),
     /// The body ended early.
     Aborted,
 }
 
 /// Buffers a response. The length is not checked for a `HEAD` request, whose response declares the
 /// length of a body that is not sent.
-pub(super) async fn collect(mut response: Answer, is_head: bool) -> Collected {
+pub(super) async fn collect(mut response: UpstreamResponse, is_head: bool) -> Collected {
     let mut buffer = BytesMut::new();
     while let Some(chunk) = response.body.recv().await {
         let Ok(bytes) = chunk else {
@@ -72,7 +72,7 @@
     receiver
 }
 
-fn to_stored_answer(response: &Answer, bytes: &Bytes) -> StoredAnswer {
+fn to_stored_answer(response: &UpstreamResponse, bytes: &Bytes) -> StoredAnswer {
     let content_type = response
         .http
         .fields
--- a/crates/sedgepathd/src/callers/request_task.rs
+++ b/crates/sedgepathd/src/callers/request_task.rs
@@ -14,7 +14,7 @@
 use super::CallerServer;
 use super::collect::{Collected, collect};
 use crate::hop::{HopRequest, HopTarget};
-use crate::reply::{Answer, Reply};
+use crate::reply::{Reply, UpstreamResponse};
 
 /// The delay before a retry that is suggested to a caller whose response body was aborted, in
 /// milliseconds.
@@ -25,7 +25,7 @@
     /// An upstream's response, to be relayed to the caller.
     Response {
         /// The response.
-        response: Box<Answer>,
+        response: Box<UpstreamResponse>,
         /// The request that the response belongs to.
         request: RequestKey,
         /// Whether the node has already been told that the relay ended.
@@ -57,7 +57,7 @@
     attempt_sender: mpsc::UnboundedSender<(u32, Reply)>,
     attempt_replies: mpsc::UnboundedReceiver<(u32, Reply)>,
     attempt_tasks: HashMap<u32, JoinHandle<()>>,
-    responses: HashMap<u32, Box<Answer>>,
+    responses: HashMap<u32, Box<UpstreamResponse>>,
     outcome_decided: bool,
 }
 
@@ -135,7 +135,7 @@
         }
     }
 
-    async fn finish_with_response(mut self, response: Answer) -> RequestResult {
+    async fn finish_with_response(mut self, response: UpstreamResponse) -> RequestResult {
         self.outcome_decided = true;
         let request = self.request;
         if self.head.deduplication == Deduplication::Repeatable {
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -16,7 +16,7 @@
 use crate::driver::Clock;
 use crate::exchange::DispatchRunner;
 use crate::metrics::Metrics;
-use crate::reply::{Answer, BodyAborted, BodySender, Reply, body};
+use crate::reply::{BodyAborted, BodySender, Reply, UpstreamResponse, body};
 
 /// The most idle connections that are kept to a peer.
 const MAX_IDLE_PER_PEER: usize = 32;
@@ -140,7 +140,11 @@
                 let (sender, receiver) = body();
                 let hops = Arc::clone(self);
                 tokio::spawn(async move { hops.forward_body(address, stream, sender).await });
-                Ok(Reply::UpstreamResponse(Box::new(Answer { head, http, body: receiver })))
+                Ok(Reply::UpstreamResponse(Box::new(UpstreamResponse {
+                    head,
+                    http,
+                    body: receiver,
+                })))
             }
             Frame::Refused { refusal, .. } => {
                 self.release(address, stream);
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -16,7 +16,7 @@
 use crate::exchange::DispatchRunner;
 use crate::homes;
 use crate::metrics::Metrics;
-use crate::reply::{Answer, Reply};
+use crate::reply::{Reply, UpstreamResponse};
 
 /// The most connections of peers at once.
 const MAX_CONNECTIONS: usize = 1_024;
@@ -135,7 +135,7 @@
 async fn relay_response(
     stream: &mut FrameStream<TcpStream>,
     id: ExchangeId,
-    mut response: Answer,
+    mut response: UpstreamResponse,
 ) -> Result<(), FrameError> {
     stream.send(&Frame::Answer { id, head: response.head, http: response.http }).await?;
     while let Some(part) = response.body.recv().await {
--- a/crates/sedgepathd/src/reply.rs
+++ b/crates/sedgepathd/src/reply.rs
@@ -29,7 +29,7 @@
 
 /// An upstream's response, whose body is streamed to the caller.
 #[derive(Debug)]
-pub struct Answer {
+pub struct UpstreamResponse {
     /// The part of the response's head that the ingress node uses for its decisions.
     pub head: AnswerHead,
     /// The HTTP head that is sent to the caller.
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub enum Reply {
     /// The upstream's response has begun.
-    UpstreamResponse(Box<Answer>),
+    UpstreamResponse(Box<UpstreamResponse>),
     /// The request was rejected and not run.
     Rejected(Rejection),
     /// The request was not sent.
