--- a/crates/sedgepathd/src/callers.rs
+++ b/crates/sedgepathd/src/callers.rs
@@ -27,7 +27,7 @@
 use tokio::sync::{Semaphore, watch};
 
 use crate::driver::NodeHandle;
-use crate::exchange::passed_on;
+use crate::exchange::end_to_end_headers;
 use crate::hop::HopClient;
 use crate::limits::Limits;
 use crate::metrics::Metrics;
@@ -261,7 +261,7 @@
         let http = HttpRequestHead {
             method: parts.method.as_str().into(),
             target: target.into(),
-            fields: passed_on(&parts.headers),
+            fields: end_to_end_headers(&parts.headers),
             body_bytes: body.len() as u64,
         };
         let result = RequestTask::new(Arc::clone(self), head, http, body).serve().await;
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -254,7 +254,7 @@
             self.report_outcome(CallOutcome::Lost);
             return;
         }
-        let mut fields = passed_on(&parts.headers);
+        let mut fields = end_to_end_headers(&parts.headers);
         if is_head && let Some(length) = parts.headers.get(CONTENT_LENGTH) {
             // The length that a GET would have; the response to a HEAD has no body.
             fields.push((CONTENT_LENGTH.as_str().into(), length.as_bytes().to_vec()));
@@ -316,7 +316,7 @@
 ];
 
 /// Returns the headers that are forwarded to the next hop.
-pub fn passed_on(headers: &HeaderMap) -> Vec<HeaderField> {
+pub fn end_to_end_headers(headers: &HeaderMap) -> Vec<HeaderField> {
     let connection_options: Vec<String> = headers
         .get_all(hyper::header::CONNECTION)
         .iter()
