--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -130,7 +130,7 @@
         let caller_server_task = tokio::spawn(callers.serve(callers_listener, callers_stop));
         tokio::spawn(peers.serve(peers_listener));
         tokio::spawn(operators::run_fetches(fetch_jobs, call_key, handle.clone()));
-        tokio::spawn(homes::run_hand_overs(handovers, hops, handle.clone(), boot));
+        tokio::spawn(homes::run_ticket_handovers(handovers, hops, handle.clone(), boot));
         tokio::spawn(operator_server.stopped());
         Ok::<_, StartError>(caller_server_task)
     })?;
--- a/crates/sedgepathd/src/homes.rs
+++ b/crates/sedgepathd/src/homes.rs
@@ -34,7 +34,7 @@
 }
 
 /// Runs handovers concurrently until the process ends.
-pub async fn run_hand_overs(
+pub async fn run_ticket_handovers(
     mut jobs: mpsc::UnboundedReceiver<TicketHandoverJob>,
     hops: Arc<HopClient>,
     handle: NodeHandle,
