--- a/crates/sedgepathd/src/callers/collect.rs
+++ b/crates/sedgepathd/src/callers/collect.rs
@@ -7,7 +7,7 @@
 use bytes::{Bytes, BytesMut};
 use sedgepath_core::request::StoredAnswer;
 
-use crate::reply::{BodyReceiver, UpstreamResponse, body};
+use crate::reply::{BodyReceiver, UpstreamResponse, body_channel};
 
 /// The largest response body that is stored for repeats, in bytes; larger bodies are streamed.
 const MAX_STORED_BYTES: usize = 64 * 1024;
@@ -49,7 +49,7 @@
 
 /// Returns a body that consists of these bytes.
 fn buffered_body(bytes: Bytes) -> BodyReceiver {
-    let (sender, receiver) = body();
+    let (sender, receiver) = body_channel();
     if !bytes.is_empty() {
         // Can't fail: the channel is empty and its receiver is still held.
         let _sent = sender.try_send(Ok(bytes));
@@ -59,7 +59,7 @@
 
 /// Returns a body that starts with these bytes and continues with the rest.
 fn prepend_to_body(first: Bytes, mut rest: BodyReceiver) -> BodyReceiver {
-    let (sender, receiver) = body();
+    let (sender, receiver) = body_channel();
     tokio::spawn(async move {
         let mut next_chunk = Some(Ok(first));
         while let Some(chunk) = next_chunk {
--- a/crates/sedgepathd/src/exchange.rs
+++ b/crates/sedgepathd/src/exchange.rs
@@ -16,7 +16,7 @@
 use tokio::time::timeout;
 
 use crate::driver::NodeHandle;
-use crate::reply::{BodyAborted, BodySender, Reply, UpstreamResponse, body};
+use crate::reply::{BodyAborted, BodySender, Reply, UpstreamResponse, body_channel};
 use crate::upstreams::{CallError, Connection, UpstreamCall, UpstreamPool};
 
 /// The header by which an upstream states that it did not start a request.
@@ -259,7 +259,7 @@
             // The length that a GET would have; the response to a HEAD has no body.
             fields.push((CONTENT_LENGTH.as_str().into(), length.as_bytes().to_vec()));
         }
-        let (sender, receiver) = body();
+        let (sender, receiver) = body_channel();
         let response = UpstreamResponse {
             head: AnswerHead { status: parts.status.as_u16(), upstream: call.upstream, domain },
             http: HttpResponseHead { fields, body_bytes: incoming.size_hint().exact() },
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -16,7 +16,7 @@
 use crate::driver::Clock;
 use crate::exchange::DispatchRunner;
 use crate::metrics::Metrics;
-use crate::reply::{BodyAborted, BodySender, Reply, UpstreamResponse, body};
+use crate::reply::{BodyAborted, BodySender, Reply, UpstreamResponse, body_channel};
 
 /// The most idle connections that are kept to a peer.
 const MAX_IDLE_PER_PEER: usize = 32;
@@ -137,7 +137,7 @@
         }
         match frame {
             Frame::Answer { head, http, .. } => {
-                let (sender, receiver) = body();
+                let (sender, receiver) = body_channel();
                 let hops = Arc::clone(self);
                 tokio::spawn(async move { hops.forward_body(address, stream, sender).await });
                 Ok(Reply::UpstreamResponse(Box::new(UpstreamResponse {
--- a/crates/sedgepathd/src/reply.rs
+++ b/crates/sedgepathd/src/reply.rs
@@ -23,7 +23,7 @@
 pub type BodySender = mpsc::Sender<Result<Bytes, BodyAborted>>;
 
 /// Creates the channel that streams a body's chunks.
-pub fn body() -> (BodySender, BodyReceiver) {
+pub fn body_channel() -> (BodySender, BodyReceiver) {
     mpsc::channel(MAX_BUFFERED_CHUNKS)
 }
 
