--- a/crates/sedgepathd/src/callers.rs
+++ b/crates/sedgepathd/src/callers.rs
@@ -26,8 +26,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, watch};
 
+use crate::dispatch::end_to_end_headers;
 use crate::driver::NodeHandle;
-use crate::exchange::end_to_end_headers;
 use crate::hop::HopClient;
 use crate::limits::Limits;
 use crate::metrics::Metrics;
--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -25,9 +25,8 @@
 
 use crate::callers::CallerServer;
 use crate::datagrams;
+use crate::dispatch::DispatchRunner;
 use crate::driver::{self, Clock, DriverOutputs};
-use crate::exchange::DispatchRunner;
-use crate::homes;
 use crate::hop::HopClient;
 use crate::logging;
 use crate::metrics::{self, Metrics};
@@ -37,6 +36,7 @@
 use crate::start::StartError;
 use crate::store::{self, BlockingStoreTable};
 use crate::table;
+use crate::ticket_handover;
 use crate::upstreams::UpstreamPool;
 
 /// The maximum time that callers have to read the rest of their responses at a planned stop.
@@ -130,7 +130,7 @@
         let caller_server_task = tokio::spawn(callers.serve(callers_listener, callers_stop));
         tokio::spawn(peers.serve(peers_listener));
         tokio::spawn(operators::run_fetches(fetch_jobs, call_key, handle.clone()));
-        tokio::spawn(homes::run_ticket_handovers(handovers, hops, handle.clone(), boot));
+        tokio::spawn(ticket_handover::run_ticket_handovers(handovers, hops, handle.clone(), boot));
         tokio::spawn(operator_server.stopped());
         Ok::<_, StartError>(caller_server_task)
     })?;
--- a/crates/sedgepathd/src/driver.rs
+++ b/crates/sedgepathd/src/driver.rs
@@ -22,10 +22,10 @@
 use sedgepath_wire::time::unix_ms;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::homes::TicketHandoverJob;
 use crate::logging;
 use crate::metrics::Metrics;
 use crate::table::TableJob;
+use crate::ticket_handover::TicketHandoverJob;
 
 /// The interval between two ticks of the node.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
--- a/crates/sedgepathd/src/hop.rs
+++ b/crates/sedgepathd/src/hop.rs
@@ -13,8 +13,8 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout_at;
 
+use crate::dispatch::DispatchRunner;
 use crate::driver::Clock;
-use crate::exchange::DispatchRunner;
 use crate::metrics::Metrics;
 use crate::reply::{BodyAborted, BodySender, Reply, UpstreamResponse, body_channel};
 
--- a/crates/sedgepathd/src/lib.rs
+++ b/crates/sedgepathd/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! One thread owns the node ([`driver`]); the other threads and tasks send it events and execute its
 //! actions. Requests are processed by asynchronous tasks: [`callers`] accepts them, [`hop`] sends
-//! them to the VM that owns the upstream, and [`exchange`] runs them there. [`direct`] is the other
+//! them to the VM that owns the upstream, and [`dispatch`] runs them there. [`direct`] is the other
 //! mode of the daemon, in which each VM sends requests to upstreams itself.
 
 pub mod callers;
@@ -10,9 +10,8 @@
 pub mod daemon;
 pub mod datagrams;
 pub mod direct;
+pub mod dispatch;
 pub mod driver;
-pub mod exchange;
-pub mod homes;
 pub mod hop;
 pub mod limits;
 pub mod logging;
@@ -24,4 +23,5 @@
 pub mod start;
 pub mod store;
 pub mod table;
+pub mod ticket_handover;
 pub mod upstreams;
--- a/crates/sedgepathd/src/peers.rs
+++ b/crates/sedgepathd/src/peers.rs
@@ -13,10 +13,10 @@
 use tokio::time::timeout;
 
 use crate::callers::CallerServer;
-use crate::exchange::DispatchRunner;
-use crate::homes;
+use crate::dispatch::DispatchRunner;
 use crate::metrics::Metrics;
 use crate::reply::{Reply, UpstreamResponse};
+use crate::ticket_handover;
 
 /// The most connections of peers at once.
 const MAX_CONNECTIONS: usize = 1_024;
@@ -99,7 +99,9 @@
                 PeerOperation::ServeAsHome(home) => {
                     Ok(self.callers.serve_as_home(id.ingress, home, head, body).await)
                 }
-                PeerOperation::StoreTickets => homes::store_tickets(self.callers.handle(), &body),
+                PeerOperation::StoreTickets => {
+                    ticket_handover::store_tickets(self.callers.handle(), &body)
+                }
             }
         };
         let reply = tokio::select! {
