--- a/crates/sedgepath-core/src/deduplication.rs
+++ b/crates/sedgepath-core/src/deduplication.rs
@@ -1,9 +1,10 @@
 //! At-most-once execution of requests.
 //!
-//! [`DeduplicationSystem`] admits a request before its first attempt and records its outcome. There are
-//! two mechanisms, and a key never moves from one to the other: [`claims`] stores keys that callers
-//! choose in the platform's table; [`tickets`] keeps keys that a node mints in the memory of its
-//! boot, so that they work while the platform is down.
+//! [`DeduplicationSystem`] admits a request before it is first sent to an upstream and records its
+//! outcome. There are two mechanisms, and a key never moves from one to the other: [`claims`] stores
+//! keys that callers choose in the platform's table; [`tickets`] keeps keys that a node mints in that
+//! node's memory, so that they work while the platform is down. Tickets are lost if the process is
+//! killed.
 
 use crate::event::Action;
 use crate::hash::Digest;
@@ -32,7 +33,8 @@
 use row::TicketHandover;
 use tickets::{MintError, Tickets};
 
-/// The delay after which a caller should ask again for an outcome, in milliseconds.
+/// The delay after which a caller should retry if the outcome is *not run* or *unknown*, in
+/// milliseconds.
 const RETRY_AFTER_MS: u64 = 500;
 
 /// The requests of a node that must run at most once.
@@ -41,8 +43,8 @@
     batcher: Batcher,
     claims: Claims,
     tickets: Tickets,
-    visitors: ForwardedRequests,
-    poll_handover: Option<Handover>,
+    forwarded: ForwardedRequests,
+    handover: Option<Handover>,
 }
 
 impl DeduplicationSystem {
@@ -66,10 +68,10 @@
             }
             Deduplication::Ticket(ticket) => {
                 let batcher = &mut self.batcher;
-                self.visitors.take(request, ticket, head, membership, batcher, out);
+                self.forwarded.handle_request(request, ticket, head, membership, batcher, out);
                 false
             }
-            Deduplication::Key(_) if self.poll_handover.is_some() => {
+            Deduplication::Key(_) if self.handover.is_some() => {
                 conclude(request, unsettled(head.attempt, RejectionReason::NotReady), out);
                 false
             }
@@ -86,53 +88,53 @@
         self.claims.take_granted()
     }
 
-    /// Handles the end of relaying an answer; `stored` is the answer to give to repeats.
+    /// Handles the end of relaying a response; `stored` is the response to return for retries.
     pub fn handle_relay_end(
         &mut self,
         request: RequestKey,
         stored: Option<StoredAnswer>,
         out: &mut Outbox,
     ) {
-        self.visitors.forget(request);
-        self.tickets.answered(request, stored.clone());
-        self.claims.handle_answer(request, stored, &mut self.batcher);
+        self.forwarded.forget(request);
+        self.tickets.handle_response(request, stored.clone());
+        self.claims.handle_response(request, stored, &mut self.batcher);
         self.batcher.flush(out);
     }
 
-    /// Handles that a request's caller disconnected.
+    /// Handles the disconnection of a request's caller.
     pub fn handle_caller_disconnect(&mut self, request: RequestKey, out: &mut Outbox) {
-        self.visitors.forget(request);
-        self.tickets.caller_gone(request);
-        self.claims.handle_caller_gone(request, &mut self.batcher);
+        self.forwarded.forget(request);
+        self.tickets.handle_caller_disconnect(request);
+        self.claims.handle_caller_disconnect(request, &mut self.batcher);
         self.batcher.flush(out);
     }
 
-    /// Handles a table result; returns false if the request was not sent from here.
+    /// Handles a table result; returns false if this system did not request the operation.
     pub fn handle_table_result(
         &mut self,
         operation: OperationKey,
         result: &TableResult,
         out: &mut Outbox,
     ) -> bool {
-        let Some(replies) = self.batcher.take_result(operation, result) else {
+        let Some(replies) = self.batcher.handle_result(operation, result) else {
             return false;
         };
-        for (job, reply) in replies {
-            self.replied(job, reply, out);
+        for (requester, reply) in replies {
+            self.handle_reply(requester, reply, out);
         }
         self.batcher.flush(out);
         true
     }
 
-    fn replied(&mut self, job: Requester, reply: Reply, out: &mut Outbox) {
-        match job {
+    fn handle_reply(&mut self, requester: Requester, reply: Reply, out: &mut Outbox) {
+        match requester {
             Requester::Claim(request) => {
                 self.claims.handle_reply(request, reply, &mut self.batcher, out);
             }
-            Requester::Ticket(request) => self.visitors.replied(request, &reply, out),
+            Requester::Ticket(request) => self.forwarded.handle_reply(request, &reply, out),
             Requester::Handover(index) => {
-                if let Some(hand_over) = &mut self.poll_handover {
-                    hand_over.replied(index, &reply, &mut self.batcher, out);
+                if let Some(handover) = &mut self.handover {
+                    handover.handle_reply(index, &reply, &mut self.batcher, out);
                 }
             }
         }
@@ -153,113 +155,117 @@
         self.tickets.mint(service, count, out)
     }
 
-    /// Handles the answer of another VM; returns false if the request was not forwarded.
+    /// Handles another VM's response to a forwarded request; returns false if the request was not
+    /// forwarded.
     pub fn handle_hop_response(&self, request: RequestKey, attempt: u32, out: &mut Outbox) -> bool {
-        self.visitors.hop_answered(request, attempt, out)
+        self.forwarded.handle_hop_response(request, attempt, out)
     }
 
-    /// Handles the end of a hop to another VM; returns false if the request was not forwarded.
+    /// Handles the failure of a request forwarded to another VM; returns false if the request was not
+    /// forwarded.
     pub fn handle_hop_failure(
         &mut self,
         request: RequestKey,
-        end: HopFailure,
+        failure: HopFailure,
         membership: &Membership,
         out: &mut Outbox,
     ) -> bool {
-        let known = self.visitors.hop_ended(request, end, membership, &mut self.batcher, out);
+        let was_forwarded =
+            self.forwarded.handle_hop_failure(request, failure, membership, &mut self.batcher, out);
         self.batcher.flush(out);
-        known
+        was_forwarded
     }
 
     /// Stores the tickets that a peer hands over.
     pub fn store_handover(&mut self, tickets: TicketHandover) {
-        self.visitors.keep(tickets);
+        self.forwarded.store_handover(tickets);
     }
 
-    /// Handles whether a successor accepted the copy of this node's tickets.
-    pub fn handle_copy_result(&mut self, operation: OperationKey, taken: bool) {
-        if let Some(hand_over) = &mut self.poll_handover {
-            hand_over.handle_copy_result(operation, taken);
+    /// Handles the result of sending a copy of this node's tickets to a successor.
+    pub fn handle_copy_result(&mut self, operation: OperationKey, accepted: bool) {
+        if let Some(handover) = &mut self.handover {
+            handover.handle_copy_result(operation, accepted);
         }
     }
 
-    /// Stops running tickets and hands over their state; returns true once the handover is complete
-    /// or has timed out.
+    /// Closes the tickets to new requests and, once none is running, hands over their state; returns
+    /// true once the handover is complete or has timed out.
     ///
     /// Called at each tick once the node has nothing in flight.
     pub fn poll_handover(&mut self, membership: &Membership, out: &mut Outbox) -> bool {
         self.tickets.close();
-        if !self.tickets.is_idle() || !self.visitors.is_idle() {
+        if !self.tickets.is_idle() || !self.forwarded.is_idle() {
             return false;
         }
-        if self.poll_handover.is_none() {
+        if self.handover.is_none() {
             let tickets = self.tickets.handover(out);
-            self.poll_handover = Some(Handover::new(tickets, membership, &mut self.batcher, out));
+            self.handover = Some(Handover::new(tickets, membership, &mut self.batcher, out));
             self.batcher.flush(out);
         }
-        let claims = self.claims.unsettled_count();
-        self.poll_handover.as_ref().is_some_and(|hand_over| hand_over.is_done(claims, out))
+        let unsettled_claims = self.claims.unsettled_count();
+        self.handover.as_ref().is_some_and(|handover| handover.is_done(unsettled_claims, out))
     }
 
-    /// Handles timeouts, retries and expiry.
+    /// Retries table writes, times out waiting requests, and expires claims and tickets.
     pub fn tick(&mut self, out: &mut Outbox) {
         self.claims.tick(&mut self.batcher, out);
-        self.visitors.tick(out);
+        self.forwarded.tick(out);
         self.tickets.expire(out.now_ms());
-        if let Some(hand_over) = &mut self.poll_handover {
-            hand_over.tick(&mut self.batcher, out);
+        if let Some(handover) = &mut self.handover {
+            handover.tick(&mut self.batcher, out);
         }
         self.batcher.flush(out);
     }
 
     /// Records the outcomes among an event's actions and returns the actions to perform. An outcome
-    /// that has to wait for the release of its claim is held back.
+    /// that has to wait for the release of its claim is held back, for a limited time.
     ///
-    /// All outcomes pass through the actions, whatever decided them, so no caller hears *not run*
-    /// before the release of its claim was started.
+    /// Every outcome passes through here, so no caller is told *not run* before the node has started
+    /// to release the claim.
     pub fn intercept_outcomes(&mut self, out: &mut Outbox) -> Vec<Action> {
-        let mut kept = Vec::new();
+        let mut actions = Vec::new();
         for action in out.take_actions() {
             match action {
                 Action::Conclude { request, outcome } => {
-                    self.tickets.concluded(request, &outcome);
+                    self.tickets.handle_outcome(request, &outcome);
                     let outcome =
                         self.claims.handle_outcome(request, outcome, &mut self.batcher, out);
-                    kept.extend(outcome.map(|outcome| Action::Conclude { request, outcome }));
+                    actions.extend(outcome.map(|outcome| Action::Conclude { request, outcome }));
                 }
-                other => kept.push(other),
+                other => actions.push(other),
             }
         }
         self.batcher.flush(out);
-        kept.extend(out.take_actions());
-        kept
+        actions.extend(out.take_actions());
+        actions
     }
 }
 
 /// Returns the outcome of a request that was not run and will not be.
 fn not_run(reason: RejectionReason) -> Outcome {
-    let refusal = Rejection { reason, retry_after_ms: RETRY_AFTER_MS };
-    Outcome::NotRun { refusal, others: Vec::new() }
+    let rejection = Rejection { reason, retry_after_ms: RETRY_AFTER_MS };
+    Outcome::NotRun { refusal: rejection, others: Vec::new() }
 }
 
-/// Whether an attempt must not run because the caller was told *not run* for attempt `denied`.
+/// Returns whether an attempt must not run because the caller was told *not run* for `denied`.
 ///
-/// The caller may have moved on to another key, so neither an earlier attempt that arrives late nor
-/// a duplicate of the same attempt may run. A request without an attempt number (0) is always new.
+/// The caller may have continued with another key, so neither an earlier attempt that arrives late
+/// nor a duplicate of the same attempt may run. A request without an attempt number (0) counts as
+/// earlier than all numbered attempts, but not as a duplicate of another one without a number.
 fn is_denied(attempt: u32, denied: u32) -> bool {
     attempt < denied || (attempt == denied && attempt != 0)
 }
 
 /// Returns the outcome of a request that was not sent while the state of its key is unknown.
 ///
-/// It is *not run* for attempt 1 only: before a later attempt, an earlier one may have run elsewhere.
-/// A request without an attempt number may be a repeat too.
+/// The outcome is *not run* only for attempt 1. For a later attempt, or a request without an attempt
+/// number, an earlier attempt may have run elsewhere.
 fn unsettled(attempt: u32, reason: RejectionReason) -> Outcome {
     if attempt == 1 { not_run(reason) } else { Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS } }
 }
 
-/// Replaces *not run* by *unknown* for a request that was rejected before its key was looked up,
-/// unless it is attempt 1.
+/// Replaces *not run* with *unknown* unless the request is attempt 1. Used for requests that were
+/// rejected before their key was looked up.
 pub fn not_run_to_unknown(head: &RequestHead, outcome: &mut Outcome) {
     if matches!(outcome, Outcome::NotRun { .. }) && head.attempt != 1 {
         *outcome = Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS };
--- a/crates/sedgepath-core/src/deduplication/batch.rs
+++ b/crates/sedgepath-core/src/deduplication/batch.rs
@@ -1,9 +1,9 @@
 //! Batches table requests into few transactions, since the platform limits the rate of writes.
 //!
-//! A transaction fails as a whole if the condition of one row does not hold. That row's sender gets
-//! the conflict; the other senders are told that their rows were not written and read their rows in
-//! one batch before they write again. Sending the remaining rows again at once could cost a
-//! transaction per conflict.
+//! A transaction fails as a whole if the condition of one row does not hold. That row's requester
+//! gets [`Reply::Conflict`]; the others get [`Reply::NotWritten`] and read their rows in one batch
+//! before they write again. Retrying the remaining rows at once could take a transaction per
+//! conflict.
 
 use std::collections::VecDeque;
 
@@ -25,18 +25,18 @@
 /// The maximum total size of the rows in a transaction, in bytes; a larger row is sent alone.
 const MAX_TRANSACTION_BYTES: usize = 256 * 1024;
 
-/// The sender of a table request, to which the result is returned.
+/// The requester of a table operation, to which the result is returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Requester {
-    /// The claim of a request.
+    /// The claim of this request.
     Claim(RequestKey),
-    /// The read of a ticket's rows, if its home can't be reached.
+    /// A forwarded request that reads its ticket's rows because the ticket's home can't be reached.
     Ticket(RequestKey),
     /// A row of the handover, by its index.
     Handover(usize),
 }
 
-/// The result of a table request for one sender.
+/// The result of a table operation for one requester.
 #[derive(Debug)]
 pub enum Reply {
     /// The row was written.
@@ -45,8 +45,8 @@
     Conflict(Option<Row>),
     /// The row was not written, since the condition of another row did not hold.
     NotWritten,
-    /// The write was certainly not carried out, or the read failed.
-    Refused,
+    /// The write was certainly not applied, or the read failed.
+    Unavailable,
     /// The row may have been written or may still be written later.
     Unknown,
     /// The rows that were read.
@@ -55,42 +55,42 @@
 
 #[derive(Debug)]
 struct QueuedWrite {
-    job: Requester,
-    write: RowWrite,
+    requester: Requester,
+    row: RowWrite,
 }
 
 #[derive(Debug)]
-struct Reading {
-    job: Requester,
+struct QueuedRead {
+    requester: Requester,
     keys: Vec<Box<str>>,
 }
 
-/// Batches table requests and returns their results by sender.
+/// Batches table requests and returns their results by requester.
 #[derive(Debug, Default)]
 pub struct Batcher {
     writes: VecDeque<QueuedWrite>,
-    reads: VecDeque<Reading>,
+    reads: VecDeque<QueuedRead>,
     commits_in_flight: Map<OperationKey, Vec<QueuedWrite>>,
-    reads_in_flight: Map<OperationKey, Vec<Reading>>,
+    reads_in_flight: Map<OperationKey, Vec<QueuedRead>>,
     next_commit_at_ms: u64,
     next_read_at_ms: u64,
 }
 
 impl Batcher {
     /// Queues a row to be written.
-    pub fn write(&mut self, job: Requester, write: RowWrite) {
-        self.writes.push_back(QueuedWrite { job, write });
+    pub fn write(&mut self, requester: Requester, row: RowWrite) {
+        self.writes.push_back(QueuedWrite { requester, row });
     }
 
     /// Queues rows to be read.
-    pub fn read(&mut self, job: Requester, keys: Vec<Box<str>>) {
-        self.reads.push_back(Reading { job, keys });
+    pub fn read(&mut self, requester: Requester, keys: Vec<Box<str>>) {
+        self.reads.push_back(QueuedRead { requester, keys });
     }
 
-    /// Removes a sender's write from the queue; returns false if it was not queued.
-    pub fn cancel_write(&mut self, job: Requester) -> bool {
+    /// Removes a requester's writes from the queue; returns false if none was queued.
+    pub fn cancel_write(&mut self, requester: Requester) -> bool {
         let before = self.writes.len();
-        self.writes.retain(|write| write.job != job);
+        self.writes.retain(|write| write.requester != requester);
         self.writes.len() < before
     }
 
@@ -110,7 +110,7 @@
             self.next_read_at_ms = out.now_ms() + MIN_FLUSH_INTERVAL_MS;
             let count = self.reads.len().min(MAX_BATCH_ROWS);
             let batch: Vec<_> = self.reads.drain(..count).collect();
-            let keys = batch.iter().flat_map(|reading| reading.keys.iter().cloned());
+            let keys = batch.iter().flat_map(|read| read.keys.iter().cloned());
             let operation = out.request_table(TableRequest::Read(keys.collect()));
             self.reads_in_flight.insert(operation, batch);
         }
@@ -118,29 +118,29 @@
 
     fn commit(&mut self, out: &mut Outbox) {
         let mut batch = Vec::new();
-        let mut later = VecDeque::new();
+        let mut remaining = VecDeque::new();
         let mut keys: Set<Box<str>> = Set::default();
-        let mut bytes = 0;
+        let mut batch_bytes = 0;
         for write in self.writes.drain(..) {
-            let size = size_bytes(&write.write);
+            let size_bytes = row_size_bytes(&write.row);
             let fits = batch.len() < MAX_BATCH_ROWS
-                && (batch.is_empty() || bytes + size <= MAX_TRANSACTION_BYTES);
+                && (batch.is_empty() || batch_bytes + size_bytes <= MAX_TRANSACTION_BYTES);
             // Writes of the same row must keep their order, so they never share a transaction.
-            if fits && later.is_empty() && keys.insert(write.write.key.clone()) {
-                bytes += size;
+            if fits && remaining.is_empty() && keys.insert(write.row.key.clone()) {
+                batch_bytes += size_bytes;
                 batch.push(write);
             } else {
-                later.push_back(write);
+                remaining.push_back(write);
             }
         }
-        self.writes = later;
-        let writes = batch.iter().map(|write| write.write.clone()).collect();
+        self.writes = remaining;
+        let writes = batch.iter().map(|write| write.row.clone()).collect();
         let operation = out.request_table(TableRequest::Commit(Transaction { writes }));
         self.commits_in_flight.insert(operation, batch);
     }
 
-    /// Returns the result by sender, or `None` if the request was not sent from here.
-    pub fn take_result(
+    /// Returns the result by requester, or `None` if the batcher did not request the operation.
+    pub fn handle_result(
         &mut self,
         operation: OperationKey,
         result: &TableResult,
@@ -149,36 +149,36 @@
             return Some(Self::commit_replies(batch, result));
         }
         let batch = self.reads_in_flight.remove(&operation)?;
-        let replies = batch.into_iter().map(|reading| (reading.job, read_reply(&reading, result)));
+        let replies = batch.into_iter().map(|read| (read.requester, read_reply(&read, result)));
         Some(replies.collect())
     }
 
     fn commit_replies(batch: Vec<QueuedWrite>, result: &TableResult) -> Vec<(Requester, Reply)> {
         if let TableResult::Conflict { key, current } = result {
             let reply = |write: QueuedWrite| {
-                let conflicts = write.write.key == *key;
+                let conflicts = write.row.key == *key;
                 let conflict = || Reply::Conflict(current.clone());
-                (write.job, if conflicts { conflict() } else { Reply::NotWritten })
+                (write.requester, if conflicts { conflict() } else { Reply::NotWritten })
             };
             return batch.into_iter().map(reply).collect();
         }
         let reply = || match result {
             TableResult::Committed => Reply::Written,
-            TableResult::Unavailable => Reply::Refused,
+            TableResult::Unavailable => Reply::Unavailable,
             _ => Reply::Unknown,
         };
-        batch.into_iter().map(|write| (write.job, reply())).collect()
+        batch.into_iter().map(|write| (write.requester, reply())).collect()
     }
 }
 
-fn read_reply(reading: &Reading, result: &TableResult) -> Reply {
+fn read_reply(read: &QueuedRead, result: &TableResult) -> Reply {
     let TableResult::Rows(rows) = result else {
-        return Reply::Refused;
+        return Reply::Unavailable;
     };
-    Reply::Rows(rows.iter().filter(|row| reading.keys.contains(&row.key)).cloned().collect())
+    Reply::Rows(rows.iter().filter(|row| read.keys.contains(&row.key)).cloned().collect())
 }
 
-fn size_bytes(write: &RowWrite) -> usize {
+fn row_size_bytes(write: &RowWrite) -> usize {
     write.key.len()
         + match &write.change {
             RowChange::Put(value) => value.len(),
--- a/crates/sedgepath-core/src/deduplication/claim.rs
+++ b/crates/sedgepath-core/src/deduplication/claim.rs
@@ -9,29 +9,29 @@
 /// How long the row of a finished claim is kept, in milliseconds.
 pub const CLAIM_RETENTION_MS: u64 = 3_600_000;
 
-/// The end of a claim that is to be written to its row.
+/// The final state of a claim, to be written to its row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimEnd {
     /// The action was not run under the claim.
     NotRun,
-    /// The action ran; the answer is `None` if it is not stored for repeats.
+    /// The action ran; the response is `None` if it is not stored for retries.
     Answered(Option<StoredAnswer>),
-    /// The row has expired and is removed.
+    /// The row has expired and is to be removed.
     Expired,
 }
 
 /// What a claim waits for next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// The read of the row, for a repeat or after a write whose result is unknown.
+    /// The read of the row, for a retry or after a write that was not applied or may not have been.
     Reading,
-    /// The write of the claim under this condition.
+    /// The write of the claim to the table, under this condition.
     Claiming(RowCondition),
-    /// The node to start the request.
+    /// The node's start of the request.
     Granted,
     /// The end of the request.
     Running,
-    /// The write of the end to the row.
+    /// The write of the final state to the row, or a read before it.
     Ending(ClaimEnd),
 }
 
@@ -40,11 +40,11 @@
 pub struct Claim {
     /// The digest of the caller's key.
     pub key: Digest,
-    /// The digest of the request, to tell a repeat from another request.
+    /// The digest of the request, to detect that the key is reused for another request.
     pub digest: Digest,
-    /// The attempt number from the request.
+    /// The attempt number from the request, or 0 if it has none.
     pub attempt: u32,
-    /// The request; `None` once it has been started, concluded or given up.
+    /// The request; `None` once it was granted, concluded or given up.
     pub head: Option<RequestHead>,
     /// What the claim waits for next.
     pub step: Step,
@@ -52,10 +52,10 @@
     pub unconfirmed_write: Option<RowCondition>,
     /// When the request stops waiting for the claim, in milliseconds.
     pub give_up_at_ms: u64,
-    /// An outcome that is held back until the claim is released, at most until the time in
-    /// milliseconds.
+    /// An outcome that is held back until the claim is released, and the time in milliseconds at
+    /// which it is sent at the latest.
     pub held_outcome: Option<(Outcome, u64)>,
-    /// When the write of the end is retried, in milliseconds.
+    /// When the write of the final state is retried, in milliseconds.
     pub retry_at_ms: Option<u64>,
 }
 
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Whether the claim's request was not run and will not be.
+    /// Returns whether the claim's request was not run and will not be.
     pub fn is_given_up(&self) -> bool {
         match self.step {
             Step::Claiming(_) | Step::Reading => self.head.is_none(),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Whether the claim's request was passed to the node to run.
+    /// Returns whether the claim's request was passed to the node to run.
     pub fn is_started(&self) -> bool {
         matches!(self.step, Step::Granted | Step::Running)
     }
--- a/crates/sedgepath-core/src/deduplication/claims.rs
+++ b/crates/sedgepath-core/src/deduplication/claims.rs
@@ -1,24 +1,24 @@
 //! At-most-once execution under keys that callers choose, by claims in the platform's table.
 //!
-//! A caller may repeat its request through any entry VM, table writes may be applied late or lose
-//! their results, and nodes may pause or fail at any time. Still an action runs at most once, and
-//! *not run* stays true once a caller was told so. Claims are not leases: an expired lease does not
-//! prove that a paused holder won't send.
+//! A caller may retry its request through any entry VM, table writes may be applied late or their
+//! results may be lost, and nodes may pause or fail at any time. Still, an action runs at most once,
+//! and it never runs after its caller was told *not run*. Claims are not leases: an expired lease
+//! does not prove that a paused holder won't send the request.
 //!
 //! # Invariants
 //!
-//! - A request is sent only after its own claim was seen in the table, by the result of the write or
-//!   by a read that shows this request as the holder.
-//! - A row in state held is changed only by requests of its holder's boot. The key of a node that
-//!   failed stays *unknown*, since the node may have sent the request.
+//! - A request is sent only after its own claim is known to be in the table, from the result of the
+//!   write or from a read that returns this request as the holder.
+//! - A row in state *held* is changed only by requests of its holder's boot. The outcome of a key
+//!   held by a failed node stays *unknown*, since the node may have sent the request.
 //! - Every write of a row is conditional on the version that it replaces or on the row's absence, so
 //!   a write that is applied late fails.
-//! - A request that gives up while its write may still be applied leaves a tombstone, a row in state
-//!   *not run*, that the late write conflicts with. The node retries until the tombstone is written.
-//!   If the node fails before, the late claim belongs to a failed holder: the action never runs and
-//!   stays *unknown*.
-//! - A row in state *not run* covers all attempts up to its number, so a delayed earlier attempt can't
-//!   claim the key after the caller was told *not run*.
+//! - A request that is given up while its write may still be applied leaves a tombstone, a row in
+//!   state *not run*, with which the late write conflicts. The node retries until the tombstone is
+//!   written. If the node fails before that, the late claim belongs to a failed holder: the action
+//!   never runs and its outcome stays *unknown*.
+//! - A row in state *not run* covers all attempts up to its number, so a delayed earlier attempt
+//!   can't claim the key after the caller was told *not run*.
 
 use crate::hash::{Digest, Map};
 use crate::key::RequestKey;
@@ -40,13 +40,13 @@
 /// The maximum time that an outcome waits for the release of its claim, in milliseconds.
 const MAX_RELEASE_WAIT_MS: u64 = 250;
 
-/// The delay before a rejected write is retried, in milliseconds.
+/// The delay before the write of a final state is retried, in milliseconds.
 const RETRY_MS: u64 = 500;
 
 /// The maximum number of claims in progress on a node; further requests are rejected.
 const MAX_CLAIMS: usize = 10_000;
 
-/// The claims in progress on this node.
+/// The claims in progress on this node, and the rows that it removes when they expire.
 #[derive(Debug, Default)]
 pub struct Claims {
     by_request: Map<RequestKey, Claim>,
@@ -69,7 +69,7 @@
             claim.step = Step::Running;
             return true;
         }
-        if self.answer_from_memory(request, key, head, out) {
+        if self.conclude_from_memory(request, key, head, out) {
             return false;
         }
         if self.by_request.len() >= MAX_CLAIMS {
@@ -80,30 +80,32 @@
         let claim = Claim::new(key, head, give_up_at_ms);
         self.by_request.insert(request, claim);
         self.by_key.insert(key, request);
-        // The row of a repeat probably exists; a read, unlike a write, can't fail a transaction.
+        // The row of a retried attempt probably exists, and a conflicting write would fail its whole
+        // transaction.
         if head.attempt > 1 {
             batcher.read(Requester::Claim(request), vec![ClaimRow::key(key)]);
         } else {
-            self.claim(request, RowCondition::Absent, batcher, out);
+            self.write_claim(request, RowCondition::Absent, batcher, out);
         }
         false
     }
 
-    /// Answers a request whose key has a claim in progress here; returns false if it has none or the
-    /// claim's request was given up.
-    fn answer_from_memory(
+    /// Concludes a request whose key has a claim in progress here; returns false if it has none or
+    /// the claim's request was given up.
+    fn conclude_from_memory(
         &self,
         request: RequestKey,
         key: Digest,
         head: &RequestHead,
         out: &mut Outbox,
     ) -> bool {
-        let Some(known) = self.by_key.get(&key).and_then(|known| self.by_request.get(known)) else {
+        let Some(claim) = self.by_key.get(&key).and_then(|holder| self.by_request.get(holder))
+        else {
             return false;
         };
-        let outcome = match &known.step {
-            _ if known.digest != head.digest => Outcome::KeyReused,
-            _ if known.is_given_up() => return false,
+        let outcome = match &claim.step {
+            _ if claim.digest != head.digest => Outcome::KeyReused,
+            _ if claim.is_given_up() => return false,
             Step::Ending(ClaimEnd::Answered(Some(stored))) => Outcome::Repeated(stored.clone()),
             _ => Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS },
         };
@@ -116,7 +118,7 @@
         std::mem::take(&mut self.granted)
     }
 
-    /// Returns the number of claims whose end is not written yet.
+    /// Returns the number of claims whose final state is not written yet.
     pub fn unsettled_count(&self) -> usize {
         self.by_request
             .values()
@@ -142,24 +144,24 @@
         }
         // An immediate retry of the caller should find the claim released.
         claim.held_outcome = Some((outcome, out.now_ms() + MAX_RELEASE_WAIT_MS));
-        self.start_end(request, ClaimEnd::NotRun, batcher);
+        self.start_ending(request, ClaimEnd::NotRun, batcher);
         None
     }
 
-    /// Handles the answer of a request, to be stored for repeats.
-    pub fn handle_answer(
+    /// Handles the response to a request, to be stored for retries.
+    pub fn handle_response(
         &mut self,
         request: RequestKey,
         stored: Option<StoredAnswer>,
         batcher: &mut Batcher,
     ) {
         if self.by_request.get(&request).is_some_and(|claim| claim.step == Step::Running) {
-            self.start_end(request, ClaimEnd::Answered(stored), batcher);
+            self.start_ending(request, ClaimEnd::Answered(stored), batcher);
         }
     }
 
-    /// Handles that a request's caller disconnected.
-    pub fn handle_caller_gone(&mut self, request: RequestKey, batcher: &mut Batcher) {
+    /// Handles the disconnection of a request's caller.
+    pub fn handle_caller_disconnect(&mut self, request: RequestKey, batcher: &mut Batcher) {
         let Some(claim) = self.by_request.get_mut(&request) else {
             return;
         };
@@ -185,9 +187,9 @@
         match (claim.step.clone(), reply) {
             (Step::Claiming(_), Reply::Written) => self.grant(request, batcher, out),
             (Step::Claiming(_), Reply::Conflict(row)) => self.resolve(request, row, batcher, out),
-            (Step::Claiming(against), reply @ (Reply::Unknown | Reply::NotWritten)) => {
+            (Step::Claiming(condition), reply @ (Reply::Unknown | Reply::NotWritten)) => {
                 if matches!(reply, Reply::Unknown) {
-                    claim.unconfirmed_write = Some(against);
+                    claim.unconfirmed_write = Some(condition);
                 }
                 claim.step = Step::Reading;
                 batcher.read(Requester::Claim(request), vec![ClaimRow::key(claim.key)]);
@@ -200,13 +202,13 @@
                 self.abandon(request, batcher);
             }
             (Step::Ending(end), Reply::Rows(rows)) => {
-                self.write_end(request, &end, rows.first(), batcher, out);
+                self.write_final_state(request, &end, rows.first(), batcher, out);
             }
-            (Step::Ending(end), Reply::Written) => self.finish_end(request, &end, out),
+            (Step::Ending(end), Reply::Written) => self.finish_ending(request, &end, out),
             (Step::Ending(_), Reply::Conflict(_) | Reply::Unknown | Reply::NotWritten) => {
                 batcher.read(Requester::Claim(request), vec![ClaimRow::key(claim.key)]);
             }
-            (Step::Ending(_), Reply::Refused) => {
+            (Step::Ending(_), Reply::Unavailable) => {
                 claim.retry_at_ms = Some(out.now_ms() + RETRY_MS);
                 self.release_outcome(request, out);
             }
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Handles timeouts and retries, and starts to remove expired rows.
+    /// Handles the timeouts and retries of claims, and starts to remove expired rows.
     pub fn tick(&mut self, batcher: &mut Batcher, out: &mut Outbox) {
         let now_ms = out.now_ms();
         let mut requests: Vec<_> = self.by_request.keys().copied().collect();
@@ -223,24 +225,28 @@
             let Some(claim) = self.by_request.get_mut(&request) else {
                 continue;
             };
-            let waits = matches!(claim.step, Step::Claiming(_) | Step::Reading);
-            if waits && claim.head.is_some() && claim.give_up_at_ms <= now_ms {
+            let is_waiting = matches!(claim.step, Step::Claiming(_) | Step::Reading);
+            if is_waiting && claim.head.is_some() && claim.give_up_at_ms <= now_ms {
                 self.conclude_unsettled(request, out);
                 self.give_up(request, batcher);
             } else if claim.retry_at_ms.is_some_and(|retry_at_ms| retry_at_ms <= now_ms) {
                 claim.retry_at_ms = None;
                 batcher.read(Requester::Claim(request), vec![ClaimRow::key(claim.key)]);
-            } else if claim.held_outcome.as_ref().is_some_and(|(_, by_ms)| *by_ms <= now_ms) {
+            } else if claim
+                .held_outcome
+                .as_ref()
+                .is_some_and(|(_, send_at_ms)| *send_at_ms <= now_ms)
+            {
                 self.release_outcome(request, out);
             }
         }
-        for due in self.expiry_queue.take_expired(now_ms) {
-            let claim = Claim::expired(due.key, now_ms);
-            self.by_request.insert(due.request, claim);
+        for row in self.expiry_queue.take_expired(now_ms) {
+            let claim = Claim::expired(row.key, now_ms);
+            self.by_request.insert(row.request, claim);
         }
     }
 
-    fn claim(
+    fn write_claim(
         &mut self,
         request: RequestKey,
         condition: RowCondition,
@@ -255,8 +261,8 @@
         batcher.write(Requester::Claim(request), row.write(claim.key, condition));
     }
 
-    /// Handles that the claim is in the table: the request may be started unless it was given up or
-    /// its deadline has passed.
+    /// Grants a claim that is in the table: the request may be started unless it was given up or its
+    /// deadline has passed.
     fn grant(&mut self, request: RequestKey, batcher: &mut Batcher, out: &mut Outbox) {
         let Some(claim) = self.by_request.get_mut(&request) else {
             return;
@@ -269,13 +275,13 @@
             }
             Some(_) => {
                 conclude(request, not_run(RejectionReason::Deadline), out);
-                self.start_end(request, ClaimEnd::NotRun, batcher);
+                self.start_ending(request, ClaimEnd::NotRun, batcher);
             }
-            None => self.start_end(request, ClaimEnd::NotRun, batcher),
+            None => self.start_ending(request, ClaimEnd::NotRun, batcher),
         }
     }
 
-    /// Continues by the current value of the claim's row.
+    /// Decides the next step of a claim from the current value of its row.
     fn resolve(
         &mut self,
         request: RequestKey,
@@ -284,20 +290,24 @@
         out: &mut Outbox,
     ) {
         let Some(row) = row else {
-            // An earlier insert of this request may still be applied. Another one is safe, since
-            // only one of the two can succeed and both name the same holder.
+            // An earlier insert by this request may still be applied. Another one is safe, since
+            // only one of the two can succeed and both have the same holder.
             if self.by_request.get(&request).is_some_and(|claim| claim.head.is_some()) {
-                self.claim(request, RowCondition::Absent, batcher, out);
+                self.write_claim(request, RowCondition::Absent, batcher, out);
             } else {
                 self.abandon(request, batcher);
             }
             return;
         };
-        let Ok(known) = serde_json::from_str::<ClaimRow>(&row.value) else {
-            self.refuse(request, Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS }, out);
+        let Ok(stored_claim) = serde_json::from_str::<ClaimRow>(&row.value) else {
+            self.conclude_without_claim(
+                request,
+                Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS },
+                out,
+            );
             return;
         };
-        if known.holder == holder(request, out) && known.state == ClaimState::Held {
+        if stored_claim.holder == holder(request, out) && stored_claim.state == ClaimState::Held {
             self.grant(request, batcher, out);
             return;
         }
@@ -309,34 +319,35 @@
             return;
         }
         let (digest, attempt) = (claim.digest, claim.attempt);
-        let outcome = match known.state {
-            _ if known.digest != digest => Outcome::KeyReused,
+        let outcome = match stored_claim.state {
+            _ if stored_claim.digest != digest => Outcome::KeyReused,
             ClaimState::Answered(Some(stored)) => Outcome::Repeated(stored),
-            ClaimState::NotRun if is_denied(attempt, known.attempt) => {
+            ClaimState::NotRun if is_denied(attempt, stored_claim.attempt) => {
                 not_run(RejectionReason::Claim)
             }
             ClaimState::NotRun => {
-                self.claim(request, RowCondition::Version(row.version), batcher, out);
+                self.write_claim(request, RowCondition::Version(row.version), batcher, out);
                 return;
             }
-            ClaimState::Held if self.is_given_up(known.holder, out) => {
-                self.claim(request, RowCondition::Version(row.version), batcher, out);
+            ClaimState::Held if self.is_given_up(stored_claim.holder, out) => {
+                self.write_claim(request, RowCondition::Version(row.version), batcher, out);
                 return;
             }
             ClaimState::Held | ClaimState::Answered(None) => {
                 Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS }
             }
         };
-        self.refuse(request, outcome, out);
+        self.conclude_without_claim(request, outcome, out);
     }
 
-    /// Whether a holder is a request of this boot that was not run and will not be.
-    fn is_given_up(&self, other: Holder, out: &Outbox) -> bool {
-        other == holder(other.request, out)
-            && self.by_request.get(&other.request).is_some_and(Claim::is_given_up)
+    /// Returns whether a row's holder is a request of this boot that was not run and will not be.
+    fn is_given_up(&self, row_holder: Holder, out: &Outbox) -> bool {
+        row_holder == holder(row_holder.request, out)
+            && self.by_request.get(&row_holder.request).is_some_and(Claim::is_given_up)
     }
 
-    fn refuse(&mut self, request: RequestKey, outcome: Outcome, out: &mut Outbox) {
+    /// Concludes a request that does not get a claim, and drops its claim.
+    fn conclude_without_claim(&mut self, request: RequestKey, outcome: Outcome, out: &mut Outbox) {
         if self.by_request.get_mut(&request).is_some_and(|claim| claim.head.take().is_some()) {
             conclude(request, outcome, out);
         }
@@ -352,19 +363,19 @@
         }
     }
 
-    /// Ends the wait for a claim. A table request in flight is completed; the handler of its result
-    /// then releases the claim.
+    /// Gives up a claim. If a table request is in flight, the handler of its result releases the
+    /// claim.
     fn give_up(&mut self, request: RequestKey, batcher: &mut Batcher) {
         if batcher.cancel_write(Requester::Claim(request)) {
             self.abandon(request, batcher);
         }
     }
 
-    /// Ends a claim that is not granted and has no table request in flight. If a write of unknown
-    /// result may still be applied, this writes a tombstone.
+    /// Ends a claim that is not granted and has no table request in flight. Starts to write a
+    /// tombstone if a write with an unknown result may still be applied.
     fn abandon(&mut self, request: RequestKey, batcher: &mut Batcher) {
         if self.by_request.get(&request).is_some_and(|claim| claim.unconfirmed_write.is_some()) {
-            self.start_end(request, ClaimEnd::NotRun, batcher);
+            self.start_ending(request, ClaimEnd::NotRun, batcher);
         } else {
             self.drop_claim(request);
         }
--- a/crates/sedgepath-core/src/deduplication/claims/ending.rs
+++ b/crates/sedgepath-core/src/deduplication/claims/ending.rs
@@ -1,4 +1,4 @@
-//! Writes the end of a claim to its row, with reads and retries until the row says so.
+//! Writes the final state of a claim to its row, with reads and retries until the row has it.
 
 use crate::deduplication::batch::{Batcher, Requester};
 use crate::deduplication::claim::{CLAIM_RETENTION_MS, ClaimEnd, Step};
@@ -11,16 +11,21 @@
 use super::{Claims, holder};
 
 impl Claims {
-    /// Starts to write the end of a claim by reading its row's version.
-    pub(super) fn start_end(&mut self, request: RequestKey, end: ClaimEnd, batcher: &mut Batcher) {
+    /// Starts to write the final state of a claim by reading its row.
+    pub(super) fn start_ending(
+        &mut self,
+        request: RequestKey,
+        end: ClaimEnd,
+        batcher: &mut Batcher,
+    ) {
         if let Some(claim) = self.by_request.get_mut(&request) {
             claim.step = Step::Ending(end);
             batcher.read(Requester::Claim(request), vec![ClaimRow::key(claim.key)]);
         }
     }
 
-    /// Writes the end of a claim over the row that was read, unless that is not necessary.
-    pub(super) fn write_end(
+    /// Replaces the row that was read with the final state of its claim, if necessary.
+    pub(super) fn write_final_state(
         &mut self,
         request: RequestKey,
         end: &ClaimEnd,
@@ -31,9 +36,9 @@
         let Some(claim) = self.by_request.get(&request) else {
             return;
         };
-        let own = holder(request, out);
-        let known = row.and_then(|row| serde_json::from_str::<ClaimRow>(&row.value).ok());
-        let is_own = known.as_ref().is_some_and(|known| known.holder == own);
+        let own_holder = holder(request, out);
+        let stored_claim = row.and_then(|row| serde_json::from_str::<ClaimRow>(&row.value).ok());
+        let is_own = stored_claim.as_ref().is_some_and(|stored| stored.holder == own_holder);
         let condition = row.map_or(RowCondition::Absent, |row| RowCondition::Version(row.version));
         let state = match end {
             ClaimEnd::Expired if is_own => {
@@ -41,27 +46,28 @@
                 return;
             }
             ClaimEnd::Expired => {
-                self.finish_end(request, end, out);
+                self.finish_ending(request, end, out);
                 return;
             }
             ClaimEnd::NotRun => ClaimState::NotRun,
             ClaimEnd::Answered(stored) => ClaimState::Answered(stored.clone()),
         };
-        let done = match &known {
-            Some(known) if is_own => known.state == state,
-            // A write of this claim with unknown result may still replace the row's version.
+        let done = match &stored_claim {
+            Some(stored) if is_own => stored.state == state,
+            // A write of this claim with an unknown result may still replace the version read.
             Some(_) => claim.unconfirmed_write.as_ref() != Some(&condition),
             None => row.is_some(),
         };
         if done {
-            self.finish_end(request, end, out);
+            self.finish_ending(request, end, out);
         } else {
-            let row = claim.row(own, state, out.now_ms());
+            let row = claim.row(own_holder, state, out.now_ms());
             batcher.write(Requester::Claim(request), row.write(claim.key, condition));
         }
     }
 
-    pub(super) fn finish_end(&mut self, request: RequestKey, end: &ClaimEnd, out: &mut Outbox) {
+    /// Sends a held outcome, schedules the removal of the row and drops the claim.
+    pub(super) fn finish_ending(&mut self, request: RequestKey, end: &ClaimEnd, out: &mut Outbox) {
         self.release_outcome(request, out);
         if let Some(claim) = self.by_request.get(&request)
             && *end != ClaimEnd::Expired
--- a/crates/sedgepath-core/src/deduplication/forwarding.rs
+++ b/crates/sedgepath-core/src/deduplication/forwarding.rs
@@ -1,7 +1,7 @@
-//! Requests with tickets that another boot minted.
+//! Forwards requests with tickets that another boot minted.
 //!
 //! Such a request is never run here. It is forwarded to the ticket's home, the boot that minted the
-//! ticket. If that boot is gone, the request is answered from the state that it handed over: a copy
+//! ticket. If that boot is gone, the request is concluded from the state that it handed over: a copy
 //! here or at a successor, or its rows in the table. Without that state the outcome is *unknown*,
 //! or *not run* for attempt 1.
 
@@ -33,7 +33,7 @@
     /// A successor of the home, which may have a copy of the home's tickets.
     AtSuccessor,
     /// The read of the rows that the home wrote at its handover.
-    Reading,
+    ReadingRows,
 }
 
 #[derive(Debug)]
@@ -45,7 +45,7 @@
     step: Step,
 }
 
-/// The requests with tickets of other boots, and the handovers of other boots.
+/// Requests with tickets of other boots, and the handovers received from other boots.
 #[derive(Debug, Default)]
 pub struct ForwardedRequests {
     requests: Map<RequestKey, ForwardedRequest>,
@@ -54,7 +54,7 @@
 
 impl ForwardedRequests {
     /// Handles a request with a ticket that this boot did not mint.
-    pub fn take(
+    pub fn handle_request(
         &mut self,
         request: RequestKey,
         ticket: Ticket,
@@ -63,147 +63,155 @@
         batcher: &mut Batcher,
         out: &mut Outbox,
     ) {
-        if let Some(outcome) = self.answer(ticket, head.digest) {
+        if let Some(outcome) = self.outcome_from_handover(ticket, head.digest) {
             conclude(request, outcome, out);
             return;
         }
-        let visitor = ForwardedRequest {
+        let forwarded = ForwardedRequest {
             ticket,
             digest: head.digest,
             attempt: head.attempt,
             deadline_at_ms: head.deadline_at_ms,
             step: Step::AtHome,
         };
-        self.requests.insert(request, visitor);
+        self.requests.insert(request, forwarded);
         // A request is forwarded at most once, which rules out forwarding loops.
-        let forwarded = head.forwarded_by.is_some();
+        let is_forwarded = head.forwarded_by.is_some();
         let home = membership.member(ticket.home).filter(|home| home.boot == ticket.boot);
         match home {
-            Some(home) if !forwarded => {
+            Some(home) if !is_forwarded => {
                 self.forward(request, ticket.home, home.descriptor.peer_address, 1, out);
             }
-            None if !forwarded => self.ask_successor(request, membership, batcher, out),
-            _ => self.read(request, batcher),
+            None if !is_forwarded => self.forward_to_successor(request, membership, batcher, out),
+            _ => self.read_handover_rows(request, batcher),
         }
     }
 
     /// Stores the handover of another boot, in place of an earlier one of the same boot.
-    pub fn keep(&mut self, tickets: TicketHandover) {
-        self.handovers.retain(|kept| (kept.vm, kept.boot) != (tickets.vm, tickets.boot));
+    pub fn store_handover(&mut self, handover: TicketHandover) {
+        self.handovers.retain(|stored| (stored.vm, stored.boot) != (handover.vm, handover.boot));
         if self.handovers.len() == MAX_STORED_HANDOVERS {
             self.handovers.remove(0);
         }
-        self.handovers.push(tickets);
+        self.handovers.push(handover);
     }
 
-    /// Relays the answer to a forwarded request; returns false if the request was not forwarded.
-    pub fn hop_answered(&self, request: RequestKey, attempt: u32, out: &mut Outbox) -> bool {
-        let known = self.requests.contains_key(&request);
-        if known {
+    /// Relays the response to a forwarded request; returns false if the request was not forwarded.
+    pub fn handle_hop_response(&self, request: RequestKey, attempt: u32, out: &mut Outbox) -> bool {
+        let was_forwarded = self.requests.contains_key(&request);
+        if was_forwarded {
             out.push(Action::RelayResponse { request, attempt });
         }
-        known
+        was_forwarded
     }
 
-    /// Handles the end of a hop; returns false if the request was not forwarded.
-    pub fn hop_ended(
+    /// Handles the failure of a forwarded request; returns false if the request was not forwarded.
+    pub fn handle_hop_failure(
         &mut self,
         request: RequestKey,
-        end: HopFailure,
+        failure: HopFailure,
         membership: &Membership,
         batcher: &mut Batcher,
         out: &mut Outbox,
     ) -> bool {
-        let Some(visitor) = self.requests.get(&request) else {
+        let Some(forwarded) = self.requests.get(&request) else {
             return false;
         };
-        match (visitor.step, end) {
-            // The home got the request and may have run it.
+        match (forwarded.step, failure) {
+            // The home may have received and run the request.
             (Step::AtHome, HopFailure::Lost) => {
                 self.conclude(request, Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS }, out);
             }
-            (Step::AtHome, HopFailure::Refused(refusal)) => {
-                self.conclude(request, Outcome::NotRun { refusal, others: Vec::new() }, out);
+            (Step::AtHome, HopFailure::Refused(rejection)) => {
+                self.conclude(
+                    request,
+                    Outcome::NotRun { refusal: rejection, others: Vec::new() },
+                    out,
+                );
             }
             (Step::AtHome, HopFailure::NotSent) => {
-                self.ask_successor(request, membership, batcher, out);
+                self.forward_to_successor(request, membership, batcher, out);
             }
-            (Step::AtSuccessor, _) => self.read(request, batcher),
-            (Step::Reading, _) => {}
+            (Step::AtSuccessor, _) => self.read_handover_rows(request, batcher),
+            (Step::ReadingRows, _) => {}
         }
         true
     }
 
     /// Handles the result of reading the home's rows.
-    pub fn replied(&mut self, request: RequestKey, reply: &Reply, out: &mut Outbox) {
-        let Some(visitor) = self.requests.get(&request) else {
+    pub fn handle_reply(&mut self, request: RequestKey, reply: &Reply, out: &mut Outbox) {
+        let Some(forwarded) = self.requests.get(&request) else {
             return;
         };
-        let left = match reply {
-            Reply::Rows(rows) => parse_handover_rows(rows, visitor.ticket),
+        let handed_over = match reply {
+            Reply::Rows(rows) => parse_handover_rows(rows, forwarded.ticket),
             _ => None,
         };
-        let outcome = match left {
-            Some(left) => outcome_after_handover(visitor.ticket, visitor.digest, &left),
-            None => unsettled(visitor.attempt, RejectionReason::PeerUnreachable),
+        let outcome = match handed_over {
+            Some(ticket) => outcome_after_handover(forwarded.ticket, forwarded.digest, &ticket),
+            None => unsettled(forwarded.attempt, RejectionReason::PeerUnreachable),
         };
         self.conclude(request, outcome, out);
     }
 
-    /// Ends requests whose deadline passes while the home's rows are read.
+    /// Concludes requests whose deadline has passed while the home's rows are read.
     pub fn tick(&mut self, out: &mut Outbox) {
-        let mut late: Vec<_> = self
+        let mut overdue: Vec<_> = self
             .requests
             .iter()
-            .filter(|(_, visitor)| visitor.step == Step::Reading)
-            .filter(|(_, visitor)| visitor.deadline_at_ms <= out.now_ms())
+            .filter(|(_, forwarded)| forwarded.step == Step::ReadingRows)
+            .filter(|(_, forwarded)| forwarded.deadline_at_ms <= out.now_ms())
             .map(|(request, _)| *request)
             .collect();
-        late.sort_unstable();
-        for request in late {
+        overdue.sort_unstable();
+        for request in overdue {
             self.conclude(request, Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS }, out);
         }
     }
 
-    /// Whether no request with another boot's ticket is in progress.
+    /// Returns whether no request with another boot's ticket is in progress.
     pub fn is_idle(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Forgets a request that was answered or whose caller disconnected.
+    /// Removes a request whose response was relayed or whose caller disconnected.
     pub fn forget(&mut self, request: RequestKey) {
         self.requests.remove(&request);
     }
 
-    fn answer(&self, ticket: Ticket, digest: Digest) -> Option<Outcome> {
-        let kept =
-            self.handovers.iter().find(|kept| (kept.vm, kept.boot) == (ticket.home, ticket.boot));
-        kept.map(|kept| {
-            outcome_after_handover(ticket, digest, &HandedOverTicket::find(kept, ticket.number))
+    fn outcome_from_handover(&self, ticket: Ticket, digest: Digest) -> Option<Outcome> {
+        let handover = self
+            .handovers
+            .iter()
+            .find(|handover| (handover.vm, handover.boot) == (ticket.home, ticket.boot));
+        handover.map(|handover| {
+            outcome_after_handover(ticket, digest, &HandedOverTicket::find(handover, ticket.number))
         })
     }
 
-    fn ask_successor(
+    fn forward_to_successor(
         &mut self,
         request: RequestKey,
         membership: &Membership,
         batcher: &mut Batcher,
         out: &mut Outbox,
     ) {
-        let Some(visitor) = self.requests.get_mut(&request) else {
+        let Some(forwarded) = self.requests.get_mut(&request) else {
             return;
         };
         let own = out.identity().vm;
-        let ranked = successors(visitor.ticket.home, visitor.ticket.boot, membership, Some(own));
-        let other = ranked.into_iter().find(|vm| *vm != own);
-        let address =
-            other.and_then(|vm| membership.member(vm)).map(|member| member.descriptor.peer_address);
-        match (other, address) {
+        let ranked =
+            successors(forwarded.ticket.home, forwarded.ticket.boot, membership, Some(own));
+        let successor = ranked.into_iter().find(|vm| *vm != own);
+        let address = successor
+            .and_then(|vm| membership.member(vm))
+            .map(|member| member.descriptor.peer_address);
+        match (successor, address) {
             (Some(vm), Some(address)) => {
-                visitor.step = Step::AtSuccessor;
+                forwarded.step = Step::AtSuccessor;
                 self.forward(request, vm, address, 2, out);
             }
-            _ => self.read(request, batcher),
+            _ => self.read_handover_rows(request, batcher),
         }
     }
 
@@ -215,22 +223,22 @@
         attempt: u32,
         out: &mut Outbox,
     ) {
-        if let Some(visitor) = self.requests.get(&request) {
+        if let Some(forwarded) = self.requests.get(&request) {
             out.push(Action::ForwardHome {
                 request,
                 attempt,
                 to,
-                boot: visitor.ticket.boot,
+                boot: forwarded.ticket.boot,
                 address,
-                deadline_at_ms: visitor.deadline_at_ms,
+                deadline_at_ms: forwarded.deadline_at_ms,
             });
         }
     }
 
-    fn read(&mut self, request: RequestKey, batcher: &mut Batcher) {
-        if let Some(visitor) = self.requests.get_mut(&request) {
-            visitor.step = Step::Reading;
-            let Ticket { home, boot, number, .. } = visitor.ticket;
+    fn read_handover_rows(&mut self, request: RequestKey, batcher: &mut Batcher) {
+        if let Some(forwarded) = self.requests.get_mut(&request) {
+            forwarded.step = Step::ReadingRows;
+            let Ticket { home, boot, number, .. } = forwarded.ticket;
             let keys = vec![HandoverRow::key(home, boot), TicketRow::key(home, boot, number)];
             batcher.read(Requester::Ticket(request), keys);
         }
@@ -242,9 +250,10 @@
     }
 }
 
-/// Returns the VMs that get the tickets of a stopping boot, in the order in which they are asked.
+/// Returns the VMs that receive the tickets of a stopping boot, in the order in which requests are
+/// forwarded to them.
 ///
-/// `own` adds the VM that asks, which is not among the members that it knows.
+/// `own` adds this VM, which is not in `membership`.
 pub fn successors(
     home: VmKey,
     boot: BootId,
@@ -261,8 +270,8 @@
 
 fn parse_handover_rows(rows: &[Row], ticket: Ticket) -> Option<HandedOverTicket> {
     let value = |key: Box<str>| rows.iter().find(|row| row.key == key).map(|row| &*row.value);
-    let head = value(HandoverRow::key(ticket.home, ticket.boot))?;
-    let HandoverRow { next_number, handed_over_at_ms } = serde_json::from_str(head).ok()?;
+    let handover = value(HandoverRow::key(ticket.home, ticket.boot))?;
+    let HandoverRow { next_number, handed_over_at_ms } = serde_json::from_str(handover).ok()?;
     let row = match value(TicketRow::key(ticket.home, ticket.boot, ticket.number)) {
         Some(row) => Some(serde_json::from_str(row).ok()?),
         None => None,
--- a/crates/sedgepath-core/src/deduplication/handover.rs
+++ b/crates/sedgepath-core/src/deduplication/handover.rs
@@ -1,8 +1,8 @@
 //! The handover of a boot's tickets at a planned stop.
 //!
-//! Only this boot's memory knows which of its tickets were used. To keep outcomes from becoming
-//! *unknown*, the boot writes its tickets to the table and copies them to two successors, which can
-//! answer while the platform is down. The boot runs no tickets during the handover.
+//! Only the boot that minted tickets knows which of them were used. To keep outcomes from becoming
+//! *unknown*, it writes its tickets to the table and copies them to two successors, which can
+//! conclude requests while the platform is down. It runs no tickets during the handover.
 
 use crate::event::Action;
 use crate::key::OperationKey;
@@ -18,7 +18,7 @@
 /// The delay before a failed row write is retried, in milliseconds.
 const RETRY_MS: u64 = 500;
 
-/// The maximum time to wait for the table if a successor has a copy, in milliseconds.
+/// The maximum time to wait for the table once a successor has a copy, in milliseconds.
 const MAX_TABLE_WAIT_MS: u64 = 2_000;
 
 /// The maximum duration of a handover, in milliseconds; unwritten tickets are lost after it.
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 struct SuccessorCopy {
     operation: OperationKey,
-    taken: bool,
+    accepted: bool,
 }
 
 /// A handover in progress.
@@ -36,8 +36,8 @@
 pub struct Handover {
     tickets: Option<TicketHandover>,
     rows: Vec<RowWrite>,
-    unwritten: usize,
-    retries: Vec<usize>,
+    unwritten_rows: usize,
+    failed_rows: Vec<usize>,
     retry_at_ms: u64,
     copies: Vec<SuccessorCopy>,
     started_at_ms: u64,
@@ -51,19 +51,19 @@
         batcher: &mut Batcher,
         out: &mut Outbox,
     ) -> Self {
-        let rows = tickets.as_ref().map(rows).unwrap_or_default();
-        let mut hand_over = Self {
-            unwritten: rows.len(),
+        let rows = tickets.as_ref().map(handover_rows).unwrap_or_default();
+        let mut handover = Self {
+            unwritten_rows: rows.len(),
             rows,
             tickets,
-            retries: Vec::new(),
+            failed_rows: Vec::new(),
             retry_at_ms: 0,
             copies: Vec::new(),
             started_at_ms: out.now_ms(),
         };
-        hand_over.write_all(batcher);
-        hand_over.send_copies(membership, out);
-        hand_over
+        handover.write_all(batcher);
+        handover.send_copies(membership, out);
+        handover
     }
 
     fn write_all(&self, batcher: &mut Batcher) {
@@ -85,67 +85,76 @@
                 let operation = out.next_operation();
                 let (address, tickets) = (member.descriptor.peer_address, tickets.clone());
                 out.push(Action::HandOverTickets { operation, to: vm, address, tickets });
-                self.copies.push(SuccessorCopy { operation, taken: false });
+                self.copies.push(SuccessorCopy { operation, accepted: false });
             }
         }
     }
 
     /// Handles the result of a row's write.
-    pub fn replied(&mut self, index: usize, reply: &Reply, batcher: &mut Batcher, out: &Outbox) {
+    pub fn handle_reply(
+        &mut self,
+        index: usize,
+        reply: &Reply,
+        batcher: &mut Batcher,
+        out: &Outbox,
+    ) {
         if !matches!(reply, Reply::Written) {
-            self.retries.push(index);
+            self.failed_rows.push(index);
             self.retry_at_ms = out.now_ms() + RETRY_MS;
             return;
         }
-        self.unwritten -= 1;
-        if self.unwritten == 1 && index + 1 != self.rows.len() {
+        self.unwritten_rows -= 1;
+        if self.unwritten_rows == 1 && index + 1 != self.rows.len() {
             let last = self.rows.len() - 1;
             batcher.write(Requester::Handover(last), self.rows[last].clone());
         }
     }
 
-    /// Handles whether a successor accepted its copy.
-    pub fn handle_copy_result(&mut self, operation: OperationKey, taken: bool) {
+    /// Handles the result of sending a copy to a successor.
+    pub fn handle_copy_result(&mut self, operation: OperationKey, accepted: bool) {
         for copy in self.copies.iter_mut().filter(|copy| copy.operation == operation) {
-            copy.taken = taken;
+            copy.accepted = accepted;
         }
     }
 
     /// Retries failed writes when they are due.
     pub fn tick(&mut self, batcher: &mut Batcher, out: &Outbox) {
         if self.retry_at_ms <= out.now_ms() {
-            for index in std::mem::take(&mut self.retries) {
+            for index in std::mem::take(&mut self.failed_rows) {
                 batcher.write(Requester::Handover(index), self.rows[index].clone());
             }
         }
     }
 
-    /// Whether the tickets are handed over and no claim is unsettled, or the handover timed out.
-    ///
-    /// `claims` is the number of unsettled claims.
-    pub fn is_done(&self, claims: usize, out: &mut Outbox) -> bool {
-        let took_ms = out.now_ms() - self.started_at_ms;
-        let copied = self.copies.iter().any(|copy| copy.taken);
-        let placed = self.unwritten == 0 || (copied && took_ms >= MAX_TABLE_WAIT_MS);
-        if placed && claims == 0 {
-            let rows = self.rows.len() - self.unwritten;
+    /// Returns whether the tickets are handed over and no claim is unsettled, or the handover timed
+    /// out.
+    pub fn is_done(&self, unsettled_claims: usize, out: &mut Outbox) -> bool {
+        let elapsed_ms = out.now_ms() - self.started_at_ms;
+        let copied = self.copies.iter().any(|copy| copy.accepted);
+        let transferred = self.unwritten_rows == 0 || (copied && elapsed_ms >= MAX_TABLE_WAIT_MS);
+        if transferred && unsettled_claims == 0 {
+            let rows = self.rows.len() - self.unwritten_rows;
             out.log(Topic::Once, "handed_over", &[("rows", &rows), ("copied", &copied)]);
             return true;
         }
-        let given_up = took_ms >= HANDOVER_TIMEOUT_MS;
-        if given_up {
-            let tickets = if placed { 0 } else { self.unwritten };
-            out.log(Topic::Once, "hand_over_failed", &[("tickets", &tickets), ("claims", &claims)]);
+        let timed_out = elapsed_ms >= HANDOVER_TIMEOUT_MS;
+        if timed_out {
+            let tickets = if transferred { 0 } else { self.unwritten_rows };
+            out.log(
+                Topic::Once,
+                "hand_over_failed",
+                &[("tickets", &tickets), ("claims", &unsettled_claims)],
+            );
         }
-        given_up
+        timed_out
     }
 }
 
-fn rows(tickets: &TicketHandover) -> Vec<RowWrite> {
+fn handover_rows(tickets: &TicketHandover) -> Vec<RowWrite> {
     let TicketHandover { vm, boot, next_number, handed_over_at_ms, ref used } = *tickets;
-    let ticket =
+    let ticket_row =
         |ticket: &super::row::UsedTicket| put(TicketRow::key(vm, boot, ticket.number), &ticket.row);
-    let head = HandoverRow { next_number, handed_over_at_ms };
-    let head = put(HandoverRow::key(vm, boot), &head);
-    used.iter().map(ticket).chain(std::iter::once(head)).collect()
+    let handover = HandoverRow { next_number, handed_over_at_ms };
+    let handover = put(HandoverRow::key(vm, boot), &handover);
+    used.iter().map(ticket_row).chain(std::iter::once(handover)).collect()
 }
--- a/crates/sedgepath-core/src/deduplication/row.rs
+++ b/crates/sedgepath-core/src/deduplication/row.rs
@@ -26,7 +26,7 @@
     Held,
     /// No attempt up to the row's attempt number ran or will run.
     NotRun,
-    /// The action ran; the answer is `None` if it was not stored.
+    /// The action ran; the response is `None` if it was not stored.
     Answered(Option<StoredAnswer>),
 }
 
@@ -35,7 +35,7 @@
 pub struct ClaimRow {
     /// The request that wrote the row.
     pub holder: Holder,
-    /// The digest of the request, to tell a repeat from another request.
+    /// The digest of the request, to detect that the key is reused for another request.
     pub digest: Digest,
     /// The attempt number up to which the state applies.
     pub attempt: u32,
@@ -61,12 +61,12 @@
 ///
 /// # Panics
 ///
-/// Panics if the value can't be serialized, which the types of rows rule out.
+/// Panics if the value can't be serialized, which can't happen for the row types.
 pub fn to_json(value: &impl Serialize) -> Box<str> {
-    serde_json::to_string(value).expect("rows hold only what JSON can hold").into()
+    serde_json::to_string(value).expect("row types should be serializable as JSON").into()
 }
 
-/// Returns a conditional removal of the row for the digest of a caller's key.
+/// Returns a conditional deletion of the claim row for the digest of a caller's key.
 pub fn delete(key: Digest, condition: RowCondition) -> RowWrite {
     RowWrite { key: ClaimRow::key(key), condition, change: RowChange::Delete }
 }
@@ -74,7 +74,7 @@
 /// The state of a used ticket; also the value of the row `ticket/<vm>/<boot>/<number>`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TicketRow {
-    /// The digest of the request, to tell a repeat from another request.
+    /// The digest of the request, to detect that the key is reused for another request.
     pub digest: Digest,
     /// The attempt number up to which the state applies.
     pub attempt: u32,
@@ -102,14 +102,14 @@
     pub next_number: u64,
     /// The start of the handover, in milliseconds by the boot's clock.
     pub handed_over_at_ms: u64,
-    /// The used tickets that the boot still remembers, sorted by number.
+    /// The used tickets that the boot still stores, sorted by number.
     pub used: Vec<UsedTicket>,
 }
 
 /// The value of the row `ticket/<vm>/<boot>`.
 ///
 /// The row is written after the rows of the boot's used tickets, so a ticket without a row was not
-/// used, or was forgotten before the handover.
+/// used, or was removed from memory before the handover.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandoverRow {
     /// The first ticket number that the boot did not mint.
--- a/crates/sedgepath-core/src/deduplication/tickets.rs
+++ b/crates/sedgepath-core/src/deduplication/tickets.rs
@@ -1,19 +1,18 @@
 //! At-most-once execution under tickets, which are keys that this boot mints.
 //!
-//! Claims need the table, which may be unavailable. A ticket may be run by one process only, so that
-//! process's memory of the used tickets suffices. Tickets are bound to a boot and not only to a VM,
-//! since a restarted process has lost that memory.
+//! Claims need the table, which may be unavailable. A ticket may be run only by the process that
+//! minted it, so it suffices to store the used tickets in that process's memory. Tickets are bound to
+//! a boot and not only to a VM, since a restarted process has lost that memory.
 //!
 //! # Invariants
 //!
 //! - Only the boot that minted a ticket runs it, and it marks the ticket as used before it sends the
 //!   request. Every other process forwards the request; see [`super::forwarding`].
-//! - A used ticket is remembered for [`USED_TICKET_GRACE_MS`] after it expires, so that an expired
-//!   ticket that is not remembered can be reported as *not run* until then. After that it is
-//!   *unknown*.
+//! - A used ticket is stored until [`USED_TICKET_GRACE_MS`] after it expires, so that until then the
+//!   outcome of an expired ticket that is not stored is *not run*. After that it is *unknown*.
 //! - At most [`MAX_VALID_TICKETS`] tickets are valid at once, and at most
-//!   [`MAX_STORED_ANSWER_BYTES`] of answers are stored. A repeat whose answer was not stored is
-//!   *unknown*.
+//!   [`MAX_STORED_ANSWER_BYTES`] of responses are stored. The outcome of a retry whose response
+//!   was not stored is *unknown*.
 //! - If the process is killed, the state of its tickets, used or not, is lost for good.
 
 use std::collections::VecDeque;
@@ -29,13 +28,13 @@
 /// How long a ticket is valid, in milliseconds.
 pub const TICKET_VALIDITY_MS: u64 = 600_000;
 
-/// How long a used ticket is remembered after it expires, in milliseconds.
+/// How long a used ticket is stored after it expires, in milliseconds.
 pub const USED_TICKET_GRACE_MS: u64 = 60_000;
 
 /// The maximum number of valid tickets of a boot.
 pub const MAX_VALID_TICKETS: usize = 20_000;
 
-/// The maximum total size of the answers stored for repeats, in bytes.
+/// The maximum total size of the responses stored for retries, in bytes.
 pub const MAX_STORED_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
 /// The maximum number of tickets in one mint request.
@@ -77,10 +76,10 @@
     count: usize,
 }
 
-/// The time at which a used ticket is forgotten.
+/// The time at which a used ticket is removed from memory.
 #[derive(Debug)]
 struct UsedTicketExpiry {
-    forget_at_ms: u64,
+    remove_at_ms: u64,
     number: u64,
 }
 
@@ -93,7 +92,7 @@
     used: Map<u64, TicketRow>,
     used_expiries: VecDeque<UsedTicketExpiry>,
     running: Map<RequestKey, u64>,
-    answer_bytes: usize,
+    stored_response_bytes: usize,
     closed: bool,
 }
 
@@ -123,7 +122,7 @@
         let expires_at_ms = out.now_ms() + TICKET_VALIDITY_MS;
         self.valid_count += count as usize;
         self.minted_batches.push_back(MintedBatch { expires_at_ms, count: count as usize });
-        let first = self.next_number;
+        let first_number = self.next_number;
         self.next_number += u64::from(count);
         let identity = out.identity();
         let ticket = |number| Ticket {
@@ -133,7 +132,7 @@
             service,
             expires_at_ms,
         };
-        Ok((first..self.next_number).map(ticket).collect())
+        Ok((first_number..self.next_number).map(ticket).collect())
     }
 
     /// Handles a request with a ticket of this boot; returns true if it may be started.
@@ -144,16 +143,21 @@
         head: &RequestHead,
         out: &mut Outbox,
     ) -> bool {
-        if let Some(outcome) = self.denied_outcome(ticket, head, out.now_ms()) {
+        if let Some(outcome) = self.immediate_outcome(ticket, head, out.now_ms()) {
             conclude(request, outcome, out);
             return false;
         }
-        self.spend(request, ticket, head);
+        self.mark_used(request, ticket, head);
         true
     }
 
-    /// Returns the outcome of a request that must not be started, or `None` if it may be.
-    fn denied_outcome(&self, ticket: Ticket, head: &RequestHead, now_ms: u64) -> Option<Outcome> {
+    /// Returns the outcome of a request that must not be started, or `None` if it may be started.
+    fn immediate_outcome(
+        &self,
+        ticket: Ticket,
+        head: &RequestHead,
+        now_ms: u64,
+    ) -> Option<Outcome> {
         if ticket.service != ServiceKey::of(&head.service) {
             return Some(Outcome::KeyReused);
         }
@@ -163,7 +167,7 @@
                 ClaimState::NotRun if is_denied(head.attempt, row.attempt) => {
                     Some(not_run(RejectionReason::TicketVoid))
                 }
-                ClaimState::NotRun => self.refusal(ticket, now_ms).map(not_run),
+                ClaimState::NotRun => self.rejection_reason(ticket, now_ms).map(not_run),
                 ClaimState::Answered(Some(stored)) => Some(Outcome::Repeated(stored.clone())),
                 ClaimState::Held | ClaimState::Answered(None) => {
                     Some(Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS })
@@ -174,12 +178,12 @@
             {
                 Some(Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS })
             }
-            None => self.refusal(ticket, now_ms).map(not_run),
+            None => self.rejection_reason(ticket, now_ms).map(not_run),
         }
     }
 
-    /// Returns why a ticket that was certainly not run may not be run now.
-    fn refusal(&self, ticket: Ticket, now_ms: u64) -> Option<RejectionReason> {
+    /// Returns why a ticket that was certainly not run must not be run now, or `None` if it may be.
+    fn rejection_reason(&self, ticket: Ticket, now_ms: u64) -> Option<RejectionReason> {
         if ticket.expires_at_ms <= now_ms {
             Some(RejectionReason::TicketVoid)
         } else if self.closed {
@@ -189,56 +193,58 @@
         }
     }
 
-    fn spend(&mut self, request: RequestKey, ticket: Ticket, head: &RequestHead) {
+    fn mark_used(&mut self, request: RequestKey, ticket: Ticket, head: &RequestHead) {
         let row = TicketRow { digest: head.digest, attempt: head.attempt, state: ClaimState::Held };
         if self.used.insert(ticket.number, row).is_none() {
-            let forget_at_ms = ticket.expires_at_ms + USED_TICKET_GRACE_MS;
-            self.used_expiries.push_back(UsedTicketExpiry { forget_at_ms, number: ticket.number });
+            let remove_at_ms = ticket.expires_at_ms + USED_TICKET_GRACE_MS;
+            self.used_expiries.push_back(UsedTicketExpiry { remove_at_ms, number: ticket.number });
         }
         self.running.insert(request, ticket.number);
     }
 
-    /// Handles the outcome of a request that ended without an answer.
-    pub fn concluded(&mut self, request: RequestKey, outcome: &Outcome) {
-        if let Some(row) = self.ended(request)
+    /// Handles the outcome of a request that ended without a response.
+    pub fn handle_outcome(&mut self, request: RequestKey, outcome: &Outcome) {
+        if let Some(row) = self.end_run(request)
             && !matches!(outcome, Outcome::Unknown { .. })
         {
             row.state = ClaimState::NotRun;
         }
     }
 
-    /// Handles the answer of a request, to be stored for repeats.
-    pub fn answered(&mut self, request: RequestKey, stored: Option<StoredAnswer>) {
-        let size = stored.as_ref().map_or(0, |stored| stored.body.len());
-        let fits = self.answer_bytes + size <= MAX_STORED_ANSWER_BYTES;
-        if let Some(row) = self.ended(request) {
+    /// Handles the response to a request, to be stored for retries.
+    pub fn handle_response(&mut self, request: RequestKey, stored: Option<StoredAnswer>) {
+        let size_bytes = stored.as_ref().map_or(0, |stored| stored.body.len());
+        let fits = self.stored_response_bytes + size_bytes <= MAX_STORED_ANSWER_BYTES;
+        if let Some(row) = self.end_run(request) {
             row.state = ClaimState::Answered(stored.filter(|_| fits));
-            self.answer_bytes += if fits { size } else { 0 };
+            self.stored_response_bytes += if fits { size_bytes } else { 0 };
         }
     }
 
-    /// Handles that a request's caller disconnected. The end of the request will not be reported.
-    pub fn caller_gone(&mut self, request: RequestKey) {
+    /// Handles the disconnection of a request's caller. The end of the request will not be reported.
+    pub fn handle_caller_disconnect(&mut self, request: RequestKey) {
         self.running.remove(&request);
     }
 
-    fn ended(&mut self, request: RequestKey) -> Option<&mut TicketRow> {
+    /// Removes a request from the running ones and returns the state of its ticket.
+    fn end_run(&mut self, request: RequestKey) -> Option<&mut TicketRow> {
         let number = self.running.remove(&request)?;
         self.used.get_mut(&number)
     }
 
-    /// Stops counting expired tickets as valid, and forgets used ones after [`USED_TICKET_GRACE_MS`].
+    /// Stops counting expired tickets as valid, and removes used ones [`USED_TICKET_GRACE_MS`] after
+    /// they expire.
     pub fn expire(&mut self, now_ms: u64) {
-        while let Some(minted) =
-            self.minted_batches.pop_front_if(|minted| minted.expires_at_ms <= now_ms)
+        while let Some(batch) =
+            self.minted_batches.pop_front_if(|batch| batch.expires_at_ms <= now_ms)
         {
-            self.valid_count -= minted.count;
+            self.valid_count -= batch.count;
         }
-        while let Some(lapse) =
-            self.used_expiries.pop_front_if(|lapse| lapse.forget_at_ms <= now_ms)
+        while let Some(expiry) =
+            self.used_expiries.pop_front_if(|expiry| expiry.remove_at_ms <= now_ms)
         {
-            if let Some(row) = self.used.remove(&lapse.number) {
-                self.answer_bytes -= answer_bytes(&row);
+            if let Some(row) = self.used.remove(&expiry.number) {
+                self.stored_response_bytes -= response_bytes(&row);
             }
         }
     }
@@ -248,19 +254,19 @@
         self.closed = true;
     }
 
-    /// Whether no ticket's request is running.
+    /// Returns whether no ticket's request is running.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty()
     }
 
-    /// Returns the state to hand over, or `None` if no ticket is valid or remembered.
+    /// Returns the state to hand over, or `None` if no ticket is valid and no used one is stored.
     pub fn handover(&self, out: &Outbox) -> Option<TicketHandover> {
         if self.valid_count == 0 && self.used.is_empty() {
             return None;
         }
-        let ticket =
+        let used_ticket =
             |(number, row): (&u64, &TicketRow)| UsedTicket { number: *number, row: row.clone() };
-        let mut used: Vec<_> = self.used.iter().map(ticket).collect();
+        let mut used: Vec<_> = self.used.iter().map(used_ticket).collect();
         used.sort_unstable_by_key(|ticket| ticket.number);
         Some(TicketHandover {
             vm: out.identity().vm,
@@ -272,7 +278,7 @@
     }
 }
 
-fn answer_bytes(row: &TicketRow) -> usize {
+fn response_bytes(row: &TicketRow) -> usize {
     match &row.state {
         ClaimState::Answered(Some(stored)) => stored.body.len(),
         _ => 0,
@@ -281,9 +287,14 @@
 
 /// Returns the outcome of a request whose ticket's home has handed its tickets over.
 ///
-/// A home hands over only when it runs no tickets any more, so an unused ticket never runs.
-pub fn outcome_after_handover(ticket: Ticket, digest: Digest, left: &HandedOverTicket) -> Outcome {
-    let outcome = match (&left.row, left.next_number) {
+/// A home hands over its tickets only after it has stopped running them, so an unused ticket never
+/// runs.
+pub fn outcome_after_handover(
+    ticket: Ticket,
+    digest: Digest,
+    handed_over: &HandedOverTicket,
+) -> Outcome {
+    let reason = match (&handed_over.row, handed_over.next_number) {
         (Some(row), _) if row.digest != digest => return Outcome::KeyReused,
         (Some(TicketRow { state: ClaimState::Answered(Some(stored)), .. }), _) => {
             return Outcome::Repeated(stored.clone());
@@ -291,13 +302,13 @@
         (Some(TicketRow { state: ClaimState::NotRun, .. }), _) => Some(RejectionReason::TicketVoid),
         (None, next_number)
             if ticket.number < next_number
-                && left.handed_over_at_ms < ticket.expires_at_ms + USED_TICKET_GRACE_MS =>
+                && handed_over.handed_over_at_ms < ticket.expires_at_ms + USED_TICKET_GRACE_MS =>
         {
             Some(RejectionReason::TicketVoid)
         }
         _ => None,
     };
-    outcome.map_or(Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS }, not_run)
+    reason.map_or(Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS }, not_run)
 }
 
 /// The state of one ticket in a handover.
@@ -307,18 +318,18 @@
     pub next_number: u64,
     /// The start of the handover, in milliseconds by the home's clock.
     pub handed_over_at_ms: u64,
-    /// The state of the ticket; `None` if it was not used or was forgotten.
+    /// The state of the ticket; `None` if it was not used or was removed from memory.
     pub row: Option<TicketRow>,
 }
 
 impl HandedOverTicket {
-    /// Returns the state of the ticket with the given number.
-    pub fn find(tickets: &TicketHandover, number: u64) -> Self {
-        let found = tickets.used.binary_search_by_key(&number, |ticket| ticket.number);
+    /// Returns the state of the ticket with the given number in a handover.
+    pub fn find(handover: &TicketHandover, number: u64) -> Self {
+        let index = handover.used.binary_search_by_key(&number, |ticket| ticket.number);
         Self {
-            next_number: tickets.next_number,
-            handed_over_at_ms: tickets.handed_over_at_ms,
-            row: found.ok().map(|index| tickets.used[index].row.clone()),
+            next_number: handover.next_number,
+            handed_over_at_ms: handover.handed_over_at_ms,
+            row: index.ok().map(|index| handover.used[index].row.clone()),
         }
     }
 }
