--- a/crates/sedgepath-core/src/catalogue.rs
+++ b/crates/sedgepath-core/src/catalogue.rs
@@ -55,9 +55,9 @@
     pub schema: u32,
     /// The weights by origin group, normalized to a sum of 1 and sorted by domain key.
     pub shares: Map<OriginKey, Vec<(DomainKey, f64)>>,
-    /// The most traffic that a shift may move.
+    /// The maximum traffic that a shift may move.
     pub cap: TrafficCap,
-    /// The most traffic that a failover may move.
+    /// The maximum traffic that a failover may move.
     pub failover_cap: TrafficCap,
     /// The delay in milliseconds before an idempotent request may be hedged. Hedging is not
     /// implemented.
@@ -84,7 +84,7 @@
 pub struct OrganisationEntry {
     /// The name from the `organisations` record.
     pub name: Box<str>,
-    /// The plan, which decides the class of the organisation's requests.
+    /// The plan, which determines the class of the organisation's requests.
     pub plan: Plan,
 }
 
@@ -140,18 +140,19 @@
 
     /// Builds the tables of a revision that has the same `clients` records as `previous`.
     ///
-    /// Client blocks make up most of the records' text. Reusing the parsed block table keeps a
-    /// change from blocking the node's thread, and thus look-ups.
+    /// Client blocks make up most of the records' text. Reusing the parsed block table shortens the
+    /// time for which a change blocks the node's thread, and thus look-ups.
     pub fn with_client_blocks_of<'a>(
         records: impl IntoIterator<Item = &'a RawRecord>,
         previous: &Self,
     ) -> Self {
         let mut catalogue = Self { blocks: Arc::clone(&previous.blocks), ..Self::default() };
         catalogue.origins.clone_from(&previous.origins);
-        let others = records.into_iter().filter(|raw| &*raw.kind != "clients");
-        catalogue.add_records(others, |_, _| {});
-        let unread = previous.unreadable_records.iter().filter(|unread| &*unread.kind == "clients");
-        catalogue.unreadable_records.extend(unread.cloned());
+        let other_records = records.into_iter().filter(|raw| &*raw.kind != "clients");
+        catalogue.add_records(other_records, |_, _| {});
+        let unreadable =
+            previous.unreadable_records.iter().filter(|record| &*record.kind == "clients");
+        catalogue.unreadable_records.extend(unreadable.cloned());
         catalogue
     }
 
@@ -171,7 +172,7 @@
                 Ok(RecordBody::Clients(clients)) => add_blocks(catalogue, &clients),
                 Ok(RecordBody::Steering(body)) => steering.push((raw, body)),
                 Ok(RecordBody::Drain(drain)) => drains.push((raw, drain)),
-                Err(error) => catalogue.add_unread(raw, error),
+                Err(error) => catalogue.add_unreadable(raw, error),
             }
         }
         for (raw, body) in &steering {
@@ -197,7 +198,7 @@
 
     /// Returns the class of a caller, given the digest of its organisation's key.
     ///
-    /// A caller without a key is a guest; an unknown key gives `None`.
+    /// A caller without a key is a guest. Returns `None` for an unknown key.
     pub fn class_of_key(&self, key_digest: Option<Digest>) -> Option<Class> {
         let Some(key_digest) = key_digest else {
             return Some(Class::Guest);
@@ -216,17 +217,18 @@
         shares.or_else(|| steering.shares.get(&OriginKey::of(ANY_ORIGIN))).map(Vec::as_slice)
     }
 
-    /// Whether the upstream or its failure domain is being drained. True for an unknown upstream.
+    /// Returns whether the upstream or its failure domain is being drained. True for an unknown
+    /// upstream.
     pub fn is_draining(&self, upstream: UpstreamKey) -> bool {
         self.upstreams.get(&upstream).is_none_or(|entry| {
             entry.draining || self.domains.get(&entry.domain).is_some_and(|domain| domain.draining)
         })
     }
 
-    /// Whether a drain targets the upstream itself.
+    /// Returns whether a drain targets the upstream itself.
     ///
-    /// Such an upstream gets no new requests, while a drained domain keeps serving the traffic that
-    /// the cap does not let move yet.
+    /// Such an upstream gets no new requests, while a draining domain keeps serving the traffic
+    /// that the cap does not allow to move yet.
     pub fn has_own_drain(&self, upstream: UpstreamKey) -> bool {
         self.upstreams.get(&upstream).is_some_and(|entry| entry.draining)
     }
@@ -329,8 +331,8 @@
 
     /// Lists an unreadable record and rejects the service that it configures.
     ///
-    /// Serving without the record would send callers where the record in force forbids it.
-    fn add_unread(&mut self, raw: &RawRecord, error: RecordError) {
+    /// Serving without the record could route callers to destinations that it rules out.
+    fn add_unreadable(&mut self, raw: &RawRecord, error: RecordError) {
         if matches!(&*raw.kind, "service" | "steering") {
             self.rejected_services.insert(ServiceKey::of(&raw.name));
         }
--- a/crates/sedgepath-core/src/record.rs
+++ b/crates/sedgepath-core/src/record.rs
@@ -1,8 +1,8 @@
 //! Configuration records and their schemas.
 //!
 //! A record is stored and relayed as the text that was accepted. Each node parses the kinds and
-//! schemas that it knows. A node relays a record of an unknown schema unchanged and rejects only
-//! the service that the record configures.
+//! schemas that it knows. A node relays a record that it can't parse unchanged, and rejects requests
+//! only for the service that such a record configures.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 /// The newest schema that this version reads.
 pub const NEWEST_SCHEMA: u32 = 2;
 
-/// An unparsed record: its heading, and its body as JSON text.
+/// An unparsed record: its schema, kind and name, and its body as JSON text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RawRecord {
     /// The schema that the body follows.
@@ -172,9 +172,9 @@
 pub struct Steering {
     /// The shares by origin group; the group `any` applies to callers of all other groups.
     pub groups: Vec<OriginGroup>,
-    /// The most traffic that a shift may move.
+    /// The maximum traffic that a shift may move.
     pub cap: TrafficCap,
-    /// The most traffic that a failover may move; defaults to `cap`. Since schema 2.
+    /// The maximum traffic that a failover may move; defaults to `cap`. Since schema 2.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub failover_cap: Option<TrafficCap>,
     /// The delay in milliseconds before an idempotent request may also be sent to a second
@@ -207,7 +207,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrafficCap {
-    /// The most traffic that may move within a window, in percent.
+    /// The maximum traffic that may move within a window, in percent.
     pub percent: f64,
     /// The length of the window in milliseconds.
     pub window_ms: u64,
@@ -233,7 +233,7 @@
     pub key_digests: Vec<Box<str>>,
 }
 
-/// Whether an organisation pays.
+/// The payment plan of an organisation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Plan {
--- a/crates/sedgepath-core/src/record/check.rs
+++ b/crates/sedgepath-core/src/record/check.rs
@@ -12,15 +12,15 @@
 
 use record_set::RecordSet;
 
-/// The maximum length of a record's body in bytes. Table rows and pages between nodes carry each
-/// body whole.
+/// The maximum length of a record's body in bytes. A body is not split among table rows or among the
+/// pages that nodes exchange.
 pub const MAX_RECORD_BODY_BYTES: usize = 512 * 1024;
 
-/// What is wrong with a record.
+/// Why a record is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case", tag = "error")]
 pub enum CheckError {
-    /// A value of the body does not match its field.
+    /// A value of the body does not match the schema.
     #[error(transparent)]
     Fault {
         /// The mismatch.
@@ -69,28 +69,28 @@
     /// A name that must be unique is used more than once.
     #[error("the {what} `{name}` is named twice; the other is in {other}")]
     Duplicate {
-        /// The type of the named thing.
+        /// The type of the object that has the name, such as `service`.
         what: Box<str>,
         /// The name.
         name: Box<str>,
-        /// Where else the name is used.
+        /// The record or list that also uses the name.
         other: Box<str>,
     },
     /// Two names hash to the same key.
     #[error("the {what} `{name}` has the same key as `{other}`; choose another name")]
     Collision {
-        /// The type of the named things.
+        /// The type of the objects that have the names, such as `service`.
         what: Box<str>,
         /// The name.
         name: Box<str>,
         /// The other name.
         other: Box<str>,
     },
-    /// A name refers to something that does not exist.
+    /// A name refers to an object that does not exist.
     #[error("there is no {what} `{name}`; known are {known}")]
     #[serde(rename = "dangling")]
     UnknownReference {
-        /// The type of thing that the name should refer to.
+        /// The type of object that the name should refer to.
         what: Box<str>,
         /// The name.
         name: Box<str>,
@@ -121,7 +121,7 @@
     /// The record's name.
     pub name: Box<str>,
     /// The index of the record in the change, from 0; `None` for a record in force that the change
-    /// would break.
+    /// would make invalid.
     pub index: Option<usize>,
     /// The path of the value in the record's body.
     pub path: ValuePath,
@@ -141,14 +141,14 @@
     }
 }
 
-/// Validates each record of a change alone, and that no two have the same kind and name.
+/// Validates each record of a change by itself, and checks that no two have the same kind and name.
 pub fn check_records(records: &[RawRecord]) -> Vec<Problem> {
     let mut problems = Vec::new();
     for (index, record) in records.iter().enumerate() {
-        let found = check_record(record).into_iter();
-        problems.extend(found.map(|(path, error)| problem(record, Some(index), path, error)));
-        let repeated = records[..index].iter().any(|earlier| has_same_key(earlier, record));
-        if repeated {
+        let errors = check_record(record).into_iter();
+        problems.extend(errors.map(|(path, error)| problem(record, Some(index), path, error)));
+        let is_repeated = records[..index].iter().any(|earlier| is_same_record(earlier, record));
+        if is_repeated {
             problems.push(problem(record, Some(index), ValuePath::default(), CheckError::Repeated));
         }
     }
@@ -167,18 +167,18 @@
     let mut after: Vec<_> = before
         .iter()
         .copied()
-        .filter(|(_, old)| !records.iter().any(|new| has_same_key(old, new)))
+        .filter(|(_, old)| !records.iter().any(|new| is_same_record(old, new)))
         .collect();
     after.extend(records.iter().enumerate().map(|(index, record)| (Some(index), record)));
-    let old: BTreeSet<_> = RecordSet::new(&before).check().into_iter().collect();
-    let new = RecordSet::new(&after).check();
+    let old_problems: BTreeSet<_> = RecordSet::new(&before).check().into_iter().collect();
+    let new_problems = RecordSet::new(&after).check().into_iter();
     problems.extend(
-        new.into_iter().filter(|problem| problem.index.is_some() || !old.contains(problem)),
+        new_problems.filter(|problem| problem.index.is_some() || !old_problems.contains(problem)),
     );
     problems
 }
 
-fn has_same_key(a: &RawRecord, b: &RawRecord) -> bool {
+fn is_same_record(a: &RawRecord, b: &RawRecord) -> bool {
     a.kind == b.kind && a.name == b.name
 }
 
@@ -193,44 +193,45 @@
 
 /// Validates a record without regard to other records.
 fn check_record(record: &RawRecord) -> Vec<(ValuePath, CheckError)> {
-    let mut found = Vec::new();
+    let mut errors = Vec::new();
     if !schema::is_name(&record.name) {
-        found.push((ValuePath::field("name"), CheckError::Name { name: record.name.clone() }));
+        errors.push((ValuePath::field("name"), CheckError::Name { name: record.name.clone() }));
     }
     if record.body.len() > MAX_RECORD_BODY_BYTES {
         let error =
             CheckError::BodyTooLong { bytes: record.body.len(), most: MAX_RECORD_BODY_BYTES };
-        found.push((ValuePath::default(), error));
+        errors.push((ValuePath::default(), error));
     }
     if !(1..=NEWEST_SCHEMA).contains(&record.schema) {
         let error = CheckError::Schema { schema: record.schema, newest: NEWEST_SCHEMA };
-        found.push((ValuePath::field("schema"), error));
-        return found;
+        errors.push((ValuePath::field("schema"), error));
+        return errors;
     }
     let Some(fields) = fields::fields_of_kind(&record.kind) else {
         let known = fields::RECORD_KINDS.iter().map(|kind| kind.name);
         let error = CheckError::Kind { kind: record.kind.clone(), known: quoted_list(known) };
-        found.push((ValuePath::field("kind"), error));
-        return found;
+        errors.push((ValuePath::field("kind"), error));
+        return errors;
     };
     match serde_json::from_str::<Value>(&record.body) {
         Ok(body) => {
             let faults = schema::check(&body, fields, record.schema).into_iter();
-            found.extend(
-                faults.map(|placed| (placed.path, CheckError::Fault { fault: placed.fault })),
+            errors.extend(
+                faults.map(|located| (located.path, CheckError::Fault { fault: located.fault })),
             );
         }
         Err(error) => {
             let error = CheckError::Body { reason: error.to_string().into() };
-            found.push((ValuePath::default(), error));
+            errors.push((ValuePath::default(), error));
         }
     }
-    found
+    errors
 }
 
 /// The maximum number of names that an error message lists.
 const MAX_LISTED_NAMES: usize = 12;
 
+/// Returns the names in backticks, separated by commas, or `none`.
 fn quoted_list<'a>(names: impl IntoIterator<Item = &'a str>) -> Box<str> {
     let names: Vec<_> = names.into_iter().map(|name| format!("`{name}`")).collect();
     if names.is_empty() {
--- a/crates/sedgepath-core/src/record/check/record_set.rs
+++ b/crates/sedgepath-core/src/record/check/record_set.rs
@@ -1,4 +1,5 @@
-//! Validates the set of all records that would be in force: unique names and keys, and references.
+//! Validates all records as they would be after a change: unique names and keys, references, cold
+//! slots and weights.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,6 +34,7 @@
         }
     }
 
+    /// Returns the key that messages carry for a name.
     fn key(self, name: &str) -> u32 {
         match self {
             Self::Region => RegionKey::of(name).0,
@@ -45,10 +47,10 @@
     }
 }
 
-/// A record with its index in the change; `None` for a record in force.
+/// A record with its index in the change, or with `None` if it is in force and not in the change.
 pub(super) type IndexedRecord<'a> = (Option<usize>, &'a RawRecord);
 
-/// All records that would be in force.
+/// All records as they would be after a change, or as they are before it.
 pub(super) struct RecordSet<'a> {
     bodies: Vec<(IndexedRecord<'a>, RecordBody)>,
     names: BTreeMap<(Namespace, Box<str>), &'a RawRecord>,
@@ -59,9 +61,9 @@
 impl<'a> RecordSet<'a> {
     pub(super) fn new(records: &[IndexedRecord<'a>]) -> Self {
         // Unparsable records are reported by `check_records`, or have a newer schema.
-        let bodies = records.iter().filter_map(|numbered| {
-            let body = numbered.1.parse().ok()?;
-            Some((*numbered, body))
+        let bodies = records.iter().filter_map(|record| {
+            let body = record.1.parse().ok()?;
+            Some((*record, body))
         });
         Self {
             bodies: bodies.collect(),
@@ -71,14 +73,14 @@
         }
     }
 
-    /// Collects all definitions, then checks that all references resolve.
+    /// Registers all names, then checks references and the rules that involve several values.
     pub(super) fn check(mut self) -> Vec<Problem> {
         let bodies = std::mem::take(&mut self.bodies);
         for (record, body) in &bodies {
-            self.define(*record, body);
+            self.register_names(*record, body);
         }
         for (record, body) in &bodies {
-            self.check_references(*record, body);
+            self.check_body(*record, body);
         }
         self.problems
     }
@@ -87,21 +89,21 @@
         self.problems.push(problem(record.1, record.0, path, error));
     }
 
-    fn define(&mut self, record: IndexedRecord<'a>, body: &RecordBody) {
+    fn register_names(&mut self, record: IndexedRecord<'a>, body: &RecordBody) {
         match body {
-            RecordBody::Places(places) => self.define_places(record, places),
-            RecordBody::Service(service) => self.define_service(record, service),
-            RecordBody::Organisations(body) => self.define_organisations(record, body),
+            RecordBody::Places(places) => self.register_places(record, places),
+            RecordBody::Service(service) => self.register_service(record, service),
+            RecordBody::Organisations(body) => self.register_organisations(record, body),
             RecordBody::Steering(steering) => {
                 for (index, group) in steering.groups.iter().enumerate() {
                     let path = ValuePath::field("groups").with_item(index).with_field("origin");
-                    self.key(record, path, Namespace::Origin, &group.origin);
+                    self.register_key(record, path, Namespace::Origin, &group.origin);
                 }
             }
             RecordBody::Clients(clients) => {
                 for (index, block) in clients.blocks.iter().enumerate() {
                     let path = ValuePath::field("blocks").with_item(index).with_field("origin");
-                    self.key(record, path, Namespace::Origin, &block.origin);
+                    self.register_key(record, path, Namespace::Origin, &block.origin);
                 }
             }
             RecordBody::Drain(_) => {}
@@ -109,58 +111,66 @@
     }
 
     /// Registers a name that must be unique.
-    fn define_unique_name(
+    fn register_unique_name(
         &mut self,
         record: IndexedRecord<'a>,
         path: ValuePath,
-        what: Namespace,
+        namespace: Namespace,
         name: &str,
     ) {
-        if let Some(other) = self.names.insert((what, name.into()), record.1) {
+        if let Some(other) = self.names.insert((namespace, name.into()), record.1) {
             let error = CheckError::Duplicate {
-                what: what.label().into(),
+                what: namespace.label().into(),
                 name: name.into(),
                 other: format!("{} `{}`", other.kind, other.name).into(),
             };
             self.report(record, path, error);
             return;
         }
-        self.key(record, path, what, name);
+        self.register_key(record, path, namespace, name);
     }
 
     /// Registers the key of a name, and reports a collision with the key of another name.
     ///
     /// Messages carry keys instead of names, so a collision would misroute traffic.
-    fn key(&mut self, record: IndexedRecord<'a>, path: ValuePath, what: Namespace, name: &str) {
-        let known = self.keys.entry((what, what.key(name))).or_insert_with(|| name.into());
-        if &**known != name {
+    fn register_key(
+        &mut self,
+        record: IndexedRecord<'a>,
+        path: ValuePath,
+        namespace: Namespace,
+        name: &str,
+    ) {
+        let registered_name =
+            self.keys.entry((namespace, namespace.key(name))).or_insert_with(|| name.into());
+        if &**registered_name != name {
             let error = CheckError::Collision {
-                what: what.label().into(),
+                what: namespace.label().into(),
                 name: name.into(),
-                other: known.clone(),
+                other: registered_name.clone(),
             };
             self.report(record, path, error);
         }
     }
 
-    fn define_places(&mut self, record: IndexedRecord<'a>, places: &Places) {
+    fn register_places(&mut self, record: IndexedRecord<'a>, places: &Places) {
         for (index, region) in places.regions.iter().enumerate() {
             let path = ValuePath::field("regions").with_item(index);
-            self.define_unique_name(
+            self.register_unique_name(
                 record,
                 path.with_field("name"),
                 Namespace::Region,
                 &region.name,
             );
-            for (item, domain) in region.domains.iter().enumerate() {
-                let path = path.with_field("domains").with_item(item);
-                self.define_unique_name(record, path, Namespace::Domain, domain);
+            for (domain_index, domain) in region.domains.iter().enumerate() {
+                let path = path.with_field("domains").with_item(domain_index);
+                self.register_unique_name(record, path, Namespace::Domain, domain);
             }
         }
     }
 
-    fn define_service(&mut self, record: IndexedRecord<'a>, service: &Service) {
-        self.define_unique_name(
+    /// Registers the names of a service and its upstreams, and checks their cold slots.
+    fn register_service(&mut self, record: IndexedRecord<'a>, service: &Service) {
+        self.register_unique_name(
             record,
             ValuePath::field("name"),
             Namespace::Service,
@@ -168,30 +178,31 @@
         );
         for (index, upstream) in service.upstreams.iter().enumerate() {
             let path = ValuePath::field("upstreams").with_item(index);
-            self.define_unique_name(
+            self.register_unique_name(
                 record,
                 path.with_field("name"),
                 Namespace::Upstream,
                 &upstream.name,
             );
-            if let Some(cold) = upstream.cold_slots.filter(|cold| *cold > upstream.slots) {
-                let error = CheckError::ColdSlots { cold, slots: upstream.slots };
+            if let Some(cold_slots) = upstream.cold_slots.filter(|cold| *cold > upstream.slots) {
+                let error = CheckError::ColdSlots { cold: cold_slots, slots: upstream.slots };
                 self.report(record, path.with_field("cold_slots"), error);
             }
         }
     }
 
-    fn define_organisations(&mut self, record: IndexedRecord<'a>, body: &Organisations) {
+    /// Registers the names of organisations, and checks that no key belongs to two of them.
+    fn register_organisations(&mut self, record: IndexedRecord<'a>, body: &Organisations) {
         let mut digests: BTreeMap<Digest, &str> = BTreeMap::new();
         for (index, organisation) in body.organisations.iter().enumerate() {
             let path = ValuePath::field("organisations").with_item(index);
-            self.define_unique_name(
+            self.register_unique_name(
                 record,
                 path.with_field("name"),
                 Namespace::Organisation,
                 &organisation.name,
             );
-            for (item, hex) in organisation.key_digests.iter().enumerate() {
+            for (digest_index, hex) in organisation.key_digests.iter().enumerate() {
                 let Some(digest) = Digest::from_hex(hex) else { continue };
                 if let Some(other) = digests.insert(digest, &organisation.name) {
                     let error = CheckError::Duplicate {
@@ -199,14 +210,14 @@
                         name: hex.clone(),
                         other: format!("organisation `{other}`").into(),
                     };
-                    let path = path.with_field("key_digests").with_item(item);
+                    let path = path.with_field("key_digests").with_item(digest_index);
                     self.report(record, path, error);
                 }
             }
         }
     }
 
-    fn check_references(&mut self, record: IndexedRecord<'a>, body: &RecordBody) {
+    fn check_body(&mut self, record: IndexedRecord<'a>, body: &RecordBody) {
         match body {
             RecordBody::Service(service) => {
                 for (index, upstream) in service.upstreams.iter().enumerate() {
@@ -220,23 +231,28 @@
         }
     }
 
+    /// Reports a reference to a name that no record defines.
     fn require_defined(
         &mut self,
         record: IndexedRecord<'a>,
         path: ValuePath,
-        what: Namespace,
+        namespace: Namespace,
         name: &str,
     ) {
-        if self.names.contains_key(&(what, name.into())) {
+        if self.names.contains_key(&(namespace, name.into())) {
             return;
         }
-        let known = self.names.keys().filter(|(known, _)| *known == what);
-        let known = quoted_list(known.map(|(_, name)| &**name));
-        let error =
-            CheckError::UnknownReference { what: what.label().into(), name: name.into(), known };
+        let registered = self.names.keys().filter(|(other, _)| *other == namespace);
+        let known_names = quoted_list(registered.map(|(_, name)| &**name));
+        let error = CheckError::UnknownReference {
+            what: namespace.label().into(),
+            name: name.into(),
+            known: known_names,
+        };
         self.report(record, path, error);
     }
 
+    /// Checks the references of a steering record, its duplicates and the sum of its weights.
     fn check_steering(&mut self, record: IndexedRecord<'a>, steering: &Steering) {
         self.require_defined(record, ValuePath::field("name"), Namespace::Service, &record.1.name);
         let mut origins = BTreeSet::new();
@@ -251,8 +267,8 @@
                 );
             }
             let mut domains = BTreeSet::new();
-            for (item, share) in group.shares.iter().enumerate() {
-                let path = path.with_field("shares").with_item(item).with_field("domain");
+            for (share_index, share) in group.shares.iter().enumerate() {
+                let path = path.with_field("shares").with_item(share_index).with_field("domain");
                 if !domains.insert(&share.domain) {
                     self.report_duplicate(record, path.clone(), Namespace::Domain, &share.domain);
                 }
@@ -266,15 +282,16 @@
         }
     }
 
+    /// Reports a name that a list contains more than once.
     fn report_duplicate(
         &mut self,
         record: IndexedRecord<'a>,
         path: ValuePath,
-        what: Namespace,
+        namespace: Namespace,
         name: &str,
     ) {
         let error = CheckError::Duplicate {
-            what: what.label().into(),
+            what: namespace.label().into(),
             name: name.into(),
             other: "the same list".into(),
         };
@@ -282,13 +299,13 @@
     }
 
     fn check_drain(&mut self, record: IndexedRecord<'a>, drain: &Drain) {
-        let what = match drain.target {
+        let namespace = match drain.target {
             DrainTargetKind::Upstream => Namespace::Upstream,
             DrainTargetKind::Domain => Namespace::Domain,
         };
-        // The record of an ended drain stays after its target is removed.
+        // An ended drain may refer to a target that no longer exists.
         if drain.active {
-            self.require_defined(record, ValuePath::field("name"), what, &record.1.name);
+            self.require_defined(record, ValuePath::field("name"), namespace, &record.1.name);
         }
     }
 }
--- a/crates/sedgepath-core/src/record/fields.rs
+++ b/crates/sedgepath-core/src/record/fields.rs
@@ -1,10 +1,10 @@
 //! The field tables of each record kind.
 //!
-//! The operators' documentation lists the descriptions, so both change together.
+//! The operators' documentation lists the descriptions; change both together.
 
 use crate::schema::{Field, Shape};
 
-/// The longest duration that a record may hold, in milliseconds: one day.
+/// The maximum duration that a record may set, in milliseconds: one day.
 const MAX_DURATION_MS: u64 = 86_400_000;
 
 /// The maximum of an upstream's slots, connections and new connections per second.
@@ -57,16 +57,20 @@
 
 /// Returns the fields of a kind, or `None` if this version does not know the kind.
 pub fn fields_of_kind(kind: &str) -> Option<&'static [Field]> {
-    RECORD_KINDS.iter().find(|known| known.name == kind).map(|known| known.fields)
+    RECORD_KINDS
+        .iter()
+        .find(|known_kind| known_kind.name == kind)
+        .map(|known_kind| known_kind.fields)
 }
 
-const fn since_2(
+/// Creates an optional field, present since schema 2.
+const fn since_schema_2(
     name: &'static str,
     shape: Shape,
     default: &'static str,
-    meaning: &'static str,
+    description: &'static str,
 ) -> Field {
-    Field { name, shape, default: Some(default), since_schema: 2, description: meaning }
+    Field { name, shape, default: Some(default), since_schema: 2, description }
 }
 
 const PLACES: &[Field] = &[Field::required(
@@ -158,13 +162,13 @@
         "the shares by origin group; callers of other groups follow the group `any`",
     ),
     Field::required("cap", Shape::Object(CAP), "the most traffic that a shift may move"),
-    since_2(
+    since_schema_2(
         "failover_cap",
         Shape::Object(CAP),
         "as `cap`",
         "the most traffic that a failover may move",
     ),
-    since_2(
+    since_schema_2(
         "hedge_after_ms",
         Shape::Integer { least: 1, most: MAX_DURATION_MS },
         "no hedging",
--- a/crates/sedgepath-core/src/schema.rs
+++ b/crates/sedgepath-core/src/schema.rs
@@ -1,7 +1,7 @@
 //! Document schemas as tables of fields, and a validator for records and settings.
 //!
-//! Deserialization stops at the first error and does not say where in the document it is. The
-//! validator reports every error with its path, so that the location in the operator's file can be
+//! Deserialization stops at the first error and does not report its path in the document. The
+//! validator reports every error with its path, so that its location in the operator's file can be
 //! shown.
 
 use std::fmt;
@@ -80,8 +80,8 @@
 
 impl Field {
     /// Creates a required field, present since schema 1.
-    pub const fn required(name: &'static str, shape: Shape, meaning: &'static str) -> Self {
-        Self { name, shape, default: None, since_schema: 1, description: meaning }
+    pub const fn required(name: &'static str, shape: Shape, description: &'static str) -> Self {
+        Self { name, shape, default: None, since_schema: 1, description }
     }
 
     /// Creates an optional field, present since schema 1.
@@ -89,9 +89,9 @@
         name: &'static str,
         shape: Shape,
         default: &'static str,
-        meaning: &'static str,
+        description: &'static str,
     ) -> Self {
-        Self { name, shape, default: Some(default), since_schema: 1, description: meaning }
+        Self { name, shape, default: Some(default), since_schema: 1, description }
     }
 }
 
@@ -138,7 +138,7 @@
             match segment {
                 PathSegment::Field(name) if index == 0 => f.write_str(name)?,
                 PathSegment::Field(name) => write!(f, ".{name}")?,
-                PathSegment::Item(item) => write!(f, "[{item}]")?,
+                PathSegment::Item(index) => write!(f, "[{index}]")?,
             }
         }
         Ok(())
@@ -254,7 +254,7 @@
 /// A fault with its location in the document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LocatedFault<F> {
-    /// The path of the faulty value; of the enclosing mapping if a field is missing.
+    /// The path of the invalid value, or of the enclosing mapping if a field is missing.
     pub path: ValuePath,
     /// The mismatch.
     pub fault: F,
@@ -262,17 +262,18 @@
 
 /// Returns all mismatches between a document and its fields as of the given schema.
 pub fn check(document: &Value, fields: &'static [Field], schema: u32) -> Vec<LocatedFault<Fault>> {
-    let mut walk = Validator { schema, faults: Vec::new() };
-    walk.value(document, &Shape::Object(fields), &ValuePath::default());
-    walk.faults
+    let mut validator = Validator { schema, faults: Vec::new() };
+    validator.check_value(document, &Shape::Object(fields), &ValuePath::default());
+    validator.faults
 }
 
-/// Whether a text is a valid name; see [`Shape::Name`].
+/// Returns whether a text is a valid name; see [`Shape::Name`].
 pub fn is_name(text: &str) -> bool {
-    let plain = |c: char| matches!(c, 'a'..='z' | '0'..='9' | '.' | '_' | '-');
-    (1..=MAX_NAME_CHARS).contains(&text.len()) && text.chars().all(plain)
+    let is_allowed = |c: char| matches!(c, 'a'..='z' | '0'..='9' | '.' | '_' | '-');
+    (1..=MAX_NAME_CHARS).contains(&text.len()) && text.chars().all(is_allowed)
 }
 
+/// Validates a document and collects its faults.
 #[derive(Debug)]
 struct Validator {
     schema: u32,
@@ -280,11 +281,11 @@
 }
 
 impl Validator {
-    fn fault(&mut self, path: &ValuePath, fault: Fault) {
+    fn report(&mut self, path: &ValuePath, fault: Fault) {
         self.faults.push(LocatedFault { path: path.clone(), fault });
     }
 
-    fn wrong_type(&mut self, value: &Value, expected: &str, path: &ValuePath) {
+    fn report_type(&mut self, value: &Value, expected: &str, path: &ValuePath) {
         let found = match value {
             Value::Null => "empty",
             Value::Bool(_) => "true or false",
@@ -293,31 +294,31 @@
             Value::Array(_) => "a list",
             Value::Object(_) => "a mapping",
         };
-        self.fault(path, Fault::Type { found: found.into(), expected: expected.into() });
+        self.report(path, Fault::Type { found: found.into(), expected: expected.into() });
     }
 
-    fn value(&mut self, value: &Value, shape: &Shape, path: &ValuePath) {
+    fn check_value(&mut self, value: &Value, shape: &Shape, path: &ValuePath) {
         match shape {
-            Shape::Integer { least, most } => self.integer(value, *least, *most, path),
-            Shape::Number { least, most } => self.number(value, *least, *most, path),
+            Shape::Integer { least, most } => self.check_integer(value, *least, *most, path),
+            Shape::Number { least, most } => self.check_number(value, *least, *most, path),
             Shape::Boolean if value.is_boolean() => {}
-            Shape::Boolean => self.wrong_type(value, "`true` or `false`", path),
+            Shape::Boolean => self.report_type(value, "`true` or `false`", path),
             Shape::List { of, least } => match value {
-                Value::Array(items) => self.list(items, of, *least, path),
-                _ => self.wrong_type(value, "a list", path),
+                Value::Array(items) => self.check_list(items, of, *least, path),
+                _ => self.report_type(value, "a list", path),
             },
             Shape::Object(fields) => match value {
-                Value::Object(object) => self.object(object, fields, path),
-                _ => self.wrong_type(value, "a mapping", path),
+                Value::Object(object) => self.check_object(object, fields, path),
+                _ => self.report_type(value, "a mapping", path),
             },
             _ => match value {
-                Value::String(text) => self.text(text, shape, path),
-                _ => self.wrong_type(value, "text, in quotes if it looks like a number", path),
+                Value::String(text) => self.check_text(text, shape, path),
+                _ => self.report_type(value, "text, in quotes if it looks like a number", path),
             },
         }
     }
 
-    fn text(&mut self, text: &str, shape: &Shape, path: &ValuePath) {
+    fn check_text(&mut self, text: &str, shape: &Shape, path: &ValuePath) {
         let found = || text.into();
         let fault = match shape {
             Shape::Name if !is_name(text) => Fault::Name { found: found() },
@@ -338,30 +339,30 @@
             }
             _ => return,
         };
-        self.fault(path, fault);
+        self.report(path, fault);
     }
 
-    fn integer(&mut self, value: &Value, least: u64, most: u64, path: &ValuePath) {
+    fn check_integer(&mut self, value: &Value, least: u64, most: u64, path: &ValuePath) {
         match value {
             Value::Number(number) => match number.as_u64() {
                 Some(integer) if (least..=most).contains(&integer) => {}
-                _ => self.range(number, least, most, path),
+                _ => self.report_range(number, least, most, path),
             },
-            _ => self.wrong_type(value, "a whole number", path),
+            _ => self.report_type(value, "a whole number", path),
         }
     }
 
-    fn number(&mut self, value: &Value, least: f64, most: f64, path: &ValuePath) {
+    fn check_number(&mut self, value: &Value, least: f64, most: f64, path: &ValuePath) {
         match value {
             Value::Number(number) => match number.as_f64() {
                 Some(float) if (least..=most).contains(&float) => {}
-                _ => self.range(number, least, most, path),
+                _ => self.report_range(number, least, most, path),
             },
-            _ => self.wrong_type(value, "a number", path),
+            _ => self.report_type(value, "a number", path),
         }
     }
 
-    fn range(
+    fn report_range(
         &mut self,
         found: &serde_json::Number,
         least: impl fmt::Display,
@@ -373,21 +374,26 @@
             least: least.to_string().into(),
             most: most.to_string().into(),
         };
-        self.fault(path, fault);
+        self.report(path, fault);
     }
 
-    fn list(&mut self, items: &[Value], of: &Shape, least: usize, path: &ValuePath) {
+    fn check_list(&mut self, items: &[Value], item_shape: &Shape, least: usize, path: &ValuePath) {
         if items.len() < least {
-            self.fault(path, Fault::Items { found: items.len(), least });
+            self.report(path, Fault::Items { found: items.len(), least });
         }
         for (index, item) in items.iter().enumerate() {
-            self.value(item, of, &path.with_item(index));
+            self.check_value(item, item_shape, &path.with_item(index));
         }
     }
 
-    fn object(&mut self, object: &Map<String, Value>, fields: &'static [Field], path: &ValuePath) {
+    fn check_object(
+        &mut self,
+        object: &Map<String, Value>,
+        fields: &'static [Field],
+        path: &ValuePath,
+    ) {
         for field in fields {
-            let at = path.with_field(field.name);
+            let field_path = path.with_field(field.name);
             match object.get(field.name) {
                 Some(_) if field.since_schema > self.schema => {
                     let fault = Fault::TooNew {
@@ -395,23 +401,26 @@
                         since: field.since_schema,
                         schema: self.schema,
                     };
-                    self.fault(&at, fault);
+                    self.report(&field_path, fault);
                 }
-                Some(value) => self.value(value, &field.shape, &at),
+                Some(value) => self.check_value(value, &field.shape, &field_path),
                 None if field.default.is_none() => {
                     let fault = Fault::Missing {
                         field: field.name.into(),
                         meaning: field.description.into(),
                     };
-                    self.fault(path, fault);
+                    self.report(path, fault);
                 }
                 None => {}
             }
         }
-        for name in object.keys().filter(|name| fields.iter().all(|field| field.name != **name)) {
+        for unknown_name in
+            object.keys().filter(|name| fields.iter().all(|field| field.name != **name))
+        {
             let names: Vec<_> = fields.iter().map(|field| field.name).collect();
-            let fault = Fault::UnknownField { field: name.as_str().into(), known: quoted(&names) };
-            self.fault(&path.with_field(name), fault);
+            let fault =
+                Fault::UnknownField { field: unknown_name.as_str().into(), known: quoted(&names) };
+            self.report(&path.with_field(unknown_name), fault);
         }
     }
 }
