--- a/crates/sedgepath-core/src/configuration.rs
+++ b/crates/sedgepath-core/src/configuration.rs
@@ -3,13 +3,13 @@
 //! The platform's table decides which revisions are accepted; every node works from a copy.
 //!
 //! - [`store`]: the copy, whose revision never decreases.
-//! - `reader`: reads the table; a few members of each failure domain do.
+//! - `reader`: polls the table from a few members of each failure domain.
 //! - `gossip`: replicates revisions between nodes, also without the platform.
 //! - [`change`]: commits operators' changes, each in one transaction.
 //! - [`rows`]: the layout of the configuration in the table.
 //!
 //! A node serves once it is [`ready`](Configuration::ready); before that it could steer callers by
-//! records that had been replaced before its start.
+//! records that were replaced before it started.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -37,7 +37,7 @@
 use rows::RecordRow;
 use store::{RecordChanges, RecordPage, RecordPosition, RecordStore};
 
-/// The interval at which the head is read while a change waits for this node to catch up, in
+/// The interval at which the head is read while a change waits for this node's copy to catch up, in
 /// milliseconds.
 const CATCH_UP_READ_INTERVAL_MS: u64 = 250;
 
@@ -66,7 +66,7 @@
     random: fastrand::Rng,
     store: RecordStore,
     reader: TableReader,
-    spread: Gossip,
+    gossip: Gossip,
     pending_changes: PendingChanges,
     started_at_ms: Option<u64>,
     ready: bool,
@@ -81,7 +81,7 @@
             settings,
             store: RecordStore::default(),
             reader: TableReader::default(),
-            spread: Gossip::default(),
+            gossip: Gossip::default(),
             pending_changes: PendingChanges::default(),
             started_at_ms: None,
             ready: false,
@@ -109,7 +109,7 @@
         self.store.page(after)
     }
 
-    /// Whether the node may serve. Once true, it stays true.
+    /// Returns whether the node may serve. Once true, it stays true.
     ///
     /// The node becomes ready when its revision is at least the highest that it has heard of. If it
     /// has not read the table itself, it first waits for [`NodeSettings::boot_wait_ms`] to hear from
@@ -118,7 +118,7 @@
         self.ready
     }
 
-    /// Returns the configuration state that is sent with every heartbeat.
+    /// Returns the configuration status that is sent with every heartbeat.
     pub fn status(&self, now_ms: u64) -> ConfigurationStatus {
         ConfigurationStatus {
             revision: self.store.revision(),
@@ -126,17 +126,17 @@
         }
     }
 
-    /// Handles the age of the newest successful read of the head that a member knows of.
+    /// Handles a member's report of the age of the newest successful read of the head that it knows of.
     pub fn observe_head_age(&mut self, age_ms: u64, out: &Outbox) {
         self.reader.observe_head_age(age_ms, out.now_ms());
     }
 
-    /// Handles the revision that a member reports to be in force there.
-    pub fn observe_revision(&mut self, vm: VmKey, operators: SocketAddr, revision: u64) {
-        self.spread.observe_revision(vm, operators, revision, self.store.revision());
+    /// Handles a member's report of the revision in force on it.
+    pub fn observe_revision(&mut self, vm: VmKey, operator_address: SocketAddr, revision: u64) {
+        self.gossip.observe_revision(vm, operator_address, revision, self.store.revision());
     }
 
-    /// Polls the head, gossips, fetches from peers and advances changes as they are due.
+    /// Polls the head, announces new revisions, fetches from peers and advances changes as they are due.
     pub fn tick(&mut self, members: &Membership, out: &mut Outbox) {
         if self.started_at_ms.is_none() {
             self.started_at_ms = Some(out.now_ms());
@@ -147,14 +147,14 @@
         if self.reader.is_due(out.now_ms()) {
             self.reader.poll(reader_rank(members, out), &self.settings, out);
         }
-        let news = self.status(out.now_ms());
-        self.spread.tick(news, members, &self.settings, &mut self.random, out);
+        let status = self.status(out.now_ms());
+        self.gossip.tick(status, members, &self.settings, &mut self.random, out);
         if self.pending_changes.waits_for_store() && self.next_catch_up_read_at_ms <= out.now_ms() {
             self.next_catch_up_read_at_ms = out.now_ms() + CATCH_UP_READ_INTERVAL_MS;
             self.reader.read_head_now(out);
         }
-        let concluded = self.pending_changes.tick(&self.store, out);
-        self.finish_changes(concluded, out);
+        let finished = self.pending_changes.tick(&self.store, out);
+        self.finish_changes(finished, out);
         self.update_readiness(out);
     }
 
@@ -166,30 +166,31 @@
         out: &mut Outbox,
     ) -> bool {
         let revision = self.store.revision();
-        match self.reader.take_result(operation, result, revision, out) {
-            ReadResult::NotOwn => {}
+        match self.reader.handle_result(operation, result, revision, out) {
+            ReadResult::NotRequested => {}
             ReadResult::NoChanges => return true,
             ReadResult::Changes(changes) => {
                 self.apply(changes, Source::Table, out);
                 return true;
             }
         }
-        let Some(concluded) = self.pending_changes.take_result(operation, result, &self.store, out)
+        let Some(finished) =
+            self.pending_changes.handle_result(operation, result, &self.store, out)
         else {
             return false;
         };
-        self.finish_changes(concluded, out);
+        self.finish_changes(finished, out);
         true
     }
 
-    /// Handles a page of a peer's records; `None` if the peer did not answer.
+    /// Handles a page of a peer's records; `None` if the peer did not respond.
     pub fn handle_fetched_page(
         &mut self,
         operation: OperationKey,
         page: Option<RecordPage>,
         out: &mut Outbox,
     ) {
-        match self.spread.take_page(operation, page, out) {
+        match self.gossip.handle_page(operation, page, out) {
             FetchProgress::Changes(changes) => self.apply(changes, Source::Peer, out),
             FetchProgress::Pending => {}
             FetchProgress::NoPeerLeft => self.reader.read_head_now(out),
@@ -201,16 +202,16 @@
         let fields: [(&str, &dyn std::fmt::Display); 2] =
             [("change", &request.change_id), ("note", &request.note)];
         out.log(Topic::Configuration, "change_asked", &fields);
-        let concluded = self.pending_changes.start(reply, request, out.now_ms());
-        self.finish_changes(concluded, out);
+        let finished = self.pending_changes.start(reply, request, out.now_ms());
+        self.finish_changes(finished, out);
     }
 
     fn finish_changes(
         &mut self,
-        concluded: impl IntoIterator<Item = FinishedChange>,
+        finished: impl IntoIterator<Item = FinishedChange>,
         out: &mut Outbox,
     ) {
-        for FinishedChange { reply, outcome, changes } in concluded {
+        for FinishedChange { reply, outcome, changes } in finished {
             if let Some(changes) = changes {
                 self.apply(changes, Source::Change, out);
             } else if matches!(outcome, ChangeOutcome::Accepted { .. }) {
@@ -226,13 +227,16 @@
             return;
         }
         let revision = self.store.revision();
-        self.spread.handle_applied_revision(revision);
+        self.gossip.handle_applied_revision(revision);
         let fields: [(&str, &dyn std::fmt::Display); 2] =
             [("revision", &revision), ("source", &source.name())];
         out.log(Topic::Configuration, "revision_applied", &fields);
-        for unread in &self.store.catalogue().unreadable_records {
-            let fields: [(&str, &dyn std::fmt::Display); 3] =
-                [("kind", &unread.kind), ("name", &unread.name), ("error", &unread.error)];
+        for unreadable in &self.store.catalogue().unreadable_records {
+            let fields: [(&str, &dyn std::fmt::Display); 3] = [
+                ("kind", &unreadable.kind),
+                ("name", &unreadable.name),
+                ("error", &unreadable.error),
+            ];
             out.log(Topic::Configuration, "record_unread", &fields);
         }
     }
@@ -240,13 +244,13 @@
     fn update_readiness(&mut self, out: &mut Outbox) {
         let revision = self.store.revision();
         let head = self.reader.head();
-        let highest = self.spread.highest_heard().max(head.unwrap_or(0));
+        let highest = self.gossip.highest_heard().max(head.unwrap_or(0));
         if self.ready || revision == 0 || revision < highest {
             return;
         }
         let started_at_ms = self.started_at_ms.unwrap_or_else(|| out.now_ms());
-        let listened = out.now_ms() >= started_at_ms + self.settings.boot_wait_ms;
-        if listened || head.is_some() {
+        let boot_wait_over = out.now_ms() >= started_at_ms + self.settings.boot_wait_ms;
+        if boot_wait_over || head.is_some() {
             self.ready = true;
             out.log(Topic::Node, "ready", &[("revision", &revision)]);
         }
@@ -257,7 +261,7 @@
 fn reader_rank(members: &Membership, out: &Outbox) -> u64 {
     let identity = out.identity();
     let domain = identity.descriptor.domain;
-    let order = |vm: VmKey| (rendezvous::score(u64::from(domain.0), vm.0), vm);
-    let own = order(identity.vm);
-    members.serving_vms_in(domain).into_iter().filter(|vm| order(*vm) > own).count() as u64
+    let score = |vm: VmKey| (rendezvous::score(u64::from(domain.0), vm.0), vm);
+    let own_score = score(identity.vm);
+    members.serving_vms_in(domain).into_iter().filter(|vm| score(*vm) > own_score).count() as u64
 }
--- a/crates/sedgepath-core/src/configuration/change.rs
+++ b/crates/sedgepath-core/src/configuration/change.rs
@@ -3,10 +3,10 @@
 //! A change is one transaction that writes the head, conditional on the version that was read, the
 //! records and a log row. At most one transaction per version of the head commits:
 //!
-//! - Concurrent changes: the loser gets a conflict with the winner's log row.
-//! - Lost response: the log row of the next revision tells which change committed. If there is none,
+//! - Concurrent changes: those that fail get a conflict with the log row of the committed one.
+//! - Lost response: the log row of the next revision shows which change committed. If there is none,
 //!   the same transaction is sent again; at most one of the two commits, with the same content.
-//! - Repeated request: a change whose identifier is found in the log counts as accepted.
+//! - Retried request: a change whose identifier is found in the log counts as accepted.
 //!
 //! Before the transaction is sent, the records are validated together with the records in force at
 //! the revision that the change builds on.
@@ -39,11 +39,11 @@
 /// An operator's request to write records.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRequest {
-    /// The change's unique identifier; a repeated request carries the same one.
+    /// The change's unique identifier; a retry carries the same one.
     pub change_id: Box<str>,
     /// The records to write.
     pub records: Vec<RawRecord>,
-    /// The revision that the change builds on; it is rejected if the head is at another one.
+    /// The revision that the change builds on; the change is rejected if the head is at another one.
     pub expected_revision: Option<u64>,
     /// The operator's note for the log.
     pub note: Box<str>,
@@ -60,7 +60,7 @@
     },
     /// Another change was committed first; this one was not and will not be.
     Conflict {
-        /// The head revision as far as known.
+        /// The newest head revision that the node knows of.
         revision: u64,
         /// The other change, if it was found in the log.
         other: Option<LoggedChange>,
@@ -70,7 +70,7 @@
         /// The reason.
         refusal: ChangeRefusal,
     },
-    /// The change may or may not be committed. A repeated request with the same identifier tells.
+    /// The change may or may not be committed. A retry with the same identifier returns which.
     Unknown,
 }
 
@@ -139,7 +139,7 @@
 /// A finished change: its outcome, and the records that it wrote.
 #[derive(Debug)]
 pub struct FinishedChange {
-    /// Identifies the operator's request to answer.
+    /// Identifies the operator's request to reply to.
     pub reply: ReplyKey,
     /// The outcome to send.
     pub outcome: ChangeOutcome,
@@ -182,24 +182,24 @@
         None
     }
 
-    /// Whether a change waits for this node to catch up with the head.
+    /// Returns whether a change waits for this node to catch up with the head.
     pub fn waits_for_store(&self) -> bool {
         self.changes.iter().any(Change::waits_for_store)
     }
 
     /// Sends requests that are due and finishes changes whose time limit has passed.
     pub fn tick(&mut self, store: &RecordStore, out: &mut Outbox) -> Vec<FinishedChange> {
-        let mut concluded = Vec::new();
+        let mut finished = Vec::new();
         for change in &mut self.changes {
             let outcome = change.tick(store, out);
-            concluded.extend(outcome.map(|outcome| change.conclude(outcome)));
+            finished.extend(outcome.map(|outcome| change.conclude(outcome)));
         }
-        self.remove_finished(&concluded);
-        concluded
+        self.remove_finished(&finished);
+        finished
     }
 
-    /// Handles a table result; returns `None` if no change sent the request.
-    pub fn take_result(
+    /// Handles a table result; returns `None` if no change requested the operation.
+    pub fn handle_result(
         &mut self,
         operation: OperationKey,
         result: &TableResult,
@@ -210,13 +210,14 @@
             .changes
             .iter_mut()
             .find_map(|change| change.clear_operation(operation).then_some(change))?;
-        let outcome = change.take_result(result, store, out);
-        let concluded = Vec::from_iter(outcome.map(|outcome| change.conclude(outcome)));
-        self.remove_finished(&concluded);
-        Some(concluded)
+        let outcome = change.handle_result(result, store, out);
+        let finished = Vec::from_iter(outcome.map(|outcome| change.conclude(outcome)));
+        self.remove_finished(&finished);
+        Some(finished)
     }
 
-    fn remove_finished(&mut self, concluded: &[FinishedChange]) {
-        self.changes.retain(|change| concluded.iter().all(|done| done.reply != change.reply()));
+    fn remove_finished(&mut self, finished: &[FinishedChange]) {
+        self.changes
+            .retain(|change| finished.iter().all(|finished| finished.reply != change.reply()));
     }
 }
--- a/crates/sedgepath-core/src/configuration/change/progress.rs
+++ b/crates/sedgepath-core/src/configuration/change/progress.rs
@@ -1,4 +1,4 @@
-//! The state machine of a change: the table request it waits for, and the step after each result.
+//! The state machine of a change, driven by the results of its table requests.
 
 use serde::Serialize;
 
@@ -20,7 +20,7 @@
 /// The delay before a failed table request is retried, in milliseconds.
 const RETRY_DELAY_MS: u64 = 250;
 
-/// The number of newest log rows that are searched for a change's identifier.
+/// The number of newest log rows in which a change's identifier is searched for.
 const SEARCHED_LOG_ROWS: u64 = 256;
 
 /// The head row that a change builds on; `version` is `None` if the row does not exist.
@@ -47,8 +47,8 @@
     ResolveCommit { head: Head, at_ms: u64 },
     /// The log row that resolves an unknown commit result.
     AwaitResolution { head: Head },
-    /// The log row of the change that won a conflict.
-    AwaitWinner { head: Head },
+    /// The log row of the change that was committed instead.
+    AwaitConflicting { head: Head },
 }
 
 /// A change in progress.
@@ -61,7 +61,7 @@
     commit_result_unknown: bool,
     operation: Option<OperationKey>,
     step: Step,
-    /// The records of the transaction, if this node got the result that it was committed.
+    /// The records of the transaction, once its result shows that it was committed.
     committed: Option<RecordChanges>,
 }
 
@@ -84,7 +84,7 @@
 
     /// Clears the pending table request if it is the given one; returns whether it was.
     pub(super) fn clear_operation(&mut self, operation: OperationKey) -> bool {
-        self.operation.take_if(|waited| *waited == operation).is_some()
+        self.operation.take_if(|pending| *pending == operation).is_some()
     }
 
     pub(super) fn waits_for_store(&self) -> bool {
@@ -113,7 +113,7 @@
         }
         let refusal = match &self.step {
             Step::AwaitCommit { .. } => return ChangeOutcome::Unknown,
-            Step::AwaitWinner { head } => {
+            Step::AwaitConflicting { head } => {
                 return ChangeOutcome::Conflict { revision: head.revision + 1, other: None };
             }
             Step::AwaitStore { head } => {
@@ -128,7 +128,7 @@
         FinishedChange { reply: self.reply, outcome, changes: self.committed.take() }
     }
 
-    fn changes(&self, revision: u64) -> RecordChanges {
+    fn record_changes(&self, revision: u64) -> RecordChanges {
         let records = self.request.records.iter();
         let records = records.map(|record| RecordRow { revision, record: record.clone() });
         RecordChanges { revision, after: revision - 1, records: records.collect() }
@@ -143,7 +143,7 @@
         self.read(vec![HEAD_KEY.into()], Step::AwaitHead, out);
     }
 
-    pub(super) fn take_result(
+    pub(super) fn handle_result(
         &mut self,
         result: &TableResult,
         store: &RecordStore,
@@ -153,30 +153,30 @@
         let step = std::mem::replace(&mut self.step, Step::ReadHead { at_ms: retry_at_ms });
         match (step, result) {
             (Step::AwaitHead, TableResult::Rows(rows)) => {
-                self.take_head(rows, out);
+                self.handle_head(rows, out);
                 None
             }
             (Step::AwaitLog { head }, TableResult::Rows(rows)) => {
-                self.take_log(head, rows, store, out)
+                self.handle_log(head, rows, store, out)
             }
-            (Step::AwaitCommit { head }, result) => self.take_commit(head, result, out),
+            (Step::AwaitCommit { head }, result) => self.handle_commit(head, result, out),
             (Step::AwaitResolution { head }, TableResult::Rows(rows)) => {
-                self.take_resolution(head, rows, out)
+                self.handle_resolution(head, rows, out)
             }
-            (Step::AwaitWinner { head }, TableResult::Rows(rows)) => {
-                Some(self.outcome_by_log(head.revision + 1, rows))
+            (Step::AwaitConflicting { head }, TableResult::Rows(rows)) => {
+                Some(self.outcome_from_log(head.revision + 1, rows))
             }
-            (Step::AwaitResolution { head } | Step::AwaitWinner { head }, _) => {
+            (Step::AwaitResolution { head } | Step::AwaitConflicting { head }, _) => {
                 self.step = Step::ResolveCommit { head, at_ms: retry_at_ms };
                 None
             }
-            // A read failed; start again with the head after a delay.
+            // A read failed; start again by reading the head after a delay.
             _ => None,
         }
     }
 
-    /// Returns the outcome by the log row of the revision that the change would have created.
-    fn outcome_by_log(&self, revision: u64, rows: &[Row]) -> ChangeOutcome {
+    /// Returns the outcome from the log row of the revision that the change would have created.
+    fn outcome_from_log(&self, revision: u64, rows: &[Row]) -> ChangeOutcome {
         match rows.iter().find_map(parse_logged_change) {
             Some(own) if self.is_own(&own) => ChangeOutcome::Accepted { revision: own.revision },
             other => ChangeOutcome::Conflict { revision, other },
@@ -187,9 +187,9 @@
         logged.change_id == self.request.change_id
     }
 
-    /// Searches the log for the change's identifier, so that a repeated request is not committed
-    /// twice.
-    fn take_head(&mut self, rows: &[Row], out: &mut Outbox) {
+    /// Requests the newest log rows, to search them for the change's identifier, so that a retried
+    /// change is not committed twice.
+    fn handle_head(&mut self, rows: &[Row], out: &mut Outbox) {
         let row = rows.first();
         let head = Head {
             revision: row.and_then(|row| row.value.parse().ok()).unwrap_or(0),
@@ -204,7 +204,7 @@
         self.step = Step::AwaitLog { head };
     }
 
-    fn take_log(
+    fn handle_log(
         &mut self,
         head: Head,
         rows: &[Row],
@@ -245,7 +245,7 @@
     ) -> Option<ChangeOutcome> {
         if store.revision() > head.revision {
             if self.request.expected_revision.is_some() {
-                self.read(vec![log_key(head.revision + 1)], Step::AwaitWinner { head }, out);
+                self.read(vec![log_key(head.revision + 1)], Step::AwaitConflicting { head }, out);
             } else {
                 self.read_head(out);
             }
@@ -296,7 +296,7 @@
         self.step = Step::AwaitCommit { head };
     }
 
-    fn take_commit(
+    fn handle_commit(
         &mut self,
         head: Head,
         result: &TableResult,
@@ -304,13 +304,13 @@
     ) -> Option<ChangeOutcome> {
         match result {
             TableResult::Committed => {
-                self.committed = Some(self.changes(head.revision + 1));
+                self.committed = Some(self.record_changes(head.revision + 1));
                 return Some(ChangeOutcome::Accepted { revision: head.revision + 1 });
             }
             TableResult::Conflict { .. } => {
                 // The log row may be this change's own, if an earlier attempt committed and its
                 // response was lost.
-                self.read(vec![log_key(head.revision + 1)], Step::AwaitWinner { head }, out);
+                self.read(vec![log_key(head.revision + 1)], Step::AwaitConflicting { head }, out);
             }
             TableResult::Unavailable => {
                 self.step = Step::ResolveCommit { head, at_ms: out.now_ms() + RETRY_DELAY_MS };
@@ -323,7 +323,7 @@
         None
     }
 
-    fn take_resolution(
+    fn handle_resolution(
         &mut self,
         head: Head,
         rows: &[Row],
@@ -335,7 +335,7 @@
             self.commit(head, out);
             return None;
         }
-        Some(self.outcome_by_log(head.revision + 1, rows))
+        Some(self.outcome_from_log(head.revision + 1, rows))
     }
 }
 
@@ -344,5 +344,5 @@
 }
 
 fn to_json<T: Serialize>(row: &T) -> String {
-    serde_json::to_string(row).expect("rows hold text and numbers only")
+    serde_json::to_string(row).expect("row types should be serializable as JSON")
 }
--- a/crates/sedgepath-core/src/configuration/reader.rs
+++ b/crates/sedgepath-core/src/configuration/reader.rs
@@ -28,7 +28,7 @@
 const MAX_LOG_ROWS_PER_READ: u64 = 64;
 
 /// The additional age of the head per rank at which a member starts to poll, in milliseconds.
-const STEP_IN_DELAY_PER_RANK_MS: u64 = 100;
+const BACKUP_DELAY_PER_RANK_MS: u64 = 100;
 
 /// The read in progress, with the data that its result is combined with.
 #[derive(Debug)]
@@ -42,9 +42,9 @@
 /// The effect of a table result.
 #[derive(Debug)]
 pub enum ReadResult {
-    /// The reader did not send the request.
-    NotOwn,
-    /// There is nothing new, or the read continues.
+    /// The reader did not request the operation.
+    NotRequested,
+    /// There is nothing new, the read failed, or it continues.
     NoChanges,
     /// Records to apply to the store.
     Changes(RecordChanges),
@@ -59,7 +59,7 @@
 /// Polls the head and reads records that changed.
 #[derive(Debug, Default)]
 pub struct TableReader {
-    reading: Option<(OperationKey, PendingRead)>,
+    pending_read: Option<(OperationKey, PendingRead)>,
     head_read_sent_at_ms: u64,
     next_poll_at_ms: u64,
     head_confirmed_at_ms: u64,
@@ -77,21 +77,21 @@
         self.head
     }
 
-    /// Handles the age of the newest successful read that a peer knows of.
+    /// Handles a peer's report of the age of the newest successful read that it knows of.
     pub fn observe_head_age(&mut self, age_ms: u64, now_ms: u64) {
         self.head_confirmed_at_ms = self.head_confirmed_at_ms.max(now_ms.saturating_sub(age_ms));
     }
 
-    /// Reads the head now, whatever this node's rank, unless a read is in progress.
+    /// Reads the head now, regardless of this node's rank, unless a read is in progress.
     pub fn read_head_now(&mut self, out: &mut Outbox) {
-        if self.reading.is_none() {
+        if self.pending_read.is_none() {
             self.read_head(out);
         }
     }
 
-    /// Whether it is time for [`Self::poll`].
+    /// Returns whether it is time for [`Self::poll`].
     pub fn is_due(&self, now_ms: u64) -> bool {
-        self.reading.is_none() && now_ms >= self.next_poll_at_ms
+        self.pending_read.is_none() && now_ms >= self.next_poll_at_ms
     }
 
     /// Delays the first poll by `wait_ms`.
@@ -102,18 +102,18 @@
     /// Reads the head if this node is one of the first of its domain by `rank`, or if the last
     /// known read is too old.
     pub fn poll(&mut self, rank: u64, settings: &NodeSettings, out: &mut Outbox) {
-        let every_ms = settings.head_every_ms;
-        let Some(behind) = rank.checked_sub(READERS_PER_DOMAIN) else {
-            self.next_poll_at_ms = out.now_ms() + every_ms;
+        let interval_ms = settings.head_every_ms;
+        let Some(backup_rank) = rank.checked_sub(READERS_PER_DOMAIN) else {
+            self.next_poll_at_ms = out.now_ms() + interval_ms;
             self.read_head(out);
             return;
         };
-        let step_in_at_ms = settings.head_stale_ms + behind * STEP_IN_DELAY_PER_RANK_MS;
-        if self.head_age_ms(out.now_ms()) < step_in_at_ms {
-            self.next_poll_at_ms = out.now_ms() + every_ms / 4;
+        let max_head_age_ms = settings.head_stale_ms + backup_rank * BACKUP_DELAY_PER_RANK_MS;
+        if self.head_age_ms(out.now_ms()) < max_head_age_ms {
+            self.next_poll_at_ms = out.now_ms() + interval_ms / 4;
             return;
         }
-        self.next_poll_at_ms = out.now_ms() + every_ms * (behind + 1);
+        self.next_poll_at_ms = out.now_ms() + interval_ms * (backup_rank + 1);
         self.read_head(out);
     }
 
@@ -122,14 +122,14 @@
         self.read(vec![HEAD_KEY.into()], PendingRead::Head, out);
     }
 
-    fn read(&mut self, keys: Vec<Box<str>>, reading: PendingRead, out: &mut Outbox) {
+    fn read(&mut self, keys: Vec<Box<str>>, read: PendingRead, out: &mut Outbox) {
         let operation = out.request_table(TableRequest::Read(keys));
-        self.reading = Some((operation, reading));
+        self.pending_read = Some((operation, read));
     }
 
-    fn read_log(&mut self, after: u64, reading: PendingRead, out: &mut Outbox) {
+    fn read_log(&mut self, after: u64, read: PendingRead, out: &mut Outbox) {
         let keys = (after + 1..=after + MAX_LOG_ROWS_PER_READ).map(log_key).collect();
-        self.read(keys, reading, out);
+        self.read(keys, read, out);
     }
 
     fn scan(&mut self, head: u64, rows: Vec<RecordRow>, after: Box<str>, out: &mut Outbox) {
@@ -139,40 +139,41 @@
             limit: MAX_SCAN_PAGE_ROWS,
         };
         let operation = out.request_table(request);
-        self.reading = Some((operation, PendingRead::Scan { head, rows }));
+        self.pending_read = Some((operation, PendingRead::Scan { head, rows }));
     }
 
     /// Handles a table result; `revision` is the one in force on this node.
-    pub fn take_result(
+    pub fn handle_result(
         &mut self,
         operation: OperationKey,
         result: &TableResult,
         revision: u64,
         out: &mut Outbox,
     ) -> ReadResult {
-        let Some((_, reading)) = self.reading.take_if(|(key, _)| *key == operation) else {
-            return ReadResult::NotOwn;
+        let Some((_, read)) = self.pending_read.take_if(|(pending, _)| *pending == operation)
+        else {
+            return ReadResult::NotRequested;
         };
         let TableResult::Rows(rows) = result else {
             return ReadResult::NoChanges;
         };
-        match reading {
+        match read {
             PendingRead::Head => {
-                self.take_head(rows, revision, out);
+                self.handle_head(rows, revision, out);
                 ReadResult::NoChanges
             }
-            PendingRead::Log { after, head } => self.take_log(after, head, rows, out).into(),
-            PendingRead::Scan { head, rows: known } => {
-                self.take_scan(head, known, rows, out);
+            PendingRead::Log { after, head } => self.handle_log(after, head, rows, out).into(),
+            PendingRead::Scan { head, rows: scanned } => {
+                self.handle_scan(head, scanned, rows, out);
                 ReadResult::NoChanges
             }
-            PendingRead::LogAfterScan { head, rows: known } => {
-                self.take_log_after_scan(head, known, rows, out).into()
+            PendingRead::LogAfterScan { head, rows: scanned } => {
+                self.handle_log_after_scan(head, scanned, rows, out).into()
             }
         }
     }
 
-    fn take_head(&mut self, rows: &[Row], revision: u64, out: &mut Outbox) {
+    fn handle_head(&mut self, rows: &[Row], revision: u64, out: &mut Outbox) {
         self.head_confirmed_at_ms = self.head_confirmed_at_ms.max(self.head_read_sent_at_ms);
         let head = rows.first().and_then(|row| row.value.parse().ok()).unwrap_or(0);
         self.head = Some(head);
@@ -186,7 +187,7 @@
         }
     }
 
-    fn take_log(
+    fn handle_log(
         &mut self,
         after: u64,
         head: u64,
@@ -202,31 +203,37 @@
         Some(RecordChanges { revision: reached, after, records })
     }
 
-    fn take_scan(&mut self, head: u64, mut known: Vec<RecordRow>, rows: &[Row], out: &mut Outbox) {
-        known.extend(rows.iter().filter_map(|row| serde_json::from_str(&row.value).ok()));
+    fn handle_scan(
+        &mut self,
+        head: u64,
+        mut scanned: Vec<RecordRow>,
+        rows: &[Row],
+        out: &mut Outbox,
+    ) {
+        scanned.extend(rows.iter().filter_map(|row| serde_json::from_str(&row.value).ok()));
         match rows.last() {
             Some(last) if rows.len() >= MAX_SCAN_PAGE_ROWS as usize => {
-                self.scan(head, known, last.key.clone(), out);
+                self.scan(head, scanned, last.key.clone(), out);
             }
-            _ => self.read_log(head, PendingRead::LogAfterScan { head, rows: known }, out),
+            _ => self.read_log(head, PendingRead::LogAfterScan { head, rows: scanned }, out),
         }
     }
 
-    fn take_log_after_scan(
+    fn handle_log_after_scan(
         &mut self,
         head: u64,
-        mut known: Vec<RecordRow>,
+        mut scanned: Vec<RecordRow>,
         rows: &[Row],
         out: &mut Outbox,
     ) -> Option<RecordChanges> {
-        let highest = known.iter().map(|row| row.revision).max().unwrap_or(0).max(head);
+        let highest = scanned.iter().map(|row| row.revision).max().unwrap_or(0).max(head);
         let (reached, records) = collect_log_records(head, rows);
-        known.extend(records);
+        scanned.extend(records);
         if reached >= highest {
-            return Some(RecordChanges { revision: reached, after: 0, records: known });
+            return Some(RecordChanges { revision: reached, after: 0, records: scanned });
         }
         if reached > head {
-            self.read_log(reached, PendingRead::LogAfterScan { head: reached, rows: known }, out);
+            self.read_log(reached, PendingRead::LogAfterScan { head: reached, rows: scanned }, out);
         }
         // Otherwise the log lacks a revision that the scan returned; the next poll starts over.
         None
--- a/crates/sedgepath-core/src/configuration/rows.rs
+++ b/crates/sedgepath-core/src/configuration/rows.rs
@@ -3,10 +3,11 @@
 //! - `head`: the newest revision, as a decimal number. Every change is conditional on its version.
 //! - `record/<kind>/<name>`: a [`RecordRow`] with the record as last accepted.
 //! - `log/<revision as 20 digits>`: a [`LoggedChange`]. Readers that are a few revisions behind read
-//!   only these rows, changes look up lost commit results in them, and operators list them.
+//!   only these rows. Changes whose commit result was lost are looked up in them. Operators list
+//!   them.
 //!
 //! A change writes all of its rows in one transaction. Records are replaced but never removed, so
-//! the records written after revision R are the complete difference to R.
+//! the records written after revision R are the complete difference from R to the head.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/sedgepath-core/src/configuration/store.rs
+++ b/crates/sedgepath-core/src/configuration/store.rs
@@ -25,7 +25,7 @@
 }
 
 impl RecordPosition {
-    /// Whether this position precedes all records, as in the first request of a node that starts.
+    /// Returns whether this position precedes all records, as in the first request of a node that starts.
     pub fn precedes_all_records(&self) -> bool {
         self.revision <= 1 && self.kind.is_empty()
     }
@@ -54,12 +54,12 @@
     pub records: Vec<RecordRow>,
     /// Whether this is the last page.
     ///
-    /// A record that is rewritten during a fetch moves behind the fetch's position, so all pages up
-    /// to the last one together contain the whole difference to the last page's revision.
+    /// A record that is rewritten during a fetch moves to a position after the fetch's, so all pages
+    /// up to the last one together contain the whole difference to the last page's revision.
     pub complete: bool,
     /// The peer's copy of the platform's VM list, sent to a node that starts.
     ///
-    /// It lets the nodes of a failure domain find each other if they all restart while the platform
+    /// With it the nodes of a failure domain find each other if they all restart while the platform
     /// is down.
     pub listed: Vec<ListedVm>,
 }
@@ -112,8 +112,8 @@
         for row in changes.records {
             blocks_changed |= &*row.record.kind == "clients";
             let key = (row.record.kind.clone(), row.record.name.clone());
-            let known = self.records.get(&key);
-            if known.is_none_or(|known| known.revision < row.revision) {
+            let current = self.records.get(&key);
+            if current.is_none_or(|current| current.revision < row.revision) {
                 self.records.insert(key, row);
             }
         }
@@ -136,17 +136,17 @@
             .filter(|(position, _)| position > after)
             .collect();
         rows.sort_unstable_by(|a, b| a.0.cmp(&b.0));
-        let mut bytes = 0;
-        let taken = rows.iter().take_while(|(_, row)| {
-            let fits = bytes == 0 || bytes + row.record.body.len() <= MAX_PAGE_BYTES;
-            bytes += row.record.body.len();
+        let mut page_bytes = 0;
+        let page_rows = rows.iter().take_while(|(_, row)| {
+            let fits = page_bytes == 0 || page_bytes + row.record.body.len() <= MAX_PAGE_BYTES;
+            page_bytes += row.record.body.len();
             fits
         });
-        let taken = taken.count();
+        let count = page_rows.count();
         RecordPage {
             revision: self.revision,
-            records: rows[..taken].iter().map(|(_, row)| (*row).clone()).collect(),
-            complete: taken == rows.len(),
+            records: rows[..count].iter().map(|(_, row)| (*row).clone()).collect(),
+            complete: count == rows.len(),
             listed: Vec::new(),
         }
     }
--- a/crates/sedgepath-core/src/record.rs
+++ b/crates/sedgepath-core/src/record.rs
@@ -1,8 +1,8 @@
 //! Configuration records and their schemas.
 //!
 //! A record is stored and relayed as the text that was accepted. Each node parses the kinds and
-//! schemas that it knows. A node relays a record that it can't parse unchanged, and rejects requests
-//! only for the service that such a record configures.
+//! schemas that it knows. A record that a node can't parse is still relayed, unchanged; the node
+//! rejects requests only for the service that the record configures.
 
 use std::net::SocketAddr;
 
