--- a/crates/sedgepath-core/src/configuration.rs
+++ b/crates/sedgepath-core/src/configuration.rs
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Handles a member's report of the age of the newest successful read of the head that it knows of.
+    /// Handles a member's report of the age of the newest successful read of the head known to it.
     pub fn observe_head_age(&mut self, age_ms: u64, out: &Outbox) {
         self.reader.observe_head_age(age_ms, out.now_ms());
     }
@@ -136,7 +136,7 @@
         self.gossip.observe_revision(vm, operator_address, revision, self.store.revision());
     }
 
-    /// Polls the head, announces new revisions, fetches from peers and advances changes as they are due.
+    /// Polls the head, announces revisions, fetches from peers and advances changes as they are due.
     pub fn tick(&mut self, members: &Membership, out: &mut Outbox) {
         if self.started_at_ms.is_none() {
             self.started_at_ms = Some(out.now_ms());
--- a/crates/sedgepath-core/src/configuration/change.rs
+++ b/crates/sedgepath-core/src/configuration/change.rs
@@ -60,7 +60,7 @@
     },
     /// Another change was committed first; this one was not and will not be.
     Conflict {
-        /// The newest head revision that the node knows of.
+        /// The head revision, or a lower bound of it.
         revision: u64,
         /// The other change, if it was found in the log.
         other: Option<LoggedChange>,
--- a/crates/sedgepath-core/src/configuration/change/progress.rs
+++ b/crates/sedgepath-core/src/configuration/change/progress.rs
@@ -47,8 +47,8 @@
     ResolveCommit { head: Head, at_ms: u64 },
     /// The log row that resolves an unknown commit result.
     AwaitResolution { head: Head },
-    /// The log row of the change that was committed instead.
-    AwaitConflicting { head: Head },
+    /// The log row of the next revision, after a conflict.
+    AwaitConflictingRow { head: Head },
 }
 
 /// A change in progress.
@@ -113,7 +113,7 @@
         }
         let refusal = match &self.step {
             Step::AwaitCommit { .. } => return ChangeOutcome::Unknown,
-            Step::AwaitConflicting { head } => {
+            Step::AwaitConflictingRow { head } => {
                 return ChangeOutcome::Conflict { revision: head.revision + 1, other: None };
             }
             Step::AwaitStore { head } => {
@@ -163,10 +163,10 @@
             (Step::AwaitResolution { head }, TableResult::Rows(rows)) => {
                 self.handle_resolution(head, rows, out)
             }
-            (Step::AwaitConflicting { head }, TableResult::Rows(rows)) => {
+            (Step::AwaitConflictingRow { head }, TableResult::Rows(rows)) => {
                 Some(self.outcome_from_log(head.revision + 1, rows))
             }
-            (Step::AwaitResolution { head } | Step::AwaitConflicting { head }, _) => {
+            (Step::AwaitResolution { head } | Step::AwaitConflictingRow { head }, _) => {
                 self.step = Step::ResolveCommit { head, at_ms: retry_at_ms };
                 None
             }
@@ -245,7 +245,11 @@
     ) -> Option<ChangeOutcome> {
         if store.revision() > head.revision {
             if self.request.expected_revision.is_some() {
-                self.read(vec![log_key(head.revision + 1)], Step::AwaitConflicting { head }, out);
+                self.read(
+                    vec![log_key(head.revision + 1)],
+                    Step::AwaitConflictingRow { head },
+                    out,
+                );
             } else {
                 self.read_head(out);
             }
@@ -310,7 +314,11 @@
             TableResult::Conflict { .. } => {
                 // The log row may be this change's own, if an earlier attempt committed and its
                 // response was lost.
-                self.read(vec![log_key(head.revision + 1)], Step::AwaitConflicting { head }, out);
+                self.read(
+                    vec![log_key(head.revision + 1)],
+                    Step::AwaitConflictingRow { head },
+                    out,
+                );
             }
             TableResult::Unavailable => {
                 self.step = Step::ResolveCommit { head, at_ms: out.now_ms() + RETRY_DELAY_MS };
--- a/crates/sedgepath-core/src/configuration/gossip.rs
+++ b/crates/sedgepath-core/src/configuration/gossip.rs
@@ -2,8 +2,8 @@
 //!
 //! A node that applies a revision notifies a few random members, most of them in its own failure
 //! domain, and each of these does the same (rumor mongering; Demers et al., 1987). Notices may not
-//! reach all members, so heartbeats carry the sender's revision too. A node that learns of a higher revision
-//! fetches the difference.
+//! reach all members, so heartbeats carry the sender's revision too. A node that learns of a higher
+//! revision fetches the difference.
 //!
 //! A node fetches from one peer at a time, in pages, after a random delay that keeps members from
 //! sending their requests to the same peer at once. If a peer does not respond, the node tries the
--- a/crates/sedgepath-core/src/configuration/reader.rs
+++ b/crates/sedgepath-core/src/configuration/reader.rs
@@ -67,7 +67,7 @@
 }
 
 impl TableReader {
-    /// Returns the age of the newest successful read of the head, by any node, that is known here.
+    /// Returns the age of the newest successful read of the head, by any node, known to this node.
     pub fn head_age_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.head_confirmed_at_ms)
     }
--- a/crates/sedgepath-core/src/configuration/store.rs
+++ b/crates/sedgepath-core/src/configuration/store.rs
@@ -25,7 +25,7 @@
 }
 
 impl RecordPosition {
-    /// Returns whether this position precedes all records, as in the first request of a node that starts.
+    /// Returns whether this position precedes all records, as in a starting node's first request.
     pub fn precedes_all_records(&self) -> bool {
         self.revision <= 1 && self.kind.is_empty()
     }
--- a/crates/sedgepath-core/src/deduplication/claims.rs
+++ b/crates/sedgepath-core/src/deduplication/claims.rs
@@ -2,8 +2,8 @@
 //!
 //! A caller may retry its request through any entry VM, table writes may be applied late or their
 //! results may be lost, and nodes may pause or fail at any time. Still, an action runs at most once,
-//! and it never runs after its caller was told *not run*. Claims are not leases: an expired lease
-//! does not prove that a paused holder won't send the request.
+//! and an attempt for which the caller was told *not run* never runs. Claims are not leases: an
+//! expired lease does not prove that a paused holder won't send the request.
 //!
 //! # Invariants
 //!
--- a/crates/sedgepath-core/tests/configuration_change.rs
+++ b/crates/sedgepath-core/tests/configuration_change.rs
@@ -34,11 +34,11 @@
     records::steering("browse", &[("north-a", weight), ("south-a", 1.0)], 100.0, 10_000)
 }
 
-fn request(change_id: &str, expected: Option<u64>, record: RawRecord) -> ChangeRequest {
+fn request(change_id: &str, expected_revision: Option<u64>, record: RawRecord) -> ChangeRequest {
     ChangeRequest {
         change_id: change_id.into(),
         records: vec![record],
-        expected_revision: expected,
+        expected_revision,
         note: "a test".into(),
     }
 }
@@ -52,28 +52,31 @@
     bed.look_up(node, &look_up)
 }
 
-fn in_force(bed: &mut Bed) -> Vec<u64> {
+/// Returns the revision by which each node answers look-ups, or 0 if it does not answer.
+fn revisions_in_force(bed: &mut Bed) -> Vec<u64> {
     (0..bed.node_count())
         .map(|node| look_up(bed, node, "browse").map_or(0, |answer| answer.revision))
         .collect()
 }
 
 fn outcome(bed: &Bed, reply: ReplyKey) -> ChangeOutcome {
-    bed.change_outcome(reply).cloned().expect("the node has told the outcome")
+    bed.change_outcome(reply).cloned().expect("the node should have replied with the outcome")
 }
 
 /// Returns the revisions in the table's log that have the change identifier.
-fn logged(bed: &Bed, change_id: &str) -> Vec<u64> {
+fn logged_revisions(bed: &Bed, change_id: &str) -> Vec<u64> {
     let rows = bed.table().rows();
     let changes = rows.iter().filter(|row| row.key.starts_with("log/"));
-    let changes = changes.map(|row| serde_json::from_str::<LoggedChange>(&row.value).expect("row"));
+    let changes = changes.map(|row| {
+        serde_json::from_str::<LoggedChange>(&row.value).expect("log rows should be valid JSON")
+    });
     changes.filter(|change| &*change.change_id == change_id).map(|change| change.revision).collect()
 }
 
 /// Of concurrent changes that expect the same revision exactly one must be accepted; the others must
 /// get a conflict with the accepted change.
 #[test]
-fn of_racing_operators_one_wins_and_the_others_see_its_change() {
+fn one_of_several_concurrent_changes_is_accepted() {
     let mut bed = bed(1);
     let replies: Vec<_> = (0..6)
         .map(|node| {
@@ -83,27 +86,31 @@
         .collect();
     bed.run_for(3_000);
     let outcomes: Vec<_> = replies.iter().map(|reply| outcome(&bed, *reply)).collect();
-    let accepted = |outcome: &&ChangeOutcome| **outcome == ChangeOutcome::Accepted { revision: 2 };
-    assert_eq!(outcomes.iter().filter(accepted).count(), 1, "{outcomes:?}");
-    let winner = outcomes.iter().position(|outcome| accepted(&outcome)).expect("a winner");
-    for lost in outcomes.iter().filter(|outcome| !accepted(outcome)) {
-        let ChangeOutcome::Conflict { revision: 2, other: Some(other) } = lost else {
-            panic!("{lost:?}");
+    let is_accepted =
+        |outcome: &&ChangeOutcome| **outcome == ChangeOutcome::Accepted { revision: 2 };
+    assert_eq!(outcomes.iter().filter(is_accepted).count(), 1, "{outcomes:?}");
+    let accepted = outcomes
+        .iter()
+        .position(|outcome| is_accepted(&outcome))
+        .expect("one change should be accepted");
+    for rejected in outcomes.iter().filter(|outcome| !is_accepted(outcome)) {
+        let ChangeOutcome::Conflict { revision: 2, other: Some(other) } = rejected else {
+            panic!("{rejected:?}");
         };
-        assert_eq!(*other.change_id, format!("race-{winner}"));
+        assert_eq!(*other.change_id, format!("race-{accepted}"));
     }
-    assert_eq!(in_force(&mut bed), [2; 6]);
+    assert_eq!(revisions_in_force(&mut bed), [2; 6]);
 }
 
 /// All results of commits are lost. The outcomes must still agree with the log: accepted changes are
 /// in it once, all others not at all.
 #[test]
-fn a_lost_answer_is_settled_by_the_log() {
+fn lost_commit_results_are_resolved_from_the_log() {
     let mut bed = bed(2);
     bed.faults.lost_answers_percent = 100;
     let mut accepted = 0;
     for round in 0..20 {
-        let asked: Vec<_> = (0..=round % 2)
+        let requests: Vec<_> = (0..=round % 2)
             .map(|node| {
                 let id = format!("change-{round}-{node}");
                 let record = steering(1.0 + f64::from(round as u32));
@@ -111,8 +118,8 @@
             })
             .collect();
         bed.run_for(3_000);
-        for (reply, id) in asked {
-            let revisions = logged(&bed, &id);
+        for (reply, id) in requests {
+            let revisions = logged_revisions(&bed, &id);
             match outcome(&bed, reply) {
                 ChangeOutcome::Accepted { revision } => {
                     assert_eq!(revisions, [revision]);
@@ -124,13 +131,13 @@
         }
     }
     assert!(accepted >= 20, "{accepted}");
-    assert_eq!(in_force(&mut bed), [1 + accepted; 6]);
+    assert_eq!(revisions_in_force(&mut bed), [1 + accepted; 6]);
 }
 
 /// A commit is applied late, after the node has sent the same transaction again. The change must be
 /// committed once only.
 #[test]
-fn a_write_that_arrives_late_takes_effect_once() {
+fn a_late_commit_takes_effect_once() {
     let mut bed = bed(3);
     bed.faults.late_writes = 1;
     bed.faults.late_by_ms = 2_000;
@@ -138,18 +145,18 @@
     bed.run_for(1_000);
     assert_eq!(outcome(&bed, reply), ChangeOutcome::Accepted { revision: 2 });
     bed.run_for(5_000);
-    assert_eq!(logged(&bed, "late"), [2]);
-    assert_eq!(in_force(&mut bed), [2; 6]);
+    assert_eq!(logged_revisions(&bed, "late"), [2]);
+    assert_eq!(revisions_in_force(&mut bed), [2; 6]);
 }
 
-/// A repeated request for a change whose outcome was unknown must return the revision that the change
-/// created, also after later changes, and must not commit it again.
+/// A retry of a change whose outcome was unknown must return the revision that the change created,
+/// also after later changes, and must not commit it again.
 #[test]
-fn asking_again_tells_and_never_changes_twice() {
+fn a_retried_change_returns_its_revision_and_is_not_committed_again() {
     let mut bed = bed(4);
     bed.faults.lost_answers_percent = 100;
     let reply = bed.change(0, request("again", None, steering(2.0)));
-    while logged(&bed, "again").is_empty() {
+    while logged_revisions(&bed, "again").is_empty() {
         bed.run_for(1);
     }
     bed.faults.platform_down = true;
@@ -165,13 +172,13 @@
         bed.run_for(3_000);
         assert_eq!(outcome(&bed, reply), ChangeOutcome::Accepted { revision: 2 });
     }
-    assert_eq!(logged(&bed, "again"), [2]);
-    assert_eq!(in_force(&mut bed), [3; 6]);
+    assert_eq!(logged_revisions(&bed, "again"), [2]);
+    assert_eq!(revisions_in_force(&mut bed), [3; 6]);
 }
 
 /// A change that is not accepted during an outage of the platform must not take effect after it.
 #[test]
-fn a_change_during_an_outage_is_not_accepted_and_stays_so() {
+fn a_change_during_an_outage_is_never_committed() {
     let mut bed = bed(5);
     bed.faults.platform_down = true;
     let reply = bed.change(0, request("down", None, steering(2.0)));
@@ -180,22 +187,22 @@
     assert_eq!(outcome(&bed, reply), ChangeOutcome::NotAccepted { refusal });
     bed.faults.platform_down = false;
     bed.run_for(10_000);
-    assert_eq!(logged(&bed, "down"), [0; 0]);
-    assert_eq!(in_force(&mut bed), [1; 6]);
+    assert_eq!(logged_revisions(&bed, "down"), [0; 0]);
+    assert_eq!(revisions_in_force(&mut bed), [1; 6]);
 }
 
 /// A change that exceeds the size of a transaction must be rejected with the limit; a change at the
 /// limit must be accepted.
 #[test]
-fn a_change_that_fits_no_transaction_is_refused_at_once() {
+fn a_change_that_exceeds_a_transaction_is_rejected() {
     let mut bed = bed(6);
-    let of_records = |count: usize| {
+    let request_with_records = |count: usize| {
         let service = |number| records::service(&format!("s{number}"), 5_000, &[]);
         let mut request = request("many", None, steering(2.0));
         request.records = (0..count).map(service).collect();
         request
     };
-    let reply = bed.change(0, of_records(97));
+    let reply = bed.change(0, request_with_records(97));
     let refusal = ChangeRefusal::TooManyRecords { records: 97, most: 96 };
     assert_eq!(outcome(&bed, reply), ChangeOutcome::NotAccepted { refusal });
     let mut long = request("long", None, steering(2.0));
@@ -203,14 +210,14 @@
     let reply = bed.change(0, long);
     let refusal = ChangeRefusal::TooLarge { bytes: 350 * 1024 + 1, most: 350 * 1024 };
     assert_eq!(outcome(&bed, reply), ChangeOutcome::NotAccepted { refusal });
-    let reply = bed.change(0, of_records(96));
+    let reply = bed.change(0, request_with_records(96));
     bed.run_for(3_000);
     assert_eq!(outcome(&bed, reply), ChangeOutcome::Accepted { revision: 2 });
 }
 
 /// A change that refers to an unknown failure domain must be rejected with the path of the error.
 #[test]
-fn a_change_that_would_leave_records_out_of_order_is_refused() {
+fn a_change_with_an_unknown_reference_is_rejected() {
     let mut bed = bed(6);
     let record = records::steering("browse", &[("north-z", 1.0)], 100.0, 10_000);
     let reply = bed.change(0, request("wrong", None, record));
@@ -222,22 +229,22 @@
     };
     assert_eq!(problems.len(), 1, "{problems:?}");
     assert_eq!(problems[0].path.to_string(), "groups[0].shares[0].domain");
-    assert_eq!(in_force(&mut bed), [1; 6]);
+    assert_eq!(revisions_in_force(&mut bed), [1; 6]);
 }
 
 /// A node must reject only the service that a record of an unknown schema configures, and must relay
 /// the record unchanged.
 #[test]
-fn an_unknown_schema_is_kept_relayed_and_refused_for_its_service_only() {
+fn a_record_of_an_unknown_schema_affects_only_its_service() {
     let mut bed = bed(7);
     let body = json!({ "groups": [], "cap": { "percent": 5, "window_ms": 1_000 }, "newer": "ü" });
     let newer = records::record(3, "steering", "browse", &body);
-    let second = json!({
+    let schema_2_body = json!({
         "groups": [{ "origin": "any", "shares": [{ "domain": "south-a", "weight": 1 }] }],
         "cap": { "percent": 5, "window_ms": 1_000 },
         "failover_cap": { "percent": 50, "window_ms": 1_000 },
     });
-    bed.write_records(&[newer.clone(), records::record(2, "steering", "guides", &second)]);
+    bed.write_records(&[newer.clone(), records::record(2, "steering", "guides", &schema_2_body)]);
     bed.run_for(4_000);
     bed.faults.platform_down = true;
     bed.kill(0);
@@ -247,16 +254,16 @@
         assert_eq!(look_up(&mut bed, node, "browse"), Err(LookUpError::Configuration));
         assert_eq!(look_up(&mut bed, node, "guides").map(|answer| answer.revision), Ok(2));
         let page = bed.node(node).map(|node| node.configuration().page(&RecordPosition::default()));
-        let kept = page.expect("the node runs").records;
-        assert!(kept.iter().any(|row| row.record == newer), "node {node}: {kept:?}");
+        let records = page.expect("the node runs").records;
+        assert!(records.iter().any(|row| row.record == newer), "node {node}: {records:?}");
     }
 }
 
 /// A node restarts while the platform is down and first hears of a peer with an outdated revision.
 /// It must not serve by that revision before it has heard of its other peers.
 #[test]
-fn a_restarted_node_never_serves_by_an_older_revision_than_before() {
-    let mut lower = 0;
+fn a_restarted_node_does_not_serve_by_an_older_revision() {
+    let mut outdated_answers = 0;
     for seed in 0..10 {
         let mut bed = bed(seed);
         for other in 1..6 {
@@ -276,20 +283,20 @@
         bed.start(1);
         for step in 0..300 {
             bed.run_for(10);
-            lower += usize::from(in_force(&mut bed)[1] == 1);
+            outdated_answers += usize::from(revisions_in_force(&mut bed)[1] == 1);
             if step == 50 {
                 bed.faults.heal_all();
             }
         }
-        assert_eq!(in_force(&mut bed), [2; 6], "seed {seed}");
+        assert_eq!(revisions_in_force(&mut bed), [2; 6], "seed {seed}");
     }
-    assert_eq!(lower, 0, "look-ups answered by the older revision");
+    assert_eq!(outdated_answers, 0, "look-ups answered by the older revision");
 }
 
-/// A node that has no configuration yet must answer *not run* with a retry delay, and not that the
+/// A node that has no configuration yet must reject requests as *not ready*, and not report that the
 /// service does not exist.
 #[test]
-fn a_node_without_a_configuration_says_so() {
+fn a_node_without_a_configuration_rejects_requests_as_not_ready() {
     let mut bed = bed(8);
     bed.faults.platform_down = true;
     bed.kill(0);
--- a/crates/sedgepath-core/tests/fuzz_configuration.rs
+++ b/crates/sedgepath-core/tests/fuzz_configuration.rs
@@ -1,6 +1,6 @@
-//! Stateful fuzzing of configuration changes over five node cores in two failure domains.
+//! Stateful fuzzing of configuration changes over five simulated nodes in two failure domains.
 //!
-//! Operators send and repeat changes at any node under faults of nodes, links and the table, while
+//! Operators send and retry changes at any node under faults of nodes, links and the table, while
 //! newer nodes write records of an unknown schema. The oracle uses look-ups, the outcomes of changes
 //! and the table's log.
 //!
@@ -27,39 +27,45 @@
 
 const NODES: usize = 5;
 
-/// The time in milliseconds for pending changes to finish and replicate after the last fault.
+/// The time after the last fault in which pending changes must finish and replicate, in
+/// milliseconds.
 const SETTLE_MS: u64 = 15_000;
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// An operator requests a change; with `expects`, it expects the revision in force on the node.
+    /// An operator requests a change. With `expect_current_revision`, the request expects the
+    /// revision in force on the node, if there is one.
     Change {
         node: usize,
-        expects: bool,
+        expect_current_revision: bool,
     },
-    /// An operator repeats the request of an earlier change; with `expects`, it expects the revision
-    /// now in force on the node.
-    AskAgain {
+    /// An operator retries an earlier change. With `expect_current_revision`, the request expects
+    /// the revision now in force on the node, or 0 if there is none.
+    RetryChange {
         node: usize,
         change: prop::sample::Index,
-        expects: bool,
+        expect_current_revision: bool,
     },
     /// A newer node writes a record of an unknown schema.
-    Newer,
+    WriteNewerSchema,
     Kill(usize),
     Start(usize),
     Pause(usize),
-    Wake(usize),
+    Resume(usize),
     CutNodes(usize, usize),
     CutPlatform(usize),
     Heal,
     PlatformDown(bool),
-    LostAnswers(u32),
+    LoseTableResults {
+        percent: u32,
+    },
     LateWrites {
         count: u32,
         late_by_ms: u64,
     },
-    Pass(u64),
+    RunFor {
+        duration_ms: u64,
+    },
 }
 
 /// The reference model; stateless, since every step is valid in every state.
@@ -76,23 +82,28 @@
     fn transitions((): &()) -> BoxedStrategy<Step> {
         let node = || 0..NODES;
         prop_oneof![
-            14 => (node(), any::<bool>()).prop_map(|(node, expects)| Step::Change { node, expects }),
+            14 => (node(), any::<bool>()).prop_map(|(node, expect_current_revision)| {
+                Step::Change { node, expect_current_revision }
+            }),
             6 => (node(), any::<prop::sample::Index>(), any::<bool>())
-                .prop_map(|(node, change, expects)| Step::AskAgain { node, change, expects }),
-            1 => Just(Step::Newer),
+                .prop_map(|(node, change, expect_current_revision)| {
+                    Step::RetryChange { node, change, expect_current_revision }
+                }),
+            1 => Just(Step::WriteNewerSchema),
             3 => node().prop_map(Step::Kill),
             5 => node().prop_map(Step::Start),
             2 => node().prop_map(Step::Pause),
-            3 => node().prop_map(Step::Wake),
+            3 => node().prop_map(Step::Resume),
             2 => (node(), node()).prop_map(|(a, b)| Step::CutNodes(a, b)),
             2 => node().prop_map(Step::CutPlatform),
             2 => Just(Step::Heal),
             4 => any::<bool>().prop_map(Step::PlatformDown),
-            2 => prop_oneof![Just(0), Just(50), Just(100)].prop_map(Step::LostAnswers),
+            2 => prop_oneof![Just(0), Just(50), Just(100)]
+                .prop_map(|percent| Step::LoseTableResults { percent }),
             4 => (1..4_u32, 1..12_000_u64)
                 .prop_map(|(count, late_by_ms)| Step::LateWrites { count, late_by_ms }),
-            12 => (1..40_u64).prop_map(Step::Pass),
-            12 => (100..5_000_u64).prop_map(Step::Pass),
+            12 => (1..40_u64).prop_map(|duration_ms| Step::RunFor { duration_ms }),
+            12 => (100..5_000_u64).prop_map(|duration_ms| Step::RunFor { duration_ms }),
         ]
         .boxed()
     }
@@ -100,8 +111,8 @@
     fn apply((): (), _transition: &Step) {}
 }
 
-/// A requested change, and the replies to its first and repeated requests.
-struct Asked {
+/// A change, and the replies to its first request and its retries.
+struct RequestedChange {
     record: RawRecord,
     expected_revision: Option<u64>,
     replies: Vec<ReplyKey>,
@@ -109,9 +120,9 @@
 
 struct Run {
     bed: Bed,
-    asked: Vec<Asked>,
-    /// The last revision by which each node answered look-ups since its start.
-    answered: [u64; NODES],
+    changes: Vec<RequestedChange>,
+    /// The revision of each node's latest look-up answer since it started, or 0.
+    last_answered_revision: [u64; NODES],
 }
 
 impl Run {
@@ -128,10 +139,11 @@
             bed.add_node(&format!("n{node}"), if node < 3 { "a" } else { "b" });
         }
         bed.run_for(5_000);
-        Self { bed, asked: Vec::new(), answered: [0; NODES] }
+        Self { bed, changes: Vec::new(), last_answered_revision: [0; NODES] }
     }
 
-    fn in_force(&mut self, node: usize) -> u64 {
+    /// Returns the revision by which a node answers look-ups, or 0 if it does not answer.
+    fn revision_in_force(&mut self, node: usize) -> u64 {
         if self.bed.node(node).is_none() {
             return 0;
         }
@@ -140,69 +152,76 @@
         self.bed.look_up(node, &look_up).map_or(0, |answer| answer.revision)
     }
 
-    fn ask(&mut self, node: usize, change: usize) {
-        let asked = &mut self.asked[change];
+    fn send_request(&mut self, node: usize, index: usize) {
+        let change = &mut self.changes[index];
         let request = ChangeRequest {
-            change_id: format!("change-{change}").into(),
-            records: vec![asked.record.clone()],
-            expected_revision: asked.expected_revision,
+            change_id: format!("change-{index}").into(),
+            records: vec![change.record.clone()],
+            expected_revision: change.expected_revision,
             note: Box::default(),
         };
-        asked.replies.push(self.bed.change(node, request));
+        change.replies.push(self.bed.change(node, request));
     }
 
-    fn change(&mut self, node: usize, expects: bool) {
-        let expected_revision = expects.then(|| self.in_force(node)).filter(|seen| *seen > 0);
-        let change = self.asked.len();
-        let record = steering(change as u32 + 1);
-        self.asked.push(Asked { record, expected_revision, replies: Vec::new() });
-        self.ask(node, change);
+    fn change(&mut self, node: usize, expect_current_revision: bool) {
+        let expected_revision = expect_current_revision
+            .then(|| self.revision_in_force(node))
+            .filter(|revision| *revision > 0);
+        let index = self.changes.len();
+        let record = steering(index as u32 + 1);
+        self.changes.push(RequestedChange { record, expected_revision, replies: Vec::new() });
+        self.send_request(node, index);
     }
 
-    fn newer(&mut self) {
+    fn write_newer_schema(&mut self) {
         let body = json!({ "newer": self.bed.now_ms() });
         self.bed.write_records(&[records::record(3, "steering", "guides", &body)]);
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply_step(&mut self, step: &Step) {
         match step {
-            Step::Change { node, expects } => self.change(*node, *expects),
-            Step::AskAgain { node, change, expects } if !self.asked.is_empty() => {
-                let change = change.index(self.asked.len());
-                if *expects {
-                    self.asked[change].expected_revision = Some(self.in_force(*node));
+            Step::Change { node, expect_current_revision } => {
+                self.change(*node, *expect_current_revision);
+            }
+            Step::RetryChange { node, change, expect_current_revision }
+                if !self.changes.is_empty() =>
+            {
+                let index = change.index(self.changes.len());
+                if *expect_current_revision {
+                    self.changes[index].expected_revision = Some(self.revision_in_force(*node));
                 }
-                self.ask(*node, change);
+                self.send_request(*node, index);
             }
-            Step::Newer => self.newer(),
+            Step::WriteNewerSchema => self.write_newer_schema(),
             Step::Kill(node) => {
                 self.bed.kill(*node);
-                self.answered[*node] = 0;
+                self.last_answered_revision[*node] = 0;
             }
             Step::Start(node) if self.bed.node(*node).is_none() => self.bed.start(*node),
-            Step::AskAgain { .. } | Step::Start(_) => {}
+            Step::RetryChange { .. } | Step::Start(_) => {}
             Step::Pause(node) => self.bed.pause(*node),
-            Step::Wake(node) => self.bed.wake(*node),
+            Step::Resume(node) => self.bed.wake(*node),
             Step::CutNodes(a, b) => self.bed.faults.cut(Place::Node(*a), Place::Node(*b)),
             Step::CutPlatform(node) => self.bed.faults.cut(Place::Node(*node), Place::Platform),
             Step::Heal => self.bed.faults.heal_all(),
             Step::PlatformDown(down) => self.bed.faults.platform_down = *down,
-            Step::LostAnswers(percent) => self.bed.faults.lost_answers_percent = *percent,
+            Step::LoseTableResults { percent } => self.bed.faults.lost_answers_percent = *percent,
             Step::LateWrites { count, late_by_ms } => {
                 self.bed.faults.late_writes = *count;
                 self.bed.faults.late_by_ms = *late_by_ms;
             }
-            Step::Pass(duration_ms) => self.bed.run_for(*duration_ms),
+            Step::RunFor { duration_ms } => self.bed.run_for(*duration_ms),
         }
         self.check_look_ups();
     }
 
-    /// Asserts that no node's revision decreases between restarts.
+    /// Asserts that no node's revision decreases until the node is killed.
     fn check_look_ups(&mut self) {
         for node in 0..NODES {
-            let now = self.in_force(node);
-            assert!(now >= self.answered[node], "node {node}: {} then {now}", self.answered[node]);
-            self.answered[node] = now;
+            let revision = self.revision_in_force(node);
+            let last = self.last_answered_revision[node];
+            assert!(revision >= last, "node {node}: revision {last} then {revision}");
+            self.last_answered_revision[node] = revision;
         }
     }
 
@@ -210,7 +229,8 @@
     fn logged(&self) -> BTreeMap<Box<str>, Vec<u64>> {
         let mut logged: BTreeMap<_, Vec<_>> = BTreeMap::new();
         for row in self.bed.table().rows().iter().filter(|row| row.key.starts_with("log/")) {
-            let change: LoggedChange = serde_json::from_str(&row.value).expect("a log row");
+            let change: LoggedChange =
+                serde_json::from_str(&row.value).expect("log rows should be valid JSON");
             logged.entry(change.change_id).or_default().push(change.revision);
         }
         logged
@@ -219,27 +239,33 @@
     /// Asserts that the outcomes of changes agree with the log.
     fn check_outcomes(&self) {
         let logged = self.logged();
-        for (number, asked) in self.asked.iter().enumerate() {
-            let revisions = logged.get(&*format!("change-{number}")).map_or(&[][..], Vec::as_slice);
-            assert!(revisions.len() <= 1, "change {number} was made twice: {revisions:?}");
+        for (index, change) in self.changes.iter().enumerate() {
+            let revisions = logged.get(&*format!("change-{index}")).map_or(&[][..], Vec::as_slice);
+            assert!(
+                revisions.len() <= 1,
+                "change {index} was logged more than once: {revisions:?}"
+            );
             let outcomes: Vec<_> =
-                asked.replies.iter().map(|reply| self.bed.change_outcome(*reply)).collect();
+                change.replies.iter().map(|reply| self.bed.change_outcome(*reply)).collect();
             for outcome in outcomes.iter().flatten() {
                 if let ChangeOutcome::Accepted { revision } = outcome {
-                    assert_eq!(revisions, [*revision], "change {number}: {outcomes:?}");
+                    assert_eq!(revisions, [*revision], "change {index}: {outcomes:?}");
                 }
             }
-            let denied = |outcome: Option<&ChangeOutcome>| {
+            let is_rejected = |outcome: Option<&ChangeOutcome>| {
                 use ChangeOutcome::{Conflict, NotAccepted};
                 matches!(outcome, Some(Conflict { .. } | NotAccepted { .. }))
             };
-            if outcomes.iter().copied().all(denied) {
-                assert!(revisions.is_empty(), "change {number} was denied: {outcomes:?}");
+            if outcomes.iter().copied().all(is_rejected) {
+                assert!(
+                    revisions.is_empty(),
+                    "change {index} is in the log although all replies rejected it: {outcomes:?}"
+                );
             }
         }
     }
 
-    /// Ends all faults and asserts that all nodes then have the newest revision in force.
+    /// Ends all faults and asserts that all nodes then get the newest revision in force.
     fn settle(&mut self) {
         self.bed.faults.heal_all();
         self.bed.faults.platform_down = false;
@@ -254,9 +280,9 @@
         self.bed.run_for(SETTLE_MS);
         self.check_look_ups();
         self.check_outcomes();
-        let newest = self.logged().into_values().flatten().max();
-        let in_force: Vec<_> = (0..NODES).map(|node| Some(self.in_force(node))).collect();
-        assert_eq!(in_force, [newest; NODES]);
+        let newest_revision = self.logged().into_values().flatten().max();
+        let revisions: Vec<_> = (0..NODES).map(|node| Some(self.revision_in_force(node))).collect();
+        assert_eq!(revisions, [newest_revision; NODES]);
     }
 }
 
@@ -274,7 +300,7 @@
     }
 
     fn apply(mut state: Self, (): &(), transition: Step) -> Self {
-        state.take(&transition);
+        state.apply_step(&transition);
         state
     }
 
@@ -291,7 +317,7 @@
     #![proptest_config(config(32))]
 
     /// Under all faults, outcomes must agree with the log, no node's revision may decrease, and all
-    /// nodes must have the newest revision soon after the faults end.
+    /// nodes must have the newest revision within [`SETTLE_MS`] after the faults end.
     #[test]
-    fn accepted_is_in_force_and_never_reverts(sequential 1..60 => Run);
+    fn accepted_changes_take_effect_and_never_revert(sequential 1..60 => Run);
 }
--- a/crates/sedgepath-core/tests/once_support/callers.rs
+++ b/crates/sedgepath-core/tests/once_support/callers.rs
@@ -1,58 +1,58 @@
-//! Callers that repeat their actions through other nodes.
+//! Callers that retry their actions through other nodes.
 
 use sedgepath_core::request::Deduplication;
 use sedgepath_test_support::bed::{Bed, CallIndex, NodeIndex};
 
-use super::once_support::{head, is_answer};
+use super::once_support::{head, is_answered};
 
-/// A caller that repeats an action through one node after the other until it has an answer.
+/// An action that its caller retries through one node after another until it has a response.
 #[derive(Debug)]
 pub struct Action {
-    once: Deduplication,
+    key: Deduplication,
     attempt: u32,
     call: CallIndex,
-    repeat_at_ms: u64,
+    retry_at_ms: u64,
 }
 
 impl Action {
     /// Sends the first attempt of an action.
-    pub fn new(bed: &mut Bed, node: NodeIndex, once: Deduplication) -> Self {
-        let head = head(bed, once, 1);
+    pub fn new(bed: &mut Bed, node: NodeIndex, key: Deduplication) -> Self {
+        let head = head(bed, key, 1);
         let call = bed.call(node, head);
-        Self { once, attempt: 1, call, repeat_at_ms: bed.now_ms() + 1_000 }
+        Self { key, attempt: 1, call, retry_at_ms: bed.now_ms() + 1_000 }
     }
 
-    /// Sends the next attempt if the caller has no answer one second after the last one.
+    /// Sends the next attempt if the caller has no response one second after the last attempt.
     pub fn poll(&mut self, bed: &mut Bed) {
-        if bed.now_ms() < self.repeat_at_ms || is_answer(&bed.calls()[self.call].seen) {
+        if bed.now_ms() < self.retry_at_ms || is_answered(&bed.calls()[self.call].seen) {
             return;
         }
         let node = (bed.calls()[self.call].node + 1) % bed.node_count();
         self.attempt += 1;
-        self.repeat_at_ms = bed.now_ms() + 1_000;
-        let head = head(bed, self.once, self.attempt);
+        self.retry_at_ms = bed.now_ms() + 1_000;
+        let head = head(bed, self.key, self.attempt);
         self.call = bed.call(node, head);
     }
 }
 
-/// Starts `count` actions, one every `gap_ms`, at the nodes in turn, while callers repeat theirs.
+/// Starts `count` actions, one every `interval_ms`, at the nodes in turn, while callers retry theirs.
 pub fn run_actions(
     bed: &mut Bed,
     count: usize,
-    gap_ms: u64,
-    mut key: impl FnMut(&mut Bed, usize) -> Deduplication,
-    mut fault: impl FnMut(&mut Bed, usize),
+    interval_ms: u64,
+    mut new_key: impl FnMut(&mut Bed, usize) -> Deduplication,
+    mut inject_fault: impl FnMut(&mut Bed, usize),
 ) {
     let mut actions = Vec::new();
     for number in 0..count {
-        fault(bed, number);
-        let once = key(bed, number);
+        inject_fault(bed, number);
+        let key = new_key(bed, number);
         let node = number % bed.node_count();
-        actions.push(Action::new(bed, node, once));
-        bed.run_for(gap_ms);
+        actions.push(Action::new(bed, node, key));
+        bed.run_for(interval_ms);
         poll_all(bed, &mut actions);
     }
-    fault(bed, count);
+    inject_fault(bed, count);
     for _ in 0..100 {
         bed.run_for(100);
         poll_all(bed, &mut actions);
@@ -65,8 +65,8 @@
     }
 }
 
-/// Kills one node after another, each starting again 15 actions later.
-pub fn kill_in_turn(bed: &mut Bed, number: usize) {
+/// Kills one node after another and restarts each 15 actions later.
+pub fn kill_nodes_in_turn(bed: &mut Bed, number: usize) {
     match number % 40 {
         20 => bed.kill(number / 40 % 4),
         35 => bed.start(number / 40 % 4),
@@ -74,8 +74,8 @@
     }
 }
 
-/// Pauses two nodes while requests are in progress and wakes them much later.
-pub fn pause_two(bed: &mut Bed, number: usize) {
+/// Pauses two nodes while requests are in progress and resumes both at action 180.
+pub fn pause_two_nodes(bed: &mut Bed, number: usize) {
     match number {
         20 | 40 => bed.pause(number / 20),
         180 => {
--- a/crates/sedgepath-core/tests/once_support/mod.rs
+++ b/crates/sedgepath-core/tests/once_support/mod.rs
@@ -31,88 +31,90 @@
     bed
 }
 
-/// Returns a request whose digest depends only on its key or ticket, so that repeats share it.
-pub fn head(bed: &Bed, once: Deduplication, attempt: u32) -> RequestHead {
+/// Returns a request whose digest depends only on its key or ticket, so that retries share it.
+pub fn head(bed: &Bed, key: Deduplication, attempt: u32) -> RequestHead {
     RequestHead {
-        deduplication: once,
+        deduplication: key,
         attempt,
         idempotent: false,
-        digest: Digest::of(&[format!("{once:?}").as_bytes()]),
+        digest: Digest::of(&[format!("{key:?}").as_bytes()]),
         ..guest_request("deposit", bed.now_ms() + 2_000)
     }
 }
 
-/// Whether a caller has its answer.
-pub fn is_answer(seen: &Seen) -> bool {
+/// Returns whether a caller has the response to its action.
+pub fn is_answered(seen: &Seen) -> bool {
     matches!(seen, Seen::Answered { .. } | Seen::Concluded(Outcome::Repeated(_)))
 }
 
-/// Whether a caller was told that its request was not run.
+/// Returns whether a caller was told that its request was not run.
 pub fn is_not_run(seen: &Seen) -> bool {
     matches!(seen, Seen::Concluded(Outcome::NotRun { .. }))
 }
 
-/// The counts of the oracle.
+/// The violations and outcomes that the oracle counted.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
     /// Keys that ran more than once.
     pub ran_twice: usize,
     /// Requests that ran although their caller was told *not run*.
     pub ran_after_not_run: usize,
-    /// Requests answered *not run* although an earlier or the same attempt ran, before or after.
-    pub denied_after_run: usize,
-    /// Repeats that got the answer of another action.
-    pub wrong_answers: usize,
+    /// Requests told *not run* although an earlier or the same attempt ran, before or after.
+    pub not_run_despite_run: usize,
+    /// Retries that got the response of another action.
+    pub wrong_responses: usize,
     /// Keys whose newest request got any other outcome, such as *unknown*, or none.
     pub unknown: usize,
-    /// Keys whose newest request was answered.
+    /// Keys whose newest request got its response.
     pub answered: usize,
-    /// Keys whose newest request was answered *not run*.
+    /// Keys whose newest request was told *not run*.
     pub not_run: usize,
 }
 
 impl Verdict {
-    /// Whether no guarantee was violated.
+    /// Returns whether no guarantee was violated.
     pub fn holds(&self) -> bool {
-        self.ran_twice + self.ran_after_not_run + self.denied_after_run + self.wrong_answers == 0
+        self.ran_twice + self.ran_after_not_run + self.not_run_despite_run + self.wrong_responses
+            == 0
     }
 }
 
 /// Evaluates all calls so far.
-pub fn judge(bed: &Bed) -> Verdict {
+pub fn evaluate(bed: &Bed) -> Verdict {
     let ran_twice = bed.upstreams.runs_by_key().values().filter(|runs| **runs > 1).count();
     let mut verdict = Verdict { ran_twice, ..Verdict::default() };
-    let mut by_key: BTreeMap<String, Vec<CallIndex>> = BTreeMap::new();
+    let mut calls_by_key: BTreeMap<String, Vec<CallIndex>> = BTreeMap::new();
     for (index, call) in bed.calls().iter().enumerate() {
-        by_key.entry(format!("{:?}", call.head.deduplication)).or_default().push(index);
+        calls_by_key.entry(format!("{:?}", call.head.deduplication)).or_default().push(index);
         if is_not_run(&call.seen) {
             verdict.ran_after_not_run += usize::from(bed.upstreams.runs_of(index) > 0);
         }
     }
-    for calls in by_key.values() {
-        judge_key(bed, calls, &mut verdict);
+    for calls in calls_by_key.values() {
+        evaluate_key(bed, calls, &mut verdict);
     }
     verdict
 }
 
-fn judge_key(bed: &Bed, calls: &[CallIndex], verdict: &mut Verdict) {
+fn evaluate_key(bed: &Bed, calls: &[CallIndex], verdict: &mut Verdict) {
     let ran = calls.iter().find(|call| bed.upstreams.runs_of(**call) > 0);
     for call in calls {
         if let Seen::Concluded(Outcome::Repeated(stored)) = &bed.calls()[*call].seen {
-            let own = ran.map(|ran| format!("call {ran}"));
-            verdict.wrong_answers += usize::from(own.as_deref() != Some(&*stored.body));
+            let expected = ran.map(|ran| format!("call {ran}"));
+            verdict.wrong_responses += usize::from(expected.as_deref() != Some(&*stored.body));
         }
     }
-    // Without an attempt number, *not run* is about the request alone and not about the action.
+    // Without an attempt number, *not run* applies to the request alone and not to the action.
     let attempt = |call: &CallIndex| bed.calls()[*call].head.attempt;
-    let ran_from =
+    let numbered_runs =
         calls.iter().filter(|call| attempt(call) > 0 && bed.upstreams.runs_of(**call) > 0);
-    let ran_from = ran_from.map(attempt).min().unwrap_or(u32::MAX);
-    let denied = calls.iter().filter(|call| is_not_run(&bed.calls()[**call].seen));
-    verdict.denied_after_run += denied.filter(|call| attempt(call) >= ran_from).count();
+    let first_run_attempt = numbered_runs.map(attempt).min().unwrap_or(u32::MAX);
+    let not_run = calls.iter().filter(|call| is_not_run(&bed.calls()[**call].seen));
+    verdict.not_run_despite_run +=
+        not_run.filter(|call| attempt(call) >= first_run_attempt).count();
     let newest = &bed.calls()[calls[calls.len() - 1]];
     match &newest.seen {
-        seen if is_answer(seen) => verdict.answered += 1,
+        seen if is_answered(seen) => verdict.answered += 1,
         Seen::Concluded(Outcome::NotRun { .. }) => verdict.not_run += 1,
         _ => verdict.unknown += 1,
     }
@@ -130,7 +132,7 @@
         }
     }
     bed.run_for(20_000);
-    judge(bed)
+    evaluate(bed)
 }
 
 /// Asserts that no guarantee was violated.
