--- a/crates/sedgepath-core/src/record/check/record_set.rs
+++ b/crates/sedgepath-core/src/record/check/record_set.rs
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Registers the names of organisations, and checks that no key belongs to two of them.
+    /// Registers the names of organisations, and checks that no key digest is listed twice.
     fn register_organisations(&mut self, record: IndexedRecord<'a>, body: &Organisations) {
         let mut digests: BTreeMap<Digest, &str> = BTreeMap::new();
         for (index, organisation) in body.organisations.iter().enumerate() {
