--- a/crates/sedgepath-core/src/deduplication/claim.rs
+++ b/crates/sedgepath-core/src/deduplication/claim.rs
@@ -11,7 +11,7 @@
 
 /// The final state of a claim, to be written to its row.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClaimEnd {
+pub enum FinalState {
     /// The action was not run under the claim.
     NotRun,
     /// The action ran; the response is `None` if it is not stored for retries.
@@ -32,7 +32,7 @@
     /// The end of the request.
     Running,
     /// The write of the final state to the row, or a read before it.
-    Ending(ClaimEnd),
+    WritingFinalState(FinalState),
 }
 
 /// A claim of this node.
@@ -82,7 +82,7 @@
             digest: Digest([0; 16]),
             attempt: 0,
             head: None,
-            step: Step::Ending(ClaimEnd::Expired),
+            step: Step::WritingFinalState(FinalState::Expired),
             unconfirmed_write: None,
             give_up_at_ms: now_ms,
             held_outcome: None,
@@ -94,8 +94,10 @@
     pub fn is_given_up(&self) -> bool {
         match self.step {
             Step::Claiming(_) | Step::Reading => self.head.is_none(),
-            Step::Ending(ClaimEnd::NotRun | ClaimEnd::Expired) => true,
-            Step::Ending(ClaimEnd::Answered(_)) | Step::Granted | Step::Running => false,
+            Step::WritingFinalState(FinalState::NotRun | FinalState::Expired) => true,
+            Step::WritingFinalState(FinalState::Answered(_)) | Step::Granted | Step::Running => {
+                false
+            }
         }
     }
 
--- a/crates/sedgepath-core/src/deduplication/claims.rs
+++ b/crates/sedgepath-core/src/deduplication/claims.rs
@@ -27,7 +27,7 @@
 use crate::table::{Row, RowCondition};
 
 use super::batch::{Batcher, Reply, Requester};
-use super::claim::{Claim, ClaimEnd, Step};
+use super::claim::{Claim, FinalState, Step};
 use super::expiry::ExpiryQueue;
 use super::row::{ClaimRow, ClaimState, Holder};
 use super::{RETRY_AFTER_MS, conclude, is_denied, not_run, unsettled};
@@ -106,7 +106,9 @@
         let outcome = match &claim.step {
             _ if claim.digest != head.digest => Outcome::KeyReused,
             _ if claim.is_given_up() => return false,
-            Step::Ending(ClaimEnd::Answered(Some(stored))) => Outcome::Repeated(stored.clone()),
+            Step::WritingFinalState(FinalState::Answered(Some(stored))) => {
+                Outcome::Repeated(stored.clone())
+            }
             _ => Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS },
         };
         conclude(request, outcome, out);
@@ -122,7 +124,7 @@
     pub fn unsettled_count(&self) -> usize {
         self.by_request
             .values()
-            .filter(|claim| claim.step != Step::Ending(ClaimEnd::Expired))
+            .filter(|claim| claim.step != Step::WritingFinalState(FinalState::Expired))
             .count()
     }
 
@@ -144,7 +146,7 @@
         }
         // An immediate retry of the caller should find the claim released.
         claim.held_outcome = Some((outcome, out.now_ms() + MAX_RELEASE_WAIT_MS));
-        self.start_ending(request, ClaimEnd::NotRun, batcher);
+        self.start_final_write(request, FinalState::NotRun, batcher);
         None
     }
 
@@ -156,7 +158,7 @@
         batcher: &mut Batcher,
     ) {
         if self.by_request.get(&request).is_some_and(|claim| claim.step == Step::Running) {
-            self.start_ending(request, ClaimEnd::Answered(stored), batcher);
+            self.start_final_write(request, FinalState::Answered(stored), batcher);
         }
     }
 
@@ -201,14 +203,19 @@
                 self.conclude_unsettled(request, out);
                 self.abandon(request, batcher);
             }
-            (Step::Ending(end), Reply::Rows(rows)) => {
-                self.write_final_state(request, &end, rows.first(), batcher, out);
+            (Step::WritingFinalState(final_state), Reply::Rows(rows)) => {
+                self.write_final_state(request, &final_state, rows.first(), batcher, out);
+            }
+            (Step::WritingFinalState(final_state), Reply::Written) => {
+                self.finish_final_write(request, &final_state, out);
             }
-            (Step::Ending(end), Reply::Written) => self.finish_ending(request, &end, out),
-            (Step::Ending(_), Reply::Conflict(_) | Reply::Unknown | Reply::NotWritten) => {
+            (
+                Step::WritingFinalState(_),
+                Reply::Conflict(_) | Reply::Unknown | Reply::NotWritten,
+            ) => {
                 batcher.read(Requester::Claim(request), vec![ClaimRow::key(claim.key)]);
             }
-            (Step::Ending(_), Reply::Unavailable) => {
+            (Step::WritingFinalState(_), Reply::Unavailable) => {
                 claim.retry_at_ms = Some(out.now_ms() + RETRY_MS);
                 self.release_outcome(request, out);
             }
@@ -275,9 +282,9 @@
             }
             Some(_) => {
                 conclude(request, not_run(RejectionReason::Deadline), out);
-                self.start_ending(request, ClaimEnd::NotRun, batcher);
+                self.start_final_write(request, FinalState::NotRun, batcher);
             }
-            None => self.start_ending(request, ClaimEnd::NotRun, batcher),
+            None => self.start_final_write(request, FinalState::NotRun, batcher),
         }
     }
 
@@ -375,7 +382,7 @@
     /// tombstone if a write with an unknown result may still be applied.
     fn abandon(&mut self, request: RequestKey, batcher: &mut Batcher) {
         if self.by_request.get(&request).is_some_and(|claim| claim.unconfirmed_write.is_some()) {
-            self.start_ending(request, ClaimEnd::NotRun, batcher);
+            self.start_final_write(request, FinalState::NotRun, batcher);
         } else {
             self.drop_claim(request);
         }
--- a/crates/sedgepath-core/src/deduplication/claims/ending.rs
+++ b/crates/sedgepath-core/src/deduplication/claims/ending.rs
@@ -1,7 +1,7 @@
 //! Writes the final state of a claim to its row, with reads and retries until the row has it.
 
 use crate::deduplication::batch::{Batcher, Requester};
-use crate::deduplication::claim::{CLAIM_RETENTION_MS, ClaimEnd, Step};
+use crate::deduplication::claim::{CLAIM_RETENTION_MS, FinalState, Step};
 use crate::deduplication::row::{self, ClaimRow, ClaimState};
 use crate::event::Action;
 use crate::key::RequestKey;
@@ -12,14 +12,14 @@
 
 impl Claims {
     /// Starts to write the final state of a claim by reading its row.
-    pub(super) fn start_ending(
+    pub(super) fn start_final_write(
         &mut self,
         request: RequestKey,
-        end: ClaimEnd,
+        final_state: FinalState,
         batcher: &mut Batcher,
     ) {
         if let Some(claim) = self.by_request.get_mut(&request) {
-            claim.step = Step::Ending(end);
+            claim.step = Step::WritingFinalState(final_state);
             batcher.read(Requester::Claim(request), vec![ClaimRow::key(claim.key)]);
         }
     }
@@ -28,7 +28,7 @@
     pub(super) fn write_final_state(
         &mut self,
         request: RequestKey,
-        end: &ClaimEnd,
+        final_state: &FinalState,
         row: Option<&Row>,
         batcher: &mut Batcher,
         out: &mut Outbox,
@@ -40,17 +40,17 @@
         let stored_claim = row.and_then(|row| serde_json::from_str::<ClaimRow>(&row.value).ok());
         let is_own = stored_claim.as_ref().is_some_and(|stored| stored.holder == own_holder);
         let condition = row.map_or(RowCondition::Absent, |row| RowCondition::Version(row.version));
-        let state = match end {
-            ClaimEnd::Expired if is_own => {
+        let state = match final_state {
+            FinalState::Expired if is_own => {
                 batcher.write(Requester::Claim(request), row::delete(claim.key, condition));
                 return;
             }
-            ClaimEnd::Expired => {
-                self.finish_ending(request, end, out);
+            FinalState::Expired => {
+                self.finish_final_write(request, final_state, out);
                 return;
             }
-            ClaimEnd::NotRun => ClaimState::NotRun,
-            ClaimEnd::Answered(stored) => ClaimState::Answered(stored.clone()),
+            FinalState::NotRun => ClaimState::NotRun,
+            FinalState::Answered(stored) => ClaimState::Answered(stored.clone()),
         };
         let done = match &stored_claim {
             Some(stored) if is_own => stored.state == state,
@@ -59,7 +59,7 @@
             None => row.is_some(),
         };
         if done {
-            self.finish_ending(request, end, out);
+            self.finish_final_write(request, final_state, out);
         } else {
             let row = claim.row(own_holder, state, out.now_ms());
             batcher.write(Requester::Claim(request), row.write(claim.key, condition));
@@ -67,10 +67,15 @@
     }
 
     /// Sends a held outcome, schedules the removal of the row and drops the claim.
-    pub(super) fn finish_ending(&mut self, request: RequestKey, end: &ClaimEnd, out: &mut Outbox) {
+    pub(super) fn finish_final_write(
+        &mut self,
+        request: RequestKey,
+        final_state: &FinalState,
+        out: &mut Outbox,
+    ) {
         self.release_outcome(request, out);
         if let Some(claim) = self.by_request.get(&request)
-            && *end != ClaimEnd::Expired
+            && *final_state != FinalState::Expired
         {
             self.expiry_queue.push(out.now_ms() + CLAIM_RETENTION_MS, claim.key, request);
         }
