--- a/crates/sedgepathd/src/callers/responses.rs
+++ b/crates/sedgepathd/src/callers/responses.rs
@@ -115,7 +115,7 @@
         Ok(body) => {
             Reply::HomeResponse { status: parts.status.as_u16(), fields, body: body.to_bytes() }
         }
-        Err(BodyBroken) => Reply::ResponseLost,
+        Err(BodyAborted) => Reply::ResponseLost,
     }
 }
 
