--- a/crates/sedgepath-core/src/drain.rs
+++ b/crates/sedgepath-core/src/drain.rs
@@ -1,21 +1,21 @@
 //! Plans of drains: whether a drain can finish in time, and when it is expected to end.
 //!
 //! A drain takes an upstream or a whole failure domain out of service. Its traffic moves to other
-//! failure domains within the shift cap of each service's steering record, and requests in flight run
-//! to their end. A plan follows from the records alone, so every node and the command line compute
-//! the same one.
+//! failure domains within the shift cap of each service's steering record, and requests in flight
+//! are not cancelled. A plan follows from the records alone, so every node and the command line
+//! compute the same one.
 //!
 //! Rules of the prediction:
-//! - The shift ledger's own code computes how the share falls.
+//! - The code of the shift ledger computes how the share falls.
 //! - The last request admitted may run for the longest deadline of the service.
 //! - No other shift uses the cap meanwhile; if one does, the drain ends later.
-//! - A drained failure domain serves its remaining share, and no request is refused because of the
+//! - A drained failure domain serves its remaining share, and no request is rejected because of the
 //!   drain.
-//! - A drained upstream gets no new requests at once; requests that the rest of its domain can't take
-//!   are refused until the share has moved.
-//! - If a domain keeps other upstreams of the service, the drained upstream's part of the domain's
-//!   slots counts as the share that leaves the domain, as if the domain were fully loaded. If the other
-//!   upstreams have free slots, less leaves.
+//! - A drained upstream gets no new requests from the start; requests that the rest of its domain
+//!   can't take are rejected until the share has moved.
+//! - If a domain keeps other upstreams of the service, the drained upstream's fraction of the
+//!   domain's slots is the fraction of the domain's share that has to move, as if the domain were
+//!   fully loaded. If the other upstreams have free slots, less moves.
 
 use crate::catalogue::{Catalogue, ServiceEntry};
 use crate::key::{DomainKey, OriginKey, ServiceKey, UpstreamKey};
@@ -25,11 +25,12 @@
 /// The share up to which a domain counts as empty, because of floating-point rounding.
 const SHARE_EPSILON: f64 = 1e-9;
 
-/// The time until all nodes apply a record and have begun the next part of a window.
+/// The time that a plan allows until all nodes apply a record and have begun the next bucket of the
+/// window, in milliseconds.
 const RECORD_PROPAGATION_MS: u64 = 3_000;
 
-/// The maximum number of window parts that a prediction covers.
-const MAX_WINDOW_BUCKETS: u32 = 20_000;
+/// The maximum number of window buckets that a prediction covers.
+const MAX_PREDICTED_BUCKETS: u32 = 20_000;
 
 /// Placeholder domains of the prediction, which only needs the share that moves between them.
 const DRAINED_DOMAIN: DomainKey = DomainKey(0);
@@ -56,11 +57,11 @@
 /// The predicted drain of one service for callers of one origin group.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GroupDrain {
-    /// The service.
+    /// The service whose traffic moves.
     pub service: ServiceKey,
-    /// The origin group.
+    /// The origin group of the callers.
     pub origin: OriginKey,
-    /// The shares in order of time: first the current one, last zero.
+    /// The remaining shares in order of time: first the initial one, last zero.
     pub steps: Vec<DrainStep>,
     /// When the last request in flight has ended, in milliseconds.
     pub predicted_end_ms: u64,
@@ -80,7 +81,7 @@
 /// A reason why a drain can't finish in time.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum DrainObstacle {
-    /// No upstream outside the target may take the callers.
+    /// No upstream outside the target may take the requests of the callers.
     #[error("service {service}: no other upstream may take callers of group {origin}")]
     NoCapacity {
         /// The service's name.
@@ -117,12 +118,12 @@
         /// The origin group's name.
         origin: Box<str>,
     },
-    /// The longest deadline of the service exceeds the given time.
+    /// The service's longest deadline exceeds the given time.
     #[error("service {service}: requests may run for {longest_deadline_ms} ms, not {given_ms} ms")]
     DeadlineTooLong {
         /// The service's name.
         service: Box<str>,
-        /// The longest deadline of its requests, in milliseconds.
+        /// The longest deadline of the service's requests, in milliseconds.
         longest_deadline_ms: u64,
         /// The time given, in milliseconds.
         given_ms: u64,
@@ -175,8 +176,8 @@
         if !obstacles.is_empty() {
             return Err(DrainError::Refused(obstacles));
         }
-        let ends_ms = groups.iter().map(|group| group.predicted_end_ms);
-        let predicted_end_ms = ends_ms.max().unwrap_or(now_ms);
+        let end_times_ms = groups.iter().map(|group| group.predicted_end_ms);
+        let predicted_end_ms = end_times_ms.max().unwrap_or(now_ms);
         Ok(Self { target, groups, predicted_end_ms })
     }
 }
@@ -193,10 +194,10 @@
     catalogue: &Catalogue,
     target: DrainTarget,
 ) -> Vec<(ServiceKey, &ServiceEntry)> {
-    let is_at = |entry: &ServiceEntry| {
+    let has_target = |entry: &ServiceEntry| {
         entry.upstreams.iter().any(|upstream| target_contains(catalogue, target, *upstream))
     };
-    let services = catalogue.services.iter().filter(|(_, entry)| is_at(entry));
+    let services = catalogue.services.iter().filter(|(_, entry)| has_target(entry));
     let mut services: Vec<_> = services.map(|(key, entry)| (*key, entry)).collect();
     services.sort_unstable_by_key(|(key, _)| *key);
     services
@@ -256,7 +257,7 @@
         Ok(GroupDrain { service: self.service, origin: self.origin, steps, predicted_end_ms })
     }
 
-    /// Returns the remaining share after each window, up to the time when it is zero.
+    /// Predicts the remaining share at the start of each window, up to the time when it is zero.
     fn predict_steps(self, share: f64, now_ms: u64) -> Result<Vec<DrainStep>, DrainObstacle> {
         let mut steps = vec![DrainStep { at_ms: now_ms, share }];
         if share <= SHARE_EPSILON {
@@ -264,21 +265,21 @@
         }
         let cap = self.cap();
         let from_ms = now_ms + RECORD_PROPAGATION_MS;
-        // The random remainders affect the placement of single requests, not the shares.
+        // The random numbers affect the placement of single requests, not the shares.
         let mut random = fastrand::Rng::with_seed(0);
         let shares = [(DRAINED_DOMAIN, share), (OTHER_DOMAINS, 1.0 - share)];
         let mut split = TrafficSplit::new(&shares, from_ms, &mut random);
         let mut next_step_ms = from_ms;
-        for _ in 0..MAX_WINDOW_BUCKETS {
+        for _ in 0..MAX_PREDICTED_BUCKETS {
             let at_ms = split.bucket_ends_at_ms();
             split.begin_bucket(&[0.0, 1.0], cap, at_ms);
-            let left = split.shares()[0].1;
-            if left <= SHARE_EPSILON {
+            let remaining_share = split.shares()[0].1;
+            if remaining_share <= SHARE_EPSILON {
                 steps.push(DrainStep { at_ms, share: 0.0 });
                 return Ok(steps);
             }
             if at_ms >= next_step_ms {
-                steps.push(DrainStep { at_ms, share: left });
+                steps.push(DrainStep { at_ms, share: remaining_share });
                 next_step_ms += cap.window_ms;
             }
         }
@@ -286,27 +287,28 @@
         Err(DrainObstacle::CapTooSmallToMove { service: self.entry.name.clone(), origin })
     }
 
-    /// Returns the share that has to leave the failure domain.
+    /// Returns the share of the traffic that has to move to other failure domains.
     fn share_to_move(self) -> Result<f64, DrainObstacle> {
         let domain = match self.target {
             DrainTarget::Domain(domain) => domain,
             DrainTarget::Upstream(upstream) => self.catalogue.upstreams[&upstream].domain,
         };
         let shares = self.catalogue.shares(self.service, self.origin).unwrap_or_default();
-        let declared =
+        let configured_share =
             shares.iter().find(|(key, _)| *key == domain).map_or(0.0, |(_, share)| *share);
-        if declared <= SHARE_EPSILON {
+        if configured_share <= SHARE_EPSILON {
             return Ok(0.0);
         }
-        let drained: u32 = self.slots(domain, |upstream| self.is_drained(upstream));
-        let remaining: u32 = self.slots(domain, |upstream| !self.is_drained(upstream));
+        let drained_slots: u32 = self.slots(domain, |upstream| self.is_drained(upstream));
+        let remaining_slots: u32 = self.slots(domain, |upstream| !self.is_drained(upstream));
         let has_other_domain = shares
             .iter()
             .any(|(key, share)| *key != domain && *share > 0.0 && self.slots(*key, |_| true) > 0);
         if has_other_domain {
-            return Ok(declared * f64::from(drained) / f64::from((drained + remaining).max(1)));
+            return Ok(configured_share * f64::from(drained_slots)
+                / f64::from((drained_slots + remaining_slots).max(1)));
         }
-        if remaining > 0 {
+        if remaining_slots > 0 {
             return Ok(0.0);
         }
         Err(DrainObstacle::NoCapacity {
@@ -320,12 +322,12 @@
         self.entry.steering.as_ref().map_or(none, |steering| steering.cap)
     }
 
-    /// Returns the slots of the service's upstreams in a failure domain that `counts` selects,
-    /// without upstreams that another drain takes out of service.
-    fn slots(self, domain: DomainKey, counts: impl Fn(UpstreamKey) -> bool) -> u32 {
+    /// Returns the slots of the service's upstreams in a failure domain for which `selects` returns
+    /// true, without upstreams that another drain takes out of service.
+    fn slots(self, domain: DomainKey, selects: impl Fn(UpstreamKey) -> bool) -> u32 {
         let upstreams = self.entry.upstreams.iter().copied();
         upstreams
-            .filter(|upstream| counts(*upstream))
+            .filter(|upstream| selects(*upstream))
             .filter(|upstream| !self.catalogue.is_draining(*upstream) || self.is_drained(*upstream))
             .map(|upstream| &self.catalogue.upstreams[&upstream])
             .filter(|entry| entry.domain == domain)
--- a/crates/sedgepath-core/src/egress.rs
+++ b/crates/sedgepath-core/src/egress.rs
@@ -1,16 +1,18 @@
-//! The owner's side of a request: chooses an upstream for each dispatch and limits what runs there.
+//! Admission control on a node that may use upstreams: chooses an upstream for each dispatched
+//! request and limits the requests in flight there.
 //!
 //! A slot is taken when a request is sent and freed once the upstream can no longer be running the
 //! request. A request without a free slot waits in a queue while it can still be served before its
-//! deadline, and otherwise is refused at once with a time to retry.
+//! deadline, and otherwise is rejected at once with a retry delay.
 //!
 //! Invariants:
-//! - the requests that may run at an upstream never exceed the smallest of this node's allowance, the
-//!   warm-up limit, the slots the upstream reports and the limit set by its refusals; if a limit
-//!   falls below what already runs, nothing is added;
-//! - nothing is sent after the time until which the node may send;
-//! - trial and guest requests leave the reserve free for paying requests;
-//! - an upstream known to be leaving gets no new requests, and its running requests are left alone.
+//! - the requests that may run at an upstream never exceed the smallest of this node's allowance,
+//!   the warm-up limit, the slots the upstream reports and the limit set by its rejections; while
+//!   more requests than a reduced limit are in flight, no further one is sent;
+//! - nothing is sent after the node's permission to send has expired;
+//! - requests that aren't paying never use the free slots of the reserve;
+//! - an upstream known to be leaving gets no new requests, and its requests in flight are not
+//!   cancelled.
 
 use crate::event::{Action, UpstreamReport};
 use crate::hash::Map;
@@ -37,24 +39,24 @@
 pub use context::AdmissionContext;
 pub use leaving::LeavingNotice;
 use queue::QueuedRequest;
-use service::{GroupSlots, ServiceState};
+use service::{ClassSlots, ServiceState};
 use settings::{AdmissionSettings, Queueing};
-use upstream::{CallTerms, HealthChange};
+use upstream::{CallLimits, HealthChange};
 use upstreams::{ChosenUpstream, ServiceCapacity, UpstreamTable};
 
-/// The retry time told to a caller for whom no upstream is available, in milliseconds.
+/// The default delay after which a rejected caller should retry, in milliseconds.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// A dispatched request that was sent to an upstream.
+/// A call: a dispatched request that was sent to an upstream and has not ended.
 #[derive(Debug, Clone, Copy)]
 struct ActiveCall {
     upstream: UpstreamKey,
     service: ServiceKey,
-    terms: CallTerms,
+    limits: CallLimits,
     sent_at_ms: u64,
 }
 
-/// Admission control for the upstreams that this node may use: running calls and queued requests.
+/// The admission control of a node, with its calls to upstreams and its queued requests.
 #[derive(Debug)]
 pub struct Egress {
     settings: AdmissionSettings,
@@ -80,26 +82,26 @@
         }
     }
 
-    /// Sends, queues or refuses a dispatched request.
+    /// Sends, queues or rejects a dispatched request.
     pub fn dispatch(
         &mut self,
         exchange: ExchangeKey,
         dispatch: &Dispatch,
-        scope: AdmissionContext<'_>,
+        context: AdmissionContext<'_>,
         out: &mut Outbox,
     ) {
         let now_ms = out.now_ms();
-        let capacity = self.upstreams.capacity(dispatch.service, scope, now_ms);
-        if !self.upstreams.is_usable(dispatch.service, dispatch.avoid_upstream, scope, now_ms) {
+        let capacity = self.upstreams.capacity(dispatch.service, context, now_ms);
+        if !self.upstreams.is_usable(dispatch.service, dispatch.avoid_upstream, context, now_ms) {
             out.push(Action::RejectDispatch {
                 exchange,
-                refusal: unusable_refusal(capacity, now_ms),
+                refusal: no_upstream_rejection(capacity, now_ms),
             });
             return;
         }
-        // Caps the deadline that the peer asks for: a lost call holds its slot until its deadline, and
-        // the grants to other members assume the longest deadline of the record.
-        let longest_ms = longest_deadline_ms(dispatch.service, scope);
+        // Caps the requested deadline at the service's longest: a lost call holds its slot until
+        // its deadline, and grants to other members assume no longer one.
+        let longest_ms = longest_deadline_ms(dispatch.service, context);
         let deadline_at_ms = now_ms + dispatch.remaining_ms.min(longest_ms);
         let request = QueuedRequest {
             exchange,
@@ -111,19 +113,20 @@
         let service = self.services.entry(dispatch.service).or_default();
         service.queue.push(request);
         if request.is_paying() {
-            service
-                .reserve
-                .record_demand(capacity.paying_slots + service.queue.paying_count(), now_ms);
+            service.reserve.record_demand(
+                capacity.slots_used_by_paying + service.queue.paying_count(),
+                now_ms,
+            );
         }
-        self.send_queued(dispatch.service, scope, out);
+        self.send_queued(dispatch.service, context, out);
     }
 
-    /// Frees the slot of a call that has ended, and sends queued requests that fit now.
+    /// Frees the slot of a call that has ended, and sends queued requests for which a slot is free.
     pub fn call_ended(
         &mut self,
         exchange: ExchangeKey,
-        end: CallOutcome,
-        scope: AdmissionContext<'_>,
+        outcome: CallOutcome,
+        context: AdmissionContext<'_>,
         out: &mut Outbox,
     ) {
         let Some(call) = self.calls.remove(&exchange) else {
@@ -131,55 +134,57 @@
         };
         let now_ms = out.now_ms();
         let upstream = self.upstreams.state_mut(call.upstream);
-        let change = upstream.call_ended(call.terms, end, now_ms);
-        if change == HealthChange::Paused {
-            log_upstream(Topic::Admission, "upstream_paused", call.upstream, scope, out);
+        let change = upstream.record_end(call.limits, outcome, now_ms);
+        if change == HealthChange::BackedOff {
+            log_upstream(Topic::Admission, "upstream_paused", call.upstream, context, out);
         }
-        if end == CallOutcome::Completed {
+        if outcome == CallOutcome::Completed {
             let took_ms = now_ms.saturating_sub(call.sent_at_ms);
             self.services.entry(call.service).or_default().service_time.add_sample(took_ms);
         }
-        self.send_queued(call.service, scope, out);
+        self.send_queued(call.service, context, out);
     }
 
-    /// Stops a dispatch that the ingress no longer waits for: refuses it if it is queued, and tries
-    /// to cancel it if it runs.
+    /// Cancels a dispatch that the ingress no longer waits for: rejects it if it is queued, and
+    /// tries to cancel the call if it was sent.
     pub fn cancel_dispatch(&mut self, exchange: ExchangeKey, out: &mut Outbox) {
         if self.calls.contains_key(&exchange) {
             out.push(Action::CancelCall { exchange });
             return;
         }
-        let waited = self.services.values_mut().any(|service| {
-            // At most one service has the exchange in its queue, so the iteration order has no effect.
+        let was_queued = self.services.values_mut().any(|service| {
+            // At most one service has the exchange in its queue, so the iteration order has no
+            // effect.
             service.queue.remove_exchange(exchange).is_some()
         });
-        if waited {
+        if was_queued {
             let refusal =
                 Rejection { reason: RejectionReason::Cancelled, retry_after_ms: RETRY_AFTER_MS };
             out.push(Action::RejectDispatch { exchange, refusal });
         }
     }
 
-    /// Returns the number of dispatches that run at upstreams or are queued.
-    pub fn dispatches_in_flight(&self) -> usize {
+    /// Returns the number of dispatches that were sent to upstreams and have not ended, or are
+    /// queued.
+    pub fn pending_dispatches(&self) -> usize {
         let queued = self.services.values().map(|service| service.queue.requests().len());
         self.calls.len() + queued.sum::<usize>()
     }
 
-    /// Applies an upstream's load report, and sends queued requests that fit now.
+    /// Applies an upstream's load report, and sends queued requests for which a slot is free.
     pub fn record_report(
         &mut self,
         upstream: UpstreamKey,
         report: UpstreamReport,
-        scope: AdmissionContext<'_>,
+        context: AdmissionContext<'_>,
         out: &mut Outbox,
     ) {
         if report.leaving {
-            self.mark_leaving(upstream, scope, out);
+            self.mark_leaving(upstream, context, out);
         }
         self.upstreams.state_mut(upstream).record_report(&report);
-        if let Some(entry) = scope.catalogue.upstreams.get(&upstream) {
-            self.send_queued(entry.service, scope, out);
+        if let Some(entry) = context.catalogue.upstreams.get(&upstream) {
+            self.send_queued(entry.service, context, out);
         }
     }
 
@@ -188,20 +193,22 @@
         self.upstreams.state_mut(upstream).set_open_connections(open, now_ms);
     }
 
-    /// Marks an upstream as leaving, as learnt from the upstream or the platform. It gets no new
+    /// Marks an upstream as leaving, as reported by the upstream or the platform. It gets no new
     /// requests from now on, and [`Self::due_leaving_notice`] returns the notices for the peers.
+    ///
+    /// Does nothing if the upstream has a drain record of its own.
     pub fn mark_leaving(
         &mut self,
         upstream: UpstreamKey,
-        scope: AdmissionContext<'_>,
+        context: AdmissionContext<'_>,
         out: &mut Outbox,
     ) {
         // All nodes have the drain record, so peers need no notice.
-        if scope.catalogue.has_own_drain(upstream) {
+        if context.catalogue.has_own_drain(upstream) {
             return;
         }
         if self.upstreams.leaving.mark(upstream, out.now_ms()) {
-            log_upstream(Topic::Drain, "upstream_leaving", upstream, scope, out);
+            log_upstream(Topic::Drain, "upstream_leaving", upstream, context, out);
         }
     }
 
@@ -209,12 +216,12 @@
     pub fn merge_leaving(
         &mut self,
         leaving: &LeavingUpstreams,
-        scope: AdmissionContext<'_>,
+        context: AdmissionContext<'_>,
         out: &mut Outbox,
     ) {
         for entry in &leaving.upstreams {
             if self.upstreams.leaving.merge(*entry, out.now_ms()) {
-                log_upstream(Topic::Drain, "upstream_leaving_told", entry.upstream, scope, out);
+                log_upstream(Topic::Drain, "upstream_leaving_told", entry.upstream, context, out);
             }
         }
     }
@@ -224,51 +231,58 @@
         self.upstreams.leaving.due_notice(now_ms)
     }
 
-    /// Returns the leaving upstreams, for a peer that joins.
+    /// Returns the leaving upstreams, to be sent to a peer that has just started.
     pub fn leaving_upstreams(&self, now_ms: u64) -> LeavingUpstreams {
         self.upstreams.leaving.snapshot(now_ms)
     }
 
-    /// Expires what is past its time, refuses queued requests that can no longer be served and sends
-    /// those that fit.
-    pub fn tick(&mut self, scope: AdmissionContext<'_>, out: &mut Outbox) {
+    /// Removes the expired state of upstreams, sends the queued requests for which a slot is free
+    /// and rejects those that can't be served.
+    pub fn tick(&mut self, context: AdmissionContext<'_>, out: &mut Outbox) {
         let now_ms = out.now_ms();
-        self.upstreams.expire(scope, now_ms);
+        self.upstreams.expire(context, now_ms);
         let mut services: Vec<_> = self.services.keys().copied().collect();
         services.sort_unstable();
         for service in services {
             self.services.entry(service).or_default().reserve.decay(now_ms);
-            self.send_queued(service, scope, out);
+            self.send_queued(service, context, out);
         }
     }
 
-    /// Returns the number of requests that may be running at an upstream, lost ones included.
+    /// Returns the number of requests that may be running at an upstream, including lost calls,
+    /// whose outcome is unknown.
     pub fn in_flight(&self, upstream: UpstreamKey) -> u32 {
         self.upstreams.in_flight(upstream)
     }
 
     /// Returns the load of the upstreams that this node may use, by service.
     ///
-    /// Leaving upstreams don't count; a service with no others has no slots.
-    pub fn loads(&self, scope: AdmissionContext<'_>, now_ms: u64) -> Vec<ServiceLoad> {
-        self.upstreams.loads(scope, now_ms)
+    /// Leaving upstreams are not counted; a service that has only leaving upstreams is reported
+    /// with 0 slots.
+    pub fn loads(&self, context: AdmissionContext<'_>, now_ms: u64) -> Vec<ServiceLoad> {
+        self.upstreams.loads(context, now_ms)
     }
 
     fn reserved_slots(&self, service: &ServiceState, capacity: ServiceCapacity) -> u32 {
-        let ServiceCapacity { slots, paying_slots: paying, .. } = capacity;
-        if self.settings.reserve_for_paying { service.reserve.slots(slots, paying) } else { 0 }
+        let ServiceCapacity { slots, slots_used_by_paying, .. } = capacity;
+        if self.settings.reserve_for_paying {
+            service.reserve.slots(slots, slots_used_by_paying)
+        } else {
+            0
+        }
     }
 
-    /// Sends the queued requests of a service that fit, and refuses those that can't be served.
-    fn send_queued(&mut self, key: ServiceKey, scope: AdmissionContext<'_>, out: &mut Outbox) {
+    /// Sends the queued requests of a service for which a slot is free, and rejects those that
+    /// can't be served.
+    fn send_queued(&mut self, key: ServiceKey, context: AdmissionContext<'_>, out: &mut Outbox) {
         let now_ms = out.now_ms();
-        self.refuse_expired(key, out);
+        self.reject_expired(key, out);
         let mut index = 0;
         while let Some(request) = self.queued_at(key, index) {
-            if self.free_slots_for(request.is_paying(), key, scope, now_ms) == 0 {
+            if self.free_slots_for(request.is_paying(), key, context, now_ms) == 0 {
                 break;
             }
-            match self.upstreams.choose(key, request.avoid_upstream, scope, now_ms) {
+            match self.upstreams.choose(key, request.avoid_upstream, context, now_ms) {
                 Some(choice) => {
                     let service = self.services.entry(key).or_default();
                     service.queue.remove(index);
@@ -278,11 +292,11 @@
                 None => index += 1,
             }
         }
-        self.refuse_unservable(key, scope, out);
+        self.reject_unservable(key, context, out);
     }
 
-    /// Refuses queued requests whose deadline has passed, for example while the process was paused.
-    fn refuse_expired(&mut self, key: ServiceKey, out: &mut Outbox) {
+    /// Rejects the queued requests of a service whose deadline has passed.
+    fn reject_expired(&mut self, key: ServiceKey, out: &mut Outbox) {
         let now_ms = out.now_ms();
         let Some(service) = self.services.get_mut(&key) else {
             return;
@@ -294,21 +308,22 @@
         }
     }
 
-    /// Returns the free slots that paying requests, or all others, may take.
+    /// Returns the free slots for paying requests if `pays`, and otherwise those for other
+    /// requests, which exclude the reserve.
     fn free_slots_for(
         &self,
         pays: bool,
         key: ServiceKey,
-        scope: AdmissionContext<'_>,
+        context: AdmissionContext<'_>,
         now_ms: u64,
     ) -> u32 {
-        let capacity = self.upstreams.capacity(key, scope, now_ms);
+        let capacity = self.upstreams.capacity(key, context, now_ms);
         if pays {
             return capacity.free_slots;
         }
-        let kept =
+        let reserved =
             self.services.get(&key).map_or(0, |service| self.reserved_slots(service, capacity));
-        capacity.free_slots.saturating_sub(kept.saturating_sub(capacity.paying_slots))
+        capacity.free_slots.saturating_sub(reserved.saturating_sub(capacity.slots_used_by_paying))
     }
 
     fn queued_at(&self, service: ServiceKey, index: usize) -> Option<QueuedRequest> {
@@ -324,88 +339,89 @@
     ) {
         let now_ms = out.now_ms();
         let upstream = choice.allowance.upstream;
-        let sent = CallTerms {
+        let limits = CallLimits {
             class: request.class,
             may_open: choice.may_open,
             send_by_ms: choice.allowance.send_by_ms.min(request.deadline_at_ms),
             deadline_at_ms: request.deadline_at_ms,
         };
-        self.upstreams.state_mut(upstream).call_sent(sent, now_ms);
-        let call = ActiveCall { upstream, service, terms: sent, sent_at_ms: now_ms };
+        self.upstreams.state_mut(upstream).record_sent(limits, now_ms);
+        let call = ActiveCall { upstream, service, limits, sent_at_ms: now_ms };
         self.calls.insert(request.exchange, call);
         out.push(Action::CallUpstream {
             exchange: request.exchange,
             upstream,
             domain: choice.entry.domain,
             address: choice.entry.address,
-            may_open: sent.may_open,
-            send_by_ms: sent.send_by_ms,
-            deadline_at_ms: sent.deadline_at_ms,
+            may_open: limits.may_open,
+            send_by_ms: limits.send_by_ms,
+            deadline_at_ms: limits.deadline_at_ms,
         });
     }
 
-    /// Refuses queued requests that would miss their deadline or exceed the limits of the queue.
-    fn refuse_unservable(
+    /// Rejects the queued requests of a service that the queueing setting doesn't let wait, and all
+    /// of them if the service has no slots.
+    fn reject_unservable(
         &mut self,
         key: ServiceKey,
-        scope: AdmissionContext<'_>,
+        context: AdmissionContext<'_>,
         out: &mut Outbox,
     ) {
         let now_ms = out.now_ms();
-        let capacity = self.upstreams.capacity(key, scope, now_ms);
+        let capacity = self.upstreams.capacity(key, context, now_ms);
         let settings = self.settings;
-        let kept =
+        let reserved =
             self.services.get(&key).map_or(0, |service| self.reserved_slots(service, capacity));
         let Some(service) = self.services.get_mut(&key) else {
             return;
         };
-        let group_slots = GroupSlots {
+        let class_slots = ClassSlots {
             paying: capacity.slots,
-            others: capacity.slots.saturating_sub(kept.max(capacity.paying_slots)),
+            others: capacity.slots.saturating_sub(reserved.max(capacity.slots_used_by_paying)),
         };
-        let mut refused = Vec::new();
+        let mut rejected = Vec::new();
         match settings.queueing {
             _ if capacity.slots == 0 => {
                 for request in service.queue.remove_where(|_| true) {
-                    refused.push((request, unusable_refusal(capacity, now_ms)));
+                    rejected.push((request, no_upstream_rejection(capacity, now_ms)));
                 }
             }
             Queueing::Off => {
                 for request in service.queue.remove_where(|_| true) {
                     let retry_after_ms =
-                        service.retry_after_ms(request.is_paying(), group_slots, now_ms);
-                    refused.push((request, full_refusal(retry_after_ms)));
+                        service.retry_after_ms(request.is_paying(), class_slots, now_ms);
+                    rejected.push((request, full_rejection(retry_after_ms)));
                 }
             }
             Queueing::Unbounded => {}
             Queueing::Bounded { paying_per_slot, others_per_slot } => {
-                for (request, retry_after_ms) in service.remove_late(group_slots, now_ms) {
-                    refused.push((request, full_refusal(retry_after_ms)));
+                for (request, retry_after_ms) in service.remove_late(class_slots, now_ms) {
+                    rejected.push((request, full_rejection(retry_after_ms)));
                 }
                 let bounds = [
-                    (true, paying_per_slot * group_slots.paying),
-                    (false, others_per_slot * group_slots.others),
+                    (true, paying_per_slot * class_slots.paying),
+                    (false, others_per_slot * class_slots.others),
                 ];
                 for (pays, bound) in bounds {
                     while let Some(request) = service.queue.pop_over_limit(pays, bound) {
-                        let retry_after_ms = service.retry_after_ms(pays, group_slots, now_ms);
-                        refused.push((request, full_refusal(retry_after_ms)));
+                        let retry_after_ms = service.retry_after_ms(pays, class_slots, now_ms);
+                        rejected.push((request, full_rejection(retry_after_ms)));
                     }
                 }
             }
         }
-        for (request, refusal) in refused {
+        for (request, refusal) in rejected {
             out.push(Action::RejectDispatch { exchange: request.exchange, refusal });
         }
     }
 }
 
-fn full_refusal(retry_after_ms: u64) -> Rejection {
+fn full_rejection(retry_after_ms: u64) -> Rejection {
     Rejection { reason: RejectionReason::Full, retry_after_ms }
 }
 
-/// Returns the rejection for a service none of whose upstreams can be used.
-fn unusable_refusal(capacity: ServiceCapacity, now_ms: u64) -> Rejection {
+/// Returns the rejection of a request if no upstream of its service can be used.
+fn no_upstream_rejection(capacity: ServiceCapacity, now_ms: u64) -> Rejection {
     let reason =
         if capacity.may_send { RejectionReason::NoUpstream } else { RejectionReason::NotOwner };
     let retry_after_ms = match capacity.retry_at_ms {
@@ -415,18 +431,18 @@
     Rejection { reason, retry_after_ms }
 }
 
-fn longest_deadline_ms(service: ServiceKey, scope: AdmissionContext<'_>) -> u64 {
-    scope.catalogue.services.get(&service).map_or(0, |entry| entry.longest_deadline_ms)
+fn longest_deadline_ms(service: ServiceKey, context: AdmissionContext<'_>) -> u64 {
+    context.catalogue.services.get(&service).map_or(0, |entry| entry.longest_deadline_ms)
 }
 
 fn log_upstream(
     topic: Topic,
     event: &str,
     upstream: UpstreamKey,
-    scope: AdmissionContext<'_>,
+    context: AdmissionContext<'_>,
     out: &mut Outbox,
 ) {
-    if let Some(entry) = scope.catalogue.upstreams.get(&upstream) {
+    if let Some(entry) = context.catalogue.upstreams.get(&upstream) {
         out.log(topic, event, &[("upstream", &entry.name)]);
     }
 }
--- a/crates/sedgepath-core/src/egress/context.rs
+++ b/crates/sedgepath-core/src/egress/context.rs
@@ -1,10 +1,10 @@
-//! The inputs of admission control that come from other systems of the node.
+//! The inputs of admission control that other components of the node provide.
 
 use crate::allowance::Allowance;
 use crate::catalogue::{Catalogue, UpstreamEntry};
 use crate::key::ServiceKey;
 
-/// The allowances and the configuration that admission decides by.
+/// The allowances and the configuration on which admission decisions depend.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionContext<'a> {
     /// The upstreams that the node may use, with their limits.
--- a/crates/sedgepath-core/src/egress/queue.rs
+++ b/crates/sedgepath-core/src/egress/queue.rs
@@ -8,13 +8,13 @@
 pub struct QueuedRequest {
     /// The key of the dispatch.
     pub exchange: ExchangeKey,
-    /// The class, which comes first in the order of the queue.
+    /// The class, by which the queue is sorted first.
     pub class: Class,
     /// The deadline, in milliseconds.
     pub deadline_at_ms: u64,
-    /// When the request was queued, in milliseconds.
+    /// When the request was dispatched to this node, in milliseconds.
     pub queued_at_ms: u64,
-    /// An upstream where the request has failed and which it avoids.
+    /// An upstream that must not get the request, since an earlier attempt failed there.
     pub avoid_upstream: Option<UpstreamKey>,
 }
 
@@ -47,7 +47,7 @@
         &self.requests
     }
 
-    /// Removes the request at an index.
+    /// Removes and returns the request at an index.
     ///
     /// # Panics
     ///
@@ -56,22 +56,23 @@
         self.requests.remove(index)
     }
 
-    /// Removes the request of an exchange, if it is queued.
+    /// Removes and returns the request of an exchange, if it is queued.
     pub fn remove_exchange(&mut self, exchange: ExchangeKey) -> Option<QueuedRequest> {
         let index = self.requests.iter().position(|request| request.exchange == exchange)?;
         Some(self.requests.remove(index))
     }
 
-    /// Removes the requests for which `refuses` returns true; it is called in serving order.
+    /// Removes and returns the requests for which `rejects` returns true; it is called in serving
+    /// order.
     pub fn remove_where(
         &mut self,
-        refuses: impl FnMut(&mut QueuedRequest) -> bool,
+        rejects: impl FnMut(&mut QueuedRequest) -> bool,
     ) -> Vec<QueuedRequest> {
-        self.requests.extract_if(.., refuses).collect()
+        self.requests.extract_if(.., rejects).collect()
     }
 
-    /// Removes the last paying request, or the last of the others, if more than `bound` of that group
-    /// are queued.
+    /// Removes and returns the last paying request if `pays`, and otherwise the last other request,
+    /// if more than `bound` of these are queued.
     pub fn pop_over_limit(&mut self, pays: bool, bound: u32) -> Option<QueuedRequest> {
         let paying = self.paying_count() as usize;
         let (count, last) = if pays {
--- a/crates/sedgepath-core/src/egress/reported_slots.rs
+++ b/crates/sedgepath-core/src/egress/reported_slots.rs
@@ -7,13 +7,14 @@
 use super::interpolation::linear_rise;
 use crate::event::UpstreamReport;
 
-/// The age up to which a report has its full effect.
+/// The age up to which a report has its full effect, in milliseconds.
 const FULL_EFFECT_MS: u64 = 1_000;
 
-/// The time over which the effect of a report then decays to nothing.
+/// The time over which the effect of a report then decays to nothing, in milliseconds.
 const DECAY_MS: u64 = 4_000;
 
-/// The slots that the last report of an upstream leaves to this node.
+/// The slots of an upstream that are available to this node according to the upstream's last
+/// report.
 #[derive(Debug)]
 pub struct ReportedSlots {
     slots: u32,
@@ -21,11 +22,12 @@
 }
 
 impl ReportedSlots {
-    /// Evaluates a report, given the requests that this node may have had in flight when it was made.
-    /// Any further requests in flight belong to other nodes and reduce the slots.
+    /// Evaluates a report; `in_flight` is the number of requests that this node may have had in
+    /// flight when the report was made. Any further requests in flight are from other nodes and
+    /// reduce the slots.
     pub fn new(report: &UpstreamReport, in_flight: u32) -> Self {
-        let others = report.in_flight.unwrap_or(0).saturating_sub(in_flight);
-        let slots = report.slots.unwrap_or(u32::MAX).saturating_sub(others);
+        let others_in_flight = report.in_flight.unwrap_or(0).saturating_sub(in_flight);
+        let slots = report.slots.unwrap_or(u32::MAX).saturating_sub(others_in_flight);
         Self { slots, made_at_ms: report.made_at_ms }
     }
 
--- a/crates/sedgepath-core/src/egress/settings.rs
+++ b/crates/sedgepath-core/src/egress/settings.rs
@@ -1,9 +1,9 @@
-//! Switches for parts of admission control, for experiments.
+//! Settings that switch parts of admission control off for experiments.
 
-/// The treatment of requests that find no free slot.
+/// The treatment of requests for which no slot is free.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Queueing {
-    /// Refuses them at once.
+    /// Rejects them at once.
     Off,
     /// Queues all of them until a slot is free or their deadline passes. For experiments only.
     Unbounded,
@@ -23,7 +23,7 @@
     pub queueing: Queueing,
     /// Whether slots are reserved for paying requests.
     pub reserve_for_paying: bool,
-    /// Whether cold upstreams start with fewer slots.
+    /// Whether the slots of a cold upstream rise gradually from its cold slots.
     pub warm_up: bool,
 }
 
--- a/crates/sedgepath-core/src/egress/upstream.rs
+++ b/crates/sedgepath-core/src/egress/upstream.rs
@@ -1,4 +1,4 @@
-//! The state that an owner keeps for one upstream, and the limits that follow from it.
+//! The state that a node keeps for one upstream, and the limits that follow from it.
 
 use super::connections::ConnectionLimits;
 use super::health::Health;
@@ -9,11 +9,11 @@
 use crate::event::UpstreamReport;
 use crate::request::{CallOutcome, Class};
 
-/// How long after a loss a report must have been made to show whether the call still runs. A request
+/// The minimum time from a loss until a report that shows whether the call still runs. A request
 /// may start shortly after its connection broke.
 const MIN_REPORT_DELAY_AFTER_LOSS_MS: u64 = 250;
 
-/// A call that ended without a response and may still run at the upstream.
+/// A call that ended without a response and may still be running at the upstream.
 #[derive(Debug, Clone, Copy)]
 struct LostCall {
     lost_at_ms: u64,
@@ -21,9 +21,9 @@
     deadline_at_ms: u64,
 }
 
-/// The terms on which a call was sent to an upstream.
+/// The class of a call and the limits under which it was sent to an upstream.
 #[derive(Debug, Clone, Copy)]
-pub struct CallTerms {
+pub struct CallLimits {
     /// The class of the request.
     pub class: Class,
     /// Whether the call may open a connection.
@@ -37,9 +37,9 @@
 /// The calls, connections, health and warm-up of one upstream.
 #[derive(Debug, Default)]
 pub struct UpstreamState {
-    /// The running calls of all classes, without lost ones.
+    /// The calls in flight of all classes, without lost ones.
     running: u32,
-    /// The running calls of the paying class.
+    /// The calls in flight of the paying class, without lost ones.
     running_paying: u32,
     lost: Vec<LostCall>,
     connections: ConnectionLimits,
@@ -74,22 +74,22 @@
     }
 }
 
-/// Whether the end of a call has changed the upstream's health.
+/// The effect of the end of a call on the use of the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthChange {
-    /// The upstream is used as before.
+    /// The upstream is used or backed off as before.
     None,
-    /// The upstream is backed off from now on.
-    Paused,
+    /// The upstream was used and is backed off from now on.
+    BackedOff,
 }
 
 impl UpstreamState {
-    /// Returns the number of requests that may be running at the upstream, lost ones included.
+    /// Returns the number of requests that may be running at the upstream, including lost calls.
     pub fn in_flight(&self) -> u32 {
         self.running + self.lost.len() as u32
     }
 
-    /// Returns the number of running calls of the paying class.
+    /// Returns the number of calls in flight of the paying class, without lost ones.
     pub fn running_paying(&self) -> u32 {
         self.running_paying
     }
@@ -109,19 +109,23 @@
         &self,
         allowance: &Allowance,
         entry: &UpstreamEntry,
-        ramps: bool,
+        warm_up_enabled: bool,
         now_ms: u64,
     ) -> u32 {
         if now_ms > allowance.send_by_ms {
             return 0;
         }
-        let ramped =
-            if ramps { self.warm_up.slots(allowance, entry, now_ms) } else { allowance.slots };
-        let heard = self.reported.as_ref().map_or(ramped, |heard| heard.slots(ramped, now_ms));
-        self.health.slots(allowance.slots, now_ms).min(ramped).min(heard)
+        let warm_slots = if warm_up_enabled {
+            self.warm_up.slots(allowance, entry, now_ms)
+        } else {
+            allowance.slots
+        };
+        let reported =
+            self.reported.as_ref().map_or(warm_slots, |report| report.slots(warm_slots, now_ms));
+        self.health.slots(allowance.slots, now_ms).min(warm_slots).min(reported)
     }
 
-    /// Returns whether a call may open a connection, or `None` if no call can be sent now.
+    /// Returns whether a new call may open a connection, or `None` if no call can be sent now.
     pub fn permit(&self, allowance: &Allowance, now_ms: u64) -> Option<bool> {
         if !self.health.may_send(now_ms) {
             return None;
@@ -130,32 +134,39 @@
     }
 
     /// Records that a call was sent.
-    pub fn call_sent(&mut self, sent: CallTerms, now_ms: u64) {
+    pub fn record_sent(&mut self, limits: CallLimits, now_ms: u64) {
         self.running += 1;
-        self.running_paying += u32::from(sent.class == Class::Paying);
-        self.connections.record_sent(sent.may_open);
+        self.running_paying += u32::from(limits.class == Class::Paying);
+        self.connections.record_sent(limits.may_open);
         self.health.record_sent();
         self.warm_up.record_use(now_ms);
         self.sent_at_ms = now_ms;
         self.recent_peak.record(self.in_flight(), now_ms);
     }
 
-    /// Records the end of a call; a lost call keeps its slot.
-    pub fn call_ended(&mut self, sent: CallTerms, end: CallOutcome, now_ms: u64) -> HealthChange {
+    /// Records the end of a call; a lost call holds its slot until its deadline.
+    pub fn record_end(
+        &mut self,
+        limits: CallLimits,
+        outcome: CallOutcome,
+        now_ms: u64,
+    ) -> HealthChange {
         let in_flight = self.in_flight();
         self.recent_peak.record(in_flight, now_ms);
         self.running -= 1;
-        self.running_paying -= u32::from(sent.class == Class::Paying);
-        // Without permission to open a connection, or past the time to send, no connection was tried.
-        let unreachable = end == CallOutcome::NotSent && sent.may_open && now_ms <= sent.send_by_ms;
-        self.connections.record_end(sent.may_open, unreachable, now_ms);
-        let paused = match end {
+        self.running_paying -= u32::from(limits.class == Class::Paying);
+        // Without permission to open a connection, or past the time to send, no connection was
+        // tried.
+        let unreachable =
+            outcome == CallOutcome::NotSent && limits.may_open && now_ms <= limits.send_by_ms;
+        self.connections.record_end(limits.may_open, unreachable, now_ms);
+        let backs_off = match outcome {
             CallOutcome::Completed | CallOutcome::Cancelled => {
                 self.warm_up.record_use(now_ms);
                 self.health.record_response();
                 false
             }
-            CallOutcome::Refused => self.health.record_refusal(in_flight, now_ms),
+            CallOutcome::Refused => self.health.record_rejection(in_flight, now_ms),
             CallOutcome::NotSent if unreachable => {
                 self.warm_up.reset();
                 self.health.record_failure(now_ms)
@@ -166,20 +177,20 @@
             }
             CallOutcome::Lost => {
                 self.health.record_inconclusive();
-                self.hold_slot(sent, now_ms);
+                self.hold_slot(limits, now_ms);
                 false
             }
         };
-        if paused { HealthChange::Paused } else { HealthChange::None }
+        if backs_off { HealthChange::BackedOff } else { HealthChange::None }
     }
 
     /// Holds the slot of a lost call until its deadline.
     ///
     /// The upstream may work on after its connection broke. Reusing the slot at once could make it
     /// run more requests than it has slots.
-    fn hold_slot(&mut self, sent: CallTerms, now_ms: u64) {
-        if now_ms < sent.deadline_at_ms {
-            self.lost.push(LostCall { lost_at_ms: now_ms, deadline_at_ms: sent.deadline_at_ms });
+    fn hold_slot(&mut self, limits: CallLimits, now_ms: u64) {
+        if now_ms < limits.deadline_at_ms {
+            self.lost.push(LostCall { lost_at_ms: now_ms, deadline_at_ms: limits.deadline_at_ms });
         }
     }
 
@@ -190,30 +201,30 @@
 
     /// Applies a load report if it is newer than the last one.
     pub fn record_report(&mut self, report: &UpstreamReport) {
-        if self.reported.as_ref().is_some_and(|heard| !heard.is_older_than(report)) {
+        if self.reported.as_ref().is_some_and(|last| !last.is_older_than(report)) {
             return;
         }
         if let Some(in_flight) = report.in_flight {
             self.release_lost_calls(in_flight, report.made_at_ms);
         }
-        // The report may count calls that have ended since it was made. The recent peak covers them, so
-        // that they aren't attributed to other nodes and don't cost slots.
+        // The report may count calls that have ended since it was made. The recent peak covers
+        // them, so that they aren't attributed to other nodes and don't cost slots.
         let own = self.recent_peak.peak().max(self.in_flight());
         self.reported = Some(ReportedSlots::new(report, own));
     }
 
     /// Frees the slots of lost calls that a report shows to have ended: at most `in_flight` of them
-    /// still run. Which ones is unknown, so those with the latest deadlines keep their slots.
+    /// still run. Which ones is unknown, so those with the latest deadlines hold their slots.
     fn release_lost_calls(&mut self, in_flight: u32, made_at_ms: u64) {
         self.lost.sort_unstable_by_key(|lost| std::cmp::Reverse(lost.deadline_at_ms));
-        let mut may_run = in_flight;
+        let mut running_left = in_flight;
         self.lost.retain(|lost| {
             if lost.lost_at_ms + MIN_REPORT_DELAY_AFTER_LOSS_MS > made_at_ms {
                 return true;
             }
-            let kept = may_run > 0;
-            may_run = may_run.saturating_sub(1);
-            kept
+            let may_still_run = running_left > 0;
+            running_left = running_left.saturating_sub(1);
+            may_still_run
         });
     }
 
--- a/crates/sedgepath-core/src/egress/upstreams.rs
+++ b/crates/sedgepath-core/src/egress/upstreams.rs
@@ -1,4 +1,4 @@
-//! The state of all upstreams that an owner has used, and the choice among them.
+//! The state of all upstreams that this node has used, and the choice among them.
 
 use super::context::AdmissionContext;
 use super::leaving::LeavingSet;
@@ -25,12 +25,12 @@
 pub struct ServiceCapacity {
     /// Whether this node may send to any of the upstreams.
     pub may_send: bool,
-    /// The slots that may be used.
+    /// The slots that this node may use now, including those in use.
     pub slots: u32,
-    /// The slots that are free.
+    /// The free ones of these slots; a lost call counts as using its slot.
     pub free_slots: u32,
-    /// The slots that paying requests hold.
-    pub paying_slots: u32,
+    /// The slots used by paying requests.
+    pub slots_used_by_paying: u32,
     /// When the first backed-off upstream may be tried again, in milliseconds.
     pub retry_at_ms: Option<u64>,
 }
@@ -38,48 +38,50 @@
 /// The state of each upstream, and the set of those that are leaving.
 #[derive(Debug)]
 pub struct UpstreamTable {
-    table: Map<UpstreamKey, UpstreamState>,
-    /// The upstreams that are leaving.
+    states: Map<UpstreamKey, UpstreamState>,
+    /// The upstreams known to be leaving from reports and notices rather than a drain record.
     pub leaving: LeavingSet,
     warm_up_enabled: bool,
 }
 
 impl UpstreamTable {
-    /// Creates an empty table; `ramps` says whether cold upstreams start with fewer slots.
-    pub fn new(ramps: bool) -> Self {
-        Self { table: Map::default(), leaving: LeavingSet::default(), warm_up_enabled: ramps }
+    /// Creates an empty table; `warm_up_enabled` says whether cold upstreams start with fewer
+    /// slots.
+    pub fn new(warm_up_enabled: bool) -> Self {
+        Self { states: Map::default(), leaving: LeavingSet::default(), warm_up_enabled }
     }
 
     /// Returns the state of an upstream, creating it if absent.
     pub fn state_mut(&mut self, upstream: UpstreamKey) -> &mut UpstreamState {
-        self.table.entry(upstream).or_default()
+        self.states.entry(upstream).or_default()
     }
 
-    /// Returns the number of requests that may be running at an upstream.
+    /// Returns the number of requests that may be running at an upstream, including lost calls.
     pub fn in_flight(&self, upstream: UpstreamKey) -> u32 {
-        self.table.get(&upstream).map_or(0, UpstreamState::in_flight)
+        self.states.get(&upstream).map_or(0, UpstreamState::in_flight)
     }
 
-    /// Expires lost calls and leaving upstreams, and drops the state of idle upstreams that are no
-    /// longer configured.
-    pub fn expire(&mut self, scope: AdmissionContext<'_>, now_ms: u64) {
-        self.leaving.expire(scope.catalogue, now_ms);
-        for upstream in self.table.values_mut() {
+    /// Removes expired lost calls and leaving marks, and the state of upstreams that are no longer
+    /// configured and have no requests in flight.
+    pub fn expire(&mut self, context: AdmissionContext<'_>, now_ms: u64) {
+        self.leaving.expire(context.catalogue, now_ms);
+        for upstream in self.states.values_mut() {
             upstream.expire_lost_calls(now_ms);
         }
         // An upstream that is configured again later starts cold.
-        self.table.retain(|key, upstream| {
-            upstream.in_flight() > 0 || scope.catalogue.upstreams.contains_key(key)
+        self.states.retain(|key, upstream| {
+            upstream.in_flight() > 0 || context.catalogue.upstreams.contains_key(key)
         });
     }
 
     /// Returns the load of the upstreams that this node may use, by service.
     ///
-    /// Leaving upstreams don't count; a service with no others has no slots.
-    pub fn loads(&self, scope: AdmissionContext<'_>, now_ms: u64) -> Vec<ServiceLoad> {
+    /// Leaving upstreams are not counted; a service that has only leaving upstreams is reported
+    /// with 0 slots.
+    pub fn loads(&self, context: AdmissionContext<'_>, now_ms: u64) -> Vec<ServiceLoad> {
         let mut loads: Vec<ServiceLoad> = Vec::new();
-        for (allowance, entry) in scope.upstreams() {
-            let (slots, in_flight) = if self.is_leaving(allowance.upstream, scope) {
+        for (allowance, entry) in context.upstreams() {
+            let (slots, in_flight) = if self.is_leaving(allowance.upstream, context) {
                 (0, 0)
             } else {
                 (self.slots(allowance, entry, now_ms), self.in_flight(allowance.upstream))
@@ -100,21 +102,21 @@
         &self,
         service: ServiceKey,
         avoid: Option<UpstreamKey>,
-        scope: AdmissionContext<'_>,
+        context: AdmissionContext<'_>,
         now_ms: u64,
     ) -> bool {
-        scope
+        context
             .upstreams_of(service)
             .filter(|(allowance, _)| Some(allowance.upstream) != avoid)
-            .filter(|(allowance, _)| !self.is_leaving(allowance.upstream, scope))
+            .filter(|(allowance, _)| !self.is_leaving(allowance.upstream, context))
             .any(|(allowance, entry)| self.slots(allowance, entry, now_ms) > 0)
     }
 
     fn slots(&self, allowance: &Allowance, entry: &UpstreamEntry, now_ms: u64) -> u32 {
-        let ramps = self.warm_up_enabled;
-        match self.table.get(&allowance.upstream) {
-            Some(upstream) => upstream.slots(allowance, entry, ramps, now_ms),
-            None => UpstreamState::default().slots(allowance, entry, ramps, now_ms),
+        let warm_up_enabled = self.warm_up_enabled;
+        match self.states.get(&allowance.upstream) {
+            Some(upstream) => upstream.slots(allowance, entry, warm_up_enabled, now_ms),
+            None => UpstreamState::default().slots(allowance, entry, warm_up_enabled, now_ms),
         }
     }
 
@@ -122,20 +124,20 @@
     pub fn capacity(
         &self,
         service: ServiceKey,
-        scope: AdmissionContext<'_>,
+        context: AdmissionContext<'_>,
         now_ms: u64,
     ) -> ServiceCapacity {
         let mut capacity = ServiceCapacity::default();
-        for (allowance, entry) in scope.upstreams_of(service) {
+        for (allowance, entry) in context.upstreams_of(service) {
             capacity.may_send |= now_ms <= allowance.send_by_ms;
-            if self.is_leaving(allowance.upstream, scope) {
+            if self.is_leaving(allowance.upstream, context) {
                 continue;
             }
             let slots = self.slots(allowance, entry, now_ms);
             capacity.slots += slots;
             capacity.free_slots += slots.saturating_sub(self.in_flight(allowance.upstream));
-            if let Some(upstream) = self.table.get(&allowance.upstream) {
-                capacity.paying_slots += upstream.running_paying();
+            if let Some(upstream) = self.states.get(&allowance.upstream) {
+                capacity.slots_used_by_paying += upstream.running_paying();
                 let retry_at_ms = upstream.retry_at_ms();
                 capacity.retry_at_ms = retry_at_ms.into_iter().chain(capacity.retry_at_ms).min();
             }
@@ -143,37 +145,37 @@
         capacity
     }
 
-    /// Returns the upstream with the largest share of free slots. Ties go to the least recently used
-    /// one, which keeps all of them warm.
+    /// Returns the upstream with a free slot and the smallest fraction of its slots in use. Of
+    /// several such upstreams the least recently used one is chosen, which keeps all of them warm.
     pub fn choose<'a>(
         &self,
         service: ServiceKey,
         avoid: Option<UpstreamKey>,
-        scope: AdmissionContext<'a>,
+        context: AdmissionContext<'a>,
         now_ms: u64,
     ) -> Option<ChosenUpstream<'a>> {
-        scope
+        context
             .upstreams_of(service)
             .filter(|(allowance, _)| Some(allowance.upstream) != avoid)
-            .filter(|(allowance, _)| !self.is_leaving(allowance.upstream, scope))
+            .filter(|(allowance, _)| !self.is_leaving(allowance.upstream, context))
             .filter_map(|(allowance, entry)| {
                 let slots = self.slots(allowance, entry, now_ms);
                 let in_flight = self.in_flight(allowance.upstream);
-                let upstream = self.table.get(&allowance.upstream);
+                let upstream = self.states.get(&allowance.upstream);
                 let may_open = match upstream {
                     Some(upstream) => upstream.permit(allowance, now_ms)?,
                     None => UpstreamState::default().permit(allowance, now_ms)?,
                 };
                 let sent_at_ms = upstream.map_or(0, UpstreamState::sent_at_ms);
-                let taken = u64::from(in_flight) * 1_000 / u64::from(slots.max(1));
-                let rank = (taken, sent_at_ms, allowance.upstream);
+                let used_permille = u64::from(in_flight) * 1_000 / u64::from(slots.max(1));
+                let rank = (used_permille, sent_at_ms, allowance.upstream);
                 (in_flight < slots).then_some((rank, ChosenUpstream { allowance, entry, may_open }))
             })
             .min_by_key(|(rank, _)| *rank)
             .map(|(_, choice)| choice)
     }
 
-    fn is_leaving(&self, upstream: UpstreamKey, scope: AdmissionContext<'_>) -> bool {
-        self.leaving.contains(upstream) || scope.catalogue.has_own_drain(upstream)
+    fn is_leaving(&self, upstream: UpstreamKey, context: AdmissionContext<'_>) -> bool {
+        self.leaving.contains(upstream) || context.catalogue.has_own_drain(upstream)
     }
 }
--- a/crates/sedgepath-core/src/egress/warm_up.rs
+++ b/crates/sedgepath-core/src/egress/warm_up.rs
@@ -1,15 +1,16 @@
 //! The warm-up of a cold upstream.
 //!
-//! An upstream is cold until this boot first uses it, and again after [`COLD_AFTER_IDLE_MS`] without
-//! use, after a failed connection, and when it is configured anew. From its next use on, its slots
-//! rise linearly from the declared cold slots to all of them over the declared warm-up time. A node
-//! that takes an upstream over can't know how warm it is and starts from cold too.
+//! An upstream is cold until this boot first uses it, and again after [`COLD_AFTER_IDLE_MS`]
+//! without use, after a failed connection, and when it is configured anew. From its next use on,
+//! its slots rise linearly from the configured cold slots to all of them over the configured
+//! warm-up time. A node that takes an upstream over can't know how warm it is and treats it as cold
+//! too.
 
 use super::interpolation::linear_rise;
 use crate::allowance::Allowance;
 use crate::catalogue::UpstreamEntry;
 
-/// The time without use after which an upstream counts as cold.
+/// The time without use after which an upstream counts as cold, in milliseconds.
 pub const COLD_AFTER_IDLE_MS: u64 = 60_000;
 
 /// The warm-up state of an upstream.
@@ -22,13 +23,16 @@
 impl WarmUp {
     /// Returns how many slots of the allowance may be used now.
     pub fn slots(&self, allowance: &Allowance, entry: &UpstreamEntry, now_ms: u64) -> u32 {
-        let cold = own_cold_slots(allowance, entry);
+        let cold_slots = own_cold_slots(allowance, entry);
         match self.started_at(now_ms) {
             _ if entry.warm_up_ms == 0 => allowance.slots,
-            None => cold,
-            Some(from_ms) => {
-                linear_rise(cold, allowance.slots, now_ms.saturating_sub(from_ms), entry.warm_up_ms)
-            }
+            None => cold_slots,
+            Some(from_ms) => linear_rise(
+                cold_slots,
+                allowance.slots,
+                now_ms.saturating_sub(from_ms),
+                entry.warm_up_ms,
+            ),
         }
     }
 
@@ -48,11 +52,12 @@
     }
 }
 
-/// Returns this node's part of the cold slots, at least one so that the upstream can be used at all.
+/// Returns this node's share of the cold slots, at least one so that the upstream can be used at
+/// all.
 ///
-/// Apart from that minimum, the parts of all owners together stay within the declared cold slots.
+/// Apart from that minimum, the shares of all nodes together stay within the configured cold slots.
 fn own_cold_slots(allowance: &Allowance, entry: &UpstreamEntry) -> u32 {
-    let cold = u64::from(entry.cold_slots.min(entry.slots));
-    let part = cold * u64::from(allowance.slots) / u64::from(entry.slots.max(1));
-    (part as u32).max(1).min(allowance.slots)
+    let cold_slots = u64::from(entry.cold_slots.min(entry.slots));
+    let share = cold_slots * u64::from(allowance.slots) / u64::from(entry.slots.max(1));
+    (share as u32).max(1).min(allowance.slots)
 }
--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -20,7 +20,7 @@
 use crate::table::{TableRequest, TableResult};
 use crate::timeline::TimelineEntry;
 
-/// A caller's query for the entry VMs to use for a service.
+/// A look-up: a caller's query for the entry VMs of a service.
 #[derive(Debug, Clone)]
 pub struct LookUp {
     /// The name of the service.
@@ -36,9 +36,9 @@
 pub struct LookUpAnswer {
     /// The entry VMs, best first.
     pub entry_vms: Arc<[EntryVm]>,
-    /// Until when the answer is valid, in milliseconds of the answering node's clock.
+    /// When the answer expires, in milliseconds by the answering node's clock.
     pub expires_at_ms: u64,
-    /// How long the answer is valid, in milliseconds, for callers whose clock differs.
+    /// The time for which the answer is valid, in milliseconds. A duration, since clocks differ.
     pub expires_after_ms: u64,
     /// The configuration revision that the answer is based on.
     pub revision: u64,
@@ -55,14 +55,14 @@
     Configuration,
 }
 
-/// A VM in the platform's list.
+/// A VM in the platform's list of VMs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
     /// The VM's name.
     pub name: Box<str>,
-    /// Its failure domain's name.
+    /// The name of the VM's failure domain.
     pub domain: Box<str>,
-    /// The address for frames and datagrams of peers.
+    /// The address for frames and datagrams from peers.
     pub peer_address: SocketAddr,
     /// Whether the platform is about to remove the VM.
     pub leaving: bool,
@@ -75,7 +75,7 @@
     LookUp {
         /// Identifies the query in the answer.
         reply: ReplyKey,
-        /// The query.
+        /// The service, the caller's address and the revision that the caller knows.
         look_up: LookUp,
     },
     /// A caller asks for tickets.
@@ -94,105 +94,106 @@
         /// The properties of the request.
         head: RequestHead,
     },
-    /// The head of an upstream's answer has arrived from the owner.
+    /// The head of an upstream's response has arrived from the owner.
     HopAnswered {
-        /// The request.
+        /// The key of the request.
         request: RequestKey,
-        /// The attempt that brought it.
+        /// The number of the attempt that got the response.
         attempt: u32,
-        /// The head of the answer.
+        /// The head of the response.
         head: AnswerHead,
     },
-    /// A hop has ended without an answer.
+    /// An attempt has ended without a response.
     HopEnded {
-        /// The request.
+        /// The key of the request.
         request: RequestKey,
-        /// The attempt that ended.
+        /// The number of the attempt.
         attempt: u32,
-        /// How the hop ended.
+        /// How the attempt ended.
         end: HopFailure,
     },
-    /// The relay of an answer to the caller has completed or was interrupted.
+    /// The relaying of a response to the caller has completed or was interrupted.
     RelayEnded {
-        /// The request.
+        /// The key of the request.
         request: RequestKey,
-        /// Whether the whole answer was relayed.
+        /// Whether the whole response was relayed.
         whole: bool,
-        /// The answer to store for repeats, if the request is once-only and the answer small.
+        /// The response to store for retries, if the request is once-only and the response small.
         stored: Option<StoredAnswer>,
     },
-    /// The caller disconnected before its answer was relayed.
+    /// The caller disconnected before the response was relayed.
     CallerDisconnected {
-        /// The request.
+        /// The key of the request.
         request: RequestKey,
     },
-    /// A peer, or this node itself, dispatches a request for an upstream that this node owns.
+    /// A peer, or this node itself, has dispatched a request to this node for an upstream that it
+    /// owns.
     Dispatched {
         /// Identifies the dispatch in later events and actions.
         exchange: ExchangeKey,
-        /// The ingress.
+        /// The VM that received the request from the caller.
         from: VmKey,
-        /// The dispatch.
+        /// The header of the dispatched request.
         dispatch: Dispatch,
     },
     /// A call to an upstream has ended.
     CallEnded {
-        /// The dispatch.
+        /// The key of the dispatch.
         exchange: ExchangeKey,
-        /// How it ended.
+        /// How the call ended.
         end: CallOutcome,
         /// The duration of the call, in milliseconds.
         took_ms: u64,
     },
     /// The ingress no longer waits for a dispatch.
     DispatchCanceled {
-        /// The dispatch.
+        /// The key of the dispatch.
         exchange: ExchangeKey,
     },
-    /// An upstream has reported its load, with an answer or on its own.
+    /// An upstream has reported its load, with a response or separately.
     UpstreamReport {
-        /// The upstream.
+        /// The upstream that the report is about.
         upstream: UpstreamKey,
-        /// The report.
+        /// The reported load and state.
         report: UpstreamReport,
     },
     /// A connection to an upstream was opened or closed.
     ConnectionsChanged {
-        /// The upstream.
+        /// The upstream that the connections are to.
         upstream: UpstreamKey,
-        /// The number of open connections now.
+        /// The number of connections that are open now.
         open: u32,
     },
     /// An authenticated datagram has arrived.
     Datagram(Envelope),
     /// A request to the table has ended.
     Table {
-        /// The request's key.
+        /// The key of the operation that requested it.
         operation: OperationKey,
-        /// The result.
+        /// The result of the request.
         result: TableResult,
     },
     /// The platform's list of VMs was read.
     VmList(Vec<ListedVm>),
     /// The fetch of a page of a peer's records has ended.
     PageFetched {
-        /// The request's key.
+        /// The key of the operation that requested the page.
         operation: OperationKey,
-        /// The page, or `None` if the peer did not answer.
+        /// The page, or `None` if the fetch failed.
         page: Option<RecordPage>,
     },
     /// An operator asks for a change of the configuration.
     Change {
         /// Identifies the change in the answer.
         reply: ReplyKey,
-        /// The change.
+        /// The requested change.
         request: ChangeRequest,
     },
     /// A stopping peer has handed its tickets over to this node.
     TicketsReceived(TicketHandover),
     /// The handover of this node's tickets to a peer has ended.
     TicketHandoverEnded {
-        /// The call's key.
+        /// The key of the operation that requested the handover.
         operation: OperationKey,
         /// Whether the peer has taken the tickets over.
         taken: bool,
@@ -204,7 +205,7 @@
 /// A load report of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UpstreamReport {
-    /// The number of requests in flight, if reported.
+    /// The number of requests in flight from all nodes, if reported.
     pub in_flight: Option<u32>,
     /// The number of slots, if reported.
     pub slots: Option<u32>,
@@ -219,36 +220,36 @@
 pub enum Action {
     /// Answers a look-up.
     AnswerLookUp {
-        /// The look-up.
+        /// The key of the query.
         reply: ReplyKey,
-        /// The answer.
+        /// The answer, or the reason why there is none.
         answer: Result<LookUpAnswer, LookUpError>,
     },
     /// Answers a caller who asked for tickets.
     AnswerTickets {
-        /// The query.
+        /// The key of the query.
         reply: ReplyKey,
-        /// The tickets, or why none were minted.
+        /// The tickets, or the reason why none were minted.
         tickets: Result<Vec<Ticket>, MintError>,
     },
     /// Sends a request to the owner of an upstream.
     Forward {
-        /// The request.
+        /// The key of the request.
         request: RequestKey,
         /// The number of the attempt.
         attempt: u32,
-        /// The owner; this node itself if it is the owner.
+        /// The owner, which may be this node itself.
         to: VmKey,
         /// The owner's address for frames.
         address: SocketAddr,
-        /// The dispatch that precedes the request.
+        /// The header that is sent ahead of the request.
         dispatch: Dispatch,
-        /// When the hop is given up, in milliseconds by this node's clock.
+        /// When the attempt times out, in milliseconds by this node's clock.
         deadline_at_ms: u64,
     },
     /// Sends a request unchanged to the VM that minted its ticket.
     ForwardHome {
-        /// The request.
+        /// The key of the request.
         request: RequestKey,
         /// The number of the attempt.
         attempt: u32,
@@ -258,35 +259,35 @@
         boot: BootId,
         /// The address of that VM for frames.
         address: SocketAddr,
-        /// When the hop is given up, in milliseconds by this node's clock.
+        /// When the attempt times out, in milliseconds by this node's clock.
         deadline_at_ms: u64,
     },
-    /// Relays the answer of an attempt to the caller.
+    /// Relays the response to an attempt to the caller.
     RelayResponse {
-        /// The request.
+        /// The key of the request.
         request: RequestKey,
-        /// The attempt whose answer is relayed.
+        /// The number of the attempt.
         attempt: u32,
     },
-    /// Stops waiting for an attempt and drops its answer.
+    /// Stops waiting for an attempt and drops any response to it.
     CancelAttempt {
-        /// The request.
+        /// The key of the request.
         request: RequestKey,
-        /// The attempt.
+        /// The number of the attempt.
         attempt: u32,
     },
-    /// Gives a request its final outcome.
+    /// Concludes a request with its final outcome.
     Conclude {
-        /// The request.
+        /// The key of the request.
         request: RequestKey,
-        /// The outcome.
+        /// The final outcome, for the caller.
         outcome: Outcome,
     },
     /// Sends a dispatched request to an upstream.
     CallUpstream {
-        /// The dispatch.
+        /// The key of the dispatch.
         exchange: ExchangeKey,
-        /// The upstream.
+        /// The upstream that the request is sent to.
         upstream: UpstreamKey,
         /// The failure domain of the upstream.
         domain: DomainKey,
@@ -294,36 +295,36 @@
         address: SocketAddr,
         /// Whether a new connection may be opened if none is idle.
         may_open: bool,
-        /// The time after which nothing may be sent, in milliseconds by this node's clock: the node's
-        /// lease of the upstream ends then.
+        /// The time after which nothing may be sent, in milliseconds by this node's clock: the
+        /// node's lease of the upstream ends then.
         send_by_ms: u64,
-        /// When the call is given up, in milliseconds by this node's clock.
+        /// When the call times out, in milliseconds by this node's clock.
         deadline_at_ms: u64,
     },
-    /// Refuses a dispatch.
+    /// Rejects a dispatch.
     RejectDispatch {
-        /// The dispatch.
+        /// The key of the dispatch.
         exchange: ExchangeKey,
-        /// The reason, and when to retry.
+        /// The reason and the retry delay.
         refusal: crate::request::Rejection,
     },
     /// Tries to cancel a call to an upstream.
     CancelCall {
-        /// The dispatch.
+        /// The key of the dispatch.
         exchange: ExchangeKey,
     },
     /// Sends a datagram.
     SendDatagram {
         /// The receiver's address.
         to: SocketAddr,
-        /// The datagram.
+        /// The datagram with its metadata.
         envelope: Envelope,
     },
     /// Sends a request to the table.
     Table {
         /// Identifies the request in its result.
         operation: OperationKey,
-        /// The request.
+        /// The transaction or read.
         request: TableRequest,
     },
     /// Fetches a page of a peer's records.
@@ -332,28 +333,28 @@
         operation: OperationKey,
         /// The peer's address for remote calls.
         from: SocketAddr,
-        /// The position after which the page begins.
+        /// The position in the records after which the page begins.
         after: RecordPosition,
     },
     /// Answers an operator who asked for a change of the configuration.
     AnswerChange {
-        /// The change.
+        /// The key of the change.
         reply: ReplyKey,
-        /// The outcome.
+        /// The outcome of the change.
         outcome: ChangeOutcome,
     },
     /// Hands this node's tickets over to a peer.
     HandOverTickets {
-        /// Identifies the call in its result.
+        /// Identifies the handover in its result.
         operation: OperationKey,
-        /// The peer.
+        /// The peer that takes the tickets over.
         to: VmKey,
         /// The peer's address for frames.
         address: SocketAddr,
-        /// The tickets.
+        /// The used tickets and the range of minted ones.
         tickets: TicketHandover,
     },
-    /// Logs an entry of the timeline.
+    /// Writes an entry of the timeline to the log.
     Log(TimelineEntry),
     /// Ends the process: the node has no work left, or was asked to stop a second time.
     Stopped,
--- a/crates/sedgepath-core/src/explain.rs
+++ b/crates/sedgepath-core/src/explain.rs
@@ -1,4 +1,4 @@
-//! Explains the routing of a request: its inputs, their age, and the policy.
+//! Explanations of the routing of a request: its inputs, their age, and the policy.
 
 use std::net::IpAddr;
 
@@ -23,11 +23,11 @@
     pub key_digest: Option<Digest>,
 }
 
-/// The result of the node's checks before it routes a request.
+/// The result of the checks that the node makes before it routes a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdmissionCheck {
-    /// The request passes.
+    /// The request passes the checks.
     Open,
     /// The node isn't ready to serve, for lack of a configuration or because it is stopping.
     NotReady,
@@ -39,25 +39,25 @@
     UnknownOrganisation,
 }
 
-/// A failure domain that the request could go to, with the figures known to this node.
+/// A failure domain that the request could go to, with the load known to this node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ExplainedCandidate {
     /// The name of the failure domain.
     pub domain: Box<str>,
-    /// The name of its region.
+    /// The name of the domain's region.
     pub region: Box<str>,
-    /// The share declared in the steering record, from 0 to 1.
+    /// The share in the steering record, from 0 to 1.
     pub share: f64,
-    /// The current share of the traffic, from 0 to 1, which moves towards the declared share within
-    /// the shift cap; `None` if this node has had no traffic of the group.
+    /// The current share of the traffic, from 0 to 1, which follows the target share within the
+    /// shift cap; `None` if this node has had no traffic of the group.
     pub standing: Option<f64>,
-    /// The slots that the owners in the domain last reported.
+    /// The slots that the domain's nodes last reported.
     pub slots: u32,
-    /// The slots in use.
+    /// The requests in flight that the domain's nodes last reported.
     pub in_flight: u32,
-    /// The slots that the records declare for the domain's upstreams, without drained ones.
+    /// The configured slots of the domain's upstreams, without drained ones.
     pub declared_slots: u32,
-    /// The age of the oldest report, in milliseconds.
+    /// The age of the oldest of these reports, in milliseconds.
     pub report_age_ms: u64,
     /// Whether an entry VM of the domain takes work.
     pub serves: bool,
@@ -70,7 +70,7 @@
 /// The explanation of a request's routing by one node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The name of the node that explains; other nodes may have other figures.
+    /// The name of the node that explains; other nodes may know other loads and shares.
     pub node: Box<str>,
     /// The configuration revision in force at the node.
     pub revision: u64,
@@ -78,7 +78,8 @@
     pub entrance: AdmissionCheck,
     /// The origin group of the caller's address.
     pub origin: Box<str>,
-    /// Whether a configured address block contains the caller's address; otherwise the group is `any`.
+    /// Whether a configured address block contains the caller's address; otherwise the group is
+    /// `any`.
     pub origin_by_block: bool,
     /// The origin group whose shares apply to the caller; `None` without a steering record.
     pub shares_of: Option<Box<str>>,
@@ -88,35 +89,37 @@
     pub class: Option<Class>,
     /// The schema of the steering record.
     pub schema: Option<u32>,
-    /// The maximum share that may move within a window.
+    /// The shift cap: the maximum share that may move within a window.
     pub cap: Option<TrafficCap>,
     /// The name of the policy that ranks the failure domains.
     pub policy: Box<str>,
-    /// The failure domains named in the declared shares.
+    /// The failure domains that have a share in the steering record.
     pub candidates: Vec<ExplainedCandidate>,
 }
 
 impl SystemView<'_> {
     /// Explains how a request would be routed.
     ///
-    /// `standing` holds the current shares of the caller's origin group, if known.
+    /// `current_shares` holds the current shares of the caller's origin group, if known.
     pub fn explain(
         &self,
-        question: &ExplainRequest,
+        request: &ExplainRequest,
         policy: &dyn SteeringPolicy,
-        standing: Option<&[(DomainKey, f64)]>,
+        current_shares: Option<&[(DomainKey, f64)]>,
     ) -> Explanation {
-        let service = ServiceKey::of(&question.service);
-        let origin = self.catalogue.origin_of_address(question.source);
-        let steering = self.catalogue.services.get(&service).and_then(|it| it.steering.as_ref());
-        let own_shares = steering.is_some_and(|steering| steering.shares.contains_key(&origin));
+        let service = ServiceKey::of(&request.service);
+        let origin = self.catalogue.origin_of_address(request.source);
+        let steering =
+            self.catalogue.services.get(&service).and_then(|entry| entry.steering.as_ref());
+        let has_own_shares = steering.is_some_and(|steering| steering.shares.contains_key(&origin));
         let organisation =
-            question.key_digest.and_then(|key| self.catalogue.organisation_of_key(key));
+            request.key_digest.and_then(|key| self.catalogue.organisation_of_key(key));
         let organisation = organisation.and_then(|key| self.catalogue.organisations.get(&key));
-        let class = self.catalogue.class_of_key(question.key_digest);
+        let class = self.catalogue.class_of_key(request.key_digest);
         let shares = self.catalogue.shares(service, origin).unwrap_or_default();
-        let stands = standing.into_iter().flatten();
-        let mut domains: Vec<_> = shares.iter().chain(stands).map(|(domain, _)| *domain).collect();
+        let current_shares_iter = current_shares.into_iter().flatten();
+        let mut domains: Vec<_> =
+            shares.iter().chain(current_shares_iter).map(|(domain, _)| *domain).collect();
         domains.sort_unstable();
         domains.dedup();
         let origin_name = self.origin_name(origin);
@@ -128,7 +131,7 @@
             entrance: self.check_admission(service, class),
             origin_by_block: origin != OriginKey::of(ANY_ORIGIN),
             shares_of: steering
-                .map(|_| if own_shares { origin_name.clone() } else { ANY_ORIGIN.into() }),
+                .map(|_| if has_own_shares { origin_name.clone() } else { ANY_ORIGIN.into() }),
             origin: origin_name,
             organisation: organisation.map(|entry| entry.name.clone()),
             class,
@@ -138,7 +141,7 @@
             candidates: self
                 .candidates(service, origin, &domains)
                 .iter()
-                .map(|candidate| self.explained(service, candidate, standing))
+                .map(|candidate| self.explain_candidate(service, candidate, current_shares))
                 .collect(),
         }
     }
@@ -160,13 +163,13 @@
         self.catalogue.origins.get(&origin).cloned().unwrap_or_else(|| ANY_ORIGIN.into())
     }
 
-    fn explained(
+    fn explain_candidate(
         &self,
         service: ServiceKey,
         candidate: &CandidateDomain,
-        standing: Option<&[(DomainKey, f64)]>,
+        current_shares: Option<&[(DomainKey, f64)]>,
     ) -> ExplainedCandidate {
-        let stands = |shares: &[(DomainKey, f64)]| {
+        let share_of_candidate = |shares: &[(DomainKey, f64)]| {
             shares.iter().find(|(domain, _)| *domain == candidate.domain).map(|(_, share)| *share)
         };
         let entry = self.catalogue.domains.get(&candidate.domain);
@@ -175,7 +178,7 @@
             domain: entry.map(|entry| entry.name.clone()).unwrap_or_default(),
             region: region.cloned().unwrap_or_default(),
             share: candidate.share,
-            standing: standing.map(|shares| stands(shares).unwrap_or_default()),
+            standing: current_shares.map(|shares| share_of_candidate(shares).unwrap_or_default()),
             slots: candidate.slots,
             in_flight: candidate.in_flight,
             declared_slots: candidate.declared_slots,
--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -1,13 +1,12 @@
-//! The ingress side of a request, from its arrival to its single outcome.
+//! The ingress: the handling of a request from its arrival to its outcome.
 //!
-//! A request gets exactly one outcome, when it is decided. *Not run* requires proof for each attempt:
-//! it was never sent, or was refused before its start. A hop that broke or timed out proves nothing,
-//! since the request may still run. Such a request is retried only if a second run is harmless, and
-//! otherwise ends *unknown*.
+//! A request gets exactly one outcome. *Not run* requires proof for each attempt: it was never
+//! sent, or was rejected before its start. A hop that broke or timed out proves nothing, since the
+//! request may still run. Such a request is retried only if a second run is harmless, and otherwise
+//! its outcome is *unknown*.
 //!
-//! [`Ingress::begin`] is the entry for every request that may run. Each method returns the
-//! [`ConcludedRequest`] that it reached, so that the once-only system sees every outcome before the caller
-//! does.
+//! Every request that may run passes through [`Ingress::begin`]. The methods return each
+//! [`ConcludedRequest`], so that the deduplication system gets the outcome before the caller.
 
 use crate::catalogue::{Catalogue, ServiceEntry};
 use crate::event::Action;
@@ -29,23 +28,23 @@
 use pending::PendingRequest;
 pub use placement::Placement;
 
-/// The retry time told to a caller whose request could not be placed. By then an unresponsive member
-/// has been suspected or heard from again.
+/// The default delay after which a caller should retry, in milliseconds. By then an unresponsive
+/// member has been suspected or heard from again.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// The minimum time before the deadline for another attempt.
+/// The minimum time left until the deadline for another attempt, in milliseconds.
 const MIN_RETRY_TIME_MS: u64 = 5;
 
-/// A request that ends without a relayed answer.
+/// A request that ends without a relayed response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConcludedRequest {
-    /// The request.
+    /// The key of the request.
     pub request: RequestKey,
-    /// The final outcome.
+    /// The final outcome, for the caller.
     pub outcome: Outcome,
 }
 
-/// The state of other systems that the ingress decides by.
+/// The state of other components on which the ingress's decisions depend.
 #[derive(Debug, Clone, Copy)]
 pub struct RoutingContext<'a> {
     /// The node's view of the configuration and its peers.
@@ -54,11 +53,11 @@
     pub policy: &'a dyn SteeringPolicy,
 }
 
-/// The requests that this node serves as ingress.
+/// The requests in flight that this node received from callers.
 #[derive(Debug)]
 pub struct Ingress {
     pending: Map<RequestKey, PendingRequest>,
-    budgets: RetryBudgets,
+    retry_budgets: RetryBudgets,
     look_ups: LookUpCache,
     placement: Placement,
 }
@@ -68,7 +67,7 @@
     pub fn new(seed: u64) -> Self {
         Self {
             pending: Map::default(),
-            budgets: RetryBudgets::default(),
+            retry_budgets: RetryBudgets::default(),
             look_ups: LookUpCache::default(),
             placement: Placement::new(seed),
         }
@@ -94,7 +93,7 @@
                     Rejection { reason: RejectionReason::NotReady, retry_after_ms: RETRY_AFTER_MS };
                 return Some(self.conclude_not_run(request, service, head, refusal, &context));
             }
-            Ok(admitted) => admitted,
+            Ok(entry_and_class) => entry_and_class,
             Err(CheckFailure::Final(outcome)) => {
                 return Some(ConcludedRequest { request, outcome });
             }
@@ -103,7 +102,7 @@
                 return Some(self.conclude_not_run(request, service, head, refusal, &context));
             }
         };
-        self.budgets.credit_request(service, class);
+        self.retry_budgets.credit_request(service, class);
         let mut pending = PendingRequest::new(head, service, class, &context.view, entry);
         match self.placement.place(&mut pending, &context) {
             Ok(owner) => {
@@ -115,38 +114,40 @@
         }
     }
 
-    /// Relays the answer of an attempt and abandons the other attempts.
-    pub fn hop_answered(&mut self, request: RequestKey, attempt: u32, out: &mut Outbox) {
+    /// Relays the response to an attempt and cancels the other attempts.
+    pub fn handle_hop_response(&mut self, request: RequestKey, attempt: u32, out: &mut Outbox) {
         let Some(pending) = self.pending.get_mut(&request) else {
             return;
         };
         if pending.take_attempt(attempt).is_none() {
             return;
         }
-        pending.abandon_all(request, out);
+        pending.cancel_all(request, out);
         out.push(Action::RelayResponse { request, attempt });
     }
 
-    /// Handles an attempt that ended without an answer: retries the request where that is safe, and
-    /// otherwise concludes it.
-    pub fn hop_ended(
+    /// Handles an attempt that ended without a response: unless other attempts are in flight,
+    /// retries the request where that is safe, and otherwise concludes it.
+    pub fn handle_hop_failure(
         &mut self,
         request: RequestKey,
         attempt: u32,
-        end: HopFailure,
+        failure: HopFailure,
         context: RoutingContext<'_>,
         out: &mut Outbox,
     ) -> Option<ConcludedRequest> {
         let pending = self.pending.get_mut(&request)?;
-        let ended = pending.take_attempt(attempt)?;
-        pending.record_failure(ended, end);
+        let attempt = pending.take_attempt(attempt)?;
+        pending.record_failure(attempt, failure);
         if pending.in_flight() > 0 {
             return None;
         }
         self.retry_or_conclude(request, context, out)
     }
 
-    /// Gives up attempts whose owner is suspected, and requests whose deadline has passed.
+    /// Refreshes the caches, and cancels the attempts at unresponsive owners and those of requests
+    /// whose deadline has passed; then retries or concludes the requests without attempts in
+    /// flight.
     pub fn tick(&mut self, context: RoutingContext<'_>, out: &mut Outbox) -> Vec<ConcludedRequest> {
         let now_ms = context.view.now_ms;
         self.look_ups.drop_stale_lists(&context.view);
@@ -162,9 +163,9 @@
         for request in due {
             let Some(pending) = self.pending.get_mut(&request) else { continue };
             if pending.deadline_at_ms() <= now_ms {
-                pending.give_up_all(request, out);
+                pending.time_out_all(request, out);
             } else {
-                pending.give_up_unresponsive(request, &context.view, out);
+                pending.time_out_unresponsive(request, &context.view, out);
             }
             if pending.in_flight() == 0 {
                 concluded.extend(self.retry_or_conclude(request, context, out));
@@ -178,7 +179,8 @@
         &mut self.placement
     }
 
-    /// Returns the current shares of an origin group's traffic, if this node has had any.
+    /// Returns the current shares of an origin group's traffic by failure domain, if this node has
+    /// had any such traffic.
     pub fn traffic_split(
         &self,
         service: ServiceKey,
@@ -193,24 +195,24 @@
         self.pending.len()
     }
 
-    /// Removes a request whose answer was relayed or whose caller disconnected.
+    /// Removes a request whose response was relayed or whose caller disconnected.
     pub fn remove(&mut self, request: RequestKey) {
         self.pending.remove(&request);
     }
 
-    /// Chooses an owner for another attempt and spends a retry of the budget.
+    /// Chooses an owner for another attempt and subtracts it from the retry budget.
     fn place_retry(
         &mut self,
         pending: &mut PendingRequest,
         context: &RoutingContext<'_>,
     ) -> Result<UpstreamOwner, Rejection> {
         let (service, class) = (pending.service(), pending.class());
-        if !self.budgets.allows_retry(service, class) {
+        if !self.retry_budgets.allows_retry(service, class) {
             let reason = RejectionReason::RetryBudget;
             return Err(Rejection { reason, retry_after_ms: RETRY_AFTER_MS });
         }
         let owner = self.placement.place(pending, context)?;
-        self.budgets.spend_retry(service, class);
+        self.retry_budgets.spend_retry(service, class);
         Ok(owner)
     }
 
@@ -222,23 +224,23 @@
         out: &mut Outbox,
     ) -> Option<ConcludedRequest> {
         let mut pending = self.pending.remove(&request)?;
-        let left_ms = pending.deadline_at_ms().saturating_sub(context.view.now_ms);
-        let mut refusal = None;
-        if pending.may_retry() && left_ms >= MIN_RETRY_TIME_MS {
+        let remaining_ms = pending.deadline_at_ms().saturating_sub(context.view.now_ms);
+        let mut retry_rejection = None;
+        if pending.may_retry() && remaining_ms >= MIN_RETRY_TIME_MS {
             match self.place_retry(&mut pending, &context) {
                 Ok(owner) => {
                     pending.send_attempt(request, owner, context.view.revision, out);
                     self.pending.insert(request, pending);
                     return None;
                 }
-                Err(found) => refusal = Some(found),
+                Err(rejection) => retry_rejection = Some(rejection),
             }
         }
         if pending.may_have_run() {
             let outcome = Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS };
             return Some(ConcludedRequest { request, outcome });
         }
-        let refusal = pending.refusal().or(refusal).unwrap_or(Rejection {
+        let refusal = pending.rejection().or(retry_rejection).unwrap_or(Rejection {
             reason: RejectionReason::Deadline,
             retry_after_ms: RETRY_AFTER_MS,
         });
@@ -262,11 +264,11 @@
     }
 }
 
-/// The rejection of a request on arrival.
+/// The result of a failed check of a request on arrival.
 enum CheckFailure {
-    /// A final outcome, which a retry doesn't change.
+    /// The outcome, which a retry doesn't change.
     Final(Outcome),
-    /// Not run, for a reason that may be temporary.
+    /// The reason for the outcome *not run*, which may be temporary.
     NotRun(RejectionReason),
 }
 
@@ -296,8 +298,8 @@
     Ok((entry, class))
 }
 
-/// Returns whether a request's service and organisation are known; only then may it cause a write to
-/// the table.
+/// Returns whether a request's service and organisation are known; only then may it cause a write
+/// to the table.
 pub fn service_and_caller_known(head: &RequestHead, catalogue: &Catalogue) -> bool {
     catalogue.services.contains_key(&ServiceKey::of(&head.service))
         && catalogue.class_of_key(head.key_digest).is_some()
--- a/crates/sedgepath-core/src/ingress/pending.rs
+++ b/crates/sedgepath-core/src/ingress/pending.rs
@@ -27,14 +27,14 @@
     source: IpAddr,
     deadline_at_ms: u64,
     once_only: bool,
-    repeatable: bool,
+    may_run_twice: bool,
     attempts: Vec<Attempt>,
     last_attempt: u32,
     domain_index: Option<usize>,
     failed_owners: Vec<VmKey>,
     may_have_run: bool,
-    refusal: Option<Rejection>,
-    answered: bool,
+    rejection: Option<Rejection>,
+    has_response: bool,
 }
 
 impl PendingRequest {
@@ -45,25 +45,26 @@
         view: &SystemView<'_>,
         entry: &ServiceEntry,
     ) -> Self {
-        // The owner's lease of an upstream assumes the longest deadline of the record.
-        let latest_ms = view.now_ms + entry.longest_deadline_ms;
+        // The leases of upstreams assume that no request runs longer than the service's longest
+        // deadline.
+        let latest_deadline_at_ms = view.now_ms + entry.longest_deadline_ms;
         let once_only = head.deduplication != Deduplication::Repeatable;
-        let repeatable = head.idempotent && !once_only;
+        let may_run_twice = head.idempotent && !once_only;
         Self {
             service,
             origin: view.catalogue.origin_of_address(head.source),
             class,
             source: head.source,
-            deadline_at_ms: head.deadline_at_ms.min(latest_ms),
+            deadline_at_ms: head.deadline_at_ms.min(latest_deadline_at_ms),
             once_only,
-            repeatable,
+            may_run_twice,
             attempts: Vec::new(),
             last_attempt: 0,
             domain_index: None,
             failed_owners: Vec::new(),
             may_have_run: false,
-            refusal: None,
-            answered: false,
+            rejection: None,
+            has_response: false,
         }
     }
 
@@ -87,39 +88,39 @@
         self.class
     }
 
-    /// Returns the index of the failure domain whose share the request counts towards; `None` before
-    /// its first attempt.
+    /// Returns the index of the failure domain whose share the request counts towards; `None`
+    /// before its first attempt.
     pub(super) fn domain_index(&self) -> Option<usize> {
         self.domain_index
     }
 
-    pub(super) fn set_domain_index(&mut self, home: usize) {
-        self.domain_index = Some(home);
+    pub(super) fn set_domain_index(&mut self, index: usize) {
+        self.domain_index = Some(index);
     }
 
-    /// Returns whether an attempt has failed at an owner or is in flight there.
+    /// Returns whether an attempt has failed at a VM or is in flight there.
     pub(super) fn has_tried(&self, vm: VmKey) -> bool {
         self.failed_owners.contains(&vm) || self.attempts.iter().any(|attempt| attempt.vm == vm)
     }
 
-    /// Returns whether an attempt ended without proof that it was not run.
+    /// Returns whether an attempt ended without proof that the request was not run.
     pub(super) fn may_have_run(&self) -> bool {
         self.may_have_run
     }
 
-    /// Returns the rejection with the shortest retry time, if an attempt was refused.
-    pub(super) fn refusal(&self) -> Option<Rejection> {
-        self.refusal
+    /// Returns the rejection with the shortest retry delay, if an attempt was rejected or not sent.
+    pub(super) fn rejection(&self) -> Option<Rejection> {
+        self.rejection
     }
 
     pub(super) fn in_flight(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Returns whether another attempt is safe: all earlier ones were proved not run, or the request
-    /// is idempotent and not once-only.
+    /// Returns whether another attempt is safe: the request was certainly not run by any earlier
+    /// one, or it is idempotent and not once-only.
     pub(super) fn may_retry(&self) -> bool {
-        self.repeatable || !self.may_have_run
+        self.may_run_twice || !self.may_have_run
     }
 
     /// Sends a new attempt to an owner.
@@ -150,10 +151,10 @@
         });
     }
 
-    /// Removes an attempt from those in flight; returns `None` if it isn't one of them or the request
-    /// was answered.
+    /// Removes an attempt from those in flight; returns `None` if it isn't one of them or the
+    /// request already has a response.
     pub(super) fn take_attempt(&mut self, number: u32) -> Option<Attempt> {
-        if self.answered {
+        if self.has_response {
             return None;
         }
         let index = self.attempts.iter().position(|attempt| attempt.number == number)?;
@@ -161,11 +162,11 @@
     }
 
     /// Records the failure of an attempt.
-    pub(super) fn record_failure(&mut self, attempt: Attempt, end: HopFailure) {
+    pub(super) fn record_failure(&mut self, attempt: Attempt, failure: HopFailure) {
         self.failed_owners.push(attempt.vm);
-        match end {
-            HopFailure::Refused(refusal) => self.record_refusal(refusal),
-            HopFailure::NotSent => self.record_refusal(Rejection {
+        match failure {
+            HopFailure::Refused(rejection) => self.record_rejection(rejection),
+            HopFailure::NotSent => self.record_rejection(Rejection {
                 reason: RejectionReason::PeerUnreachable,
                 retry_after_ms: super::RETRY_AFTER_MS,
             }),
@@ -173,43 +174,47 @@
         }
     }
 
-    fn record_refusal(&mut self, refusal: Rejection) {
-        let sooner = self.refusal.is_none_or(|known| refusal.retry_after_ms < known.retry_after_ms);
-        if sooner {
-            self.refusal = Some(refusal);
+    fn record_rejection(&mut self, rejection: Rejection) {
+        let is_sooner = self
+            .rejection
+            .is_none_or(|earliest| rejection.retry_after_ms < earliest.retry_after_ms);
+        if is_sooner {
+            self.rejection = Some(rejection);
         }
     }
 
-    /// Marks the request as answered and abandons the attempts in flight.
-    pub(super) fn abandon_all(&mut self, request: RequestKey, out: &mut Outbox) {
-        self.answered = true;
+    /// Records that the request has a response and cancels the attempts in flight.
+    pub(super) fn cancel_all(&mut self, request: RequestKey, out: &mut Outbox) {
+        self.has_response = true;
         for attempt in self.attempts.drain(..) {
             out.push(Action::CancelAttempt { request, attempt: attempt.number });
         }
     }
 
-    /// Abandons all attempts in flight as lost, since they may still run.
-    pub(super) fn give_up_all(&mut self, request: RequestKey, out: &mut Outbox) {
+    /// Cancels all attempts in flight and records them as lost, since they may still run.
+    pub(super) fn time_out_all(&mut self, request: RequestKey, out: &mut Outbox) {
         for attempt in std::mem::take(&mut self.attempts) {
             out.push(Action::CancelAttempt { request, attempt: attempt.number });
             self.record_failure(attempt, HopFailure::Lost);
         }
     }
 
-    /// Abandons the attempts at owners that are suspected or no longer members, as lost.
+    /// Cancels the attempts at owners that are suspected or no longer members, and records them as
+    /// lost.
     ///
-    /// A cut link doesn't close connections, so a request would otherwise wait for its deadline
+    /// A broken link doesn't close connections, so a request would otherwise wait for its deadline
     /// although other owners could serve it.
-    pub(super) fn give_up_unresponsive(
+    pub(super) fn time_out_unresponsive(
         &mut self,
         request: RequestKey,
         view: &SystemView<'_>,
         out: &mut Outbox,
     ) {
-        let silent = |attempt: &Attempt| is_unresponsive(attempt.vm, view);
-        let (gone, kept) = std::mem::take(&mut self.attempts).into_iter().partition(silent);
-        self.attempts = kept;
-        for attempt in gone {
+        let is_at_unresponsive = |attempt: &Attempt| is_unresponsive(attempt.vm, view);
+        let (unresponsive, remaining) =
+            std::mem::take(&mut self.attempts).into_iter().partition(is_at_unresponsive);
+        self.attempts = remaining;
+        for attempt in unresponsive {
             out.push(Action::CancelAttempt { request, attempt: attempt.number });
             self.record_failure(attempt, HopFailure::Lost);
         }
@@ -217,8 +222,9 @@
 
     /// Returns whether the deadline has passed or the owner of an attempt is unresponsive.
     pub(super) fn is_due(&self, view: &SystemView<'_>) -> bool {
-        let silent = || self.attempts.iter().any(|attempt| is_unresponsive(attempt.vm, view));
-        !self.answered && (self.deadline_at_ms <= view.now_ms || silent())
+        let has_unresponsive =
+            || self.attempts.iter().any(|attempt| is_unresponsive(attempt.vm, view));
+        !self.has_response && (self.deadline_at_ms <= view.now_ms || has_unresponsive())
     }
 }
 
--- a/crates/sedgepath-core/src/ingress/placement.rs
+++ b/crates/sedgepath-core/src/ingress/placement.rs
@@ -1,4 +1,4 @@
-//! The choice of the failure domain and the owner for an attempt.
+//! The choice of the failure domain and of the owner of an upstream there for an attempt.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use crate::steering::{CandidateDomain, SteeringRequest};
 use crate::view::UpstreamOwner;
 
-/// The minimum retry time told to a caller whose request the shift cap holds back.
+/// The minimum retry delay of a request that the shift cap holds back, in milliseconds.
 const MIN_RETRY_AFTER_MS: u64 = 50;
 
 /// The rejection of a request for which no upstream of its service can be reached.
@@ -48,12 +48,13 @@
         self.baseline.is_ready()
     }
 
-    /// Returns the current shares, if the node has had any traffic of the group.
+    /// Returns the current shares by failure domain, if the node has had any traffic of the group.
     pub(super) fn traffic_split(&self, key: ShiftKey) -> Option<Vec<(DomainKey, f64)>> {
         self.ledger.shares(key)
     }
 
-    /// Applies a peer's baseline of the current shares, or answers a peer that asks for one.
+    /// Applies the current shares that a peer has sent, or sends them to a peer that asks for them
+    /// (`baseline` is `None`).
     pub fn handle_baseline(
         &mut self,
         from: VmKey,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Drops the cached candidates and owners, and moves the current shares that are due.
+    /// Drops the cached candidates and owners, and updates the current shares that are due.
     pub(super) fn tick(&mut self, context: &RoutingContext<'_>, out: &mut Outbox) {
         self.baseline.tick(&context.view, out);
         self.candidates.clear();
@@ -82,8 +83,8 @@
     /// Chooses the owner for the next attempt.
     ///
     /// After a failure, other owners in the request's current failure domain come first, since the
-    /// request then doesn't move. The other failure domains follow in the order of the policy, as far
-    /// as the shift ledger lets the request move.
+    /// shares then don't change. The other failure domains follow in the order of the policy, as
+    /// far as the shift ledger lets the request move.
     pub(super) fn place(
         &mut self,
         pending: &mut PendingRequest,
@@ -95,37 +96,41 @@
         let Some((cap, candidates)) = self.begin_bucket(key, context) else {
             return Err(NO_UPSTREAM);
         };
-        let Some(home) =
+        let Some(home_index) =
             pending.domain_index().or_else(|| self.ledger.assign_home(key, cap, view.now_ms))
         else {
             return Err(NO_UPSTREAM);
         };
-        let choice =
-            SteeringRequest { service, origin: pending.origin(), class: pending.class(), home };
-        let mut order = context.policy.rank(choice, &candidates, &mut self.random);
+        let steering_request = SteeringRequest {
+            service,
+            origin: pending.origin(),
+            class: pending.class(),
+            home: home_index,
+        };
+        let mut order = context.policy.rank(steering_request, &candidates, &mut self.random);
         if pending.domain_index().is_some() {
-            order.insert(0, home);
+            order.insert(0, home_index);
         }
-        pending.set_domain_index(home);
-        let mut refusal = NO_UPSTREAM;
+        pending.set_domain_index(home_index);
+        let mut rejection = NO_UPSTREAM;
         for index in order {
-            let Some(owner) = self.draw_owner_in(candidates[index].domain, pending, context) else {
+            let Some(owner) = self.draw_owner(candidates[index].domain, pending, context) else {
                 continue;
             };
-            let Some(standing) = self.ledger.traffic_split(key, view.now_ms) else { continue };
-            if standing.try_move_request(home, index) {
+            let Some(split) = self.ledger.traffic_split(key, view.now_ms) else { continue };
+            if split.try_move_request(home_index, index) {
                 pending.set_domain_index(index);
                 return Ok(owner);
             }
-            let part_left_ms = standing.bucket_ends_at_ms().saturating_sub(view.now_ms);
-            let retry_after_ms = part_left_ms.max(MIN_RETRY_AFTER_MS);
-            refusal = Rejection { reason: RejectionReason::ShiftCap, retry_after_ms };
+            let bucket_left_ms = split.bucket_ends_at_ms().saturating_sub(view.now_ms);
+            let retry_after_ms = bucket_left_ms.max(MIN_RETRY_AFTER_MS);
+            rejection = Rejection { reason: RejectionReason::ShiftCap, retry_after_ms };
         }
-        Err(refusal)
+        Err(rejection)
     }
 
     /// Draws an owner in a failure domain that the request hasn't tried, weighted by slots.
-    fn draw_owner_in(
+    fn draw_owner(
         &mut self,
         domain: DomainKey,
         pending: &PendingRequest,
@@ -136,7 +141,7 @@
         let owners = owners.or_insert_with(|| context.view.upstream_owners(domain, service).into());
         let mut untried: Vec<_> =
             owners.iter().filter(|owner| !pending.has_tried(owner.vm)).copied().collect();
-        // An owner whose upstreams are all leaving or failing reports no slots and would refuse
+        // An owner whose upstreams are all leaving or failing reports no slots and would reject
         // every request.
         if untried.iter().any(may_have_slots) {
             untried.retain(may_have_slots);
@@ -144,8 +149,8 @@
         draw_by_slots(&untried, &mut self.random)
     }
 
-    /// Moves the current shares if the next part of a window has begun; returns the cap and the
-    /// candidate failure domains.
+    /// Updates the current shares if the next bucket of the window has begun; returns the cap and
+    /// the candidate failure domains.
     fn begin_bucket(
         &mut self,
         key: ShiftKey,
@@ -154,28 +159,28 @@
         let view = &context.view;
         self.ledger.apply_revision(view.revision, view.catalogue, view.now_ms);
         let entry = view.catalogue.services.get(&key.service)?.steering.as_ref()?;
-        let standing = self.ledger.traffic_split(key, view.now_ms)?;
+        let split = self.ledger.traffic_split(key, view.now_ms)?;
         let candidates = self
             .candidates
             .entry(key)
-            .or_insert_with(|| view.candidates(key.service, key.group, standing.domains()).into());
-        let cap = shift::cap_in_force(entry, candidates, &standing.shares());
-        if standing.is_due(view.now_ms) {
-            standing.begin_bucket(&context.policy.target_shares(candidates), cap, view.now_ms);
+            .or_insert_with(|| view.candidates(key.service, key.group, split.domains()).into());
+        let cap = shift::cap_in_force(entry, candidates, &split.shares());
+        if split.is_due(view.now_ms) {
+            split.begin_bucket(&context.policy.target_shares(candidates), cap, view.now_ms);
         }
         Some((cap, Arc::clone(candidates)))
     }
 }
 
 fn draw_by_slots(owners: &[UpstreamOwner], random: &mut fastrand::Rng) -> Option<UpstreamOwner> {
-    let sum: u32 = owners.iter().map(|owner| owner.slots).sum();
-    let mut point = random.u32(0..sum.max(1));
+    let total_slots: u32 = owners.iter().map(|owner| owner.slots).sum();
+    let mut remaining = random.u32(0..total_slots.max(1));
     owners
         .iter()
         .find(|owner| {
-            let found = point < owner.slots;
-            point = point.saturating_sub(owner.slots);
-            found
+            let is_drawn = remaining < owner.slots;
+            remaining = remaining.saturating_sub(owner.slots);
+            is_drawn
         })
         .copied()
 }
--- a/crates/sedgepath-core/src/lib.rs
+++ b/crates/sedgepath-core/src/lib.rs
@@ -1,8 +1,8 @@
 //! The core of a sedgepath node: a deterministic state machine without I/O.
 //!
-//! [`node::Node`] decides membership, configuration, routing, shift caps, admission, once-only claims,
-//! tickets, retries and drains. It handles [`send_event::Event`]s and returns [`send_event::Action`]s; the
-//! driver supplies the time and random seeds.
+//! [`node::Node`] combines membership, configuration, routing, shift caps, admission, once-only
+//! claims, tickets, retries and drains. It handles [`event::Event`]s and returns
+//! [`event::Action`]s; the driver supplies the time and the random seed.
 
 pub mod allowance;
 pub mod blocks;
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -1,6 +1,9 @@
 //! The datagrams that nodes exchange.
 //!
 //! They are encoded with postcard, so the order of fields and variants is part of the format.
+//!
+//! A relay is a node that periodically sends a summary of its failure domain's members to another
+//! failure domain. The receiver forwards the summary within its own domain.
 
 use std::net::SocketAddr;
 
@@ -9,60 +12,62 @@
 use crate::clock::HybridTimestamp;
 use crate::key::{BootId, DomainKey, OriginKey, ServiceKey, UpstreamKey, VmKey};
 
-/// A datagram with its sender and its position in the sender's sequence.
+/// A datagram with its sender and its sequence number.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The sender.
+    /// The VM that sent the datagram.
     pub from: VmKey,
-    /// The sender's boot.
+    /// The boot of that VM.
     pub boot: BootId,
-    /// The number of the datagram within the boot, used to drop duplicates.
+    /// The number of the datagram within the boot, by which the receiver drops duplicates.
     pub sequence: u64,
-    /// The sender's hybrid timestamp.
+    /// The hybrid timestamp of sending.
     pub stamp: HybridTimestamp,
-    /// The content.
+    /// The content, by kind of datagram.
     pub message: Message,
 }
 
 /// The content of a datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A heartbeat to a member of the same failure domain.
+    /// Reports the sender's state to a member of the same failure domain.
     Heartbeat(Box<Heartbeat>),
-    /// The sender has put a new configuration revision in force.
+    /// Announces a configuration revision that the sender has just put in force.
     Revision(RevisionNotice),
-    /// A node that has just started asks for the current shares.
+    /// Asks for the current shares; sent by a node that has just started.
     BaselineRequest,
-    /// The answer to a baseline request.
+    /// Answers [`Self::BaselineRequest`].
     Baseline(Baseline),
     /// Asks a member when it last heard directly from another member.
     Probe(Probe),
-    /// Answers a probe.
+    /// Answers [`Self::Probe`].
     ProbeAnswer(ProbeAnswer),
-    /// A relay's state of the members of a failure domain.
+    /// Reports the sender's view of the members of a failure domain.
     Summary(MembershipSummary),
-    /// The sender's boot has no work left and will never send to an upstream again.
+    /// Announces that the sender's boot has no requests in flight and sends nothing to upstreams
+    /// any more.
     BootEnded,
-    /// Upstreams that the sender knows to be leaving.
+    /// Lists upstreams that the sender knows to be leaving.
     LeavingUpstreams(LeavingUpstreams),
 }
 
-/// A node's state of the configuration, sent with every heartbeat.
+/// The state of a node's configuration, sent with every heartbeat.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationStatus {
     /// The revision that the node has in force.
     pub revision: u64,
-    /// The time since the last successful read of the platform's head known to the node, in
-    /// milliseconds. A duration, since clocks differ between nodes.
+    /// The age of the newest successful read of the head, the latest revision in the platform's
+    /// table, by any node that this node has heard from, in milliseconds. A duration, since clocks
+    /// differ between nodes.
     pub head_age_ms: u64,
 }
 
 /// A notice that the sender has just put a revision in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisionNotice {
-    /// The sender's state of the configuration.
+    /// The state of the sender's configuration.
     pub configuration: ConfigurationStatus,
-    /// The sender's address for remote calls, from which the records can be fetched.
+    /// The sender's address for remote calls, where the records can be fetched.
     pub operator_address: SocketAddr,
 }
 
@@ -71,42 +76,43 @@
 pub struct Baseline {
     /// The configuration revision that the sender has in force.
     pub revision: u64,
-    /// The origin groups whose current shares differ from the record.
+    /// The current shares of the origin groups for which they differ from the steering record.
     pub moved: Vec<GroupShares>,
 }
 
-/// The current shares of an origin group for a service.
+/// The current shares of an origin group's traffic for a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GroupShares {
-    /// The service.
+    /// The service that the traffic is for.
     pub service: ServiceKey,
-    /// The origin group, as named in the steering record.
+    /// The origin group's key in the steering record.
     pub group: OriginKey,
-    /// The shares by failure domain.
+    /// The shares, one entry for each failure domain.
     pub shares: Vec<DomainShare>,
 }
 
 /// The current and recent shares of a failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct DomainShare {
-    /// The failure domain.
+    /// The failure domain that the traffic goes to.
     pub domain: DomainKey,
-    /// The share now.
+    /// The current share.
     pub now: f64,
-    /// The share one window ago.
+    /// The share one window of the shift cap ago.
     pub one_window_ago: f64,
-    /// The share two windows ago.
+    /// The share two windows of the shift cap ago.
     pub two_windows_ago: f64,
 }
 
 /// A heartbeat, which also carries the sender's load and its lease claim.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// When it was sent, in milliseconds by the sender's clock; returned in the acknowledgement.
+    /// When the heartbeat was sent, in milliseconds by the sender's clock; returned in the
+    /// acknowledgement.
     pub sent_at_ms: u64,
     /// The sender's name and addresses, sent until the receiver has acknowledged them.
     pub descriptor: Option<MemberDescriptor>,
-    /// The sender's state of the configuration.
+    /// The state of the sender's configuration.
     pub configuration: ConfigurationStatus,
     /// The sender's load by service.
     pub loads: Vec<ServiceLoad>,
@@ -114,90 +120,93 @@
     pub roster_digest: u64,
     /// The state of the sender's claim to an exclusive lease of its upstreams.
     pub claim: LeaseClaim,
-    /// The longest request deadline that the sender's admissions and grants assume, in milliseconds.
+    /// The longest time for which the sender assumes that a request at an upstream may run, in
+    /// milliseconds.
     pub longest_deadline_ms: u64,
-    /// The acknowledgement of the receiver's last heartbeat that has arrived.
+    /// The acknowledgement of the latest heartbeat received from the receiver.
     pub acknowledgement: Option<Acknowledgement>,
 }
 
 /// The state of a node's claim to an exclusive lease of its upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseClaim {
-    /// The sender asks for the lease; an acknowledgement grants it.
+    /// The sender asks for the lease, which an acknowledgement of the heartbeat grants.
     Requested,
-    /// The sender has given up the lease, but has more in flight at an upstream than its part.
+    /// The sender has given up the lease, but has more requests in flight at an upstream than its
+    /// share of the upstream's slots without the lease.
     Releasing,
-    /// The sender has given up the lease and has no more in flight at any upstream than its part.
-    /// All grants to it, including those for earlier heartbeats, are void.
+    /// The sender has given up the lease and has no more requests in flight at any upstream than
+    /// its share. This revokes all grants to the sender, including those for earlier heartbeats.
     Released,
 }
 
-/// Acknowledges the receiver's last heartbeat that has arrived, and grants its claim.
+/// Acknowledges the latest heartbeat received from the receiver, and grants its claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Acknowledgement {
-    /// The boot that sent the heartbeat.
+    /// The receiver's boot that sent the acknowledged heartbeat.
     pub boot: BootId,
     /// When that boot sent the heartbeat, in milliseconds by its own clock.
     pub sent_at_ms: u64,
-    /// Whether the receiver is leaving according to its last known descriptor; `None` if none is
-    /// known.
+    /// Whether the receiver is leaving according to its last descriptor that the sender knows;
+    /// `None` if the sender knows none.
     pub descriptor_leaving: Option<bool>,
-    /// The requests that the granter still has in flight at the receiver's upstreams.
+    /// The requests that the sender still has in flight at the receiver's upstreams.
     pub in_flight: Vec<UpstreamInFlight>,
-    /// Whether the granter booted so recently that its previous boot may have left requests running.
+    /// Whether the sender booted so recently that requests of its previous boot may still be
+    /// running.
     pub predecessor_may_run: bool,
-    /// Whether the receiver certainly has no earlier boot that may have left requests running.
+    /// Whether the receiver certainly has no earlier boot whose requests may still be running.
     pub receiver_has_no_predecessor: bool,
 }
 
 /// The number of requests in flight at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamInFlight {
-    /// The upstream.
+    /// The upstream where the requests may be running.
     pub upstream: UpstreamKey,
-    /// The number of requests.
+    /// The number of requests, including lost calls.
     pub in_flight: u32,
 }
 
 /// Asks a member when it last heard directly from another member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Probe {
-    /// The member that the sender has not heard from for a while.
+    /// The member that the sender has not heard from recently.
     pub member: VmKey,
 }
 
-/// Answers a probe.
+/// The answer to a probe.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProbeAnswer {
-    /// The member that was asked about.
+    /// The member named in the probe.
     pub member: VmKey,
-    /// The member's boot.
+    /// The boot from which the member was last heard.
     pub boot: BootId,
-    /// The time since the member was last heard from directly, in milliseconds. A duration, since
-    /// clocks differ between nodes.
+    /// The time since the answering node last heard directly from the member, in milliseconds. A
+    /// duration, since clocks differ between nodes.
     pub age_ms: u64,
 }
 
-/// A relay's state of the members of a failure domain.
+/// The sender's view of the members of a failure domain, mostly sent by a relay.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipSummary {
-    /// The failure domain.
+    /// The failure domain of the members.
     pub domain: DomainKey,
-    /// Whether the receiver forwards the summary within its own failure domain.
+    /// Whether the receiver should forward the summary within its own failure domain.
     pub forward_in_domain: bool,
-    /// The members.
+    /// The members; a summary may omit some.
     pub members: Vec<MemberSummary>,
 }
 
-/// A relay's state of one member.
+/// The sender's view of one member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberSummary {
-    /// The member.
+    /// The member's VM.
     pub vm: VmKey,
     /// The member's boot.
     pub boot: BootId,
-    /// The time since the member was last heard from, in milliseconds. A duration, since clocks differ
-    /// between nodes.
+    /// The time since the sender last heard from the member, in milliseconds. A duration, since
+    /// clocks differ between nodes.
     pub age_ms: u64,
     /// The configuration revision that the member has in force.
     pub revision: u64,
@@ -205,7 +214,7 @@
     pub leaving: bool,
     /// The member's load by service.
     pub loads: Vec<ServiceLoad>,
-    /// The member's name and addresses, which only some summaries carry.
+    /// The member's name and addresses, which a relay omits from most of its summaries.
     pub descriptor: Option<MemberDescriptor>,
 }
 
@@ -218,22 +227,22 @@
     pub domain: DomainKey,
     /// The address for callers' requests.
     pub caller_address: SocketAddr,
-    /// The address for frames and datagrams of peers.
+    /// The address for frames and datagrams from peers.
     pub peer_address: SocketAddr,
-    /// The address for remote calls of operators and peers.
+    /// The address for remote calls from operators and peers.
     pub operator_address: SocketAddr,
     /// Whether the member is about to stop and takes no new work.
     pub leaving: bool,
 }
 
-/// An owner's load for a service.
+/// A node's load for a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceLoad {
-    /// The service.
+    /// The service whose upstreams are counted.
     pub service: ServiceKey,
     /// The slots of the upstreams that the node may use.
     pub slots: u32,
-    /// The slots in use.
+    /// The number of the node's requests in flight there.
     pub in_flight: u32,
 }
 
@@ -249,12 +258,12 @@
     pub const MAX_UPSTREAMS: usize = 100;
 }
 
-/// An upstream that is about to leave, with the remaining lifetime of that information.
+/// An upstream that is about to leave, with the remaining validity of that information.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingUpstream {
-    /// The upstream.
+    /// The upstream that is about to leave.
     pub upstream: UpstreamKey,
-    /// How long the upstream still counts as leaving, in milliseconds. A duration, since clocks differ
-    /// between nodes.
+    /// How long the upstream still counts as leaving, in milliseconds. A duration, since clocks
+    /// differ between nodes.
     pub remaining_ms: u64,
 }
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -1,8 +1,8 @@
-//! The node: passes each event to the systems concerned.
+//! The node, which passes each event to the components concerned.
 //!
-//! [`Node::handle`] and [`Node::tick`] use no clock, socket, thread or source of randomness. The
-//! driver passes the time in and carries out the returned actions, so the daemon, tests, examples and
-//! benchmarks run the same code.
+//! [`Node::handle`] and [`Node::tick`] use no clock, socket, thread or external source of
+//! randomness. The driver passes the time in and carries out the returned actions, so the daemon,
+//! tests, examples and benchmarks run the same code.
 
 use std::sync::Arc;
 
@@ -27,8 +27,8 @@
 use crate::timeline::Topic;
 use crate::view::SystemView;
 
-/// Borrows the state that the ingress decides by. A macro borrows single fields, so that the ingress
-/// and the outbox can be borrowed mutably at the same time.
+/// Borrows the state on which the ingress's decisions depend. A macro borrows single fields, so
+/// that the ingress and the outbox can be borrowed mutably at the same time.
 macro_rules! routing_context {
     ($node:ident, $identity:ident) => {
         RoutingContext {
@@ -38,7 +38,7 @@
                 catalogue: $node.configuration.catalogue(),
                 revision: $node.configuration.revision(),
                 configuration_ready: $node.configuration.ready()
-                    && !$node.stop.refuses($node.out.now_ms()),
+                    && !$node.stop.rejects_work($node.out.now_ms()),
                 membership: &$node.membership,
                 own_loads: &$node.own_loads,
             },
@@ -54,13 +54,13 @@
     out: Outbox,
     configuration: Configuration,
     membership: Membership,
-    right: UpstreamLease,
+    lease: UpstreamLease,
     policy: Box<dyn SteeringPolicy>,
     ingress: Ingress,
     egress: Egress,
-    once: DeduplicationSystem,
+    deduplication: DeduplicationSystem,
     /// The cached allowances of the node; `None` if they must be recomputed.
-    compute_allowances: Option<Vec<Allowance>>,
+    cached_allowances: Option<Vec<Allowance>>,
     stop: PlannedStop,
     own_loads: Vec<ServiceLoad>,
 }
@@ -69,15 +69,15 @@
     /// Creates a node without configuration, members or requests.
     pub fn new(identity: Identity, settings: NodeSettings) -> Self {
         Self {
-            right: UpstreamLease::new(settings.clone(), &identity),
+            lease: UpstreamLease::new(settings.clone(), &identity),
             out: Outbox::new(identity),
             configuration: Configuration::new(settings.clone()),
             membership: Membership::new(settings.clone()),
             policy: Box::new(HeadroomPolicy::new()),
             ingress: Ingress::new(settings.seed),
             egress: Egress::new(settings.admission),
-            once: DeduplicationSystem::default(),
-            compute_allowances: None,
+            deduplication: DeduplicationSystem::default(),
+            cached_allowances: None,
             stop: PlannedStop::default(),
             own_loads: Vec::new(),
             settings,
@@ -110,7 +110,7 @@
         &self.membership
     }
 
-    /// Returns the outbox, which holds the node's identity and timeline.
+    /// Returns the outbox, which also holds the node's identity and timeline.
     pub fn outbox(&self) -> &Outbox {
         &self.out
     }
@@ -130,39 +130,42 @@
             }
             Event::Request { request, head } => self.handle_request(request, &head),
             Event::HopAnswered { request, attempt, .. } => {
-                if !self.once.handle_hop_response(request, attempt, &mut self.out) {
-                    self.ingress.hop_answered(request, attempt, &mut self.out);
+                if !self.deduplication.handle_hop_response(request, attempt, &mut self.out) {
+                    self.ingress.handle_hop_response(request, attempt, &mut self.out);
                 }
             }
             Event::HopEnded { request, attempt, end } => {
-                self.handle_hop_ended(request, attempt, end);
+                self.handle_hop_failure(request, attempt, end);
             }
             Event::RelayEnded { request, stored, .. } => {
-                self.once.handle_relay_end(request, stored, &mut self.out);
+                self.deduplication.handle_relay_end(request, stored, &mut self.out);
                 self.ingress.remove(request);
             }
             Event::CallerDisconnected { request } => {
-                self.once.handle_caller_disconnect(request, &mut self.out);
+                self.deduplication.handle_caller_disconnect(request, &mut self.out);
                 self.ingress.remove(request);
             }
-            Event::Dispatched { exchange, .. } if self.stop.refuses(now_ms) => {
-                self.out.push(Action::RejectDispatch { exchange, refusal: stop::STOPPING_REFUSAL });
+            Event::Dispatched { exchange, .. } if self.stop.rejects_work(now_ms) => {
+                self.out
+                    .push(Action::RejectDispatch { exchange, refusal: stop::STOPPING_REJECTION });
             }
             Event::Dispatched { exchange, dispatch, .. } => {
-                self.with_egress(|egress, scope, out| {
-                    egress.dispatch(exchange, &dispatch, scope, out);
+                self.with_egress(|egress, context, out| {
+                    egress.dispatch(exchange, &dispatch, context, out);
                 });
             }
             Event::CallEnded { exchange, end, .. } => {
-                self.with_egress(|egress, scope, out| egress.call_ended(exchange, end, scope, out));
+                self.with_egress(|egress, context, out| {
+                    egress.call_ended(exchange, end, context, out);
+                });
             }
             Event::DispatchCanceled { exchange } => {
                 self.egress.cancel_dispatch(exchange, &mut self.out);
             }
             Event::UpstreamReport { upstream, report } => {
-                self.right.handle_upstream_report(upstream, &report);
-                self.with_egress(|egress, scope, out| {
-                    egress.record_report(upstream, report, scope, out);
+                self.lease.handle_upstream_report(upstream, &report);
+                self.with_egress(|egress, context, out| {
+                    egress.record_report(upstream, report, context, out);
                 });
             }
             Event::ConnectionsChanged { upstream, open } => {
@@ -170,7 +173,7 @@
             }
             Event::Datagram(envelope) => self.handle_datagram(&envelope),
             Event::Table { operation, result } => {
-                if !self.once.handle_table_result(operation, &result, &mut self.out) {
+                if !self.deduplication.handle_table_result(operation, &result, &mut self.out) {
                     self.configuration.handle_table_result(operation, &result, &mut self.out);
                 }
             }
@@ -179,42 +182,43 @@
                 if let Some(page) = page.as_ref().filter(|page| !page.listed.is_empty())
                     && self.membership.apply_peer_vm_list(&page.listed)
                 {
-                    self.right.apply_vm_list(&page.listed, now_ms);
+                    self.lease.apply_vm_list(&page.listed, now_ms);
                 }
                 self.configuration.handle_fetched_page(operation, page, &mut self.out);
             }
             Event::Change { reply, request } => {
                 self.configuration.start_change(reply, request, &mut self.out);
             }
-            Event::TicketsReceived(tickets) => self.once.store_handover(tickets),
+            Event::TicketsReceived(tickets) => self.deduplication.store_handover(tickets),
             Event::TicketHandoverEnded { operation, taken } => {
-                self.once.handle_copy_result(operation, taken);
+                self.deduplication.handle_copy_result(operation, taken);
             }
             Event::StopRequested => self.begin_stop(),
         }
         self.finish_step()
     }
 
-    /// Runs the time-driven systems and returns the actions to carry out; the driver calls it every
-    /// few tens of milliseconds.
+    /// Does the work that is due by time and returns the actions to carry out; the driver calls it
+    /// every few tens of milliseconds.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Action> {
         self.out.set_now_ms(now_ms);
         self.configuration.tick(&self.membership, &mut self.out);
-        self.refresh_right();
+        self.refresh_lease();
         self.with_egress(Egress::tick);
         self.send_leaving_notice();
-        self.own_loads = self.with_egress(|egress, scope, out| egress.loads(scope, out.now_ms()));
-        let own =
+        self.own_loads =
+            self.with_egress(|egress, context, out| egress.loads(context, out.now_ms()));
+        let local_state =
             LocalState { configuration: self.configuration.status(now_ms), loads: &self.own_loads };
-        self.right.update_in_flight(|upstream| self.egress.in_flight(upstream));
-        self.membership.tick(own, &mut self.right, &mut self.out);
-        // Grants just made to other members reduce the allowances of the next dispatch.
-        self.compute_allowances = None;
+        self.lease.update_in_flight(|upstream| self.egress.in_flight(upstream));
+        self.membership.tick(local_state, &mut self.lease, &mut self.out);
+        // Grants that were just made to other members may have reduced the allowances.
+        self.cached_allowances = None;
         let identity = self.out.shared_identity();
         let context = routing_context!(self, identity);
         let concluded = self.ingress.tick(context, &mut self.out);
         self.conclude(concluded);
-        self.once.tick(&mut self.out);
+        self.deduplication.tick(&mut self.out);
         self.try_finish_stop();
         self.finish_step()
     }
@@ -222,35 +226,37 @@
     fn handle_request(&mut self, request: RequestKey, head: &RequestHead) {
         let identity = self.out.shared_identity();
         let context = routing_context!(self, identity);
-        let is_once = head.deduplication != Deduplication::Repeatable;
-        let is_known = is_once && ingress::service_and_caller_known(head, context.view.catalogue);
-        if is_known && !self.once.admit(request, head, &self.membership, &mut self.out) {
+        let is_once_only = head.deduplication != Deduplication::Repeatable;
+        let is_known =
+            is_once_only && ingress::service_and_caller_known(head, context.view.catalogue);
+        if is_known && !self.deduplication.admit(request, head, &self.membership, &mut self.out) {
             return;
         }
         let mut conclusion = self.ingress.begin(request, head, context, &mut self.out);
-        if let Some(conclusion) = conclusion.as_mut().filter(|_| is_once && !is_known) {
+        if let Some(conclusion) = conclusion.as_mut().filter(|_| is_once_only && !is_known) {
             deduplication::not_run_to_unknown(head, &mut conclusion.outcome);
         }
         self.conclude(conclusion);
     }
 
-    fn handle_hop_ended(&mut self, request: RequestKey, attempt: u32, end: HopFailure) {
-        if self.once.handle_hop_failure(request, end, &self.membership, &mut self.out) {
+    fn handle_hop_failure(&mut self, request: RequestKey, attempt: u32, end: HopFailure) {
+        if self.deduplication.handle_hop_failure(request, end, &self.membership, &mut self.out) {
             return;
         }
         let identity = self.out.shared_identity();
         let context = routing_context!(self, identity);
-        let conclusion = self.ingress.hop_ended(request, attempt, end, context, &mut self.out);
+        let conclusion =
+            self.ingress.handle_hop_failure(request, attempt, end, context, &mut self.out);
         self.conclude(conclusion);
     }
 
-    /// Starts the once-only requests that were granted and returns the collected actions, after the
-    /// once-only system has processed the outcomes of its requests.
+    /// Starts the once-only requests whose claims were granted and returns the collected actions,
+    /// after the deduplication system has processed the outcomes of its requests.
     fn finish_step(&mut self) -> Vec<Action> {
-        for (request, head) in self.once.take_granted() {
+        for (request, head) in self.deduplication.take_granted() {
             self.handle_request(request, &head);
         }
-        self.once.intercept_outcomes(&mut self.out)
+        self.deduplication.intercept_outcomes(&mut self.out)
     }
 
     fn mint_tickets(&mut self, service: &str, count: u32) -> Result<Vec<Ticket>, MintError> {
@@ -261,14 +267,14 @@
         if self.stop.has_begun() {
             return Err(MintError::Stopping);
         }
-        self.once.mint_tickets(service, count, &self.out)
+        self.deduplication.mint_tickets(service, count, &self.out)
     }
 
     fn begin_stop(&mut self) {
-        // A lost heartbeat is repeated well within the suspicion timeout, and forwarding by relays
-        // takes up to the same time again.
-        let heard_by_ms = self.out.now_ms() + 2 * self.settings.suspect_after_ms;
-        if self.stop.start(heard_by_ms, self.settings.look_up_valid_ms) {
+        // Several heartbeats are sent within the suspicion timeout, so that one arrives despite
+        // losses. Forwarding by relays takes up to the same time again.
+        let known_by_ms = self.out.now_ms() + 2 * self.settings.suspect_after_ms;
+        if self.stop.start(known_by_ms, self.settings.look_up_valid_ms) {
             self.out.identity_mut().descriptor.leaving = true;
             self.out.log(Topic::Node, "stop_begun", &[]);
         } else {
@@ -277,13 +283,13 @@
     }
 
     fn try_finish_stop(&mut self) {
-        let in_flight = self.ingress.in_flight() + self.egress.dispatches_in_flight();
+        let in_flight = self.ingress.in_flight() + self.egress.pending_dispatches();
         if self.stop.may_end(self.out.now_ms(), in_flight)
-            && self.once.poll_handover(&self.membership, &mut self.out)
+            && self.deduplication.poll_handover(&self.membership, &mut self.out)
         {
             self.out.log(Topic::Node, "stop_ended", &[]);
-            self.right.relinquish();
-            if self.right.is_idle() {
+            self.lease.relinquish();
+            if self.lease.is_idle() {
                 self.membership.send_boot_ended(&mut self.out);
             }
             self.out.push(Action::Stopped);
@@ -303,16 +309,16 @@
     }
 
     /// Explains how this node would route a request.
-    pub fn explain(&self, question: &ExplainRequest) -> Explanation {
+    pub fn explain(&self, request: &ExplainRequest) -> Explanation {
         let identity = self.out.shared_identity();
         let context = routing_context!(self, identity);
-        let origin = context.view.catalogue.origin_of_address(question.source);
-        let standing =
-            self.ingress.traffic_split(ServiceKey::of(&question.service), origin, &context);
-        context.view.explain(question, context.policy, standing.as_deref())
+        let origin = context.view.catalogue.origin_of_address(request.source);
+        let current_shares =
+            self.ingress.traffic_split(ServiceKey::of(&request.service), origin, &context);
+        context.view.explain(request, context.policy, current_shares.as_deref())
     }
 
-    /// Emits the final outcomes of concluded requests.
+    /// Queues the actions that conclude requests.
     fn conclude(&mut self, concluded: impl IntoIterator<Item = ConcludedRequest>) {
         for ConcludedRequest { request, outcome } in concluded {
             self.out.push(Action::Conclude { request, outcome });
@@ -325,16 +331,16 @@
         let is_upstream =
             |vm: &ListedVm| catalogue.upstreams.contains_key(&UpstreamKey::of(&vm.name));
         let (upstreams, vms): (Vec<_>, Vec<_>) = listed.into_iter().partition(is_upstream);
-        self.right.apply_vm_list(&vms, self.out.now_ms());
+        self.lease.apply_vm_list(&vms, self.out.now_ms());
         self.membership.apply_vm_list(vms);
         for vm in upstreams.into_iter().filter(|vm| vm.leaving) {
             let upstream = UpstreamKey::of(&vm.name);
-            self.with_egress(|egress, scope, out| egress.mark_leaving(upstream, scope, out));
+            self.with_egress(|egress, context, out| egress.mark_leaving(upstream, context, out));
         }
     }
 
-    /// Sends the notice of leaving upstreams that is due, to all peers of the failure domain or to one
-    /// of them.
+    /// Sends the notice of leaving upstreams that is due, to all peers of the failure domain or to
+    /// one of them.
     fn send_leaving_notice(&mut self) {
         let Some(notice) = self.egress.due_leaving_notice(self.out.now_ms()) else {
             return;
@@ -343,9 +349,9 @@
         let members = self.membership.members_in(identity.descriptor.domain);
         let peers: Vec<_> =
             members.into_iter().map(|(_, member)| member.descriptor.peer_address).collect();
-        let turn = notice.number.wrapping_add(identity.vm.0) % peers.len().max(1) as u64;
-        for (place, peer) in peers.into_iter().enumerate() {
-            if notice.broadcast || place as u64 == turn {
+        let chosen_index = notice.number.wrapping_add(identity.vm.0) % peers.len().max(1) as u64;
+        for (index, peer) in peers.into_iter().enumerate() {
+            if notice.broadcast || index as u64 == chosen_index {
                 self.out.send(peer, Message::LeavingUpstreams(notice.leaving.clone()));
             }
         }
@@ -353,8 +359,8 @@
 
     /// Sends the leaving upstreams to a member that has just started.
     ///
-    /// The member may own some of them at once, and would send requests there until the next notice
-    /// reaches it.
+    /// The member may own some of these upstreams at once, and would send requests there until it
+    /// received the next notice.
     fn send_leaving_to(&mut self, vm: VmKey) {
         let leaving = self.egress.leaving_upstreams(self.out.now_ms());
         let Some(member) = self.membership.member(vm) else {
@@ -365,47 +371,47 @@
         }
     }
 
-    /// Runs an operation of the egress with the current allowances.
+    /// Runs an operation of the admission control with the current allowances.
     fn with_egress<T>(
         &mut self,
-        step: impl FnOnce(&mut Egress, AdmissionContext<'_>, &mut Outbox) -> T,
+        operation: impl FnOnce(&mut Egress, AdmissionContext<'_>, &mut Outbox) -> T,
     ) -> T {
-        let allowances = match self.compute_allowances.take() {
+        let allowances = match self.cached_allowances.take() {
             Some(allowances) => allowances,
             None => self.compute_allowances(),
         };
-        let scope =
+        let context =
             AdmissionContext { allowances: &allowances, catalogue: self.configuration.catalogue() };
-        let result = step(&mut self.egress, scope, &mut self.out);
-        self.compute_allowances = Some(allowances);
+        let result = operation(&mut self.egress, context, &mut self.out);
+        self.cached_allowances = Some(allowances);
         result
     }
 
     /// Drops the cached allowances after an event that may change them.
     ///
-    /// Between two ticks a member may be granted a part of an upstream that this node has used; with
-    /// outdated allowances both would use it.
+    /// Between two ticks a member may be granted slots of an upstream that this node has used; with
+    /// outdated allowances both would use them.
     fn invalidate_allowances(&mut self, event: &Event) {
         let may_change = matches!(
             event,
             Event::Datagram(_) | Event::Table { .. } | Event::VmList(_) | Event::PageFetched { .. }
         );
         if may_change {
-            self.compute_allowances = None;
+            self.cached_allowances = None;
         }
     }
 
     fn compute_allowances(&self) -> Vec<Allowance> {
-        self.right.allowances(self.out.now_ms())
+        self.lease.allowances(self.out.now_ms())
     }
 
-    fn refresh_right(&mut self) {
-        self.compute_allowances = None;
+    fn refresh_lease(&mut self) {
+        self.cached_allowances = None;
         let revision = self.configuration.revision();
         let catalogue = self.configuration.catalogue();
         let egress = &self.egress;
         let in_flight = |upstream| egress.in_flight(upstream);
-        self.right.refresh(&self.membership, catalogue, revision, in_flight, &mut self.out);
+        self.lease.refresh(&self.membership, catalogue, revision, in_flight, &mut self.out);
     }
 
     /// Records the revision that a member has in force, if the member's address is known.
@@ -422,14 +428,15 @@
     }
 
     fn handle_heartbeat(&mut self, envelope: &Envelope, heartbeat: &Heartbeat) {
-        let boot = |node: &Self| node.membership.member(envelope.from).map(|known| known.boot);
-        let known = boot(self);
+        let known_boot =
+            |node: &Self| node.membership.member(envelope.from).map(|member| member.boot);
+        let previous_boot = known_boot(self);
         if self.membership.handle_heartbeat(envelope, heartbeat, &mut self.out) {
-            self.right.handle_heartbeat(envelope, heartbeat);
-            let (named, own) = (heartbeat.roster_digest, self.right.roster_digest());
-            self.membership.reconcile_roster(envelope.from, named, own, &mut self.out);
+            self.lease.handle_heartbeat(envelope, heartbeat);
+            let (peer_digest, own_digest) = (heartbeat.roster_digest, self.lease.roster_digest());
+            self.membership.reconcile_roster(envelope.from, peer_digest, own_digest, &mut self.out);
         }
-        if boot(self) != known {
+        if known_boot(self) != previous_boot {
             self.send_leaving_to(envelope.from);
         }
         self.configuration.observe_head_age(heartbeat.configuration.head_age_ms, &self.out);
@@ -443,12 +450,14 @@
         self.out.merge_stamp(envelope.stamp);
         match &envelope.message {
             Message::LeavingUpstreams(leaving) => {
-                self.with_egress(|egress, scope, out| egress.merge_leaving(leaving, scope, out));
+                self.with_egress(|egress, context, out| {
+                    egress.merge_leaving(leaving, context, out);
+                });
             }
             Message::Heartbeat(heartbeat) => self.handle_heartbeat(envelope, heartbeat),
             Message::BootEnded => {
                 if self.membership.handle_boot_ended(envelope, &mut self.out) {
-                    self.right.handle_boot_ended(envelope.from, envelope.boot);
+                    self.lease.handle_boot_ended(envelope.from, envelope.boot);
                 }
             }
             Message::Revision(notice) => {
@@ -468,8 +477,8 @@
             }
             Message::Summary(summary) => {
                 self.membership.handle_summary(summary, &mut self.out);
-                for line in &summary.members {
-                    self.record_revision(line.vm, line.revision);
+                for member in &summary.members {
+                    self.record_revision(member.vm, member.revision);
                 }
             }
         }
--- a/crates/sedgepath-core/src/outbox.rs
+++ b/crates/sedgepath-core/src/outbox.rs
@@ -1,4 +1,4 @@
-//! The outbox, where the systems of a node put their actions, log entries and datagrams.
+//! The outbox, which collects the actions that the components of a node request.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,26 +12,29 @@
 use crate::table::TableRequest;
 use crate::timeline::{Timeline, TimelineEntry, Topic};
 
-/// Collects the actions of one event or tick, and numbers datagrams and operations.
+/// Collects the actions that result from one event or tick.
+///
+/// It also holds what the components need for that: the node's identity, the time, the hybrid
+/// clock, the timeline and the last numbers of datagrams and operations.
 #[derive(Debug)]
 pub struct Outbox {
     identity: Arc<Identity>,
     now_ms: u64,
-    sequence: u64,
-    operations: u64,
+    last_sequence: u64,
+    last_operation: u64,
     clock: HybridLogicalClock,
     timeline: Timeline,
     actions: Vec<Action>,
 }
 
 impl Outbox {
-    /// Creates an empty outbox for a node.
+    /// Creates an outbox without actions for a node.
     pub fn new(identity: Identity) -> Self {
         Self {
             identity: Arc::new(identity),
             now_ms: 0,
-            sequence: 0,
-            operations: 0,
+            last_sequence: 0,
+            last_operation: 0,
             clock: HybridLogicalClock::default(),
             timeline: Timeline::default(),
             actions: Vec::new(),
@@ -43,17 +46,18 @@
         &self.identity
     }
 
-    /// Returns the node's identity as a shared reference that doesn't borrow the outbox.
+    /// Returns a shared pointer to the node's identity, which doesn't borrow the outbox.
     pub fn shared_identity(&self) -> Arc<Identity> {
         Arc::clone(&self.identity)
     }
 
-    /// Returns the node's identity for changes.
+    /// Returns a mutable reference to the node's identity. Earlier results of
+    /// [`Self::shared_identity`] don't see the changes.
     pub fn identity_mut(&mut self) -> &mut Identity {
         Arc::make_mut(&mut self.identity)
     }
 
-    /// Returns the time of the event being handled, in milliseconds.
+    /// Returns the time of the event being handled, in milliseconds by the driver's clock.
     pub fn now_ms(&self) -> u64 {
         self.now_ms
     }
@@ -68,34 +72,34 @@
         self.actions.push(action);
     }
 
-    /// Sends a message as a datagram with the next sequence number.
+    /// Queues a message as a datagram with the next sequence number.
     pub fn send(&mut self, to: SocketAddr, message: Message) {
-        self.sequence += 1;
+        self.last_sequence += 1;
         let envelope = Envelope {
             from: self.identity.vm,
             boot: self.identity.boot,
-            sequence: self.sequence,
+            sequence: self.last_sequence,
             stamp: self.clock.tick(self.now_ms),
             message,
         };
         self.actions.push(Action::SendDatagram { to, envelope });
     }
 
-    /// Sends a request to the table and returns its key.
+    /// Queues a request to the table and returns the key of the operation.
     pub fn request_table(&mut self, request: TableRequest) -> OperationKey {
         let operation = self.next_operation();
         self.actions.push(Action::Table { operation, request });
         operation
     }
 
-    /// Fetches a page of a peer's records and returns the request's key.
+    /// Queues a request for a page of a peer's records and returns the key of the operation.
     pub fn fetch_page(&mut self, from: SocketAddr, after: RecordPosition) -> OperationKey {
         let operation = self.next_operation();
         self.actions.push(Action::FetchPage { operation, from, after });
         operation
     }
 
-    /// Logs an event and adds it to the timeline.
+    /// Adds an event to the timeline and queues its log entry.
     pub fn log(&mut self, topic: Topic, event: &str, fields: &[(&str, &dyn std::fmt::Display)]) {
         let entry = TimelineEntry {
             stamp: self.clock.tick(self.now_ms),
@@ -115,7 +119,7 @@
         self.clock.merge(self.now_ms, stamp);
     }
 
-    /// Returns the node's recent log entries.
+    /// Returns the node's recent timeline entries.
     pub fn timeline(&self) -> &Timeline {
         &self.timeline
     }
@@ -127,7 +131,7 @@
 
     /// Returns a new key for an operation whose result arrives as an event.
     pub fn next_operation(&mut self) -> OperationKey {
-        self.operations += 1;
-        OperationKey(self.operations)
+        self.last_operation += 1;
+        OperationKey(self.last_operation)
     }
 }
--- a/crates/sedgepath-core/src/request.rs
+++ b/crates/sedgepath-core/src/request.rs
@@ -76,7 +76,7 @@
     pub attempt: u32,
     /// Whether the method is idempotent, so that it may be retried.
     pub idempotent: bool,
-    /// The digest of method, path and body, which distinguishes a repeat from another request.
+    /// The digest of method, path and body, which distinguishes a retry from another request.
     pub digest: Digest,
     /// The highest configuration revision that the caller has seen.
     pub revision_seen: u64,
@@ -87,7 +87,7 @@
 /// The header that the ingress sends to the owner of an upstream ahead of the request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dispatch {
-    /// The service.
+    /// The service that the request is for.
     pub service: ServiceKey,
     /// The class determined by the ingress.
     pub class: Class,
@@ -96,9 +96,9 @@
     /// The time left until the caller's deadline, in milliseconds. A duration, since clocks differ
     /// between nodes.
     pub remaining_ms: u64,
-    /// Whether the request must not run twice.
+    /// Whether the request must not run more than once.
     pub once_only: bool,
-    /// An upstream where the request has failed and which it avoids.
+    /// An upstream that must not get the request.
     pub avoid_upstream: Option<UpstreamKey>,
     /// The configuration revision in force at the ingress.
     pub revision: u64,
@@ -110,8 +110,7 @@
 pub enum RejectionReason {
     /// No upstream of the service can be reached.
     NoUpstream,
-    /// All slots that the class may use are taken, and the queue has no room or is too slow for the
-    /// deadline.
+    /// No slot is free for the class, and the queue is full or too slow for the deadline.
     Full,
     /// The shift cap does not let the traffic move yet.
     ShiftCap,
@@ -121,13 +120,13 @@
     Configuration,
     /// The node has not finished its start or is about to stop.
     NotReady,
-    /// The upstream refused the request before starting it.
+    /// The upstream rejected the request before starting it.
     UpstreamRefused,
     /// The deadline had passed before the request was sent.
     Deadline,
-    /// The platform's table did not confirm the claim; tickets need no claim.
+    /// The platform's table did not confirm the claim of the key; tickets need no claim.
     Claim,
-    /// The ticket was not used and can't be any more: it has expired, or its home has stopped.
+    /// The ticket was not used and is no longer valid: it has expired, or its home has stopped.
     TicketVoid,
     /// The retry budget is spent.
     RetryBudget,
@@ -138,7 +137,7 @@
 }
 
 impl RejectionReason {
-    /// Returns the reason's name in logs and in answers to callers.
+    /// Returns the reason's name in logs and in responses to callers.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoUpstream => "no_upstream",
@@ -158,21 +157,22 @@
     }
 }
 
-/// A rejection, which proves that the request was not run, with the time to retry.
+/// A rejection with its retry delay, which proves that the request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
-    /// The reason.
+    /// Why the request was rejected.
     pub reason: RejectionReason,
-    /// The time after which to retry, in milliseconds. A duration, since clocks differ between nodes.
+    /// The time after which to retry, in milliseconds. A duration, since clocks differ between
+    /// nodes.
     pub retry_after_ms: u64,
 }
 
-/// The parts of an upstream's answer that the node decides by.
+/// The properties of an upstream's response on which the node's decisions depend.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerHead {
     /// The HTTP status.
     pub status: u16,
-    /// The upstream that gave the answer.
+    /// The upstream that sent the response.
     pub upstream: UpstreamKey,
     /// The failure domain of that upstream.
     pub domain: DomainKey,
@@ -187,12 +187,12 @@
     pub address: SocketAddr,
 }
 
-/// The stored answer of a once-only request, which is replayed to repeats.
+/// The stored response to a once-only request, which is replayed to retries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// The content type, if the answer had one.
+    /// The content type, if the response had one.
     pub content_type: Option<Box<str>>,
     /// The body as text, or in hexadecimal digits if `hex` is set.
     pub body: Box<str>,
@@ -200,22 +200,22 @@
     pub hex: bool,
 }
 
-/// The final outcome of a request that ends without a relayed answer.
+/// The final outcome of a request that ends without a relayed response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// The request was not run and will not be.
     NotRun {
-        /// The reason, and when to retry.
+        /// The reason and the retry delay.
         refusal: Rejection,
         /// Other entry VMs to try.
         others: Vec<EntryVm>,
     },
-    /// The request may have run; a repeat with the same key or ticket shows whether it has.
+    /// The request may have run; a retry with the same key or ticket shows whether it has.
     Unknown {
-        /// The time after which to ask again, in milliseconds.
+        /// The time after which to retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The request ran earlier, with this answer.
+    /// The request ran earlier, with this response.
     Repeated(StoredAnswer),
     /// The key was used for another request before.
     KeyReused,
@@ -223,16 +223,16 @@
     NoService,
     /// The organisation's key is unknown.
     UnknownOrganisation,
-    /// The service takes only requests with an idempotency key or a ticket.
+    /// The service accepts only requests with an idempotency key or a ticket.
     KeyRequired,
 }
 
-/// How a call to an upstream ended, from the owner's point of view.
+/// How a call to an upstream ended, from the point of view of the node that sent it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallOutcome {
-    /// The whole answer arrived.
+    /// The whole response arrived.
     Completed,
-    /// The upstream refused the request before starting it.
+    /// The upstream rejected the request before starting it.
     Refused,
     /// No connection could be made, so nothing was sent.
     NotSent,
@@ -242,13 +242,13 @@
     Lost,
 }
 
-/// How a hop to the owner ended without an answer, from the ingress's point of view.
+/// How an attempt ended without a response, from the ingress's point of view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HopFailure {
-    /// The owner refused: the request was not run.
+    /// The owner rejected the request, which was not run.
     Refused(Rejection),
     /// No connection could be made, so nothing was sent.
     NotSent,
-    /// The hop broke after the request was sent; it may have run.
+    /// The connection broke or the attempt timed out after the request was sent; it may have run.
     Lost,
 }
--- a/crates/sedgepath-core/src/table.rs
+++ b/crates/sedgepath-core/src/table.rs
@@ -1,12 +1,12 @@
 //! Requests to the platform's transactional table and their results.
 //!
-//! The node emits a [`Transaction`] or a read as an action and receives a [`TableResult`] as an event.
-//! [`TableResult::Unknown`] means that the write may have taken effect although its response was lost;
-//! only a later read can tell.
+//! The node emits a [`Transaction`] or a read as an action and receives a [`TableResult`] as an
+//! event. [`TableResult::Unknown`] means that the write may have taken effect although its response
+//! was lost; only a later read can tell.
 
 use serde::{Deserialize, Serialize};
 
-/// The name of the table, where a store has several.
+/// The name of the table in a store that has several tables.
 pub const RECORD_TABLE: &str = "sedgepath";
 
 /// The version of a row, which increases by at least one with each write. An absent row has none.
@@ -26,7 +26,7 @@
 /// The effect of a transaction on a row if all of its conditions hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RowChange {
-    /// The row is only checked.
+    /// The row stays as it is; only its condition is checked.
     Check,
     /// The row is created or replaced.
     Put(Box<str>),
@@ -59,7 +59,7 @@
     pub key: Box<str>,
     /// The row's version.
     pub version: RowVersion,
-    /// The content of the row.
+    /// The row's content.
     pub value: Box<str>,
 }
 
@@ -96,15 +96,13 @@
     },
     /// The rows of a read.
     Rows(Vec<Row>),
-    /// The request was not carried out: no connection was made, or the platform refused it.
+    /// The request was not carried out: no connection was made, or the platform rejected it.
     Unavailable,
-    /// The request was sent without a response; a transaction may have taken effect.
+    /// The request was sent, but no response arrived; a transaction may have taken effect.
     Unknown,
 }
 
-/// A table that requests are sent to.
-///
-/// The trait lets tests use an in-memory table instead of the store.
+/// A table that executes requests; tests use an in-memory table instead of the store.
 pub trait TableService: std::fmt::Debug + Send + Sync {
     /// Executes a request and returns its result.
     ///
--- a/crates/sedgepath-core/src/timeline.rs
+++ b/crates/sedgepath-core/src/timeline.rs
@@ -15,13 +15,13 @@
 pub enum Topic {
     /// The node's own start, stop and readiness.
     Node,
-    /// Members that join, are suspected or leave.
+    /// The joining, suspicion and leaving of members.
     Membership,
-    /// Revisions accepted and applied.
+    /// The acceptance and application of revisions.
     Configuration,
-    /// Where traffic goes and why it moves.
+    /// The shares of traffic and the reasons for their changes.
     Steering,
-    /// Slots, leases of upstreams, queues.
+    /// Slots, upstream leases and queues.
     Admission,
     /// Claims and tickets.
     Once,
@@ -64,7 +64,7 @@
 }
 
 impl TimelineEntry {
-    /// Formats the entry as one line of `key=value` pairs.
+    /// Formats the entry of a node with the given name as one line of `key=value` pairs.
     pub fn line(&self, node: &str) -> String {
         let mut line = format!(
             "time_ms={} count={} node={} topic={} event={}",
@@ -84,11 +84,11 @@
     }
 }
 
-/// Quotes a value that is empty or contains whitespace, control characters, `"` or `=`, so that each
-/// entry stays one parsable line.
+/// Quotes a value that is empty or contains whitespace, control characters, `"` or `=`, so that
+/// each entry stays one parsable line.
 fn quoted(value: &str) -> String {
-    let plain = |c: char| !c.is_whitespace() && !c.is_control() && !matches!(c, '"' | '=');
-    if !value.is_empty() && value.chars().all(plain) {
+    let is_plain = |c: char| !c.is_whitespace() && !c.is_control() && !matches!(c, '"' | '=');
+    if !value.is_empty() && value.chars().all(is_plain) {
         return value.to_owned();
     }
     format!("{value:?}")
