--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Tests of the limits of an owner: slots, open connections and new connections of an upstream.
+//! Tests of the limits of admission control: slots, open connections and new connections of an
+//! upstream.
 
 use sedgepath_core::key::{ExchangeKey, UpstreamKey};
 use sedgepath_core::record::RawRecord;
@@ -9,24 +10,24 @@
 use sedgepath_test_support::records;
 use serde_json::json;
 
-/// Returns records of one upstream `u` of service `s` in failure domain `a`; `more` overrides its
-/// fields.
-fn one_upstream(slots: u32, more: &serde_json::Value) -> Vec<RawRecord> {
+/// Returns records of one upstream `u` of service `s` in failure domain `a`; `extra_fields`
+/// overrides its fields.
+fn one_upstream(slots: u32, extra_fields: &serde_json::Value) -> Vec<RawRecord> {
     let mut upstream = json!({
         "name": "u", "domain": "a", "address": "127.0.0.1:9", "slots": slots,
     });
     let fields = upstream.as_object_mut().expect("an object was written");
-    fields.extend(more.as_object().expect("fields are given as an object").clone());
+    fields.extend(extra_fields.as_object().expect("fields are given as an object").clone());
     let body = json!({ "longest_deadline_ms": 5_000, "upstreams": [upstream] });
     vec![records::places(&[("r", &["a"])]), records::record(1, "service", "s", &body)]
 }
 
-fn owner_of_one_upstream(slots: u32, more: &serde_json::Value) -> Owner {
-    Owner::new(&one_upstream(slots, more))
+fn owner_of_one_upstream(slots: u32, extra_fields: &serde_json::Value) -> Owner {
+    Owner::new(&one_upstream(slots, extra_fields))
 }
 
-/// Guards against overload that exceeds the slots of an upstream, leaves slots idle or lets requests
-/// wait in the queue that are refused in the end.
+/// Guards against overload that exceeds the slots of an upstream, leaves slots idle or keeps
+/// requests in the queue that are rejected in the end.
 #[test]
 fn overload_stays_within_slots() {
     for seed in 1..=3 {
@@ -42,15 +43,15 @@
             "seed {seed}: {} of 800 that fit",
             calls.paying.answered
         );
-        // Requests beyond the queue are refused at once.
+        // Requests for which the queue has no room are rejected at once.
         assert!(calls.slowest_refusal_ms <= 500, "seed {seed}: {} ms", calls.slowest_refusal_ms);
     }
 }
 
-/// Guards against reusing the slots of calls whose answers were lost before their deadline, and against
+/// Guards against reusing the slots of calls with lost responses before their deadline, and against
 /// callers that get no outcome.
 #[test]
-fn lost_answers_stay_within_slots() {
+fn lost_responses_stay_within_slots() {
     let mut bed = load::bed(4, 1, &[("u1", 4, 50)]);
     bed.upstreams.get("u1").loses_answers = true;
     bed.upstreams.get("u1").reports = false;
@@ -113,9 +114,9 @@
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 3);
 }
 
-/// Guards against calls without the time to send by, and against sending after it.
+/// Guards against calls without the time until which they may be sent, and against sending later.
 #[test]
-fn nothing_is_sent_after_the_right_has_ended() {
+fn nothing_is_sent_after_the_lease_has_ended() {
     let mut owner = owner_of_one_upstream(4, &json!({}));
     let send_by_ms = owner.now_ms() + 100;
     owner.allowances[0].send_by_ms = send_by_ms;
@@ -145,9 +146,9 @@
     assert_eq!(owner.fits(Class::Paying), 4);
 }
 
-/// Guards against slots that a refusal doesn't reduce, or reduces for ever.
+/// Guards against slots that a rejection doesn't reduce, or reduces for ever.
 #[test]
-fn refusal_lowers_the_slots_for_a_while() {
+fn rejection_lowers_the_slots_for_a_while() {
     let mut owner = owner_of_one_upstream(8, &json!({}));
     let sent = owner.dispatch_many(8, Class::Paying, 1_000);
     owner.end(sent[0], CallOutcome::Refused);
@@ -162,17 +163,17 @@
 /// Guards against more than one request at a time probing an unreachable upstream, against probes
 /// without back-off, and against an upstream that stays unused after it has recovered.
 #[test]
-fn unreachable_upstream_is_tried_by_one_request_after_growing_pauses() {
+fn unreachable_upstream_is_probed_by_one_request_with_back_off() {
     let mut owner = owner_of_one_upstream(4, &json!({}));
-    let mut tries = Vec::new();
+    let mut attempts = Vec::new();
     while owner.now_ms() < 1_060_000 {
         for exchange in owner.dispatch_and_take_sent(2, Class::Paying, 400) {
-            tries.push(owner.now_ms());
+            attempts.push(owner.now_ms());
             owner.end(exchange, CallOutcome::NotSent);
         }
         owner.pass_ms(20);
     }
-    assert!((5..=16).contains(&tries.len()), "{} tries", tries.len());
+    assert!((5..=16).contains(&attempts.len()), "{} attempts", attempts.len());
     owner.pass_ms(30_000);
     let probe = owner.dispatch_many(4, Class::Paying, 400);
     assert_eq!(probe.len(), 1);
@@ -183,7 +184,7 @@
 
 /// Guards against an unreachable upstream that attracts requests because its slots are free.
 #[test]
-fn dead_upstream_costs_few_requests() {
+fn unreachable_upstream_costs_few_requests() {
     let mut bed = load::bed(5, 1, &[("u1", 4, 20), ("u2", 4, 20)]);
     bed.upstreams.get("u1").dead = true;
     let load =
@@ -202,8 +203,9 @@
 }
 
 impl SimulatedDriver {
-    /// Starts the calls that were sent and ends those that are due; `keep` keeps connections open.
-    fn step(&mut self, owner: &mut Owner, sent: Vec<ExchangeKey>, keep: bool) {
+    /// Starts the calls that were sent and ends those that are due; `keep_open` keeps connections
+    /// open.
+    fn step(&mut self, owner: &mut Owner, sent: Vec<ExchangeKey>, keep_open: bool) {
         for exchange in sent {
             let Decision::Sent { may_open, .. } = owner.decision(exchange) else { continue };
             if self.idle > 0 {
@@ -219,10 +221,11 @@
             self.running.push((exchange, owner.now_ms() + 50));
         }
         let now_ms = owner.now_ms();
-        let (done, running) = self.running.iter().partition(|(_, end_at_ms)| *end_at_ms <= now_ms);
+        let (ended, running) =
+            self.running.iter().partition(|(_, ends_at_ms)| *ends_at_ms <= now_ms);
         self.running = running;
-        for (exchange, _) in done {
-            if keep {
+        for (exchange, _) in ended {
+            if keep_open {
                 self.idle += 1;
             } else {
                 self.open -= 1;
@@ -232,7 +235,7 @@
         }
     }
 
-    fn most_opened_in_a_second(&self) -> usize {
+    fn max_opened_in_a_second(&self) -> usize {
         let opened = &self.opened_at_ms;
         let in_second =
             |from: u64| opened.iter().filter(|at| (from..from + 1_000).contains(*at)).count();
@@ -240,39 +243,39 @@
     }
 }
 
-fn run_connections(owner: &mut Owner, keep: bool) -> (SimulatedDriver, u32) {
-    let mut shell = SimulatedDriver::default();
+fn run_connections(owner: &mut Owner, keep_open: bool) -> (SimulatedDriver, u32) {
+    let mut driver = SimulatedDriver::default();
     let mut peak_open = 0;
     for _ in 0..500 {
         let sent = owner.dispatch_and_take_sent(4, Class::Paying, 1_000);
-        shell.step(owner, sent, keep);
-        peak_open = peak_open.max(shell.open);
+        driver.step(owner, sent, keep_open);
+        peak_open = peak_open.max(driver.open);
         owner.pass_ms(20);
     }
-    (shell, peak_open)
+    (driver, peak_open)
 }
 
 /// Guards against opening more connections in a second than the upstream's rate allows.
 #[test]
 fn new_connections_stay_within_their_rate() {
     let mut owner = owner_of_one_upstream(8, &json!({ "new_connections_per_s": 10 }));
-    let (shell, _) = run_connections(&mut owner, false);
-    assert!(shell.most_opened_in_a_second() <= 10, "{}", shell.most_opened_in_a_second());
-    assert!(shell.opened_at_ms.len() >= 80, "{} opened", shell.opened_at_ms.len());
+    let (driver, _) = run_connections(&mut owner, false);
+    assert!(driver.max_opened_in_a_second() <= 10, "{}", driver.max_opened_in_a_second());
+    assert!(driver.opened_at_ms.len() >= 80, "{} opened", driver.opened_at_ms.len());
 }
 
 /// Guards against more open connections than the limit, and against not reusing the open ones.
 #[test]
 fn open_connections_stay_within_their_limit() {
     let mut owner = owner_of_one_upstream(8, &json!({ "connections": 3 }));
-    let (shell, peak_open) = run_connections(&mut owner, true);
+    let (driver, peak_open) = run_connections(&mut owner, true);
     assert_eq!(peak_open, 3);
-    assert_eq!(shell.opened_at_ms.len(), 3);
+    assert_eq!(driver.opened_at_ms.len(), 3);
     assert!(owner.sent_count() > 300, "{} sent", owner.sent_count());
 }
 
-/// Guards against a warm-up that starts before the first use, isn't linear, or isn't repeated after a
-/// long idle time.
+/// Guards against a warm-up that starts before the first use, isn't linear, or isn't repeated after
+/// a long idle time.
 #[test]
 fn cold_upstream_warms_up_from_its_first_use() {
     let mut owner = owner_of_one_upstream(8, &json!({ "cold_slots": 2, "warm_up_ms": 4_000 }));
@@ -286,7 +289,8 @@
     assert_eq!(owner.fits(Class::Paying), 2);
 }
 
-/// Guards against a load generator that fails by itself: all requests that fit are answered.
+/// Guards against a load generator that itself causes failures: all requests that fit get a
+/// response.
 #[test]
 fn load_that_fits_is_answered() {
     let mut bed = load::bed(6, 2, &[("u1", 4, 20), ("u2", 4, 20)]);
@@ -303,19 +307,19 @@
 struct ActualCall {
     exchange: ExchangeKey,
     ends_at_ms: u64,
-    /// When the answer is lost, if it is lost.
+    /// When the response is lost, if it is lost.
     lost_at_ms: Option<u64>,
 }
 
-/// Guards against sequences of requests, losses, refusals, reports and changed allowances in which the
-/// upstream runs more than the allowance when a request is sent, or a request gets no decision.
+/// Guards against random steps after which the upstream runs more requests than the allowance when
+/// one is sent, or a request gets no decision.
 #[test]
-fn no_step_of_chance_exceeds_the_slots() {
+fn random_steps_never_exceed_the_slots() {
     for seed in 1..=40 {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut owner = owner_of_one_upstream(6, &json!({}));
         let mut running: Vec<ActualCall> = Vec::new();
-        let mut asked = Vec::new();
+        let mut dispatched = Vec::new();
         for _ in 0..1_500 {
             match random.u32(0..100) {
                 0..8 => owner.allowances[0].slots = random.u32(0..=6),
@@ -324,7 +328,7 @@
                 14 => end_random_call(&mut owner, &mut running, CallOutcome::Refused, &mut random),
                 _ => {
                     let class = Class::ALL[random.usize(0..3)];
-                    asked.push(owner.dispatch("s", class, random.u64(0..3_000)));
+                    dispatched.push(owner.dispatch("s", class, random.u64(0..3_000)));
                 }
             }
             start_sent_calls(&mut owner, &mut running, &mut random, seed);
@@ -334,7 +338,7 @@
             start_sent_calls(&mut owner, &mut running, &mut random, seed);
         }
         owner.pass_ms(3_000);
-        let undecided = asked.iter().filter(|key| owner.decision(**key) == Decision::Queued);
+        let undecided = dispatched.iter().filter(|key| owner.decision(**key) == Decision::Queued);
         assert_eq!(undecided.count(), 0, "seed {seed}");
         assert!(owner.sent_count() > 50, "seed {seed}: {} sent", owner.sent_count());
     }
@@ -342,8 +346,8 @@
 
 fn report_running(owner: &mut Owner, running: &[ActualCall], slots: u32) {
     let now_ms = owner.now_ms();
-    let run = running.iter().filter(|truth| now_ms < truth.ends_at_ms).count();
-    owner.report("u", run as u32, slots, false);
+    let in_flight = running.iter().filter(|call| now_ms < call.ends_at_ms).count();
+    owner.report("u", in_flight as u32, slots, false);
 }
 
 fn start_sent_calls(
@@ -358,44 +362,45 @@
         };
         assert!(now_ms <= send_by_ms, "seed {seed}: sent {} ms late", now_ms - send_by_ms);
         // The call ends by the time to send by, which is no later than its deadline.
-        let takes_ms = random.u64(1..900).min(send_by_ms - now_ms);
+        let duration_ms = random.u64(1..900).min(send_by_ms - now_ms);
         let lost = random.u32(0..4) == 0;
-        let lost_at_ms = lost.then(|| now_ms + random.u64(0..=takes_ms));
-        running.push(ActualCall { exchange, ends_at_ms: now_ms + takes_ms, lost_at_ms });
-        let run = running.iter().filter(|truth| now_ms < truth.ends_at_ms).count();
+        let lost_at_ms = lost.then(|| now_ms + random.u64(0..=duration_ms));
+        running.push(ActualCall { exchange, ends_at_ms: now_ms + duration_ms, lost_at_ms });
+        let in_flight = running.iter().filter(|call| now_ms < call.ends_at_ms).count();
         let slots = owner.allowances[0].slots as usize;
-        assert!(run <= slots, "seed {seed}: {run} run of {slots} slots");
+        assert!(in_flight <= slots, "seed {seed}: {in_flight} in flight for {slots} slots");
     }
 }
 
-/// Reports losses and ends that are due to the owner; a lost call runs on without a report.
+/// Reports to the owner the losses and ends of calls that are due; a lost call runs on, and its end
+/// isn't reported.
 fn end_due_calls(owner: &mut Owner, running: &mut Vec<ActualCall>) {
     let now_ms = owner.now_ms();
-    let is_over = |truth: &ActualCall| truth.ends_at_ms <= now_ms;
-    for truth in running.clone() {
-        match truth.lost_at_ms {
+    let is_over = |call: &ActualCall| call.ends_at_ms <= now_ms;
+    for call in running.clone() {
+        match call.lost_at_ms {
             Some(lost_at_ms) if lost_at_ms <= now_ms => {
-                owner.end(truth.exchange, CallOutcome::Lost);
+                owner.end(call.exchange, CallOutcome::Lost);
             }
-            None if is_over(&truth) => {
-                running.retain(|other| other.exchange != truth.exchange);
-                owner.end(truth.exchange, CallOutcome::Completed);
+            None if is_over(&call) => {
+                running.retain(|other| other.exchange != call.exchange);
+                owner.end(call.exchange, CallOutcome::Completed);
             }
             _ => {}
         }
     }
-    running.retain(|truth| !is_over(truth));
+    running.retain(|call| !is_over(call));
 }
 
 fn end_random_call(
     owner: &mut Owner,
     running: &mut Vec<ActualCall>,
-    end: CallOutcome,
+    outcome: CallOutcome,
     random: &mut fastrand::Rng,
 ) {
-    let Some(place) = (!running.is_empty()).then(|| random.usize(0..running.len())) else { return };
-    if running[place].lost_at_ms.is_none() {
-        let truth = running.remove(place);
-        owner.end(truth.exchange, end);
+    let Some(index) = (!running.is_empty()).then(|| random.usize(0..running.len())) else { return };
+    if running[index].lost_at_ms.is_none() {
+        let call = running.remove(index);
+        owner.end(call.exchange, outcome);
     }
 }
--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -8,8 +8,8 @@
 use sedgepath_test_support::records;
 use serde_json::json;
 
-/// The maximum increase of the 99th percentile of paying requests through trial traffic: the rest of
-/// one trial request of 100 ms, give or take a fifth, that holds a slot.
+/// The maximum increase of the 99th percentile of paying requests through trial traffic: the rest
+/// of one trial request of 100 ms, give or take a fifth, that holds a slot.
 const MAX_ADDED_LATENCY_MS: u64 = 120;
 
 fn one_upstream(slots: u32) -> Vec<RawRecord> {
@@ -18,7 +18,7 @@
     vec![records::places(&[("r", &["a"])]), records::record(1, "service", "s", &body)]
 }
 
-/// Returns an owner whose two slots are taken and whose estimated service time is 100 ms.
+/// Returns an owner whose two slots are in use and whose estimated service time is 100 ms.
 fn busy_owner() -> Owner {
     let mut owner = Owner::new(&one_upstream(2));
     for _ in 0..20 {
@@ -31,8 +31,8 @@
     owner
 }
 
-/// Runs 30 paying requests per second, and `trial_per_s` trial requests, against a capacity of 80 per
-/// second.
+/// Runs 30 paying requests per second, and `trial_per_s` trial requests, against a capacity of 80
+/// per second.
 fn run(seed: u64, trial_per_s: u64) -> LoadSeen {
     let mut bed = load::bed(seed, 1, &[("u1", 4, 100), ("u2", 4, 100)]);
     let load = Load { seed, paying_per_s: 30, paying_at_once: 1, trial_per_s, deadline_ms: 1_000 };
@@ -41,11 +41,11 @@
 
 /// Guards against trial traffic that makes paying requests late, or slower than the bound allows.
 #[test]
-fn paying_is_served_as_if_there_were_no_trial() {
+fn trial_load_does_not_delay_paying_requests() {
     for seed in 1..=3 {
         let alone = run(seed, 0);
-        let crowded = run(seed, 800);
-        let paying = &crowded.paying;
+        let with_trial = run(seed, 800);
+        let paying = &with_trial.paying;
         assert_eq!(alone.paying.in_time, alone.paying.asked, "seed {seed}");
         assert_eq!(
             paying.in_time, paying.asked,
@@ -60,20 +60,21 @@
     }
 }
 
-/// Guards against trial requests that get no part of the free capacity or aren't refused at once.
+/// Guards against trial requests that can't use the free capacity or aren't rejected at once.
 #[test]
-fn trial_gets_what_is_left() {
-    let crowded = run(4, 800);
-    let trial = &crowded.trial;
-    // 80 requests fit in a second; paying requests use 30 and the reserve covers their peaks.
+fn trial_requests_use_the_remaining_capacity() {
+    let with_trial = run(4, 800);
+    let trial = &with_trial.trial;
+    // The capacity is 80 requests per second; paying requests use 30, and the reserve covers their
+    // peaks.
     assert!(trial.answered >= 20 * 10, "{} of {} trial", trial.answered, trial.asked);
-    assert_eq!(crowded.waiting, 0);
-    assert!(crowded.slowest_refusal_ms <= 500, "{} ms", crowded.slowest_refusal_ms);
+    assert_eq!(with_trial.waiting, 0);
+    assert!(with_trial.slowest_refusal_ms <= 500, "{} ms", with_trial.slowest_refusal_ms);
 }
 
 /// Guards against a reserve other than one slot without paying traffic, or none for a single slot.
 #[test]
-fn trial_has_all_but_one_slot_without_paying() {
+fn one_slot_is_reserved_without_paying_traffic() {
     let mut owner = Owner::new(&one_upstream(6));
     assert_eq!(owner.dispatch_many(10, Class::Trial, 1_000).len(), 5);
     assert_eq!(owner.dispatch_many(10, Class::Paying, 1_000).len(), 1);
@@ -81,17 +82,17 @@
     assert_eq!(owner.dispatch_many(10, Class::Guest, 1_000).len(), 1);
 }
 
-/// Guards against a reserve that doesn't follow the recent peak of paying demand, exceeds half of the
-/// slots beyond those held, or doesn't decay.
+/// Guards against a reserve that doesn't follow the recent peak of paying demand, exceeds half of
+/// the slots beyond those in use, or doesn't decay.
 #[test]
-fn reserve_follows_the_recent_peak_of_paying() {
+fn reserve_follows_the_recent_peak_of_paying_demand() {
     let mut owner = Owner::new(&one_upstream(6));
-    for (held, left) in [(2, 4), (4, 3), (6, 3)] {
-        let paying = owner.dispatch_many(held, Class::Paying, 1_000);
+    for (paying_requests, free_for_trial) in [(2, 4), (4, 3), (6, 3)] {
+        let paying = owner.dispatch_many(paying_requests, Class::Paying, 1_000);
         for exchange in paying {
             owner.end(exchange, CallOutcome::Completed);
         }
-        assert_eq!(owner.fits(Class::Trial), left);
+        assert_eq!(owner.fits(Class::Trial), free_for_trial);
     }
     owner.dispatch_many(3, Class::Paying, 1_000);
     assert_eq!(owner.fits(Class::Trial), 1);
@@ -101,7 +102,7 @@
 
 /// Guards against a queue that doesn't serve by class first and then by deadline.
 #[test]
-fn queue_serves_paying_first_then_the_nearest_deadline() {
+fn queue_serves_by_class_and_then_by_deadline() {
     let mut owner = Owner::new(&one_upstream(2));
     let running = owner.dispatch_many(2, Class::Paying, 5_000);
     let trial = owner.dispatch("s", Class::Trial, 2_000);
@@ -117,37 +118,37 @@
 
 /// Guards against queueing requests that can't be served before their deadline.
 #[test]
-fn request_that_the_queue_cannot_serve_in_time_is_refused_at_once() {
+fn request_that_the_queue_cannot_serve_in_time_is_rejected_at_once() {
     let mut owner = busy_owner();
-    let waiting: Vec<_> = (0..20).map(|_| owner.dispatch("s", Class::Paying, 300)).collect();
-    let refused: Vec<_> = waiting.iter().filter_map(|key| owner.refusal(*key)).collect();
+    let queued: Vec<_> = (0..20).map(|_| owner.dispatch("s", Class::Paying, 300)).collect();
+    let rejected: Vec<_> = queued.iter().filter_map(|key| owner.refusal(*key)).collect();
     // Two slots, 100 ms a request: the fifth in the queue would start after 250 ms.
-    assert!((14..=18).contains(&refused.len()), "{} refused", refused.len());
-    assert!(refused.iter().all(|refusal| refusal.reason == RejectionReason::Full));
-    assert!(refused.iter().all(|refusal| (50..=1_000).contains(&refusal.retry_after_ms)));
+    assert!((14..=18).contains(&rejected.len()), "{} rejected", rejected.len());
+    assert!(rejected.iter().all(|refusal| refusal.reason == RejectionReason::Full));
+    assert!(rejected.iter().all(|refusal| (50..=1_000).contains(&refusal.retry_after_ms)));
 }
 
 /// Guards against queued requests that wait until their deadline for an upstream that has stalled.
 #[test]
-fn queued_request_that_can_no_longer_make_it_is_refused_then() {
+fn queued_request_is_rejected_once_it_is_too_late() {
     let mut owner = busy_owner();
-    let waiting = owner.dispatch("s", Class::Paying, 1_000);
-    assert_eq!(owner.decision(waiting), Decision::Queued);
+    let queued = owner.dispatch("s", Class::Paying, 1_000);
+    assert_eq!(owner.decision(queued), Decision::Queued);
     owner.pass_ms(900);
-    assert_eq!(owner.refusal(waiting).map(|refusal| refusal.reason), Some(RejectionReason::Full));
+    assert_eq!(owner.refusal(queued).map(|refusal| refusal.reason), Some(RejectionReason::Full));
 }
 
-/// Guards against abandoned requests that stay in the queue, and against running ones that free their
-/// slot before their cancellation is confirmed.
+/// Guards against cancelled requests that stay in the queue, and against cancelled calls that free
+/// their slot before the cancellation is confirmed.
 #[test]
-fn callers_that_go_away_leave_the_queue() {
+fn cancelled_dispatch_leaves_the_queue() {
     let mut owner = Owner::new(&one_upstream(1));
     let running = owner.dispatch("s", Class::Paying, 5_000);
-    let waiting = owner.dispatch("s", Class::Paying, 5_000);
-    owner.gone(waiting);
+    let queued = owner.dispatch("s", Class::Paying, 5_000);
+    owner.gone(queued);
     owner.gone(running);
     assert_eq!(
-        owner.refusal(waiting).map(|refusal| refusal.reason),
+        owner.refusal(queued).map(|refusal| refusal.reason),
         Some(RejectionReason::Cancelled)
     );
     assert_eq!(owner.cancelled(), [running]);
@@ -156,7 +157,7 @@
 
 /// Guards against queueing a request whose only upstream it avoids, or whose deadline has passed.
 #[test]
-fn request_that_no_upstream_may_run_is_refused_at_once() {
+fn request_that_no_upstream_may_run_is_rejected_at_once() {
     let mut owner = Owner::new(&one_upstream(2));
     let dispatch = Dispatch {
         service: ServiceKey::of("s"),
--- a/crates/sedgepath-core/tests/drain.rs
+++ b/crates/sedgepath-core/tests/drain.rs
@@ -1,4 +1,5 @@
-//! Tests of drain plans: the predicted end under the shift cap, and the reasons of a refusal.
+//! Tests of drain plans: the predicted end under the shift cap, and the reasons why a drain can't
+//! finish in time.
 
 use expect_test::{Expect, expect};
 use sedgepath_core::catalogue::Catalogue;
@@ -21,7 +22,8 @@
     records::record(1, "service", name, &body)
 }
 
-/// Returns records of two failure domains: `browse` has upstreams in both, `guides` only in `south`.
+/// Returns records of two failure domains: `browse` has upstreams in both, `guides` only in
+/// `south`.
 fn records(shares: &[(&str, f64)], percent: f64) -> Vec<RawRecord> {
     let browse =
         [upstream("b1", "north", 6), upstream("b2", "north", 2), upstream("b3", "south", 8)];
@@ -48,9 +50,10 @@
     expected.assert_eq(&text);
 }
 
-/// Guards against a prediction that ignores the shift cap or the longest deadline of requests in flight.
+/// Guards against a prediction that ignores the shift cap or the longest deadline of requests in
+/// flight.
 #[test]
-fn domain_ends_after_its_windows_and_the_longest_deadline() {
+fn domain_drain_ends_after_its_windows_and_the_longest_deadline() {
     let records = records(&[("north", 1.0), ("south", 1.0)], 20.0);
     let north = DrainTarget::Domain(DomainKey::of("north"));
     assert_plan(
@@ -65,7 +68,7 @@
 
 /// Guards against planning a drain that can't finish in time, and against the wrong reason.
 #[test]
-fn drain_that_cannot_finish_is_refused_with_the_reason() {
+fn drain_that_cannot_finish_in_time_is_rejected_with_the_reason() {
     let halves = [("north", 1.0), ("south", 1.0)];
     let north = DrainTarget::Domain(DomainKey::of("north"));
     assert_plan(
@@ -96,7 +99,7 @@
 
 /// Guards against draining the only upstreams of a service.
 #[test]
-fn drain_without_capacity_elsewhere_is_refused() {
+fn drain_without_capacity_elsewhere_is_rejected() {
     let records = records(&[("north", 1.0), ("south", 1.0)], 20.0);
     assert_plan(
         &records,
@@ -118,7 +121,7 @@
 
 /// Guards against moving callers to a domain that is drained or has no share.
 #[test]
-fn drained_or_unlisted_domain_takes_nobody() {
+fn drained_or_unlisted_domain_takes_no_callers() {
     let mut records = records(&[("north", 1.0), ("south", 1.0)], 20.0);
     let body = json!({ "target": "domain", "active": true });
     records.push(records::record(1, "drain", "south", &body));
@@ -141,10 +144,10 @@
     );
 }
 
-/// Guards against moving more than a drained upstream's part of its domain's share, or any share if the
-/// rest of the domain has to take it.
+/// Guards against moving more than a drained upstream's fraction of its domain's share, or any
+/// share if the rest of the domain has to take it.
 #[test]
-fn upstream_moves_its_part_of_the_domain() {
+fn drained_upstream_moves_its_fraction_of_the_share() {
     let halves = records(&[("north", 1.0), ("south", 1.0)], 20.0);
     assert_plan(
         &halves,
@@ -175,10 +178,10 @@
     );
 }
 
-/// Guards against a drained domain that refuses requests before its share has moved, or that gets new
+/// Guards against a drained domain that rejects requests before its share has moved, or gets new
 /// requests after the planned time.
 #[test]
-fn domain_serves_on_until_its_share_has_moved() {
+fn drained_domain_serves_until_its_share_has_moved() {
     for seed in 1..=3 {
         let mut bed = two_domains(seed);
         let mut all = records(&[("north", 1.0), ("south", 1.0)], 20.0);
@@ -194,19 +197,22 @@
         bed.write_records(&all);
         run_load(&mut bed, 60_000);
         bed.run_for(2_000);
-        let refused = bed.calls().iter().filter(|call| matches!(call.seen, Seen::Concluded(_)));
-        assert_eq!(refused.count(), 0, "seed {seed}");
+        let rejected = bed.calls().iter().filter(|call| matches!(call.seen, Seen::Concluded(_)));
+        assert_eq!(rejected.count(), 0, "seed {seed}");
         let moved_ms = plan.groups[0].steps.last().expect("a plan has steps").at_ms;
         let runs = bed.upstreams.iter().filter(|(key, _)| *key != UpstreamKey::of("b3"));
         let runs: Vec<_> = runs.flat_map(|(_, upstream)| &upstream.runs).collect();
         let late = runs.iter().filter(|run| run.started_at_ms > moved_ms + MAX_TRANSIT_MS);
         assert_eq!(late.count(), 0, "seed {seed}");
-        let soon = runs.iter().filter(|run| run.started_at_ms > from_ms).count();
-        assert!(soon > 300, "seed {seed}: {soon} runs at the drained domain");
+        let runs_during_drain = runs.iter().filter(|run| run.started_at_ms > from_ms).count();
+        assert!(
+            runs_during_drain > 300,
+            "seed {seed}: {runs_during_drain} runs at the drained domain"
+        );
     }
 }
 
-/// How much later than planned a request in transit may still start.
+/// The maximum delay of a request between its placement and its start.
 const MAX_TRANSIT_MS: u64 = 200;
 
 fn two_domains(seed: u64) -> Bed {
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -10,18 +10,19 @@
 use sedgepath_test_support::records;
 use serde_json::json;
 
-/// How long after the first report that the upstream is leaving new requests may still reach it.
+/// The maximum time after the first report of leaving for which new requests may still reach the
+/// upstream.
 const MAX_LEAVING_DELAY_MS: u64 = 3_000;
 
-/// Returns a bed of three owners and two upstreams in one failure domain.
+/// Returns a test bed of three nodes and two upstreams in one failure domain.
 fn bed(seed: u64) -> Bed {
     load::bed(seed, 3, &[("u1", 4, 100), ("u2", 4, 100)])
 }
 
-/// Sends a request every 25 ms to one of the running nodes in turn.
+/// Sends a request every 25 ms to one of the running nodes in offset.
 fn run_load(bed: &mut Bed, duration_ms: u64) {
     for step in 0..duration_ms / 25 {
-        let node = (0..3).map(|turn| (step as usize + turn) % 3).find(|node| bed.runs(*node));
+        let node = (0..3).map(|offset| (step as usize + offset) % 3).find(|node| bed.runs(*node));
         let head = load::head(bed, Class::Paying, 1_000);
         bed.call(node.expect("a node runs"), head);
         bed.run_for(25);
@@ -34,67 +35,68 @@
     vms.iter().position(|vm| Some(*vm) == owner).expect("one of them is the owner")
 }
 
-/// Returns the number of runs at `u1` that started later than the grace period after `sign_ms`.
-fn late_runs(bed: &mut Bed, sign_ms: u64) -> usize {
+/// Returns the number of runs at `u1` that started more than [`MAX_LEAVING_DELAY_MS`] after
+/// `reported_at_ms`.
+fn late_runs(bed: &mut Bed, reported_at_ms: u64) -> usize {
     let runs = &bed.upstreams.get("u1").runs;
-    runs.iter().filter(|run| run.started_at_ms > sign_ms + MAX_LEAVING_DELAY_MS).count()
+    runs.iter().filter(|run| run.started_at_ms > reported_at_ms + MAX_LEAVING_DELAY_MS).count()
 }
 
-/// Returns the number of requests sent since `from_ms`, and how many of them were answered.
-fn asked_and_answered(bed: &Bed, from_ms: u64) -> (usize, usize) {
+/// Returns the number of requests that callers sent since `from_ms`, and how many got a response.
+fn count_sent_and_answered(bed: &Bed, from_ms: u64) -> (usize, usize) {
     let calls = bed.calls().iter().filter(|call| call.asked_at_ms >= from_ms);
     let answered = calls.clone().filter(|call| matches!(call.seen, Seen::Answered { .. })).count();
     (calls.count(), answered)
 }
 
-/// Asserts that every run at the leaving upstream was answered to its caller.
+/// Asserts that the response of every run at the leaving upstream reached its caller.
 fn assert_all_runs_answered(bed: &mut Bed) {
     let runs = bed.upstreams.get("u1").runs.clone();
     for run in runs {
-        let call = run.call.expect("its owner lives");
+        let call = run.call.expect("the run's owner was not killed");
         let seen = &bed.calls()[call].seen;
         assert!(matches!(seen, Seen::Answered { .. }), "{seen:?}");
     }
 }
 
-/// Guards against an owner that needs the platform or other failure domains to act on answers that
-/// report leaving.
+/// Guards against an owner that needs the platform or other failure domains to act on responses
+/// that report leaving.
 #[test]
-fn its_answers_say_so_while_all_links_are_cut() {
+fn leaving_response_is_obeyed_without_platform_and_other_domains() {
     let mut bed = bed(1);
-    let far = bed.add_node("far", "b");
+    let other_domain_node = bed.add_node("far", "b");
     run_load(&mut bed, 2_000);
     bed.faults.platform_down = true;
     for node in 0..3 {
-        bed.faults.cut(Place::Node(node), Place::Node(far));
+        bed.faults.cut(Place::Node(node), Place::Node(other_domain_node));
     }
     bed.upstreams.get("u1").leaving = true;
-    let sign_ms = bed.now_ms();
+    let reported_at_ms = bed.now_ms();
     run_load(&mut bed, 8_000);
     bed.run_for(2_000);
-    assert_eq!(late_runs(&mut bed, sign_ms), 0);
+    assert_eq!(late_runs(&mut bed, reported_at_ms), 0);
     assert_all_runs_answered(&mut bed);
-    let (asked, answered) = asked_and_answered(&bed, sign_ms + MAX_LEAVING_DELAY_MS);
-    // The other upstream has just enough capacity; the ingress follows the reported loads.
-    assert!(answered >= asked * 9 / 10, "{answered} of {asked}");
+    let (sent, answered) = count_sent_and_answered(&bed, reported_at_ms + MAX_LEAVING_DELAY_MS);
+    // The other upstream alone has just enough capacity, and the reported loads lag behind.
+    assert!(answered >= sent * 9 / 10, "{answered} of {sent}");
 }
 
-/// Reports `u1` as leaving under a steady load, and asserts that no late request reaches it and that
-/// no running request is cut off.
-fn assert_no_late_runs(seed: u64, give_sign: impl FnOnce(&mut Bed)) {
+/// Reports `u1` as leaving under a steady load, and asserts that no late request reaches it and
+/// that no running request is cut off.
+fn assert_no_late_runs(seed: u64, report_leaving: impl FnOnce(&mut Bed)) {
     let mut bed = bed(seed);
     run_load(&mut bed, 2_000);
-    give_sign(&mut bed);
-    let sign_ms = bed.now_ms();
+    report_leaving(&mut bed);
+    let reported_at_ms = bed.now_ms();
     run_load(&mut bed, 8_000);
     bed.run_for(2_000);
-    assert_eq!(late_runs(&mut bed, sign_ms), 0);
+    assert_eq!(late_runs(&mut bed, reported_at_ms), 0);
     assert_all_runs_answered(&mut bed);
 }
 
 /// Guards against ignoring an operator's drain record of an upstream.
 #[test]
-fn drain_record_says_so() {
+fn drained_upstream_gets_no_new_requests() {
     let body = json!({ "target": "upstream", "active": true });
     let drain = records::record(1, "drain", "u1", &body);
     assert_no_late_runs(2, |bed| {
@@ -104,13 +106,14 @@
 
 /// Guards against ignoring the leaving mark in the platform's list of VMs.
 #[test]
-fn list_of_vms_says_so() {
+fn upstream_leaving_in_vm_list_gets_no_new_requests() {
     assert_no_late_runs(3, |bed| bed.list_upstream_leaving("u1", "a"));
 }
 
-/// Guards against ignoring answers that report leaving while the upstream's failure domain is drained.
+/// Guards against ignoring responses that report leaving while the upstream's failure domain is
+/// drained.
 #[test]
-fn its_answers_say_so_while_its_domain_is_drained() {
+fn leaving_response_is_obeyed_in_drained_domain() {
     let body = json!({ "target": "domain", "active": true });
     let drain = records::record(1, "drain", "a", &body);
     assert_no_late_runs(10, |bed| {
@@ -122,7 +125,7 @@
 
 /// Guards against losing the information that an upstream is leaving when its owner fails.
 #[test]
-fn peers_say_so_to_the_next_owner() {
+fn next_owner_learns_of_leaving_upstream_from_peers() {
     for seed in 4..=6 {
         let mut bed = bed(seed);
         run_load(&mut bed, 2_000);
@@ -130,35 +133,36 @@
         bed.faults.loss_percent = 20;
         bed.upstreams.get("u1").leaving = true;
         run_load(&mut bed, 300);
-        let sign_ms = bed.now_ms();
+        let reported_at_ms = bed.now_ms();
         bed.upstreams.get("u1").reports = false;
         run_load(&mut bed, 700);
         bed.kill(owner_of("u1"));
         run_load(&mut bed, 15_000);
         bed.run_for(2_000);
-        assert_eq!(late_runs(&mut bed, sign_ms), 0, "seed {seed}");
+        assert_eq!(late_runs(&mut bed, reported_at_ms), 0, "seed {seed}");
     }
 }
 
 /// Guards against a restarted owner that sends to a leaving upstream because it missed the report.
 #[test]
-fn peers_say_so_to_a_node_that_starts_later() {
+fn restarted_owner_learns_of_leaving_upstream_from_peers() {
     for seed in 7..=12 {
         let mut bed = bed(seed);
         let owner = owner_of("u1");
         bed.kill(owner);
-        // The others use the upstream, and get its report, once their grants to its owner have expired.
+        // The others use the upstream, and get its report, once their grants to its owner have
+        // expired.
         run_load(&mut bed, 16_000);
         bed.upstreams.get("u1").leaving = true;
         run_load(&mut bed, 1_000);
-        let sign_ms = bed.now_ms();
+        let reported_at_ms = bed.now_ms();
         bed.upstreams.get("u1").reports = false;
         run_load(&mut bed, 10_000);
-        assert_eq!(late_runs(&mut bed, sign_ms), 0, "seed {seed}");
+        assert_eq!(late_runs(&mut bed, reported_at_ms), 0, "seed {seed}");
         bed.start(owner);
         run_load(&mut bed, 15_000);
         bed.run_for(2_000);
-        assert_eq!(late_runs(&mut bed, sign_ms), 0, "seed {seed}");
+        assert_eq!(late_runs(&mut bed, reported_at_ms), 0, "seed {seed}");
     }
 }
 
@@ -170,19 +174,20 @@
     Owner::new(&[records::places(&[("r", &["a"])]), records::record(1, "service", "s", &body)])
 }
 
-/// Guards against reporting slots of leaving upstreams, queueing for them, or cancelling running calls.
+/// Guards against reporting slots of leaving upstreams, queueing for them, or cancelling calls in
+/// flight.
 #[test]
-fn loads_leave_it_out_and_the_queue_is_told() {
+fn leaving_upstream_has_no_slots_and_its_queue_is_rejected() {
     let mut owner = owner_of_two_upstreams();
     let running = owner.dispatch_many(8, Class::Paying, 2_000);
     assert_eq!(owner.load(), (8, 8));
     owner.report("u1", 4, 4, true);
     assert_eq!(owner.load(), (4, 4));
-    let waiting = owner.dispatch("s", Class::Paying, 2_000);
+    let queued = owner.dispatch("s", Class::Paying, 2_000);
     owner.report("u2", 4, 4, true);
     assert_eq!(owner.load(), (0, 0));
     assert_eq!(
-        owner.refusal(waiting).map(|refusal| refusal.reason),
+        owner.refusal(queued).map(|refusal| refusal.reason),
         Some(RejectionReason::NoUpstream)
     );
     assert!(owner.cancelled().is_empty());
@@ -192,9 +197,9 @@
     assert!(owner.dispatch_many(1, Class::Paying, 2_000).is_empty());
 }
 
-/// Guards against an upstream that counts as leaving for ever after it has come back.
+/// Guards against an upstream that still counts as leaving long after it has come back.
 #[test]
-fn sign_is_forgotten_after_a_while() {
+fn leaving_mark_expires() {
     let mut owner = owner_of_two_upstreams();
     owner.report("u1", 0, 4, true);
     owner.pass_ms(14 * 60_000);
--- a/crates/sedgepath-core/tests/path.rs
+++ b/crates/sedgepath-core/tests/path.rs
@@ -21,7 +21,8 @@
     bed
 }
 
-/// Guards against unanswered or repeated requests without any fault, and against an unused domain.
+/// Guards against requests without a response or with several runs although nothing fails, and
+/// against an unused domain.
 #[test]
 fn requests_reach_upstreams_of_both_domains() {
     let mut bed = bed();
@@ -36,5 +37,5 @@
     assert_eq!(answered, 60, "{:?}", bed.calls().last());
     let runs: Vec<usize> = bed.upstreams.iter().map(|(_, upstream)| upstream.runs.len()).collect();
     assert_eq!(runs.iter().sum::<usize>(), 60);
-    assert!(runs.iter().all(|runs| *runs > 10), "{runs:?}");
+    assert!(runs.iter().all(|count| *count > 10), "{runs:?}");
 }
--- a/crates/sedgepath-core/tests/retry.rs
+++ b/crates/sedgepath-core/tests/retry.rs
@@ -7,7 +7,7 @@
 
 const DOMAINS: [&str; 3] = ["north-a", "north-b", "south-a"];
 
-/// Returns a bed of three failure domains with one upstream and two nodes each.
+/// Returns a test bed of three failure domains with one upstream and two nodes each.
 fn bed(seed: u64) -> Bed {
     bed_with_slots(seed, 8)
 }
@@ -53,8 +53,8 @@
     calls
 }
 
-fn count(bed: &Bed, calls: &[CallIndex], wanted: impl Fn(&Seen) -> bool) -> usize {
-    calls.iter().filter(|call| wanted(&bed.calls()[**call].seen)).count()
+fn count(bed: &Bed, calls: &[CallIndex], matches_seen: impl Fn(&Seen) -> bool) -> usize {
+    calls.iter().filter(|call| matches_seen(&bed.calls()[**call].seen)).count()
 }
 
 fn is_answered(seen: &Seen) -> bool {
@@ -65,10 +65,10 @@
     matches!(seen, Seen::Concluded(Outcome::NotRun { .. }))
 }
 
-/// Guards against not retrying a refused request elsewhere, although the refusal proves that it was not
-/// run.
+/// Guards against not retrying a rejected request elsewhere, although the rejection proves that it
+/// was not run.
 #[test]
-fn a_refused_request_is_served_elsewhere() {
+fn rejected_request_is_retried_elsewhere() {
     let mut bed = bed(1);
     send(&mut bed, 30, true);
     bed.upstreams.get("up-north-b").refuses = true;
@@ -77,10 +77,10 @@
     assert!(calls.iter().all(|call| bed.upstreams.runs_of(*call) == 1));
 }
 
-/// Guards against retrying a request with a lost answer that isn't idempotent, against not retrying an
-/// idempotent one, and against reporting a request as not run that may have run.
+/// Guards against retrying a non-idempotent request whose response was lost, not retrying an
+/// idempotent one, and reporting a request as not run that may have run.
 #[test]
-fn a_lost_answer_is_retried_only_where_a_second_run_does_no_harm() {
+fn request_with_lost_response_is_retried_only_if_idempotent() {
     let mut bed = bed(2);
     send(&mut bed, 60, true);
     bed.upstreams.get("up-north-b").loses_answers = true;
@@ -94,10 +94,10 @@
     assert!(others.iter().all(|call| bed.upstreams.runs_of(*call) == 1));
 }
 
-/// Guards against retries beyond the budget when all answers are lost. There are slots for all requests,
-/// so that none is refused for lack of one.
+/// Guards against retries beyond the budget when all responses are lost. There are slots for all
+/// requests, so that none is rejected for lack of one.
 #[test]
-fn retries_do_not_multiply_an_outage() {
+fn retries_stay_within_the_budget() {
     let mut bed = bed_with_slots(3, 200);
     for domain in DOMAINS {
         bed.upstreams.get(&format!("up-{domain}")).loses_answers = true;
@@ -110,9 +110,9 @@
     assert_eq!(count(&bed, &calls, is_not_run), 0);
 }
 
-/// Guards against refusals that arrive late, or without a retry time or other entry VMs.
+/// Guards against rejections that are late, or lack a retry delay or other entry VMs.
 #[test]
-fn a_refusal_is_told_at_once() {
+fn rejection_is_returned_at_once() {
     let mut bed = bed(4);
     for domain in DOMAINS {
         bed.upstreams.get(&format!("up-{domain}")).refuses = true;
@@ -132,7 +132,7 @@
 
 /// Guards against sending a request that arrives after its deadline.
 #[test]
-fn a_request_past_its_deadline_is_not_sent() {
+fn request_past_its_deadline_is_not_sent() {
     let mut bed = bed(5);
     let late = RequestHead { deadline_at_ms: bed.now_ms() - 1, ..head(&bed, true) };
     let call = bed.call(0, late);
@@ -146,7 +146,7 @@
 
 /// Guards against not retrying requests that were never sent because their owner failed.
 #[test]
-fn a_dead_owner_is_passed_over() {
+fn request_to_failed_owner_is_retried_elsewhere() {
     let mut bed = bed(6);
     send(&mut bed, 60, true);
     bed.kill(1);
@@ -157,9 +157,9 @@
     assert!(calls.iter().all(|call| bed.upstreams.runs_of(*call) == 1));
 }
 
-/// Guards against refused guest requests that use up the retry budget of paying requests.
+/// Guards against rejected guest requests that use up the retry budget of paying requests.
 #[test]
-fn refused_guests_do_not_spend_the_retries_of_paying_callers() {
+fn rejected_guest_requests_do_not_spend_paying_retries() {
     let mut bed = bed_with_slots(8, 2);
     bed.write_records(&[records::organisations(&[("member", "paying", "paying-key")])]);
     bed.run_for(3_000);
@@ -184,7 +184,7 @@
 
 /// Guards against routing requests of a service with a record of an unknown schema.
 #[test]
-fn a_service_of_an_unknown_schema_is_refused() {
+fn service_of_unknown_schema_is_rejected() {
     let mut bed = bed(7);
     bed.write_records(&[records::record(9, "steering", "browse", &serde_json::json!({}))]);
     bed.run_for(3_000);
