--- a/crates/sedgepath-core/src/egress.rs
+++ b/crates/sedgepath-core/src/egress.rs
@@ -1,14 +1,14 @@
 //! Admission control on a node that may use upstreams: chooses an upstream for each dispatched
 //! request and limits the requests in flight there.
 //!
-//! A slot is taken when a request is sent and freed once the upstream can no longer be running the
+//! A slot is in use from when a request is sent until the upstream can no longer be running the
 //! request. A request without a free slot waits in a queue while it can still be served before its
 //! deadline, and otherwise is rejected at once with a retry delay.
 //!
 //! Invariants:
-//! - the requests that may run at an upstream never exceed the smallest of this node's allowance,
-//!   the warm-up limit, the slots the upstream reports and the limit set by its rejections; while
-//!   more requests than a reduced limit are in flight, no further one is sent;
+//! - a request is sent only while fewer of this node's requests may be running at the upstream than
+//!   the smallest of the node's allowance, the warm-up limit, the slots the upstream reports and the
+//!   limit set by its rejections; a limit that falls below that number cancels no request;
 //! - nothing is sent after the node's permission to send has expired;
 //! - requests that aren't paying never use the free slots of the reserve;
 //! - an upstream known to be leaving gets no new requests, and its requests in flight are not
--- a/crates/sedgepath-core/src/explain.rs
+++ b/crates/sedgepath-core/src/explain.rs
@@ -59,7 +59,7 @@
     pub declared_slots: u32,
     /// The age of the oldest of these reports, in milliseconds.
     pub report_age_ms: u64,
-    /// Whether an entry VM of the domain takes work.
+    /// Whether an entry VM of the domain accepts work.
     pub serves: bool,
     /// Whether a drain of the whole domain is in force.
     pub draining: bool,
--- a/crates/sedgepath-core/src/message.rs
+++ b/crates/sedgepath-core/src/message.rs
@@ -231,7 +231,7 @@
     pub peer_address: SocketAddr,
     /// The address for remote calls from operators and peers.
     pub operator_address: SocketAddr,
-    /// Whether the member is about to stop and takes no new work.
+    /// Whether the member is about to stop and accepts no new work.
     pub leaving: bool,
 }
 
--- a/crates/sedgepath-core/src/node.rs
+++ b/crates/sedgepath-core/src/node.rs
@@ -134,8 +134,8 @@
                     self.ingress.handle_hop_response(request, attempt, &mut self.out);
                 }
             }
-            Event::HopEnded { request, attempt, end } => {
-                self.handle_hop_failure(request, attempt, end);
+            Event::HopEnded { request, attempt, end: failure } => {
+                self.handle_hop_failure(request, attempt, failure);
             }
             Event::RelayEnded { request, stored, .. } => {
                 self.deduplication.handle_relay_end(request, stored, &mut self.out);
@@ -154,9 +154,9 @@
                     egress.dispatch(exchange, &dispatch, context, out);
                 });
             }
-            Event::CallEnded { exchange, end, .. } => {
+            Event::CallEnded { exchange, end: outcome, .. } => {
                 self.with_egress(|egress, context, out| {
-                    egress.call_ended(exchange, end, context, out);
+                    egress.call_ended(exchange, outcome, context, out);
                 });
             }
             Event::DispatchCanceled { exchange } => {
@@ -239,14 +239,15 @@
         self.conclude(conclusion);
     }
 
-    fn handle_hop_failure(&mut self, request: RequestKey, attempt: u32, end: HopFailure) {
-        if self.deduplication.handle_hop_failure(request, end, &self.membership, &mut self.out) {
+    fn handle_hop_failure(&mut self, request: RequestKey, attempt: u32, failure: HopFailure) {
+        if self.deduplication.handle_hop_failure(request, failure, &self.membership, &mut self.out)
+        {
             return;
         }
         let identity = self.out.shared_identity();
         let context = routing_context!(self, identity);
         let conclusion =
-            self.ingress.handle_hop_failure(request, attempt, end, context, &mut self.out);
+            self.ingress.handle_hop_failure(request, attempt, failure, context, &mut self.out);
         self.conclude(conclusion);
     }
 
--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -8,8 +8,8 @@
 use sedgepath_test_support::records;
 use serde_json::json;
 
-/// The maximum increase of the 99th percentile of paying requests through trial traffic: the rest
-/// of one trial request of 100 ms, give or take a fifth, that holds a slot.
+/// The maximum increase of the 99th percentile of paying requests through trial traffic: the time
+/// of one trial request of 80 to 120 ms that holds a slot.
 const MAX_ADDED_LATENCY_MS: u64 = 120;
 
 fn one_upstream(slots: u32) -> Vec<RawRecord> {
