--- a/crates/sedgepath-core/src/egress.rs
+++ b/crates/sedgepath-core/src/egress.rs
@@ -7,8 +7,8 @@
 //!
 //! Invariants:
 //! - a request is sent only while fewer of this node's requests may be running at the upstream than
-//!   the smallest of the node's allowance, the warm-up limit, the slots the upstream reports and the
-//!   limit set by its rejections; a limit that falls below that number cancels no request;
+//!   the smallest of the node's allowance, the warm-up limit, the slots the upstream reports and
+//!   the limit set by its rejections; a limit that falls below that number cancels no request;
 //! - nothing is sent after the node's permission to send has expired;
 //! - requests that aren't paying never use the free slots of the reserve;
 //! - an upstream known to be leaving gets no new requests, and its requests in flight are not
