--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -68,7 +68,7 @@
     bed_with(seed, nodes, upstreams, NodeSettings { seed, ..NodeSettings::default() })
 }
 
-/// Creates a test bed as [`bed`] does, with these node settings.
+/// Creates a test bed with one failure domain `a`, one service `s`, and these node settings.
 pub fn bed_with(
     seed: u64,
     nodes: usize,
