--- a/crates/sedgepathd/src/daemon.rs
+++ b/crates/sedgepathd/src/daemon.rs
@@ -94,10 +94,9 @@
     datagrams::start_receiver(socket, datagram_key, handle.clone(), Arc::clone(&metrics));
 
     let frame_key = SharedKey::new(&settings.secret, "frames");
-    let exchanges = DispatchRunner::new(handle.clone(), UpstreamPool::new(handle.clone()), boot);
+    let runner = DispatchRunner::new(handle.clone(), UpstreamPool::new(handle.clone()), boot);
     let vm = sedgepath_core::key::VmKey::of(&settings.name);
-    let hops =
-        HopClient::new(vm, frame_key.clone(), clock, exchanges.clone(), Arc::clone(&metrics));
+    let hops = HopClient::new(vm, frame_key.clone(), clock, runner.clone(), Arc::clone(&metrics));
     let callers = CallerServer::new(
         settings.name.clone(),
         boot,
@@ -107,7 +106,7 @@
         settings.limits,
         SharedKey::new(&settings.secret, "tickets"),
     );
-    let peers = PeerServer::new(frame_key, exchanges, Arc::clone(&callers), metrics);
+    let peers = PeerServer::new(frame_key, runner, Arc::clone(&callers), metrics);
 
     let call_key = signed_call::derive_call_key(&settings.secret);
     let operator_keys = settings.operator_keys.iter().map(|key| &**key);
