--- a/crates/sedgepath-core/src/direct.rs
+++ b/crates/sedgepath-core/src/direct.rs
@@ -1,6 +1,6 @@
 //! Load balancing on entry VMs that send requests to upstreams directly.
 //!
-//! Upstreams queue requests, refuse what they can't run and report their load, so no slots are
+//! Upstreams queue requests, reject what they can't run and report their load, so no slots are
 //! reserved in advance. [`Steering`] decides which upstream runs a request, when the request is
 //! retried and when it is rejected. It performs no I/O.
 //!
@@ -9,12 +9,12 @@
 //! - [`routing`]: the services that may run a request, by the active configuration.
 //! - [`upstreams`]: the registered upstreams, with their observed load and health.
 //! - [`placement`]: the choice of one of a service's upstreams for a request.
-//! - [`queueing`]: the longest wait for a slot that a request is sent into.
+//! - [`queueing`]: the longest time that a request may wait for a slot.
 //! - [`attempts`]: the state of a request and of its attempts.
 //! - [`budget`]: the retry budget.
-//! - [`replicas`]: replicas of the store's tables, which VMs pass on to each other.
+//! - [`replicas`]: replicas of the store's tables, which VMs exchange with each other.
 //! - [`status`]: the state that a VM reports to operators.
-//! - [`vms`]: the entry VMs that serve, for look-ups and for dividing shared limits.
+//! - [`vms`]: the entry VMs that accept requests, for look-ups and for dividing shared limits.
 //! - [`ablation`]: switches that turn single mechanisms off for comparison.
 //!
 //! # Limits shared by all VMs
--- a/crates/sedgepath-core/src/direct/ablation.rs
+++ b/crates/sedgepath-core/src/direct/ablation.rs
@@ -6,12 +6,12 @@
 use super::queueing::{IDLE_TARGET_FACTOR, QueueTolerance};
 use super::steering::SteeringConfig;
 
-/// A mechanism that can be turned off.
+/// A mechanism of load balancing that can be turned off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
     /// All requests for an object rank the upstreams in the same order.
     ObjectAffinity,
-    /// Requests for an object spill to a second upstream when the first one is busy.
+    /// Requests for an object spill to the second-ranked upstream when the first one is busy.
     SpillUpstream,
     /// Most objects rank an upstream of the VM's own region first.
     LocalRegionPreference,
@@ -21,9 +21,9 @@
     SpillCost,
     /// The cost of choosing the second upstream grows where upstreams evict objects.
     EvictionSpillCost,
-    /// The longest allowed wait shrinks while queues persist.
+    /// The longest allowed wait for a slot shrinks while queues persist.
     ShortQueuesUnderLoad,
-    /// A second attempt starts beside one at an upstream that doesn't respond.
+    /// A second attempt starts while the first one's upstream doesn't respond.
     Hedging,
 }
 
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("unknown mechanism `{name}`; expected one of: {}", mechanism_names())]
 pub struct UnknownMechanism {
-    /// The unknown name.
+    /// The text that is no mechanism's name.
     pub name: Box<str>,
 }
 
@@ -77,8 +77,8 @@
     type Err = UnknownMechanism;
 
     fn from_str(name: &str) -> Result<Self, Self::Err> {
-        let found = Self::ALL.into_iter().find(|mechanism| mechanism.name() == name);
-        found.ok_or_else(|| UnknownMechanism { name: name.into() })
+        let named = Self::ALL.into_iter().find(|mechanism| mechanism.name() == name);
+        named.ok_or_else(|| UnknownMechanism { name: name.into() })
     }
 }
 
--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -1,7 +1,7 @@
 //! The state of one request and of its attempts at upstreams.
 //!
 //! A non-idempotent request is retried only if it provably didn't run: nothing was sent, or the
-//! upstream refused it. An idempotent request is retried after any failure, within its route's
+//! upstream rejected it. An idempotent request is retried after any failure, within its route's
 //! attempt limit and the retry budget.
 
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use super::routing::Route;
 use super::upstreams::{LoadReport, UpstreamKey};
 
-/// The most upstreams that one request may reach: after that many refusals the service is full or
+/// The most upstreams that one request may reach: after that many rejections the service is full or
 /// failing, and further attempts would only use up the retry budget.
 const MAX_UPSTREAMS_REACHED: u32 = 3;
 
@@ -20,14 +20,14 @@
     Answered {
         /// Whether the response is a server error.
         failed: bool,
-        /// The upstream's load.
+        /// The upstream's load, if the response reports it.
         report: Option<LoadReport>,
         /// The size of the response body in bytes.
         body_bytes: u64,
     },
     /// The upstream reported that it didn't run the request.
     Refused {
-        /// The upstream's load.
+        /// The upstream's load, if the response reports it.
         report: Option<LoadReport>,
     },
     /// Another upstream has taken over the address and didn't run the request.
@@ -38,7 +38,7 @@
     Failed,
     /// The deadline passed: the request may have run.
     TimedOut,
-    /// The caller disconnected or was answered by another attempt.
+    /// The caller disconnected or got the response of another attempt.
     Canceled,
 }
 
@@ -48,11 +48,11 @@
     /// The request has reached no upstream yet.
     #[default]
     First,
-    /// The last upstream refused the request or wasn't the expected one.
+    /// The last upstream rejected the request or wasn't the expected one.
     Refused,
     /// The last attempt failed, or its response was incomplete.
     Failed,
-    /// The upstream of the pending attempt responds to no request.
+    /// The upstream of the attempt in flight responds to no request.
     Unresponsive,
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// Why the VM answers a request itself, or makes no further attempt.
+/// Why the VM rejects a request itself, or makes no further attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectionReason {
     /// No configuration has been loaded yet.
@@ -125,7 +125,7 @@
     Send(Attempt),
     /// Tell the caller that the request didn't run and when to retry.
     Reject {
-        /// The reason for the rejection.
+        /// Why the request is rejected.
         reason: RejectionReason,
         /// The delay before the caller's next attempt, in milliseconds.
         retry_after_ms: u64,
@@ -140,13 +140,14 @@
 /// An attempt to run a request at an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Attempt {
-    /// The upstream.
+    /// The key of the upstream.
     pub upstream: UpstreamKey,
-    /// The upstream's address.
+    /// The address to which the request is sent.
     pub address: std::net::SocketAddr,
-    /// The name of the upstream's incarnation, which the upstream verifies.
+    /// The upstream's name, sent with the request so that another upstream at the same address can
+    /// reject it.
     pub name: Box<str>,
-    /// The inputs of the choice, for logs.
+    /// The inputs of the choice of the upstream, for logs.
     pub decision: PlacementDecision,
 }
 
@@ -191,15 +192,15 @@
     pub object: Option<u64>,
     /// When the request arrived, in milliseconds.
     pub arrived_at_ms: u64,
-    /// The deadline, in milliseconds.
+    /// The time after which the caller no longer waits for a response, in milliseconds.
     pub deadline_at_ms: u64,
     /// The upstreams that the request was sent to.
     pub tried_upstreams: Vec<UpstreamKey>,
-    /// The finished attempts that reached an upstream, refused ones among them.
+    /// The number of finished attempts that reached an upstream, including rejected ones.
     pub delivered: u32,
-    /// The finished attempts that may have run.
+    /// The number of finished attempts that may have run.
     pub possible_runs: u32,
-    /// Why the next attempt would be made.
+    /// The cause that the next attempt would have.
     pub cause: AttemptCause,
     /// The attempts that haven't ended.
     pub in_flight: Vec<InFlightAttempt>,
@@ -208,7 +209,7 @@
 /// An attempt that hasn't ended.
 #[derive(Debug, Clone, Copy)]
 pub struct InFlightAttempt {
-    /// The upstream.
+    /// The key of the upstream.
     pub upstream: UpstreamKey,
     /// When the request was sent, in milliseconds.
     pub sent_at_ms: u64,
@@ -218,7 +219,7 @@
     pub wait_ms: f64,
     /// The estimated network round trip, in milliseconds.
     pub network_ms: f64,
-    /// When the response is overdue, in milliseconds.
+    /// When the response is overdue and the request may be hedged, in milliseconds.
     pub overdue_at_ms: u64,
 }
 
@@ -234,14 +235,14 @@
 impl RequestState {
     /// Returns whether the request's own attempt limits allow another attempt.
     pub fn allows_attempt(&self) -> bool {
-        let under_way = self.in_flight.len() as u32;
-        if self.delivered + under_way >= MAX_UPSTREAMS_REACHED {
+        let in_flight = self.in_flight.len() as u32;
+        if self.delivered + in_flight >= MAX_UPSTREAMS_REACHED {
             return false;
         }
-        let runs = self.possible_runs + under_way;
-        if runs == 0 {
+        let possible_runs = self.possible_runs + in_flight;
+        if possible_runs == 0 {
             return true;
         }
-        self.route.kind.may_repeat() && runs < self.route.max_attempts.max(1)
+        self.route.kind.may_retry() && possible_runs < self.route.max_attempts.max(1)
     }
 }
--- a/crates/sedgepath-core/src/direct/budget.rs
+++ b/crates/sedgepath-core/src/direct/budget.rs
@@ -6,7 +6,7 @@
 //!
 //! - A request deposits [`DEPOSIT_SHARE`] of the ratio; a retry withdraws one token.
 //! - The balance is at most [`CARRYOVER_SHARE`] of the ratio times the requests of the last window,
-//!   plus this VM's part of [`BALANCE_SLACK_SHARE`] of the slack.
+//!   plus this VM's share of [`BALANCE_SLACK_SHARE`] of the slack.
 //! - A process starts with an empty bucket.
 //! - Where that bound is below one token, a VM's fixed random draw rounds it to 0 or 1, so that the
 //!   sum over VMs meets the bound on average.
@@ -28,7 +28,7 @@
 pub const CARRYOVER_SHARE: f64 = 0.1;
 
 /// The share of the slack that the balances of all VMs may hold. A VM that knows too few of the
-/// others holds more than its part.
+/// others holds more than its share.
 pub const BALANCE_SLACK_SHARE: f64 = 0.5;
 
 /// The time span of one request counter, in milliseconds.
@@ -50,7 +50,7 @@
 
 #[derive(Debug, Default)]
 struct Account {
-    /// The retries that may be made now.
+    /// The number of retries that may be made now.
     balance: f64,
     /// The counters of the last window, oldest first.
     counters: VecDeque<RequestCounter>,
@@ -82,10 +82,10 @@
 
     /// Counts a caller's request and deposits its share.
     ///
-    /// `vms` is the number of VMs that share the budget, including this one.
-    pub fn deposit(&mut self, service: &str, vms: usize, now_ms: u64) {
+    /// `vm_count` is the number of VMs that share the budget, including this one.
+    pub fn deposit(&mut self, service: &str, vm_count: usize, now_ms: u64) {
         let deposit = self.limits.ratio * DEPOSIT_SHARE;
-        let account = self.account(service, vms, now_ms);
+        let account = self.account(service, vm_count, now_ms);
         account.balance += deposit;
         if let Some(counter) = account.counters.back_mut() {
             counter.requests += 1;
@@ -94,9 +94,9 @@
 
     /// Withdraws one retry and returns whether the balance allowed it.
     ///
-    /// `vms` is the number of VMs that share the budget, including this one.
-    pub fn try_withdraw(&mut self, service: &str, vms: usize, now_ms: u64) -> bool {
-        let account = self.account(service, vms, now_ms);
+    /// `vm_count` is the number of VMs that share the budget, including this one.
+    pub fn try_withdraw(&mut self, service: &str, vm_count: usize, now_ms: u64) -> bool {
+        let account = self.account(service, vm_count, now_ms);
         let allowed = account.balance >= 1.0 - TOKEN_TOLERANCE;
         if allowed {
             account.balance -= 1.0;
@@ -107,7 +107,7 @@
         allowed
     }
 
-    /// Returns a service's requests and retries in the last window.
+    /// Returns the numbers of a service's requests and retries in the last window.
     pub fn counts(&self, service: &str, now_ms: u64) -> (u32, u32) {
         let counters = self.services.get(service).into_iter().flat_map(|account| &account.counters);
         counters
@@ -119,18 +119,18 @@
     ///
     /// The cap is computed before the current request is counted: within one window a request either
     /// deposits or raises the cap, not both.
-    fn account(&mut self, service: &str, vms: usize, now_ms: u64) -> &mut Account {
+    fn account(&mut self, service: &str, vm_count: usize, now_ms: u64) -> &mut Account {
         let RetryBudgetLimits { ratio, slack, window_ms } = self.limits;
         if !self.services.contains_key(service) {
             self.services.insert(service.into(), Account::default());
         }
         let account = self.services.entry(service.into()).or_default();
-        let expired = |counter: &RequestCounter| counter.starts_at_ms + window_ms <= now_ms;
-        while account.counters.front().is_some_and(expired) {
+        let is_expired = |counter: &RequestCounter| counter.starts_at_ms + window_ms <= now_ms;
+        while account.counters.front().is_some_and(is_expired) {
             account.counters.pop_front();
         }
         let requests: u32 = account.counters.iter().map(|counter| counter.requests).sum();
-        let cap = BALANCE_SLACK_SHARE * slack / vms.max(1) as f64
+        let cap = BALANCE_SLACK_SHARE * slack / vm_count.max(1) as f64
             + CARRYOVER_SHARE * ratio * f64::from(requests);
         // Without rounding, VMs with few requests each could never hold a whole token.
         let cap = if cap < 1.0 { f64::from(u8::from(self.rounding_draw < cap)) } else { cap };
--- a/crates/sedgepath-core/src/direct/placement.rs
+++ b/crates/sedgepath-core/src/direct/placement.rs
@@ -27,7 +27,7 @@
 /// transfer costs more than a wait for a slot.
 pub const LARGE_RESPONSE_DOMAIN_WEIGHT: f64 = 128.0;
 
-/// The cost of each rank below the first, in milliseconds: the object takes up space in another
+/// The cost of each rank after the first, in milliseconds, since the object takes up space in another
 /// cache.
 pub const SPILL_COST_MS: f64 = 100.0;
 
@@ -41,19 +41,24 @@
 /// The mean size above which responses count as large, in bytes.
 const LARGE_RESPONSE_BYTES: f64 = 30_000.0;
 
-/// The cost of a failed request, in milliseconds: the approximate time of a retry elsewhere.
+/// The cost of a failed request, in milliseconds: the approximate time of a retry at another
+/// upstream.
 const FAILURE_COST_MS: f64 = 1_500.0;
 
-/// The silence after which an upstream with a single request is skipped, as a multiple of the time
-/// of cold work. With more requests the limit is lower, since some of them should have ended.
+/// The round trip that is assumed to other failure domains of the VM's own region, in milliseconds.
+const SAME_REGION_RTT_MS: f64 = 4.0;
+
+/// The silence after which an upstream with a single request in flight counts as unresponsive, as a
+/// multiple of the time of cold work. With more requests the limit is lower, since some of them
+/// should have ended.
 const SINGLE_REQUEST_SILENCE_FACTOR: f64 = 1.6;
 
-/// The shortest time of cold work that silence is compared with, in milliseconds: round trips,
-/// timers and bursts on a busy VM take a fraction of it.
+/// The lower bound of the time of cold work that silence is compared with, in milliseconds, so that
+/// round trips, timers and bursts on a busy VM take only a fraction of it.
 const MIN_COLD_WORK_MS: f64 = 400.0;
 
-/// The lower bound of the silence limit for an upstream with many requests, as a multiple of the
-/// time of cold work.
+/// The lower bound of the silence limit for an upstream with many requests in flight, as a multiple
+/// of the time of cold work.
 const MIN_SILENCE_FACTOR: f64 = 0.8;
 
 /// The parameters of the choice of an upstream.
@@ -122,13 +127,13 @@
 /// don't depend on the cache.
 const MIN_CLUSTER_RATIO: f64 = 1.5;
 
-/// The share of requests for cached objects that may take long without a cache miss: hidden queues
-/// and slow upstreams look the same.
+/// The share of requests for cached objects that may take long without a cache miss, since unreported
+/// queues and slow upstreams look the same.
 const TOLERATED_EVICTED_SHARE: f64 = 0.1;
 
 impl Default for ServiceTimes {
     fn default() -> Self {
-        // Used until samples replace them.
+        // Estimates until there are samples.
         Self {
             warm_ms: 250.0,
             cold_ms: 600.0,
@@ -144,11 +149,11 @@
     pub fn record_time(&mut self, warm: bool, took_ms: f64) {
         let mean_ms = if warm { &mut self.warm_ms } else { &mut self.cold_ms };
         *mean_ms += WORK_SAMPLE_WEIGHT * (took_ms - *mean_ms);
-        let fast = (took_ms - self.fast_ms).abs() < (took_ms - self.slow_ms).abs();
-        let cluster_ms = if fast { &mut self.fast_ms } else { &mut self.slow_ms };
+        let is_fast = (took_ms - self.fast_ms).abs() < (took_ms - self.slow_ms).abs();
+        let cluster_ms = if is_fast { &mut self.fast_ms } else { &mut self.slow_ms };
         *cluster_ms += CLUSTER_SAMPLE_WEIGHT * (took_ms - *cluster_ms);
         if warm {
-            let cache_hit = fast || self.slow_ms < MIN_CLUSTER_RATIO * self.fast_ms;
+            let cache_hit = is_fast || self.slow_ms < MIN_CLUSTER_RATIO * self.fast_ms;
             self.cache_hit_share +=
                 CLUSTER_SAMPLE_WEIGHT * (f64::from(cache_hit) - self.cache_hit_share);
         }
@@ -156,8 +161,8 @@
 
     /// Returns the share of cached objects that upstreams have evicted, beyond the tolerated share.
     ///
-    /// It compares with the clusters of short and long times: where most objects are evicted, the
-    /// means of warm and cold work are alike.
+    /// The share is derived from the clusters of short and long times rather than from the means of
+    /// warm and cold work, which are alike where most objects are evicted.
     pub fn evicted_share(&self) -> f64 {
         (1.0 - self.cache_hit_share - TOLERATED_EVICTED_SHARE).max(0.0)
     }
@@ -183,17 +188,17 @@
     pub domain: &'a str,
     /// The VM's region.
     pub region: &'a str,
-    /// The round trip to other regions in milliseconds.
+    /// The mean round trip to other regions in milliseconds.
     pub other_region_rtt_ms: f64,
     /// The time that the service's requests take.
     pub times: ServiceTimes,
-    /// The evacuated failure domains.
+    /// The evacuated failure domains, whose upstreams get no requests.
     pub evacuated: &'a Set<Box<str>>,
     /// The regions that may run the request; empty if any may.
     pub home_regions: &'a [Box<str>],
     /// The most requests, each on its own connection, that this VM may have in flight at an upstream.
     pub max_in_flight: u32,
-    /// The upstreams that the request has been sent to.
+    /// The upstreams that the request has been sent to, which don't get it again.
     pub tried_upstreams: &'a [UpstreamKey],
     /// The current time in milliseconds.
     pub now_ms: u64,
@@ -202,7 +207,7 @@
 /// An upstream considered for a request, with its estimated times.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// The upstream.
+    /// The key of the upstream.
     pub upstream: UpstreamKey,
     /// The expected cost in milliseconds: the response time plus penalties for failures and rank.
     pub expected_ms: f64,
@@ -217,7 +222,7 @@
 }
 
 impl PlacementQuery<'_> {
-    /// Returns whether an upstream may get the request, whatever its health.
+    /// Returns whether an upstream may get the request, regardless of its health.
     pub fn is_eligible(&self, key: UpstreamKey, upstream: &Upstream) -> bool {
         !upstream.entry.leaving
             && !self.evacuated.contains(&upstream.entry.domain)
@@ -226,28 +231,29 @@
             && !self.tried_upstreams.contains(&key)
     }
 
-    /// Returns whether an upstream is not ejected, responds and is not cold.
+    /// Returns whether an upstream is neither ejected nor cold nor unresponsive.
     fn is_healthy(&self, upstream: &Upstream) -> bool {
         upstream.ejected_until_ms <= self.now_ms
             && !upstream.is_cold(self.now_ms)
             && !self.is_unresponsive(upstream)
     }
 
-    /// Returns whether an upstream has responded to nothing for so long that it seems to be down.
+    /// Returns whether an upstream has been silent for so long that it is presumably down.
     ///
     /// An upstream that lost its power neither responds nor resets connections, so requests to it
     /// would wait for their deadline.
     fn is_unresponsive(&self, upstream: &Upstream) -> bool {
         let running = upstream.in_flight.clamp(1, upstream.entry.slots.max(1));
         let factor = (SINGLE_REQUEST_SILENCE_FACTOR / f64::from(running)).max(MIN_SILENCE_FACTOR);
-        let slowest_ms = self.times.cold_ms.max(MIN_COLD_WORK_MS);
+        let cold_work_ms = self.times.cold_ms.max(MIN_COLD_WORK_MS);
         // Requests of other VMs may be ahead in the upstream's queue.
-        let queue = f64::from(upstream.in_flight) / f64::from(upstream.entry.slots.max(1));
-        let wait_ms = queue * self.times.cold_ms;
-        upstream.silence_ms(self.now_ms) as f64 > factor * slowest_ms + wait_ms
+        let in_flight_per_slot =
+            f64::from(upstream.in_flight) / f64::from(upstream.entry.slots.max(1));
+        let wait_ms = in_flight_per_slot * self.times.cold_ms;
+        upstream.silence_ms(self.now_ms) as f64 > factor * cold_work_ms + wait_ms
     }
 
-    /// Returns the candidate with the least expected cost among the upstreams of a service.
+    /// Returns the candidate with the least expected cost among the top-ranked healthy upstreams.
     pub fn choose<'a>(
         &self,
         upstreams: impl Iterator<Item = (UpstreamKey, &'a Upstream)>,
@@ -285,14 +291,14 @@
     }
 
     fn rendezvous_weight(&self, upstream: &Upstream) -> f64 {
-        let near = match self.proximity(upstream) {
+        let proximity_weight = match self.proximity(upstream) {
             Proximity::SameDomain if self.response_bytes > LARGE_RESPONSE_BYTES => {
                 self.weights.large_response_domain_weight
             }
             Proximity::SameDomain | Proximity::SameRegion => self.weights.own_region_weight,
             Proximity::OtherRegion => 1.0,
         };
-        near * f64::from(upstream.entry.slots.max(1))
+        proximity_weight * f64::from(upstream.entry.slots.max(1))
     }
 
     fn estimate(&self, rank: usize, key: UpstreamKey, upstream: &Upstream) -> Candidate {
@@ -303,17 +309,17 @@
         let warm = known_warm || rank == 0 || !self.sticky;
         let slowness = upstream.slowness(self.now_ms);
         let work_ms = self.times.work_ms(warm) * slowness;
-        let ahead = (upstream.load(self.now_ms) + 1.0 - slots).max(0.0);
-        let wait_ms = ahead * self.times.work_ms(true) * slowness / slots;
+        let requests_to_end = (upstream.load(self.now_ms) + 1.0 - slots).max(0.0);
+        let wait_ms = requests_to_end * self.times.work_ms(true) * slowness / slots;
         let network_ms = match self.proximity(upstream) {
             Proximity::SameDomain => 0.0,
-            Proximity::SameRegion => 4.0,
+            Proximity::SameRegion => SAME_REGION_RTT_MS,
             Proximity::OtherRegion => self.other_region_rtt_ms,
         };
         let failure_ms = upstream.failure_rate(self.now_ms) * FAILURE_COST_MS;
-        let evicted = if self.sticky { self.times.evicted_share() } else { 0.0 };
+        let evicted_share = if self.sticky { self.times.evicted_share() } else { 0.0 };
         let spill_cost_ms =
-            self.weights.spill_cost_ms * (1.0 + self.weights.eviction_spill_factor * evicted);
+            self.weights.spill_cost_ms * (1.0 + self.weights.eviction_spill_factor * evicted_share);
         let spill_ms = rank as f64 * spill_cost_ms;
         let expected_ms = wait_ms + work_ms + network_ms + failure_ms + spill_ms;
         Candidate { upstream: key, expected_ms, wait_ms, network_ms, warm: known_warm, rank }
--- a/crates/sedgepath-core/src/direct/queueing.rs
+++ b/crates/sedgepath-core/src/direct/queueing.rs
@@ -5,8 +5,8 @@
 use super::attempts::RequestState;
 use super::placement::Candidate;
 
-/// The share of a request's remaining time that its expected response time may take up; the rest
-/// covers the error of the estimate.
+/// The share of the time until a request's deadline that its expected response time may take up; the
+/// rest covers the error of the estimate.
 const USABLE_TIME_SHARE: f64 = 0.9;
 
 /// The longest expected response time of a request that is sent while queues are short-lived, as a
@@ -17,11 +17,11 @@
 /// of its route's target.
 pub const LOADED_TARGET_FACTOR: f64 = 0.95;
 
-/// The weight of one request in the moving share of requests that find a queue.
+/// The weight of a new sample in the moving share of requests that find a queue.
 const PRESSURE_SAMPLE_WEIGHT: f64 = 0.02;
 
-/// The wait for a slot that the target always leaves, in milliseconds, even to a request whose work
-/// alone exceeds its target.
+/// The least wait for a slot that a route's target allows, in milliseconds, even if the work alone
+/// exceeds the target.
 const MIN_TARGET_WAIT_MS: f64 = 100.0;
 
 /// The longest expected response times of requests that are sent, as multiples of their route's
@@ -53,14 +53,14 @@
 }
 
 impl QueuePressure {
-    /// Counts a request and returns the share of the service's recent requests that found a queue at
-    /// their best upstream.
-    pub fn record(&mut self, service: &str, waits: bool) -> f64 {
+    /// Records whether a request finds a queue at the upstream chosen for it, and returns the share of
+    /// the service's recent requests that did.
+    pub fn record(&mut self, service: &str, found_queue: bool) -> f64 {
         if !self.shares.contains_key(service) {
             self.shares.insert(service.into(), 0.0);
         }
         let share = self.shares.entry(service.into()).or_default();
-        *share += PRESSURE_SAMPLE_WEIGHT * (f64::from(waits) - *share);
+        *share += PRESSURE_SAMPLE_WEIGHT * (f64::from(found_queue) - *share);
         *share
     }
 }
@@ -80,7 +80,7 @@
     let factor = tolerance.factor(pressure);
     let work_ms = candidate.expected_ms - candidate.wait_ms;
     let by_target_ms = request.route.target_ms as f64 * factor - work_ms;
-    let left_ms = request.deadline_at_ms.saturating_sub(now_ms) as f64;
-    let by_deadline_ms = (left_ms * USABLE_TIME_SHARE - work_ms).max(0.0);
+    let remaining_ms = request.deadline_at_ms.saturating_sub(now_ms) as f64;
+    let by_deadline_ms = (remaining_ms * USABLE_TIME_SHARE - work_ms).max(0.0);
     by_target_ms.max(MIN_TARGET_WAIT_MS).min(by_deadline_ms)
 }
--- a/crates/sedgepath-core/src/direct/replicas.rs
+++ b/crates/sedgepath-core/src/direct/replicas.rs
@@ -1,13 +1,13 @@
-//! Replicas of the store's tables, which entry VMs pass on to each other.
+//! Replicas of the store's tables, which entry VMs exchange with each other.
 //!
 //! A few VMs read the store. Every VM announces the version of its replicas in its heartbeats, and
-//! a VM that hears of a newer replica fetches the changes from its holder. This bounds the calls to
-//! the store and reaches VMs that can't call it.
+//! a VM that hears of a newer replica fetches the changes from its holder. This bounds the number of
+//! calls to the store, and updates VMs that can't reach it.
 //!
 //! # Invariants
 //!
 //! - Each row carries the store version of its last write, and replaces only an older row. Replicas
-//!   can therefore be merged in any order and never go back.
+//!   can therefore be merged in any order and never return to an earlier state.
 //! - A replica holds what the store held at the replica's position. An incremental update keeps
 //!   this only if its sender knows all removals since the requester's position; otherwise the
 //!   sender must send a snapshot.
@@ -47,7 +47,7 @@
 /// A row with the store version of its last write.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedRow {
-    /// The row's key.
+    /// The row's key, unique within its table.
     pub key: Box<str>,
     /// The store version at which the row was written or removed.
     pub version: u64,
@@ -62,7 +62,7 @@
     pub rows: Vec<VersionedRow>,
     /// The store version up to which the update contains all changes.
     pub position: u64,
-    /// Whether the update holds all rows of the table rather than the changed ones.
+    /// Whether the update holds all rows of the table rather than only the changed ones.
     pub is_snapshot: bool,
 }
 
@@ -81,7 +81,7 @@
     tombstone_count: usize,
     /// The version up to which removals are unknown: their tombstones were dropped, or they precede
     /// the last snapshot.
-    removals_unknown_to: u64,
+    removals_unknown_up_to: u64,
     is_complete: bool,
 }
 
@@ -111,9 +111,9 @@
         changes.retain(|row| self.apply_row(row));
         self.position = self.position.max(update.position);
         if update.is_snapshot {
-            // A snapshot doesn't list earlier removals, so later incremental updates from here
-            // can't either: a VM that still has such a row would keep it.
-            self.removals_unknown_to = self.removals_unknown_to.max(update.position);
+            // A snapshot doesn't list earlier removals, so an incremental update from this replica
+            // can't either: a VM that still has a removed row would keep it.
+            self.removals_unknown_up_to = self.removals_unknown_up_to.max(update.position);
             self.is_complete = true;
         }
         self.drop_tombstones();
@@ -121,20 +121,20 @@
     }
 
     /// Returns whether a VM that has all changes up to a version must be sent a snapshot.
-    pub fn requires_snapshot(&self, after: u64) -> bool {
-        after < self.removals_unknown_to || after == 0
+    pub fn requires_snapshot(&self, version: u64) -> bool {
+        version < self.removals_unknown_up_to || version == 0
     }
 
-    /// Returns the changes after a version up to which the requester has all changes, or a snapshot
-    /// if removals since then may be missing here.
-    pub fn changes_since(&self, after: u64) -> TableUpdate {
-        let is_snapshot = self.requires_snapshot(after);
+    /// Returns the changes after a version for a VM that has all changes up to it, or a snapshot if
+    /// this replica may lack removals since then.
+    pub fn changes_since(&self, version: u64) -> TableUpdate {
+        let is_snapshot = self.requires_snapshot(version);
         let rows = self
             .rows
             .iter()
             .filter(
                 |(_, stored)| {
-                    if is_snapshot { stored.value.is_some() } else { stored.version > after }
+                    if is_snapshot { stored.value.is_some() } else { stored.version > version }
                 },
             )
             .map(|(key, stored)| VersionedRow {
@@ -163,37 +163,39 @@
             .collect()
     }
 
+    /// Stores a row unless it is outdated, and returns whether the replica's contents changed.
     fn apply_row(&mut self, row: &VersionedRow) -> bool {
-        let known = self.rows.get(&row.key);
-        if known.is_some_and(|known| known.version >= row.version) {
+        let stored = self.rows.get(&row.key);
+        if stored.is_some_and(|stored| stored.version >= row.version) {
             return false;
         }
-        // The replica is complete up to its position, so an absent row of an older version was
-        // removed meanwhile and comes with a delayed update. Its removal isn't sent again, so
+        // The replica has all changes up to its position. A row of an earlier version that it lacks
+        // was therefore removed, and arrives with a delayed update. The removal isn't sent again, so
         // accepting the row would keep a removed upstream in use.
-        if known.is_none() && row.value.is_some() && row.version <= self.position {
+        if stored.is_none() && row.value.is_some() && row.version <= self.position {
             return false;
         }
-        let was_removed = known.is_some_and(|known| known.value.is_none());
-        let changes = row.value.is_some() || known.is_some_and(|known| known.value.is_some());
+        let was_removed = stored.is_some_and(|stored| stored.value.is_none());
+        let changed = row.value.is_some() || stored.is_some_and(|stored| stored.value.is_some());
         match (was_removed, row.value.is_none()) {
             (false, true) => self.tombstone_count += 1,
             (true, false) => self.tombstone_count -= 1,
             _ => {}
         }
         self.newest_version = self.newest_version.max(row.version);
-        let stored = StoredRow { version: row.version, value: row.value.clone() };
-        self.rows.insert(row.key.clone(), stored);
-        changes
+        let newer = StoredRow { version: row.version, value: row.value.clone() };
+        self.rows.insert(row.key.clone(), newer);
+        changed
     }
 
+    /// Drops all tombstones if there are more than [`MAX_TOMBSTONES`].
     fn drop_tombstones(&mut self) {
         if self.tombstone_count <= MAX_TOMBSTONES {
             return;
         }
         self.rows.retain(|_, stored| stored.value.is_some());
         self.tombstone_count = 0;
-        self.removals_unknown_to = self.removals_unknown_to.max(self.newest_version);
+        self.removals_unknown_up_to = self.removals_unknown_up_to.max(self.newest_version);
     }
 }
 
--- a/crates/sedgepath-core/src/direct/routing.rs
+++ b/crates/sedgepath-core/src/direct/routing.rs
@@ -17,7 +17,7 @@
 
 impl RouteKind {
     /// Returns whether a request that may have run may be sent again.
-    pub fn may_repeat(self) -> bool {
+    pub fn may_retry(self) -> bool {
         !matches!(self, Self::NonIdempotent)
     }
 }
@@ -25,16 +25,16 @@
 /// A service that runs a share of a route's requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WeightedService {
-    /// The service's name.
+    /// The name of the service.
     pub service: Box<str>,
-    /// The service's share of the requests, relative to the route's other services.
+    /// The service's share of the requests, relative to the weights of the route's other services.
     pub weight: f64,
 }
 
 /// A rule that maps the requests under a path prefix to services.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// The route's name.
+    /// The name under which the route's statistics are kept.
     pub name: Box<str>,
     /// The path prefix that the route matches.
     pub prefix: Box<str>,
@@ -44,7 +44,7 @@
     pub timeout_ms: u64,
     /// The response time that the service aims for, in milliseconds.
     pub target_ms: u64,
-    /// The priority; 0 is the most urgent.
+    /// The priority of the route's requests; 0 is the highest.
     pub priority: u32,
     /// The services that run the route's requests; at least one.
     pub weighted_services: Vec<WeightedService>,
@@ -81,7 +81,7 @@
 /// One version of the complete configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Configuration {
-    /// The version, which grows with every accepted configuration.
+    /// The version, which increases with every accepted configuration.
     pub version: u64,
     /// The services, by name.
     pub services: Map<Box<str>, ServiceSettings>,
@@ -92,11 +92,11 @@
 }
 
 impl Configuration {
-    /// Returns the host's route with the longest prefix of the path.
+    /// Returns the host's route with the longest matching prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.hosts.get(normalize_host(host).as_ref())?;
-        let fitting = routes.iter().filter(|route| path.starts_with(&*route.prefix));
-        fitting.max_by_key(|route| route.prefix.len())
+        let matching = routes.iter().filter(|route| path.starts_with(&*route.prefix));
+        matching.max_by_key(|route| route.prefix.len())
     }
 }
 
@@ -112,16 +112,16 @@
     name.into()
 }
 
-/// The most requests by which a service may run ahead of its share to keep an object warm, on each
-/// VM.
+/// The most requests by which a service may exceed its share to keep an object warm, on each VM.
 pub const MAX_LEAD_REQUESTS: f64 = 3.0;
 
 /// Distributes the requests of routes over their services in proportion to the weights.
 ///
 /// This is weighted round robin with object affinity: each request adds each service's weight to
-/// its credit and takes the sum of the weights from the chosen one. An object's digest selects its
-/// service, unless that service is [`MAX_LEAD_REQUESTS`] ahead of its share; then the service with
-/// the most credit is chosen. Each service thus stays within a few requests of its share.
+/// its credit and subtracts the sum of the weights from the credit of the chosen service. An
+/// object's digest selects its service, unless that service would then exceed its share by more than
+/// [`MAX_LEAD_REQUESTS`]; then the service with the most credit is chosen. Each service thus stays
+/// within a few requests of its share.
 #[derive(Debug, Default)]
 pub struct WeightedRoundRobin {
     credits: Map<Box<str>, Vec<f64>>,
@@ -139,17 +139,18 @@
         }
         let credits = self.credits.entry(route.name.clone()).or_default();
         credits.resize(route.weighted_services.len(), 0.0);
-        let total: f64 = route.weighted_services.iter().map(|part| part.weight).sum();
-        for (credit, part) in credits.iter_mut().zip(&route.weighted_services) {
-            *credit += part.weight;
+        let total_weight: f64 = route.weighted_services.iter().map(|service| service.weight).sum();
+        for (credit, service) in credits.iter_mut().zip(&route.weighted_services) {
+            *credit += service.weight;
         }
-        let most =
+        let most_credit =
             (0..credits.len()).max_by(|one, other| credits[*one].total_cmp(&credits[*other]));
-        let preferred = object.map(|object| preferred_index(route, object, total));
-        let within = |index: &usize| credits[*index] - total >= -MAX_LEAD_REQUESTS * total;
-        let taken = preferred.filter(within).or(most).unwrap_or(0);
-        credits[taken] -= total;
-        &route.weighted_services[taken]
+        let preferred = object.map(|object| preferred_index(route, object, total_weight));
+        let is_within_lead =
+            |index: &usize| credits[*index] - total_weight >= -MAX_LEAD_REQUESTS * total_weight;
+        let chosen = preferred.filter(is_within_lead).or(most_credit).unwrap_or(0);
+        credits[chosen] -= total_weight;
+        &route.weighted_services[chosen]
     }
 
     /// Resets the credits of all routes, since a new configuration may have changed their services.
@@ -159,14 +160,14 @@
 }
 
 /// Returns the index of the service that an object's digest selects in proportion to the weights.
-fn preferred_index(route: &Route, object: u64, total: f64) -> usize {
+fn preferred_index(route: &Route, object: u64, total_weight: f64) -> usize {
     // The upper half of the digest, scaled to the sum of the weights.
-    let mut place = (object >> 32) as f64 / (1_u64 << 32) as f64 * total;
-    for (index, part) in route.weighted_services.iter().enumerate() {
-        if place < part.weight {
+    let mut position = (object >> 32) as f64 / (1_u64 << 32) as f64 * total_weight;
+    for (index, service) in route.weighted_services.iter().enumerate() {
+        if position < service.weight {
             return index;
         }
-        place -= part.weight;
+        position -= service.weight;
     }
     route.weighted_services.len() - 1
 }
--- a/crates/sedgepath-core/src/direct/status.rs
+++ b/crates/sedgepath-core/src/direct/status.rs
@@ -47,13 +47,13 @@
     pub ejected: usize,
     /// The sum of the upstreams' slots.
     pub slots: u32,
-    /// The requests of this VM in flight.
+    /// The number of this VM's requests in flight.
     pub in_flight: u32,
     /// The estimated load of all upstreams, in requests.
     pub load: f64,
-    /// The callers' requests in the last window of the retry budget.
+    /// The number of callers' requests in the last window of the retry budget.
     pub requests: u32,
-    /// The retries in the last window of the retry budget.
+    /// The number of retries in the last window of the retry budget.
     pub repeats: u32,
 }
 
@@ -64,7 +64,7 @@
     pub name: Box<str>,
     /// The other VM's failure domain.
     pub domain: Box<str>,
-    /// The age of the last heartbeat, in milliseconds; 0 for a VM known from summaries only.
+    /// The time since the VM's last heartbeat, in milliseconds; 0 for a VM known from summaries only.
     pub silent_ms: u64,
     /// Whether the VM reports that it accepts new requests.
     pub ready: bool,
@@ -78,7 +78,7 @@
 impl Steering {
     /// Returns the VM's state for operators.
     pub fn status(&self, now_ms: u64) -> VmStatus {
-        let place = self.location();
+        let location = self.location();
         let mut evacuated: Vec<_> = self.evacuated_domains().iter().cloned().collect();
         evacuated.sort_unstable();
         let mut services: BTreeMap<Box<str>, ServiceStatus> = BTreeMap::new();
@@ -96,12 +96,14 @@
             (service.requests, service.repeats) = self.budget().counts(name, now_ms);
         }
         VmStatus {
-            name: place.name.clone(),
-            domain: place.domain.clone(),
-            region: place.region.clone(),
+            name: location.name.clone(),
+            domain: location.domain.clone(),
+            region: location.region.clone(),
             can_serve: self.can_serve(),
             leaving: self.vms().is_leaving(),
-            configuration_version: self.configuration().map_or(0, |in_force| in_force.version),
+            configuration_version: self
+                .configuration()
+                .map_or(0, |configuration| configuration.version),
             evacuated,
             sharing_vm_count: self.vms().sharing_vm_count(now_ms),
             services,
--- a/crates/sedgepath-core/src/direct/steering.rs
+++ b/crates/sedgepath-core/src/direct/steering.rs
@@ -25,9 +25,9 @@
 pub struct VmLocation {
     /// The VM's name.
     pub name: Box<str>,
-    /// The VM's failure domain.
+    /// The name of the VM's failure domain.
     pub domain: Box<str>,
-    /// The VM's region.
+    /// The name of the VM's region.
     pub region: Box<str>,
     /// The region of each failure domain.
     pub regions: Map<Box<str>, Box<str>>,
@@ -40,12 +40,12 @@
     pub budget: RetryBudgetLimits,
 }
 
-/// The delay that a caller is told when no upstream is usable, in milliseconds: about the time
-/// until a restarted upstream is known.
+/// The delay that a caller is told when there is no configuration or no usable upstream, in
+/// milliseconds: about the time until a restarted upstream is known.
 const NO_UPSTREAM_RETRY_AFTER_MS: u64 = 1_000;
 
 /// The shortest delay that a caller is told when all upstreams are busy, in milliseconds: about the
-/// time until a slot is free.
+/// time until a slot is free. It is also used once a request's attempts are used up.
 const MIN_BUSY_RETRY_AFTER_MS: u64 = 200;
 
 /// The delay that a caller is told when an upstream has a free slot but the retry budget is used
@@ -54,7 +54,7 @@
 
 /// The largest share of a service's requests whose callers are told to retry after
 /// [`IMMEDIATE_RETRY_AFTER_MS`]. Without the limit, such retries would bypass the retry budget
-/// while every upstream refuses.
+/// while every upstream rejects requests.
 const IMMEDIATE_RETRY_SHARE: f64 = 0.9;
 
 /// The delay that a caller is told once [`IMMEDIATE_RETRY_SHARE`] is used up, in milliseconds.
@@ -63,33 +63,33 @@
 /// The longest delay that a caller is told when all upstreams are busy, in milliseconds.
 const MAX_BUSY_RETRY_AFTER_MS: u64 = 1_500;
 
-/// The time after which a response is overdue, beyond the wait for a slot, as a multiple of the
-/// cold work. A smaller multiple would hedge requests at upstreams that run only cold objects.
+/// The time after which a response is overdue, beyond the wait for a slot, as a multiple of the time
+/// of cold work. A smaller multiple would hedge requests at upstreams that run only cold objects.
 const OVERDUE_FACTOR: f64 = 2.0;
 
-/// The round trip to other regions that is assumed until a connection is made, in milliseconds.
+/// The initial estimate of the mean round trip to other regions, in milliseconds.
 const INITIAL_OTHER_REGION_RTT_MS: f64 = 60.0;
 
-/// The weight of a new sample of a mean size or round trip.
+/// The weight of a new sample in the mean response sizes and in the mean round trip to other regions.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// A caller's request, as far as it affects routing.
+/// The properties of a caller's request that affect routing.
 #[derive(Debug, Clone, Copy)]
 pub struct IncomingRequest<'a> {
     /// The value of the `Host` header.
     pub host: &'a str,
     /// The path without the query.
     pub path: &'a str,
-    /// The caller's remaining time limit, in milliseconds.
+    /// The time for which the caller waits for a response, in milliseconds, if it sets a limit.
     pub time_left_ms: Option<u64>,
-    /// The requested object.
+    /// The name of the requested object, if the request has one.
     pub object: Option<&'a str>,
 }
 
 /// A response of the VM itself to a request that did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rejection {
-    /// The reason for the rejection.
+    /// Why the request is rejected.
     pub reason: RejectionReason,
     /// The delay before the caller's next attempt, in milliseconds.
     pub retry_after_ms: u64,
@@ -102,7 +102,7 @@
     pub weights: PlacementWeights,
     /// The limits on the expected response time of a request that is sent.
     pub queue_tolerance: QueueTolerance,
-    /// Whether a second attempt may start beside one at an upstream that doesn't respond.
+    /// Whether a second attempt may start while the first one's upstream doesn't respond.
     pub hedging: bool,
 }
 
@@ -122,15 +122,15 @@
     config: SteeringConfig,
     location: VmLocation,
     configuration: Option<Arc<Configuration>>,
-    splits: WeightedRoundRobin,
+    round_robin: WeightedRoundRobin,
     upstreams: UpstreamTable,
     evacuated_domains: Set<Box<str>>,
     budget: RetryBudget,
-    /// The budget of callers that are told to retry immediately.
+    /// The limit on the callers that are told to retry immediately.
     immediate_retries: RetryBudget,
-    times: Map<Box<str>, ServiceTimes>,
+    service_times: Map<Box<str>, ServiceTimes>,
     response_bytes: Map<Box<str>, f64>,
-    pressure: QueuePressure,
+    queue_pressure: QueuePressure,
     other_region_rtt_ms: f64,
     vms: VmTable,
     store: StoreAvailability,
@@ -139,21 +139,21 @@
 impl Steering {
     /// Creates the state of a VM that knows no configuration, upstream or other VM.
     pub fn new(location: VmLocation, limits: OperatorLimits, vms: VmTable) -> Self {
-        // Slack is shared by all VMs, while this limit holds on each VM.
+        // No slack, since that is shared by all VMs, while this limit holds on each VM.
         let immediate_retries =
             RetryBudgetLimits { ratio: IMMEDIATE_RETRY_SHARE, slack: 0.0, ..limits.budget };
         Self {
             config: SteeringConfig::default(),
             configuration: None,
-            splits: WeightedRoundRobin::default(),
+            round_robin: WeightedRoundRobin::default(),
             upstreams: UpstreamTable::default(),
             evacuated_domains: Set::default(),
             budget: RetryBudget::new(limits.budget, &location.name),
             immediate_retries: RetryBudget::new(immediate_retries, &location.name),
             location,
-            times: Map::default(),
+            service_times: Map::default(),
             response_bytes: Map::default(),
-            pressure: QueuePressure::default(),
+            queue_pressure: QueuePressure::default(),
             other_region_rtt_ms: INITIAL_OTHER_REGION_RTT_MS,
             vms,
             store: StoreAvailability {
@@ -219,16 +219,17 @@
     ///
     /// A delayed read may bring an older configuration, which must not replace a newer one.
     pub fn apply_configuration(&mut self, configuration: Arc<Configuration>) -> bool {
-        let newer =
-            self.configuration.as_ref().is_none_or(|known| known.version < configuration.version);
-        if newer {
-            self.splits.clear();
+        let is_newer =
+            self.configuration.as_ref().is_none_or(|active| active.version < configuration.version);
+        if is_newer {
+            self.round_robin.clear();
             self.configuration = Some(configuration);
         }
-        newer
+        is_newer
     }
 
-    /// Sets the evacuated failure domains and marks the upstreams of domains that return as cold.
+    /// Sets the evacuated failure domains, and marks the upstreams of domains that are no longer
+    /// evacuated as cold.
     pub fn set_evacuated_domains(&mut self, domains: Set<Box<str>>, now_ms: u64) {
         let cold_ms = self.configuration.as_ref().map_or(0, |configuration| {
             configuration.services.values().map(|service| service.cold_start_ms).max().unwrap_or(0)
@@ -262,21 +263,21 @@
         let Some(route) = configuration.route(incoming.host, incoming.path).map(Arc::clone) else {
             return reject(RejectionReason::NoRoute, 0);
         };
-        let time_ms = incoming.time_left_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
-        if time_ms == 0 {
+        let time_limit_ms = incoming.time_left_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
+        if time_limit_ms == 0 {
             return reject(RejectionReason::DeadlineExceeded, 0);
         }
         let object = incoming.object.map(|name| Digest::of(&[name.as_bytes()]).to_u64());
-        let service = self.splits.next_service(&route, object).service.clone();
-        let vms = self.vms.max_known_vm_count();
-        self.budget.deposit(&service, vms, now_ms);
-        self.immediate_retries.deposit(&service, vms, now_ms);
+        let service = self.round_robin.next_service(&route, object).service.clone();
+        let vm_count = self.vms.max_known_vm_count();
+        self.budget.deposit(&service, vm_count, now_ms);
+        self.immediate_retries.deposit(&service, vm_count, now_ms);
         Ok(RequestState {
             version: configuration.version,
             service,
             object,
             arrived_at_ms: now_ms,
-            deadline_at_ms: now_ms + time_ms,
+            deadline_at_ms: now_ms + time_limit_ms,
             tried_upstreams: Vec::new(),
             delivered: 0,
             possible_runs: 0,
@@ -288,39 +289,52 @@
 
     /// Decides the next step of a request without attempts in flight.
     pub fn next_step(&mut self, request: &mut RequestState, random: u64, now_ms: u64) -> NextStep {
-        let stop = |reason, retry_after_ms, request: &RequestState| {
+        let reject_or_give_up = |reason, retry_after_ms, request: &RequestState| {
             if request.possible_runs > 0 {
                 return NextStep::GiveUp { reason };
             }
             NextStep::Reject { reason, retry_after_ms }
         };
         if !request.allows_attempt() {
-            return stop(RejectionReason::RetriesExhausted, MIN_BUSY_RETRY_AFTER_MS, request);
+            return reject_or_give_up(
+                RejectionReason::RetriesExhausted,
+                MIN_BUSY_RETRY_AFTER_MS,
+                request,
+            );
         }
         let Some(candidate) = self.choose(request, random, now_ms) else {
-            return stop(RejectionReason::NoUpstream, NO_UPSTREAM_RETRY_AFTER_MS, request);
+            return reject_or_give_up(
+                RejectionReason::NoUpstream,
+                NO_UPSTREAM_RETRY_AFTER_MS,
+                request,
+            );
         };
-        let pressure = self.pressure.record(&request.service, candidate.wait_ms > 0.0);
+        let pressure = self.queue_pressure.record(&request.service, candidate.wait_ms > 0.0);
         let tolerance = self.config.queue_tolerance;
         let max_wait_ms = queueing::max_wait_ms(request, &candidate, tolerance, pressure, now_ms);
         if candidate.wait_ms > max_wait_ms {
-            // The requests that are queued now are served by then.
-            let retry_ms = candidate.wait_ms as u64;
-            let retry_ms = retry_ms.clamp(MIN_BUSY_RETRY_AFTER_MS, MAX_BUSY_RETRY_AFTER_MS);
-            return stop(RejectionReason::UpstreamsBusy, retry_ms, request);
+            // By then the requests that are queued now should have been served.
+            let retry_after_ms = candidate.wait_ms as u64;
+            let retry_after_ms =
+                retry_after_ms.clamp(MIN_BUSY_RETRY_AFTER_MS, MAX_BUSY_RETRY_AFTER_MS);
+            return reject_or_give_up(RejectionReason::UpstreamsBusy, retry_after_ms, request);
         }
         if request.delivered > 0 {
-            let vms = self.vms.max_known_vm_count();
-            if !self.budget.try_withdraw(&request.service, vms, now_ms) {
-                let retry_ms = if candidate.wait_ms > 0.0 {
+            let vm_count = self.vms.max_known_vm_count();
+            if !self.budget.try_withdraw(&request.service, vm_count, now_ms) {
+                let retry_after_ms = if candidate.wait_ms > 0.0 {
                     MIN_BUSY_RETRY_AFTER_MS
-                } else if self.immediate_retries.try_withdraw(&request.service, vms, now_ms) {
+                } else if self.immediate_retries.try_withdraw(&request.service, vm_count, now_ms) {
                     // A slot is free, but this VM has no retry left to use it.
                     IMMEDIATE_RETRY_AFTER_MS
                 } else {
                     DEFERRED_RETRY_AFTER_MS
                 };
-                return stop(RejectionReason::RetriesExhausted, retry_ms, request);
+                return reject_or_give_up(
+                    RejectionReason::RetriesExhausted,
+                    retry_after_ms,
+                    request,
+                );
             }
         }
         self.start_attempt(request, candidate, now_ms)
@@ -344,8 +358,8 @@
             load_age_ms: upstream.load_age_ms(now_ms),
             expected_ms: candidate.expected_ms as u64,
         };
-        upstream.record_sent(request.object, now_ms);
-        let times = self.times.get(&request.service).copied().unwrap_or_default();
+        upstream.record_send(request.object, now_ms);
+        let times = self.service_times.get(&request.service).copied().unwrap_or_default();
         let overdue_ms = candidate.wait_ms + times.work_ms(false) * OVERDUE_FACTOR;
         request.tried_upstreams.push(key);
         request.in_flight.push(InFlightAttempt {
@@ -373,10 +387,11 @@
         if !self.config.hedging {
             return None;
         }
-        (request.route.kind.may_repeat() && request.allows_attempt()).then_some(first.overdue_at_ms)
+        (request.route.kind.may_retry() && request.allows_attempt()).then_some(first.overdue_at_ms)
     }
 
-    /// Starts a second attempt if the first one's upstream has responded to nothing since it was sent.
+    /// Starts a second attempt if the upstream of the first has responded to nothing since the first
+    /// attempt was sent.
     ///
     /// An upstream that is only busy or slow responds to other requests meanwhile; one that lost its
     /// power doesn't.
@@ -387,13 +402,14 @@
         now_ms: u64,
     ) -> Option<Attempt> {
         let first = request.in_flight.first()?;
-        let silence_ms = self.upstreams.get(first.upstream).map(|up| up.silence_ms(now_ms));
+        let silence_ms =
+            self.upstreams.get(first.upstream).map(|upstream| upstream.silence_ms(now_ms));
         if silence_ms.is_some_and(|silence_ms| now_ms - silence_ms > first.sent_at_ms) {
             return None;
         }
         let candidate = self.choose(request, random, now_ms)?;
-        let vms = self.vms.max_known_vm_count();
-        if !self.budget.try_withdraw(&request.service, vms, now_ms) {
+        let vm_count = self.vms.max_known_vm_count();
+        if !self.budget.try_withdraw(&request.service, vm_count, now_ms) {
             return None;
         }
         request.cause = AttemptCause::Unresponsive;
@@ -405,8 +421,8 @@
 
     /// Cancels all attempts in flight after the caller disconnected or got its response.
     pub fn cancel_request(&mut self, request: &mut RequestState, now_ms: u64) {
-        while let Some(current) = request.in_flight.last() {
-            self.record_outcome(request, current.upstream, AttemptOutcome::Canceled, now_ms);
+        while let Some(attempt) = request.in_flight.last() {
+            self.record_outcome(request, attempt.upstream, AttemptOutcome::Canceled, now_ms);
         }
     }
 
--- a/crates/sedgepath-core/src/direct/steering/learning.rs
+++ b/crates/sedgepath-core/src/direct/steering/learning.rs
@@ -5,7 +5,7 @@
 use crate::direct::upstreams::UpstreamKey;
 
 impl Steering {
-    /// Records the outcome of an attempt.
+    /// Records the outcome of a request's attempt at an upstream, if that is in flight.
     pub fn record_outcome(
         &mut self,
         request: &mut RequestState,
@@ -13,10 +13,11 @@
         outcome: AttemptOutcome,
         now_ms: u64,
     ) {
-        let Some(index) = request.in_flight.iter().position(|sent| sent.upstream == key) else {
+        let Some(index) = request.in_flight.iter().position(|attempt| attempt.upstream == key)
+        else {
             return;
         };
-        let current = request.in_flight.swap_remove(index);
+        let attempt = request.in_flight.swap_remove(index);
         match outcome {
             AttemptOutcome::Answered { .. } | AttemptOutcome::Failed | AttemptOutcome::TimedOut => {
                 request.delivered += 1;
@@ -37,7 +38,7 @@
         {
             self.upstreams.record_reachable_again(key, &service, now_ms);
         }
-        self.record_response(request, current, outcome, now_ms);
+        self.record_time_and_size(request, attempt, outcome, now_ms);
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return;
         };
@@ -48,14 +49,14 @@
             }
             AttemptOutcome::Answered { report, .. } => {
                 let expected_ms = self
-                    .times
+                    .service_times
                     .get(&request.service)
-                    .map(|times| times.work_ms(current.warm) + current.wait_ms);
-                let took_ms = current.time_at_upstream_ms(now_ms);
+                    .map(|times| times.work_ms(attempt.warm) + attempt.wait_ms);
+                let took_ms = attempt.time_at_upstream_ms(now_ms);
                 let slowness = expected_ms.map(|expected_ms| took_ms / expected_ms.max(1.0));
-                upstream.record_answer(report, slowness, now_ms);
+                upstream.record_response(report, slowness, now_ms);
             }
-            AttemptOutcome::Refused { report } => upstream.record_refusal(report, now_ms),
+            AttemptOutcome::Refused { report } => upstream.record_rejection(report, now_ms),
             AttemptOutcome::Misdirected => self.upstreams.remove_misdirected(key),
             AttemptOutcome::Unreachable => upstream.record_unreachable(now_ms),
             AttemptOutcome::TimedOut => upstream.record_timeout(now_ms),
@@ -63,29 +64,32 @@
         }
     }
 
-    fn record_response(
+    /// Records the response size of a successful attempt, and its time if it found a free slot.
+    fn record_time_and_size(
         &mut self,
         request: &RequestState,
-        current: InFlightAttempt,
+        attempt: InFlightAttempt,
         outcome: AttemptOutcome,
         now_ms: u64,
     ) {
         let AttemptOutcome::Answered { failed: false, body_bytes, .. } = outcome else {
             return;
         };
-        if current.wait_ms <= 0.0 {
-            let times = self.times.entry(request.service.clone()).or_default();
-            times.record_time(current.warm, current.time_at_upstream_ms(now_ms));
+        if attempt.wait_ms <= 0.0 {
+            let times = self.service_times.entry(request.service.clone()).or_default();
+            times.record_time(attempt.warm, attempt.time_at_upstream_ms(now_ms));
         }
-        let mean =
+        let mean_bytes =
             self.response_bytes.entry(request.route.name.clone()).or_insert(body_bytes as f64);
-        *mean += SAMPLE_WEIGHT * (body_bytes as f64 - *mean);
+        *mean_bytes += SAMPLE_WEIGHT * (body_bytes as f64 - *mean_bytes);
     }
 
-    /// Records the time that a connection to an upstream took to open.
+    /// Records the time in which a connection to an upstream was opened, as a sample of the round trip
+    /// if the upstream is in another region.
     pub fn record_connect_time(&mut self, key: UpstreamKey, took_ms: u64) {
-        let far = self.upstreams.get(key).is_some_and(|up| up.region != self.location.region);
-        if far {
+        let in_other_region =
+            self.upstreams.get(key).is_some_and(|upstream| upstream.region != self.location.region);
+        if in_other_region {
             self.other_region_rtt_ms += SAMPLE_WEIGHT * (took_ms as f64 - self.other_region_rtt_ms);
         }
     }
--- a/crates/sedgepath-core/src/direct/steering/store.rs
+++ b/crates/sedgepath-core/src/direct/steering/store.rs
@@ -1,4 +1,4 @@
-//! The availability of the store, as observed by this VM and the VMs that it hears.
+//! The availability of the store, as observed by this VM and reported by other VMs.
 
 use super::Steering;
 use crate::direct::vms::StoreHealth;
@@ -16,11 +16,11 @@
 impl Steering {
     /// Updates the store's availability from this VM's view of it.
     ///
-    /// The store is unavailable only if it fails a VM and responds to none that this VM hears. If it
-    /// responded to another VM throughout, only this VM was cut off: the entries that are missing now
-    /// were removed rather than lapsed.
+    /// The store counts as unavailable only if calls of a VM fail and no VM that this one hears can
+    /// reach it. If another VM could reach it throughout, only this VM was cut off: the entries that
+    /// are missing now were removed rather than lapsed.
     pub fn update_store_health(&mut self, own: StoreHealth, now_ms: u64) {
-        let contact_ms = match self.vms.store_health(own, now_ms) {
+        let reachable_for_ms = match self.vms.store_health(own, now_ms) {
             StoreHealth::Reachable { for_ms } => for_ms,
             StoreHealth::Unknown => return,
             StoreHealth::Failing => {
@@ -37,8 +37,12 @@
             self.store.unavailable = false;
             self.upstreams.set_store_unavailable(false, now_ms);
         }
-        let since_ms = now_ms.saturating_sub(contact_ms);
-        if self.store.outage_since_ms.is_some_and(|outage_since_ms| since_ms <= outage_since_ms) {
+        let reachable_since_ms = now_ms.saturating_sub(reachable_for_ms);
+        if self
+            .store
+            .outage_since_ms
+            .is_some_and(|outage_since_ms| reachable_since_ms <= outage_since_ms)
+        {
             self.store.outage_since_ms = None;
             self.upstreams.confirm_removals(now_ms);
         }
--- a/crates/sedgepath-core/src/direct/upstreams.rs
+++ b/crates/sedgepath-core/src/direct/upstreams.rs
@@ -3,8 +3,9 @@
 //! # Cold upstreams
 //!
 //! An upstream that has just started crashes above a low request rate. Its entry says that it is
-//! cold. An upstream that was unreachable may have restarted before this VM reads its new entry, so
-//! it counts as cold for the service's cold start once it responds again.
+//! cold. An upstream that was unreachable may have restarted before this VM reads its new entry.
+//! Once such an upstream responds again, it is therefore treated as cold for the service's
+//! cold-start duration.
 
 mod table;
 
@@ -14,55 +15,68 @@
 
 pub use table::{EntryChange, LAPSED_ENTRY_GRACE_MS, UpstreamTable};
 
-/// The weight of a new sample in the moving averages.
-const SAMPLE_WEIGHT: f64 = 0.1;
+/// The weight of a success in the moving failure rate.
+const SUCCESS_WEIGHT: f64 = 0.1;
+
+/// The weight of a failure in the moving failure rate, and of a new sample in the moving slowness.
+const FAILURE_AND_SLOWNESS_WEIGHT: f64 = 0.2;
 
 /// The half-life of an upstream's slowness and failure rate, in milliseconds, so that an upstream
 /// without requests is tried again.
 const HEALTH_HALF_LIFE_MS: f64 = 3_000.0;
 
-/// The half-life of the load from other VMs in the last report, in milliseconds: about the time that
-/// a request takes.
+/// The half-life of the estimated load from other VMs, in milliseconds.
 const LOAD_REPORT_HALF_LIFE_MS: f64 = 400.0;
 
-/// The number of warm objects per upstream from which expired ones are removed.
+/// The load per slot that is assumed for an upstream that is full.
+const FULL_LOAD_PER_SLOT: f64 = 2.0;
+
+/// Expired warm objects of an upstream are removed once it has this many.
 const WARM_PRUNE_OBJECTS: usize = 128;
 
-/// The time for which an object counts as warm at an upstream, in milliseconds.
+/// The time for which an upstream is assumed to have an object cached after a request for it, in
+/// milliseconds.
 const WARM_OBJECT_MS: u64 = 12_000;
 
-/// The first ejection time of an upstream, in milliseconds; doubled with each further consecutive
+/// The ejection duration after one failure, in milliseconds; doubled for each further consecutive
 /// failure up to [`MAX_EJECTION_MS`].
-const INITIAL_EJECTION_MS: u64 = 500;
+const BASE_EJECTION_MS: u64 = 500;
 
-/// The longest ejection time of an upstream, in milliseconds.
+/// The longest ejection duration, in milliseconds.
 const MAX_EJECTION_MS: u64 = 4_000;
 
-/// The consecutive failures that eject a reachable upstream.
+/// The most doublings of [`BASE_EJECTION_MS`], so that the duration doesn't overflow before it is
+/// limited to [`MAX_EJECTION_MS`].
+const MAX_EJECTION_DOUBLINGS: u32 = 8;
+
+/// The number of consecutive failures after which a reachable upstream is ejected.
 const EJECTION_FAILURES: u32 = 4;
 
-/// The window in which requests to a cold upstream are counted, in milliseconds: longer than the
-/// second of the rate limit, since network delay may bring requests closer together.
+/// The window in which requests to a cold upstream are counted, in milliseconds. It exceeds one
+/// second, the unit of the rate, to allow for network jitter.
 const COLD_WINDOW_MS: u64 = 1_200;
 
-/// The share of a cold upstream's rate that one VM uses. Two VMs with different views, or two
-/// processes of a restarting VM, each send at this rate without exceeding the tolerated excess.
+/// The share of a cold upstream's rate that one process uses. Two processes that both use a cold
+/// upstream, such as VMs with different views, send at most 1.5 times its rate, which upstreams
+/// tolerate.
 const COLD_RATE_SHARE: f64 = 0.75;
 
-/// A VM-local key of one start of an upstream; keys are numbered in sequence and never reused.
+/// A VM-local key of one incarnation of an upstream, from one start to the next. Keys are numbered
+/// in sequence and never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamKey(pub u32);
 
 /// An upstream's registration in the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UpstreamEntry {
-    /// The name of the upstream's incarnation, which the upstream verifies on each request.
+    /// The upstream's name, sent with each request so that another upstream at the same address can
+    /// reject it.
     pub name: Box<str>,
-    /// The service that the upstream runs.
+    /// The name of the service that the upstream runs.
     pub service: Box<str>,
-    /// The upstream's address.
+    /// The address at which the upstream accepts requests.
     pub address: SocketAddr,
-    /// The upstream's failure domain.
+    /// The name of the upstream's failure domain.
     pub domain: Box<str>,
     /// The number of requests that the upstream runs concurrently.
     pub slots: u32,
@@ -70,27 +84,31 @@
     pub leaving: bool,
     /// The remaining time for which the upstream is cold, in milliseconds.
     pub cold_remaining_ms: u64,
-    /// A sequence number that grows with each write after one start.
+    /// The sequence number of the entry, increased with each write since the upstream started.
     pub sequence: u64,
     /// When the upstream started, in milliseconds since the Unix epoch, if the entry has it.
     pub started_at_ms: Option<u64>,
 }
 
 impl UpstreamEntry {
-    /// Returns whether this entry was written before another one of the same name.
+    /// Returns whether this entry was written before another entry of the same name.
     ///
     /// A delayed write may reach the store after a later one, and must not restore a leaving upstream.
+    /// If the start times don't tell, an entry with a lower sequence number but more cold time belongs
+    /// to a restarted upstream, and isn't older.
     fn is_older_than(&self, other: &Self) -> bool {
         match (self.started_at_ms, other.started_at_ms) {
-            (Some(own), Some(others)) if own != others => own < others,
+            (Some(own_start_ms), Some(other_start_ms)) if own_start_ms != other_start_ms => {
+                own_start_ms < other_start_ms
+            }
             _ => {
                 self.sequence < other.sequence && self.cold_remaining_ms <= other.cold_remaining_ms
             }
         }
     }
 
-    /// Returns whether this entry is the same or a later write of the same start as another.
-    fn continues_start(&self, other: &Self) -> bool {
+    /// Returns whether this entry belongs to the same incarnation as `other` and is not older.
+    fn continues_incarnation(&self, other: &Self) -> bool {
         self.address == other.address
             && self.service == other.service
             && self.started_at_ms == other.started_at_ms
@@ -101,20 +119,20 @@
 /// The load that an upstream reported with a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
-    /// The number of running requests.
+    /// The number of requests that occupy a slot.
     pub running: u32,
     /// The number of requests waiting for a slot.
     pub waiting: u32,
-    /// The number of slots.
+    /// The number of requests that the upstream runs concurrently.
     pub slots: u32,
 }
 
 /// An upstream with the load and health that this VM observes.
 #[derive(Debug)]
 pub struct Upstream {
-    /// The upstream's registration.
+    /// The upstream's current registration in the store.
     pub entry: UpstreamEntry,
-    /// The upstream's region.
+    /// The region of the upstream's failure domain.
     pub region: Box<str>,
     /// A digest of the upstream's name, for rendezvous hashing.
     pub hash: u64,
@@ -124,7 +142,8 @@
     pub cold_until_ms: u64,
     /// The end of the ejection, in milliseconds.
     pub ejected_until_ms: u64,
-    /// When the upstream is removed, in milliseconds, if its entry lapsed around a store outage.
+    /// When the upstream is removed, in milliseconds, if its entry lapsed during or shortly after a
+    /// store outage.
     pub lapses_at_ms: Option<u64>,
     other_vms_load: f64,
     load_updated_at_ms: u64,
@@ -133,7 +152,7 @@
     health_updated_at_ms: u64,
     consecutive_failures: u32,
     was_unreachable: bool,
-    silent_since_ms: u64,
+    last_activity_ms: u64,
     warm_objects: Map<u64, u64>,
     cold_sent_at_ms: Vec<u64>,
 }
@@ -158,7 +177,7 @@
             health_updated_at_ms: now_ms,
             consecutive_failures: 0,
             was_unreachable: false,
-            silent_since_ms: now_ms,
+            last_activity_ms: now_ms,
             warm_objects: Map::default(),
             cold_sent_at_ms: Vec::new(),
         }
@@ -191,20 +210,22 @@
         self.failure_rate * self.health_decay(now_ms)
     }
 
-    /// Returns the time since the last response while requests are in flight, in milliseconds.
+    /// Returns the time since the last response, the last failure or the first of the requests in
+    /// flight, whichever is latest, in milliseconds; 0 if no request is in flight.
     pub fn silence_ms(&self, now_ms: u64) -> u64 {
-        if self.in_flight == 0 { 0 } else { now_ms.saturating_sub(self.silent_since_ms) }
+        if self.in_flight == 0 { 0 } else { now_ms.saturating_sub(self.last_activity_ms) }
     }
 
-    /// Returns whether a request for an object was sent recently.
+    /// Returns whether a request for an object was sent to this upstream so recently that the upstream
+    /// is assumed to have the object cached.
     pub fn is_warm_for(&self, object: u64, now_ms: u64) -> bool {
         self.warm_objects.get(&object).is_some_and(|at_ms| now_ms < at_ms + WARM_OBJECT_MS)
     }
 
     /// Records that a request is about to be sent.
-    pub fn record_sent(&mut self, object: Option<u64>, now_ms: u64) {
+    pub fn record_send(&mut self, object: Option<u64>, now_ms: u64) {
         if self.in_flight == 0 {
-            self.silent_since_ms = now_ms;
+            self.last_activity_ms = now_ms;
         }
         self.in_flight += 1;
         if self.is_cold(now_ms) {
@@ -219,13 +240,13 @@
         }
     }
 
-    /// Records the end of a request, whatever its outcome.
+    /// Records the end of an attempt, whatever its outcome.
     pub fn record_end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
     /// Records a response with its load report and its ratio of actual to expected time.
-    pub fn record_answer(
+    pub fn record_response(
         &mut self,
         report: Option<LoadReport>,
         slowness: Option<f64>,
@@ -233,31 +254,34 @@
     ) {
         self.record_contact(report, now_ms);
         self.consecutive_failures = 0;
-        self.failure_rate = self.failure_rate(now_ms) * (1.0 - SAMPLE_WEIGHT);
+        self.failure_rate = self.failure_rate(now_ms) * (1.0 - SUCCESS_WEIGHT);
         if let Some(sample) = slowness {
             let slowness = self.slowness(now_ms);
-            self.slowness = slowness + SAMPLE_WEIGHT * 2.0 * (sample - slowness);
+            self.slowness = slowness + FAILURE_AND_SLOWNESS_WEIGHT * (sample - slowness);
         }
         self.health_updated_at_ms = now_ms;
     }
 
-    /// Records a refusal.
+    /// Records a rejection.
     ///
-    /// A refusal with free slots counts as a failure.
-    pub fn record_refusal(&mut self, report: Option<LoadReport>, now_ms: u64) {
+    /// A rejection without a report, or with one that shows no free slot, raises the estimated load.
+    /// One with a free slot raises the failure rate instead. Neither leads to ejection.
+    pub fn record_rejection(&mut self, report: Option<LoadReport>, now_ms: u64) {
         self.record_contact(report, now_ms);
         let full = report.is_none_or(|report| report.running >= report.slots);
         if full {
-            self.other_vms_load = self.other_vms_load.max(f64::from(self.entry.slots) * 2.0);
+            let full_load = f64::from(self.entry.slots) * FULL_LOAD_PER_SLOT;
+            self.other_vms_load = self.other_vms_load.max(full_load);
             self.load_updated_at_ms = now_ms;
         } else {
             self.raise_failure_rate(now_ms);
         }
     }
 
-    /// Records a failure of a request that reached the upstream.
+    /// Records a failure of an attempt that reached the upstream, and ejects the upstream after
+    /// several consecutive ones.
     pub fn record_failure(&mut self, now_ms: u64) {
-        self.silent_since_ms = now_ms;
+        self.last_activity_ms = now_ms;
         self.raise_failure_rate(now_ms);
         self.consecutive_failures += 1;
         if self.consecutive_failures >= EJECTION_FAILURES {
@@ -267,8 +291,8 @@
 
     /// Records that a request's deadline passed without a response.
     ///
-    /// An upstream whose responses are lost or late gives no other sign while nothing is in flight.
-    /// Counting timeouts as failures moves requests to the object's next upstream.
+    /// Timeouts raise the failure rate, so that later requests prefer another upstream. They don't
+    /// lead to ejection.
     pub fn record_timeout(&mut self, now_ms: u64) {
         self.raise_failure_rate(now_ms);
     }
@@ -281,22 +305,22 @@
         self.eject(now_ms);
     }
 
-    /// Returns whether one more request stays within a cold upstream's rate.
-    pub fn has_cold_capacity(&self, per_s: f64, now_ms: u64) -> bool {
+    /// Returns whether one more request stays within this VM's share of a cold upstream's rate.
+    pub fn has_cold_capacity(&self, max_requests_per_s: f64, now_ms: u64) -> bool {
         let recent = self.cold_sent_at_ms.iter().filter(|at_ms| now_ms < **at_ms + COLD_WINDOW_MS);
-        (recent.count() as f64) < (per_s * COLD_RATE_SHARE).floor().max(1.0)
+        (recent.count() as f64) < (max_requests_per_s * COLD_RATE_SHARE).floor().max(1.0)
     }
 
     /// Updates the end of the cold phase from the remaining time in an entry.
-    fn update_cold_phase(&mut self, cold_for_ms: u64, now_ms: u64) {
-        if cold_for_ms > 0 {
-            self.cold_until_ms = now_ms + cold_for_ms;
+    fn update_cold_phase(&mut self, cold_remaining_ms: u64, now_ms: u64) {
+        if cold_remaining_ms > 0 {
+            self.cold_until_ms = now_ms + cold_remaining_ms;
         }
     }
 
     /// Records that the upstream responded, and ends its ejection.
     fn record_contact(&mut self, report: Option<LoadReport>, now_ms: u64) {
-        self.silent_since_ms = now_ms;
+        self.last_activity_ms = now_ms;
         self.ejected_until_ms = 0;
         if let Some(report) = report {
             let own = f64::from(self.in_flight);
@@ -307,14 +331,14 @@
     }
 
     fn raise_failure_rate(&mut self, now_ms: u64) {
-        let failing = self.failure_rate(now_ms);
-        self.failure_rate = failing + SAMPLE_WEIGHT * 2.0 * (1.0 - failing);
+        let failure_rate = self.failure_rate(now_ms);
+        self.failure_rate = failure_rate + FAILURE_AND_SLOWNESS_WEIGHT * (1.0 - failure_rate);
         self.health_updated_at_ms = now_ms;
     }
 
     fn eject(&mut self, now_ms: u64) {
-        let doublings = self.consecutive_failures.saturating_sub(1).min(8);
-        let ejection_ms = (INITIAL_EJECTION_MS << doublings).min(MAX_EJECTION_MS);
+        let doublings = self.consecutive_failures.saturating_sub(1).min(MAX_EJECTION_DOUBLINGS);
+        let ejection_ms = (BASE_EJECTION_MS << doublings).min(MAX_EJECTION_MS);
         self.ejected_until_ms = now_ms + ejection_ms;
     }
 
--- a/crates/sedgepath-core/src/direct/upstreams/table.rs
+++ b/crates/sedgepath-core/src/direct/upstreams/table.rs
@@ -2,9 +2,10 @@
 //!
 //! # Leaving and lapsed upstreams
 //!
-//! An upstream that is leaving, or whose entry is removed, gets no new requests. Around a store
-//! outage, entries lapse although their upstreams are running. Such an entry stays in use for
-//! [`LAPSED_ENTRY_GRACE_MS`], within which a running upstream registers again.
+//! An upstream that is leaving, or whose entry is removed, gets no new requests. During or shortly
+//! after a store outage, entries may lapse although their upstreams are running. Such an entry stays
+//! in use until [`LAPSED_ENTRY_GRACE_MS`] after the outage; a running upstream registers again
+//! within that time.
 
 use super::{Upstream, UpstreamEntry, UpstreamKey};
 use crate::direct::routing::ServiceSettings;
@@ -14,8 +15,8 @@
 /// A running upstream registers again within that time.
 pub const LAPSED_ENTRY_GRACE_MS: u64 = 2_000;
 
-/// The time after a store outage for which removals count as lapses, in milliseconds: the first read
-/// after the outage happens within it.
+/// The time after a store outage for which removals count as lapses, in milliseconds. It covers the
+/// first read after the outage.
 const OUTAGE_REMOVAL_WINDOW_MS: u64 = 2_000;
 
 /// The known upstreams, by key, name and service.
@@ -32,11 +33,11 @@
 /// The effect of a change of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryChange {
-    /// A new upstream, or a new start of a known one.
+    /// A new upstream, or a new incarnation of a known one.
     Joined(UpstreamKey),
     /// An upstream announced that it is about to stop.
     Leaving(UpstreamKey),
-    /// No effect on the set of usable upstreams.
+    /// An older entry, or one by which no upstream joins or starts to leave.
     None,
 }
 
@@ -72,29 +73,29 @@
     }
 
     /// Sets whether the store is unavailable, and records when an outage ends.
-    pub fn set_store_unavailable(&mut self, away: bool, now_ms: u64) {
-        if self.store_unavailable && !away {
+    pub fn set_store_unavailable(&mut self, unavailable: bool, now_ms: u64) {
+        if self.store_unavailable && !unavailable {
             self.outage_ended_at_ms = Some(now_ms);
         }
-        self.store_unavailable = away;
+        self.store_unavailable = unavailable;
     }
 
     /// Inserts or updates an upstream from its current entry in the store.
     pub fn upsert(&mut self, entry: UpstreamEntry, region: &str, now_ms: u64) -> EntryChange {
         if let Some(key) = self.by_name.get(&entry.name).copied()
-            && let Some(known) = self.by_key.get_mut(&key)
+            && let Some(upstream) = self.by_key.get_mut(&key)
         {
-            if entry.is_older_than(&known.entry) {
+            if entry.is_older_than(&upstream.entry) {
                 return EntryChange::None;
             }
-            if entry.continues_start(&known.entry) {
-                let leaves = entry.leaving && !known.entry.leaving;
-                if entry.sequence > known.entry.sequence || known.lapses_at_ms.is_some() {
-                    known.update_cold_phase(entry.cold_remaining_ms, now_ms);
+            if entry.continues_incarnation(&upstream.entry) {
+                let starts_leaving = entry.leaving && !upstream.entry.leaving;
+                if entry.sequence > upstream.entry.sequence || upstream.lapses_at_ms.is_some() {
+                    upstream.update_cold_phase(entry.cold_remaining_ms, now_ms);
                 }
-                known.lapses_at_ms = None;
-                known.entry = entry;
-                return if leaves { EntryChange::Leaving(key) } else { EntryChange::None };
+                upstream.lapses_at_ms = None;
+                upstream.entry = entry;
+                return if starts_leaving { EntryChange::Leaving(key) } else { EntryChange::None };
             }
             self.remove_key(key);
         }
@@ -106,42 +107,47 @@
         EntryChange::Joined(key)
     }
 
-    /// Removes an upstream whose entry was removed, or marks it as lapsed around a store outage.
+    /// Removes an upstream whose entry was removed. During or shortly after a store outage, marks it
+    /// as lapsed instead, unless it is leaving.
     pub fn remove(&mut self, name: &str, now_ms: u64) {
         let Some(key) = self.by_name.get(name).copied() else {
             return;
         };
-        let echo =
+        let outage_ended_recently =
             self.outage_ended_at_ms.is_some_and(|at_ms| now_ms < at_ms + OUTAGE_REMOVAL_WINDOW_MS);
         if let Some(upstream) = self.by_key.get_mut(&key)
-            && (echo || self.store_unavailable)
+            && (outage_ended_recently || self.store_unavailable)
             && !upstream.entry.leaving
         {
-            let back_at_ms = self.outage_ended_at_ms.unwrap_or(now_ms);
-            upstream.lapses_at_ms.get_or_insert(back_at_ms + LAPSED_ENTRY_GRACE_MS);
+            let grace_from_ms = self.outage_ended_at_ms.unwrap_or(now_ms);
+            upstream.lapses_at_ms.get_or_insert(grace_from_ms + LAPSED_ENTRY_GRACE_MS);
             return;
         }
         self.remove_key(key);
     }
 
-    /// Confirms that lapsed entries were removed, because the store was available to other VMs.
+    /// Ends the grace period of all lapsed entries. Called when the store turns out to have been
+    /// available to other VMs, so that the entries were removed rather than lapsed.
     pub fn confirm_removals(&mut self, now_ms: u64) {
         self.outage_ended_at_ms = None;
-        for upstream in self.by_key.values_mut().filter(|up| up.lapses_at_ms.is_some()) {
+        let lapsed = self.by_key.values_mut().filter(|upstream| upstream.lapses_at_ms.is_some());
+        for upstream in lapsed {
             upstream.lapses_at_ms = Some(now_ms);
         }
     }
 
     /// Removes the lapsed upstreams whose grace period is over, and returns their names.
     pub fn remove_lapsed(&mut self, now_ms: u64) -> Vec<Box<str>> {
-        let over = |upstream: &Upstream| upstream.lapses_at_ms.is_some_and(|at| at <= now_ms);
-        let gone: Vec<_> = self
+        let is_expired =
+            |upstream: &Upstream| upstream.lapses_at_ms.is_some_and(|at_ms| at_ms <= now_ms);
+        let expired: Vec<_> = self
             .by_key
             .iter()
-            .filter(|(_, upstream)| over(upstream))
+            .filter(|(_, upstream)| is_expired(upstream))
             .map(|(key, upstream)| (*key, upstream.entry.name.clone()))
             .collect();
-        gone.into_iter()
+        expired
+            .into_iter()
             .map(|(key, name)| {
                 self.remove_key(key);
                 name
@@ -154,7 +160,8 @@
         self.remove_key(key);
     }
 
-    /// Marks an upstream as cold if it was unreachable before this response: it may have restarted.
+    /// Marks an upstream that responded as cold if it was unreachable before, since it may have
+    /// restarted.
     pub fn record_reachable_again(
         &mut self,
         key: UpstreamKey,
@@ -169,10 +176,11 @@
         }
     }
 
-    /// Marks all upstreams of a failure domain as cold until a given time.
+    /// Marks all upstreams of a failure domain as cold until a given time, with empty caches.
     pub fn mark_domain_cold(&mut self, domain: &str, until_ms: u64) {
-        let there = self.by_key.values_mut().filter(|up| &*up.entry.domain == domain);
-        for upstream in there {
+        let in_domain =
+            self.by_key.values_mut().filter(|upstream| &*upstream.entry.domain == domain);
+        for upstream in in_domain {
             upstream.cold_until_ms = upstream.cold_until_ms.max(until_ms);
             upstream.warm_objects.clear();
         }
--- a/crates/sedgepath-core/src/direct/vms.rs
+++ b/crates/sedgepath-core/src/direct/vms.rs
@@ -1,9 +1,9 @@
-//! The membership table of entry VMs, and the answers to look-ups.
+//! The membership table of entry VMs, and look-ups of their addresses.
 //!
 //! Every VM sends heartbeats to the VMs of its failure domain and announces their period. A silent
 //! VM is dropped from look-ups after several periods, a leaving one immediately. VMs of other
-//! domains are known from summaries ([`gossip`]). An address learned from another VM is only tried:
-//! it doesn't count as a sign that its VM is running.
+//! domains are known from summaries ([`gossip`]). Messages are sent to an address learned from
+//! another VM, but it isn't evidence that a VM is running there.
 
 pub mod gossip;
 mod heartbeat;
@@ -33,11 +33,11 @@
     heard_at_ms: u64,
 }
 
-/// The number of VMs of the caller's failure domain from which a look-up names no others. A single
-/// address would be a single point of failure while callers cache the answer.
+/// The least number of VMs of the caller's failure domain with which a look-up returns no others. A
+/// single address would be a single point of failure while callers cache the result.
 pub const MIN_NAMED_IN_DOMAIN: usize = 2;
 
-/// The most addresses in the answer to a look-up.
+/// The most addresses in the result of a look-up.
 const MAX_LOOK_UP_ADDRESSES: usize = 64;
 
 /// One VM's view of all entry VMs.
@@ -49,7 +49,7 @@
     /// their failure domain is unknown.
     peers: Map<Box<str>, Peer>,
     remote_domains: RemoteDomains,
-    known: KnownVms,
+    known_vms: KnownVms,
     outgoing_state: OutgoingState,
     /// Since when the store has responded to no VM of the region, in milliseconds.
     store_unreachable_since_ms: Option<u64>,
@@ -63,18 +63,19 @@
             timing,
             peers: Map::default(),
             remote_domains: RemoteDomains::default(),
-            known: KnownVms::default(),
+            known_vms: KnownVms::default(),
             outgoing_state: OutgoingState::default(),
             store_unreachable_since_ms: None,
         }
     }
 
-    /// Returns the time between two heartbeats, in milliseconds, which grows with their receivers.
+    /// Returns the time between two heartbeats, in milliseconds, which grows with the number of their
+    /// receivers.
     pub fn period_ms(&self) -> u64 {
-        let near = self.known.domain_addresses(&self.own.descriptor.domain).count();
-        let targets = near + self.known.unlocated_addresses().count();
-        let round_ms = targets as u64 * 1_000 / self.timing.max_heartbeats_per_s.max(1);
-        round_ms.max(self.timing.heartbeat_interval_ms)
+        let in_domain = self.known_vms.domain_addresses(&self.own.descriptor.domain).count();
+        let receivers = in_domain + self.known_vms.unlocated_addresses().count();
+        let rate_limited_ms = receivers as u64 * 1_000 / self.timing.max_heartbeats_per_s.max(1);
+        rate_limited_ms.max(self.timing.heartbeat_interval_ms)
     }
 
     /// Returns this VM's key for rendezvous hashing.
@@ -107,45 +108,45 @@
     /// Adds an address at which a VM may run, in an unknown failure domain.
     pub fn add_address(&mut self, address: SocketAddr, now_ms: u64) {
         self.add_known_address(address, None, now_ms);
-        self.known.update_maxima(now_ms);
+        self.known_vms.update_maxima(now_ms);
     }
 
     /// Adds an address at which a VM of a failure domain and region may run.
     pub fn add_vm(&mut self, address: SocketAddr, domain: &str, region: &str, now_ms: u64) {
         let locality = Locality { domain: domain.into(), region: region.into() };
         self.add_known_address(address, Some(locality), now_ms);
-        self.known.update_maxima(now_ms);
+        self.known_vms.update_maxima(now_ms);
     }
 
     fn add_known_address(&mut self, address: SocketAddr, locality: Option<Locality>, now_ms: u64) {
         if address != self.own.descriptor.peer_address {
             let until_ms = now_ms + self.timing.forget_after_ms;
-            self.known.add(address, locality, until_ms, now_ms);
+            self.known_vms.add(address, locality, until_ms, now_ms);
         }
     }
 
-    /// Returns the addresses that get heartbeats: those of this VM's failure domain, and those in an
-    /// unknown one. VMs that have been silent for too long are removed first.
+    /// Removes VMs that have been silent for too long, and returns the addresses that get heartbeats:
+    /// those of this VM's failure domain, and those in an unknown one.
     pub fn heartbeat_targets(&mut self, now_ms: u64) -> Vec<SocketAddr> {
-        self.known.remove_silent(now_ms);
+        self.known_vms.remove_silent(now_ms);
         self.remote_domains.remove_silent(self.timing.forget_after_ms, now_ms);
-        let near = self.known.domain_addresses(&self.own.descriptor.domain);
-        near.chain(self.known.unlocated_addresses()).collect()
+        let in_domain = self.known_vms.domain_addresses(&self.own.descriptor.domain);
+        in_domain.chain(self.known_vms.unlocated_addresses()).collect()
     }
 
     /// Returns the addresses of the other VMs of this VM's failure domain, heard or not.
     pub fn domain_addresses(&self) -> Vec<SocketAddr> {
-        self.known.domain_addresses(&self.own.descriptor.domain).collect()
+        self.known_vms.domain_addresses(&self.own.descriptor.domain).collect()
     }
 
     /// Records the full heartbeat of another VM.
     pub fn record_heartbeat(&mut self, heartbeat: VmHeartbeat, now_ms: u64) {
-        let VmHeartbeat { descriptor, state, known } = heartbeat;
+        let VmHeartbeat { descriptor, state, known_addresses } = heartbeat;
         if descriptor.name == self.own.descriptor.name {
             return;
         }
         let locality = Locality::of(&descriptor);
-        for address in known {
+        for address in known_addresses {
             self.add_known_address(address, Some(locality.clone()), now_ms);
         }
         self.apply_state(descriptor, state, now_ms);
@@ -153,13 +154,13 @@
 
     /// Records a heartbeat without a descriptor, and returns whether its sender is known.
     ///
-    /// The heartbeat of an unknown process is ignored until its first full one.
+    /// The heartbeats of an unknown process are ignored until its first full one.
     pub fn record_state(&mut self, from: SocketAddr, state: VmState, now_ms: u64) -> bool {
-        let of_process = |peer: &&Peer| {
+        let is_sender = |peer: &&Peer| {
             peer.descriptor.peer_address == from && peer.state.boot_at_ms == state.boot_at_ms
         };
         let Some(descriptor) =
-            self.peers.values().find(of_process).map(|peer| peer.descriptor.clone())
+            self.peers.values().find(is_sender).map(|peer| peer.descriptor.clone())
         else {
             return false;
         };
@@ -168,34 +169,35 @@
     }
 
     fn apply_state(&mut self, descriptor: VmDescriptor, state: VmState, now_ms: u64) {
-        let forgotten_at_ms = now_ms + self.timing.forget_after_ms;
-        self.known.record_heard(
+        let forget_at_ms = now_ms + self.timing.forget_after_ms;
+        self.known_vms.record_heard(
             descriptor.peer_address,
             &Locality::of(&descriptor),
-            forgotten_at_ms,
+            forget_at_ms,
         );
-        self.known.update_maxima(now_ms);
-        let last = self.peers.get(&descriptor.name);
-        if last.is_some_and(|last| !self.is_current_state(last, &state, now_ms)) {
+        self.known_vms.update_maxima(now_ms);
+        let previous = self.peers.get(&descriptor.name);
+        if previous.is_some_and(|previous| !self.is_current_state(previous, &state, now_ms)) {
             return;
         }
-        if last.is_none_or(|last| {
-            last.state.boot_at_ms != state.boot_at_ms || self.is_silent(last, now_ms)
+        if previous.is_none_or(|previous| {
+            previous.state.boot_at_ms != state.boot_at_ms || self.is_silent(previous, now_ms)
         }) {
             self.outgoing_state.record_join(now_ms);
         }
         self.peers.insert(descriptor.name.clone(), Peer { descriptor, state, heard_at_ms: now_ms });
     }
 
-    /// Returns whether a state isn't older than the last one of its VM.
-    fn is_current_state(&self, last: &Peer, state: &VmState, now_ms: u64) -> bool {
-        if state.boot_at_ms != last.state.boot_at_ms {
+    /// Returns whether a state isn't older than the previous one of its VM.
+    fn is_current_state(&self, previous: &Peer, state: &VmState, now_ms: u64) -> bool {
+        if state.boot_at_ms != previous.state.boot_at_ms {
             // A delayed datagram of an earlier process is ignored. A process whose clock was set
             // back reports an earlier start too, but after a silence.
-            return state.boot_at_ms > last.state.boot_at_ms || self.is_silent(last, now_ms);
+            return state.boot_at_ms > previous.state.boot_at_ms
+                || self.is_silent(previous, now_ms);
         }
-        // A process that is leaving doesn't become ready again, so this would be a delayed state.
-        state.stamp >= last.state.stamp && (state.leaving || !last.state.leaving)
+        // A leaving process never stops leaving, so a state that isn't leaving was delayed.
+        state.stamp >= previous.state.stamp && (state.leaving || !previous.state.leaving)
     }
 
     /// Records the summary of another failure domain, received from its sender.
@@ -214,11 +216,11 @@
                 self.apply_summary(summary, heard_at_ms, now_ms);
             }
             SummaryUpdate::Unchanged { sender, boot_at_ms, stamp, digest } => {
-                let same =
+                let renewed =
                     self.remote_domains.renew(sender, (boot_at_ms, stamp), digest, heard_at_ms);
-                if let Some(summary) = same {
-                    let forgotten_at_ms = heard_at_ms + self.timing.forget_after_ms;
-                    self.known.record_members(summary, forgotten_at_ms);
+                if let Some(summary) = renewed {
+                    let forget_at_ms = heard_at_ms + self.timing.forget_after_ms;
+                    self.known_vms.record_members(summary, forget_at_ms);
                 }
             }
         }
@@ -238,18 +240,19 @@
             let address = SocketAddr::new(*ip, self.own.descriptor.peer_address.port());
             self.add_known_address(address, Some(own.clone()), now_ms);
         }
-        self.known.record_members(&summary, heard_at_ms + self.timing.forget_after_ms);
+        self.known_vms.record_members(&summary, heard_at_ms + self.timing.forget_after_ms);
         let change = self.remote_domains.apply_summary(summary, heard_at_ms, &self.timing, now_ms);
-        self.known.update_maxima(now_ms);
+        self.known_vms.update_maxima(now_ms);
         change
     }
 
     /// Returns the number of VMs that divide the limits for all VMs, including this one.
     ///
-    /// VMs known by address only are counted, so that a VM that has just started doesn't use the whole
-    /// limit. A VM that is no longer heard may still serve behind a partition and keeps its share.
+    /// VMs known only by their addresses are counted, so that a VM that has just started doesn't use
+    /// the whole limit. A VM that is no longer heard keeps its share, since it may still serve on the
+    /// other side of a partition.
     pub fn sharing_vm_count(&self, now_ms: u64) -> usize {
-        1 + self.known.max_heard().max(self.known.count(now_ms))
+        1 + self.known_vms.max_heard().max(self.known_vms.count(now_ms))
     }
 
     /// Returns the largest number of VMs ever known at a time, including this one, heard or not.
@@ -257,7 +260,7 @@
     /// This may count VMs that no longer exist but are still in the store, so it suits limits where a
     /// share that is too small does little harm.
     pub fn max_known_vm_count(&self) -> usize {
-        1 + self.known.max_heard().max(self.known.max_known())
+        1 + self.known_vms.max_heard().max(self.known_vms.max_known())
     }
 
     /// Returns the state of the other VMs, sorted by name.
@@ -294,12 +297,12 @@
     fn serving_where(
         &self,
         now_ms: u64,
-        fits: &dyn Fn(&VmDescriptor) -> bool,
+        matches: &dyn Fn(&VmDescriptor) -> bool,
     ) -> Vec<&VmDescriptor> {
         let heard = self.live_peers(now_ms).filter(|peer| peer.state.ready);
         let heard = heard.map(|peer| &peer.descriptor);
         // A VM's own heartbeat takes precedence over summaries that list it.
-        let left: Set<SocketAddr> = self
+        let leaving: Set<SocketAddr> = self
             .peers
             .values()
             .filter(|peer| peer.state.leaving && !self.is_silent(peer, now_ms))
@@ -307,10 +310,10 @@
             .collect();
         let listed = self.remote_domains.live_vms(self.timing, now_ms);
         let listed = listed.filter(|listed| listed.member.ready).map(|listed| &listed.descriptor);
-        let listed = listed.filter(|descriptor| !left.contains(&descriptor.peer_address));
+        let listed = listed.filter(|descriptor| !leaving.contains(&descriptor.peer_address));
         let own = (!self.own.state.leaving).then_some(&self.own.descriptor);
         let all = heard.chain(listed).chain(own);
-        let mut descriptors: Vec<_> = all.filter(|descriptor| fits(descriptor)).collect();
+        let mut descriptors: Vec<_> = all.filter(|descriptor| matches(descriptor)).collect();
         descriptors.sort_by_key(|descriptor| descriptor.peer_address);
         descriptors.dedup_by(|one, other| one.peer_address == other.peer_address);
         descriptors
@@ -332,36 +335,38 @@
         now_ms >= peer.heard_at_ms + self.timing.silent_after_ms(peer.state.period_ms)
     }
 
-    /// Returns the combined view of the store of this VM and all VMs that are heard: the longest time
-    /// for which it has been reachable from one of them, or else whether it fails one.
+    /// Combines the views of the store of this VM, of all VMs that are heard and of the other failure
+    /// domains: the longest time for which one of them could reach it, or else whether calls of one
+    /// fail.
     pub fn store_health(&self, own: StoreHealth, now_ms: u64) -> StoreHealth {
         let heard = self.peers.values().filter(|peer| !self.is_silent(peer, now_ms));
         let others = heard.map(|peer| {
             peer.state.store_health.extrapolate(now_ms.saturating_sub(peer.heard_at_ms))
         });
-        let near = others.fold(own, StoreHealth::combine);
-        near.combine(self.remote_domains.store(&self.timing, now_ms))
+        let direct = others.fold(own, StoreHealth::combine);
+        direct.combine(self.remote_domains.store_health(&self.timing, now_ms))
     }
 
     /// Returns the addresses of entry VMs for a caller in a failure domain and region.
     ///
-    /// Only VMs of the caller's failure domain are returned if there are [`MIN_NAMED_IN_DOMAIN`],
-    /// which avoids the cost of traffic between domains; otherwise those of its region, or all. The
-    /// result is empty only if this VM is leaving and knows no other.
+    /// Only VMs of the caller's failure domain are returned if there are at least
+    /// [`MIN_NAMED_IN_DOMAIN`], which avoids the cost of traffic between domains; otherwise those of
+    /// its region, or all if there are none. The result is empty only if this VM is leaving and knows
+    /// no other that serves.
     pub fn look_up(&self, domain: &str, region: &str, now_ms: u64) -> Vec<SocketAddr> {
-        let near = |fits: &dyn Fn(&VmDescriptor) -> bool| -> Vec<SocketAddr> {
-            let serving = self.serving_where(now_ms, fits);
+        let addresses_where = |matches: &dyn Fn(&VmDescriptor) -> bool| -> Vec<SocketAddr> {
+            let serving = self.serving_where(now_ms, matches);
             serving
                 .into_iter()
                 .map(|descriptor| descriptor.caller_address)
                 .take(MAX_LOOK_UP_ADDRESSES)
                 .collect()
         };
-        let in_domain = near(&|descriptor| &*descriptor.domain == domain);
+        let in_domain = addresses_where(&|descriptor| &*descriptor.domain == domain);
         if in_domain.len() >= MIN_NAMED_IN_DOMAIN {
             return in_domain;
         }
-        let in_region = near(&|descriptor| &*descriptor.region == region);
-        if in_region.is_empty() { near(&|_| true) } else { in_region }
+        let in_region = addresses_where(&|descriptor| &*descriptor.region == region);
+        if in_region.is_empty() { addresses_where(&|_| true) } else { in_region }
     }
 }
--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -7,11 +7,11 @@
 //! - For each other domain, a few VMs chosen by rendezvous hashing send summaries of their own domain
 //!   to random VMs of the other one. The receiver relays the summary within its domain with its next
 //!   periodic messages.
-//! - There is no election: VMs that disagree on the senders send an additional summary.
-//! - Unchanged content is mostly left out: most heartbeats have no descriptor, and most summaries
+//! - There is no election: VMs that disagree on the senders send additional summaries.
+//! - Unchanged content is mostly omitted: most heartbeats have no descriptor, and most summaries
 //!   are relayed as a digest.
 //! - A summary lists only VMs that its sender hears, and is relayed once. A VM therefore counts as
-//!   running only on the word of a VM that hears it.
+//!   running only if a VM that hears it reports it.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -34,7 +34,8 @@
 /// The number of random VMs of another failure domain that get a summary.
 const RECEIVERS_PER_SUMMARY: usize = 1;
 
-/// The number of random VMs that get a summary after a change: some of them may have failed too.
+/// The number of random VMs that get a summary after a change, since some of them may have failed
+/// too.
 const RECEIVERS_AFTER_CHANGE: usize = 3;
 
 /// The time for which a summary counts as changed, in milliseconds.
@@ -57,7 +58,7 @@
 /// reach the store, and few to limit the heartbeat's size.
 const ADDRESSES_PER_HEARTBEAT: usize = 4;
 
-/// The number of VMs of the receiver's failure domain that a summary names.
+/// The number of VMs of the receiver's failure domain in a summary.
 const RECEIVER_VMS_PER_SUMMARY: usize = 2;
 
 /// The number of VMs of the receiver's failure domain in the reply to a VM that joins.
@@ -106,10 +107,10 @@
 /// The state of a VM's outgoing messages.
 #[derive(Debug, Default)]
 pub(super) struct OutgoingState {
-    /// The position of the next address to include in a heartbeat.
-    next_address: usize,
-    /// The periods since a VM joined.
-    periods: u64,
+    /// The index of the next address to include in a heartbeat, modulo their number.
+    next_address_index: usize,
+    /// The number of periods since a VM last joined.
+    periods_since_join: u64,
     /// A digest of the last summary of the VM's failure domain.
     summary_digest: u64,
     /// Until when that summary counts as changed, in milliseconds.
@@ -131,21 +132,22 @@
 impl OutgoingState {
     /// Records that a VM joined, which needs a full heartbeat and full summaries.
     pub(super) fn record_join(&mut self, now_ms: u64) {
-        self.periods = 0;
+        self.periods_since_join = 0;
         self.full_relay_until_ms = now_ms + FULL_RELAY_MS;
     }
 
     /// Records a received summary to be relayed.
     pub(super) fn queue_relay(&mut self, sender: SocketAddr, change: SummaryChange, now_ms: u64) {
-        // Of two summaries in one period only the second is relayed, with the change of the first.
+        // Only a sender's last summary of a period is relayed, as changed if an earlier one was.
         let changed = change == SummaryChange::Changed
-            || self.pending_relays.get(&sender).is_some_and(|earlier| earlier.changed);
+            || self.pending_relays.get(&sender).is_some_and(|pending| pending.changed);
         self.pending_relays.insert(sender, PendingRelay { received_at_ms: now_ms, changed });
     }
 }
 
 impl VmTable {
-    /// Returns the messages of one period.
+    /// Returns the messages to send in each period: a heartbeat, summaries of this VM's failure domain
+    /// for other domains, and relayed summaries of other domains.
     pub fn periodic_messages(
         &mut self,
         stamp: HybridTimestamp,
@@ -171,8 +173,9 @@
         outgoing
     }
 
-    /// Returns the messages after a change of the table replicas: to this VM's failure domain and to
-    /// the other domains of its region, whether or not this VM sends their summaries.
+    /// Returns the messages to send after a change of the table replicas: a heartbeat to this VM's
+    /// failure domain, and a summary to each other domain of its region, even if other VMs send the
+    /// periodic summaries.
     pub fn change_messages(
         &mut self,
         stamp: HybridTimestamp,
@@ -212,28 +215,33 @@
         PeerMessage::Summary(summary)
     }
 
-    /// Returns this VM's full heartbeat with the next known addresses of its domain.
+    /// Returns this VM's full heartbeat with the next of the known addresses of its failure domain.
     pub fn heartbeat(&mut self, stamp: HybridTimestamp) -> VmHeartbeat {
         let heard: Vec<_> =
-            self.known.heard_domain_addresses(&self.own.descriptor.domain).collect();
-        let next = self.outgoing_state.next_address;
-        self.outgoing_state.next_address = next.wrapping_add(ADDRESSES_PER_HEARTBEAT);
-        let from = next % heard.len().max(1);
+            self.known_vms.heard_domain_addresses(&self.own.descriptor.domain).collect();
+        let index = self.outgoing_state.next_address_index;
+        self.outgoing_state.next_address_index = index.wrapping_add(ADDRESSES_PER_HEARTBEAT);
+        let start = index % heard.len().max(1);
         let count = ADDRESSES_PER_HEARTBEAT.min(heard.len());
-        let known = heard.iter().copied().cycle().skip(from).take(count).collect();
-        VmHeartbeat { descriptor: self.own.descriptor.clone(), state: self.state_at(stamp), known }
+        let known_addresses = heard.iter().copied().cycle().skip(start).take(count).collect();
+        VmHeartbeat {
+            descriptor: self.own.descriptor.clone(),
+            state: self.state_at(stamp),
+            known_addresses,
+        }
     }
 
     fn periodic_heartbeat(&mut self, stamp: HybridTimestamp, now_ms: u64) -> OutgoingMessage {
         let to = self.heartbeat_targets(now_ms);
-        self.outgoing_state.periods += 1;
-        let unlocated = self.known.unlocated_addresses().next().is_some();
-        let heartbeat =
-            if unlocated || self.outgoing_state.periods % PERIODS_PER_FULL_HEARTBEAT == 1 {
-                Heartbeat::Full(self.heartbeat(stamp))
-            } else {
-                Heartbeat::StateOnly(self.state_at(stamp))
-            };
+        self.outgoing_state.periods_since_join += 1;
+        let has_unlocated = self.known_vms.unlocated_addresses().next().is_some();
+        let heartbeat = if has_unlocated
+            || self.outgoing_state.periods_since_join % PERIODS_PER_FULL_HEARTBEAT == 1
+        {
+            Heartbeat::Full(self.heartbeat(stamp))
+        } else {
+            Heartbeat::StateOnly(self.state_at(stamp))
+        };
         OutgoingMessage { message: PeerMessage::Heartbeat(heartbeat), to }
     }
 
@@ -265,8 +273,8 @@
             domain: descriptor.domain.clone(),
             region: descriptor.region.clone(),
             sender: descriptor.peer_address.ip(),
-            callers_port: descriptor.caller_address.port(),
-            peers_port: descriptor.peer_address.port(),
+            caller_port: descriptor.caller_address.port(),
+            peer_port: descriptor.peer_address.port(),
             members,
             changed_at: state.newest_version,
             store_health: store,
@@ -288,29 +296,30 @@
         OutgoingMessage { message, to: self.summary_receivers(domain, rng, now_ms) }
     }
 
-    /// Returns whether this VM sends its failure domain's summaries to another domain.
+    /// Returns whether this VM is one of those that send their failure domain's summaries to another
+    /// domain.
     fn sends_summaries_to(&self, domain: &str, now_ms: u64) -> bool {
         if self.own.state.leaving {
             return false;
         }
-        let item = Digest::of(&[domain.as_bytes()]).to_u64();
-        let rank = |key: VmKey| (rendezvous::score(item, key.0), key.0);
-        let own = rank(self.own.descriptor.key());
-        let not_silent = |peer: &&Peer| {
+        let domain_digest = Digest::of(&[domain.as_bytes()]).to_u64();
+        let score = |key: VmKey| (rendezvous::score(domain_digest, key.0), key.0);
+        let own_score = score(self.own.descriptor.key());
+        let is_recently_heard = |peer: &&Peer| {
             let silent_after_ms = self.timing.sender_silent_after_ms(peer.state.period_ms);
             now_ms < peer.heard_at_ms + silent_after_ms
         };
-        let others = self.live_domain_peers(now_ms).filter(not_silent);
-        let others = others.map(|peer| rank(peer.descriptor.key()));
-        others.filter(|other| *other > own).count() < SENDERS_PER_DOMAIN
+        let others = self.live_domain_peers(now_ms).filter(is_recently_heard);
+        let other_scores = others.map(|peer| score(peer.descriptor.key()));
+        other_scores.filter(|other| *other > own_score).count() < SENDERS_PER_DOMAIN
     }
 
-    /// Returns random VMs of a failure domain to send a summary to, from the running ones if any are
-    /// known.
+    /// Returns random VMs of another failure domain that get a summary, chosen from those that summaries
+    /// list if there are any, otherwise from all known addresses.
     fn summary_receivers(&self, domain: &str, rng: &mut Rng, now_ms: u64) -> Vec<SocketAddr> {
         let addresses = self.remote_domains.domain_addresses(domain, self.timing, now_ms);
         let mut addresses: Vec<_> = if addresses.is_empty() {
-            self.known.domain_addresses(domain).collect()
+            self.known_vms.domain_addresses(domain).collect()
         } else {
             addresses.into_iter().collect()
         };
@@ -324,23 +333,24 @@
     }
 
     fn sample_domain_ips(&self, domain: &str, max_count: usize, rng: &mut Rng) -> Vec<IpAddr> {
-        let known = self.known.heard_domain_addresses(domain);
-        rng.choose_multiple(known, max_count).into_iter().map(|address| address.ip()).collect()
+        let heard = self.known_vms.heard_domain_addresses(domain);
+        rng.choose_multiple(heard, max_count).into_iter().map(|address| address.ip()).collect()
     }
 
     fn other_domains(&self) -> Vec<Locality> {
-        let others = self.known.domains().into_iter();
+        let others = self.known_vms.domains().into_iter();
         others.filter(|locality| locality.domain != self.own.descriptor.domain).cloned().collect()
     }
 
+    /// Takes the pending relays and returns them as messages.
     fn relayed_summaries(&mut self, rng: &mut Rng, now_ms: u64) -> Vec<RelayedSummary> {
         let relay_all_in_full = now_ms < self.outgoing_state.full_relay_until_ms;
         let mut relayed = Vec::new();
-        for (sender, summary) in std::mem::take(&mut self.outgoing_state.pending_relays) {
-            let PendingRelay { received_at_ms, changed } = summary;
-            let full = changed || relay_all_in_full || rng.f64() < FULL_RELAY_SHARE;
+        for (sender, pending) in std::mem::take(&mut self.outgoing_state.pending_relays) {
+            let PendingRelay { received_at_ms, changed } = pending;
+            let in_full = changed || relay_all_in_full || rng.f64() < FULL_RELAY_SHARE;
             let age_ms = now_ms.saturating_sub(received_at_ms);
-            let update = self.remote_domains.relayed_update(sender, full);
+            let update = self.remote_domains.relayed_update(sender, in_full);
             relayed.extend(update.map(|update| RelayedSummary { age_ms, update }));
         }
         relayed
--- a/crates/sedgepath-core/src/direct/vms/heartbeat.rs
+++ b/crates/sedgepath-core/src/direct/vms/heartbeat.rs
@@ -68,7 +68,7 @@
         matches!(self, Self::Reachable { .. })
     }
 
-    /// Returns the view extrapolated by some time.
+    /// Returns the view as it is after some time if calls continue to succeed or fail as before.
     pub(super) fn extrapolate(self, age_ms: u64) -> Self {
         match self {
             Self::Reachable { for_ms } => Self::Reachable { for_ms: for_ms.saturating_add(age_ms) },
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Combines two VMs' views: the longer time of successful calls, or else whether the store fails
-    /// one of them.
+    /// Combines two VMs' views: the longer time of successful calls, or else whether calls of one of
+    /// them fail.
     pub(super) fn combine(self, other: Self) -> Self {
         match (self, other) {
             (Self::Reachable { for_ms: one }, Self::Reachable { for_ms: two }) => {
@@ -93,7 +93,7 @@
 /// The variable part of a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmState {
-    /// The logical time of the sending.
+    /// The hybrid logical time at which the heartbeat was sent.
     pub stamp: HybridTimestamp,
     /// The time until the next heartbeat, in milliseconds.
     pub period_ms: u64,
@@ -104,7 +104,8 @@
     pub ready: bool,
     /// Whether the VM is about to stop.
     pub leaving: bool,
-    /// The newest store version in each of the VM's table replicas.
+    /// The newest store version in each of the VM's table replicas, in the order of
+    /// [`Table::ALL`](crate::direct::replicas::Table::ALL).
     pub newest_version: [u64; 2],
     /// The VM's view of the store.
     pub store_health: StoreHealth,
@@ -113,12 +114,12 @@
 /// A full heartbeat, sent regularly to the VM's failure domain and to VMs that may not know it yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmHeartbeat {
-    /// The sender's identity and addresses.
+    /// The sender's identity, location and addresses.
     pub descriptor: VmDescriptor,
-    /// The variable part.
+    /// The part that a heartbeat without a descriptor has too.
     pub state: VmState,
     /// Peer addresses of other VMs of the sender's failure domain, which the receiver may not know.
-    pub known: Vec<SocketAddr>,
+    pub known_addresses: Vec<SocketAddr>,
 }
 
 impl VmHeartbeat {
@@ -133,7 +134,7 @@
             newest_version: [0; 2],
             store_health: StoreHealth::Unknown,
         };
-        Self { descriptor, state, known: Vec::new() }
+        Self { descriptor, state, known_addresses: Vec::new() }
     }
 }
 
@@ -144,13 +145,13 @@
     pub heartbeat_interval_ms: u64,
     /// The most heartbeats that a VM sends per second; with more receivers the interval grows.
     pub max_heartbeats_per_s: u64,
-    /// The upper bound of the silence after which a VM is no longer named, in milliseconds.
+    /// The upper bound of every limit on silence that is given in periods, in milliseconds.
     pub max_silence_ms: u64,
-    /// The silence after which a VM is removed, in milliseconds.
+    /// The silence after which a VM is removed from the table, in milliseconds.
     pub forget_after_ms: u64,
 }
 
-/// The silence after which a VM is no longer named, in periods: three heartbeats may be lost.
+/// The silence after which look-ups no longer return a VM, in periods: three heartbeats may be lost.
 const MAX_SILENT_PERIODS: f64 = 4.4;
 
 /// The silence after which a VM no longer counts as a store reader, in periods: one heartbeat may be
@@ -162,7 +163,7 @@
 const MAX_SENDER_SILENT_PERIODS: f64 = 1.6;
 
 impl VmTiming {
-    /// Returns the silence after which a VM is no longer named, in milliseconds.
+    /// Returns the silence after which look-ups no longer return a VM, in milliseconds.
     pub(super) fn silent_after_ms(&self, period_ms: u64) -> u64 {
         self.periods_ms(period_ms, MAX_SILENT_PERIODS)
     }
--- a/crates/sedgepath-core/src/direct/vms/known_vms.rs
+++ b/crates/sedgepath-core/src/direct/vms/known_vms.rs
@@ -23,10 +23,11 @@
     }
 }
 
+/// An address at which a VM runs or may run.
 #[derive(Debug, Default)]
 struct KnownVm {
     locality: Option<Locality>,
-    /// Until when the address is tried without hearing from its VM, in milliseconds.
+    /// Until when messages are sent to the address without hearing from its VM, in milliseconds.
     tried_until_ms: u64,
     /// Until when the VM counts as heard, in milliseconds; 0 if it never was heard.
     heard_until_ms: u64,
@@ -48,58 +49,61 @@
         &mut self,
         address: SocketAddr,
         locality: Option<Locality>,
-        until_ms: u64,
+        tried_until_ms: u64,
         now_ms: u64,
     ) {
         let starting_until_ms = if locality.is_some() { now_ms + STARTING_MS } else { 0 };
-        let new = || KnownVm { tried_until_ms: until_ms, starting_until_ms, ..KnownVm::default() };
-        let known = self.by_address.entry(address).or_insert_with(new);
-        known.locality = known.locality.take().or(locality);
+        let new_vm = || KnownVm { tried_until_ms, starting_until_ms, ..KnownVm::default() };
+        let vm = self.by_address.entry(address).or_insert_with(new_vm);
+        vm.locality = vm.locality.take().or(locality);
     }
 
     /// Records that a VM was heard directly or listed in a summary.
     pub(super) fn record_heard(&mut self, address: SocketAddr, locality: &Locality, until_ms: u64) {
-        let known = self.by_address.entry(address).or_default();
-        if known.locality.as_ref() != Some(locality) {
-            known.locality = Some(locality.clone());
+        let vm = self.by_address.entry(address).or_default();
+        if vm.locality.as_ref() != Some(locality) {
+            vm.locality = Some(locality.clone());
         }
-        known.tried_until_ms = known.tried_until_ms.max(until_ms);
-        known.heard_until_ms = known.heard_until_ms.max(until_ms);
+        vm.tried_until_ms = vm.tried_until_ms.max(until_ms);
+        vm.heard_until_ms = vm.heard_until_ms.max(until_ms);
     }
 
     /// Records that the VMs of a summary are heard by its sender.
     pub(super) fn record_members(&mut self, summary: &DomainSummary, until_ms: u64) {
         let locality = Locality { domain: summary.domain.clone(), region: summary.region.clone() };
         for member in &summary.members {
-            let address = SocketAddr::new(member.ip, summary.peers_port);
+            let address = SocketAddr::new(member.ip, summary.peer_port);
             self.record_heard(address, &locality, until_ms);
         }
     }
 
     /// Removes VMs that have been silent for too long.
     ///
-    /// The VMs of a failure domain without any remaining VM are kept, so that the domain is found
-    /// again after a long partition.
+    /// If all VMs of a failure domain have been silent for too long, they are kept, so that the domain
+    /// is found again after a long partition.
     pub(super) fn remove_silent(&mut self, now_ms: u64) {
-        let live = |known: &KnownVm| now_ms < known.tried_until_ms;
-        let found: Set<Box<str>> = self
+        let is_tried = |vm: &KnownVm| now_ms < vm.tried_until_ms;
+        let tried_domains: Set<Box<str>> = self
             .by_address
             .values()
-            .filter(|known| live(known))
-            .filter_map(|known| Some(known.locality.as_ref()?.domain.clone()))
+            .filter(|vm| is_tried(vm))
+            .filter_map(|vm| Some(vm.locality.as_ref()?.domain.clone()))
             .collect();
-        self.by_address.retain(|_, known| {
-            let lost = known.locality.as_ref().is_some_and(|at| !found.contains(&at.domain));
-            live(known) || lost
+        self.by_address.retain(|_, vm| {
+            let domain_is_silent = vm
+                .locality
+                .as_ref()
+                .is_some_and(|locality| !tried_domains.contains(&locality.domain));
+            is_tried(vm) || domain_is_silent
         });
     }
 
     /// Returns the known addresses in a failure domain.
     pub(super) fn domain_addresses(&self, domain: &str) -> impl Iterator<Item = SocketAddr> {
-        let there = move |known: &KnownVm| {
-            known.locality.as_ref().is_some_and(|locality| *locality.domain == *domain)
+        let is_in_domain = move |vm: &KnownVm| {
+            vm.locality.as_ref().is_some_and(|locality| *locality.domain == *domain)
         };
-        self.by_address.iter().filter(move |(_, known)| there(known)).map(|(address, _)| *address)
+        self.by_address.iter().filter(move |(_, vm)| is_in_domain(vm)).map(|(address, _)| *address)
     }
 
     /// Returns the addresses in a failure domain whose VMs have been heard.
@@ -107,32 +111,29 @@
     /// Only these are sent to other VMs; otherwise addresses that never respond would circulate
     /// forever.
     pub(super) fn heard_domain_addresses(&self, domain: &str) -> impl Iterator<Item = SocketAddr> {
-        let heard = |address: &SocketAddr| {
-            self.by_address.get(address).is_some_and(|known| known.heard_until_ms > 0)
+        let was_heard = |address: &SocketAddr| {
+            self.by_address.get(address).is_some_and(|vm| vm.heard_until_ms > 0)
         };
-        self.domain_addresses(domain).filter(heard)
+        self.domain_addresses(domain).filter(was_heard)
     }
 
     /// Returns the addresses whose failure domain is unknown.
     pub(super) fn unlocated_addresses(&self) -> impl Iterator<Item = SocketAddr> {
-        self.by_address
-            .iter()
-            .filter(|(_, known)| known.locality.is_none())
-            .map(|(address, _)| *address)
+        self.by_address.iter().filter(|(_, vm)| vm.locality.is_none()).map(|(address, _)| *address)
     }
 
     /// Returns the VMs that may be starting and haven't been heard yet.
     pub(super) fn starting(&self, now_ms: u64) -> impl Iterator<Item = (SocketAddr, &Locality)> {
         self.by_address
             .iter()
-            .filter(move |(_, known)| known.heard_until_ms == 0 && now_ms < known.starting_until_ms)
-            .filter_map(|(address, known)| Some((*address, known.locality.as_ref()?)))
+            .filter(move |(_, vm)| vm.heard_until_ms == 0 && now_ms < vm.starting_until_ms)
+            .filter_map(|(address, vm)| Some((*address, vm.locality.as_ref()?)))
     }
 
     /// Returns the failure domains with a known VM and their regions, sorted by domain.
     pub(super) fn domains(&self) -> Vec<&Locality> {
         let mut localities: Vec<_> =
-            self.by_address.values().filter_map(|known| known.locality.as_ref()).collect();
+            self.by_address.values().filter_map(|vm| vm.locality.as_ref()).collect();
         localities.sort_unstable_by(|one, other| one.domain.cmp(&other.domain));
         localities.dedup_by(|one, other| one.domain == other.domain);
         localities
@@ -140,7 +141,7 @@
 
     /// Returns the number of VMs that are tried or heard.
     pub(super) fn count(&self, now_ms: u64) -> usize {
-        self.by_address.values().filter(|known| now_ms < known.tried_until_ms).count()
+        self.by_address.values().filter(|vm| now_ms < vm.tried_until_ms).count()
     }
 
     /// Returns the largest number of VMs ever heard at a time.
@@ -155,7 +156,7 @@
 
     /// Updates the largest numbers of heard and known VMs.
     pub(super) fn update_maxima(&mut self, now_ms: u64) {
-        let heard = self.by_address.values().filter(|known| now_ms < known.heard_until_ms);
+        let heard = self.by_address.values().filter(|vm| now_ms < vm.heard_until_ms);
         self.max_heard = self.max_heard.max(heard.count());
         self.max_known = self.max_known.max(self.count(now_ms));
     }
--- a/crates/sedgepath-core/src/direct/vms/readers.rs
+++ b/crates/sedgepath-core/src/direct/vms/readers.rs
@@ -1,9 +1,9 @@
 //! The choice of the VMs that read the store.
 //!
-//! Each region has its own readers, so that it stays up to date during a partition; with few regions
-//! each has several, so that one may fail. There is no election: the first VMs of a region in the
-//! order of failure domains and addresses read the store, and a VM that hears no other VM of its
-//! region is the first.
+//! Each region has its own readers, so that it stays up to date during a partition. If there are few
+//! regions, each has several readers, so that one may fail. There is no election: the first VMs of a
+//! region in the order of failure domains and addresses read the store, and a VM that hears no other
+//! VM of its region is the first.
 
 use std::net::SocketAddr;
 
@@ -11,20 +11,20 @@
 use super::{Peer, VmTable};
 use crate::hash::Set;
 
-/// The least number of readers over all regions: one may fail and another be cut off before the
-/// silence of either is noticed.
+/// The least number of readers in all regions together, since one may fail and another be cut off
+/// before the silence of either is noticed.
 const MIN_READERS: usize = 3;
 
-/// The interval at which the next VM of a region starts to read while the store responds to none of
-/// them, in milliseconds: about the time of a successful call.
+/// The interval at which the next VM of a region starts to read while the store responds to no VM of
+/// the region, in milliseconds: about the time of a successful call.
 pub const READER_TAKEOVER_INTERVAL_MS: u64 = 250;
 
-/// The number of intervals for which such a VM keeps reading: enough for a call that starts late in
-/// the first one.
+/// The number of intervals for which a VM that takes over keeps reading: enough for a call that starts
+/// late in the first interval.
 const TAKEOVER_INTERVALS: usize = 3;
 
 /// The time for which a starting VM waits for the tables from other VMs, in milliseconds per other
-/// VM of its failure domain: these may be starting too and get the tables one after the other.
+/// VM of its failure domain, since these may be starting too and get the tables one after the other.
 const START_WAIT_PER_VM_MS: u64 = 30;
 
 /// The longest time for which a starting VM waits for the tables, in milliseconds, without the
@@ -39,17 +39,17 @@
     store_reachable: bool,
 }
 
-/// The other VMs of this VM's region that may read the store, and the names of the other regions.
+/// The other VMs of this VM's region that may read the store, and the other regions with such VMs.
 #[derive(Debug)]
 struct RegionReaders<'a> {
-    name: &'a str,
+    region: &'a str,
     readers: Vec<ReaderCandidate<'a>>,
     other_regions: Set<&'a str>,
 }
 
 impl<'a> RegionReaders<'a> {
     fn add(&mut self, region: &'a str, reader: ReaderCandidate<'a>) {
-        if *region == *self.name {
+        if *region == *self.region {
             self.readers.push(reader);
         } else {
             self.other_regions.insert(region);
@@ -63,12 +63,13 @@
         self.readers.dedup_by(|one, other| one.address == other.address);
     }
 
-    fn count_before(&self, own: (&str, SocketAddr)) -> usize {
-        let before = |reader: &&ReaderCandidate<'_>| (reader.domain, reader.address) < own;
-        self.readers.iter().filter(before).count()
+    /// Returns the number of VMs that precede a VM in the order of failure domains and addresses.
+    fn count_before(&self, vm: (&str, SocketAddr)) -> usize {
+        let precedes = |reader: &&ReaderCandidate<'_>| (reader.domain, reader.address) < vm;
+        self.readers.iter().filter(precedes).count()
     }
 
-    fn count_with_store(&self) -> usize {
+    fn count_store_reachable(&self) -> usize {
         self.readers.iter().filter(|reader| reader.store_reachable).count()
     }
 }
@@ -76,34 +77,36 @@
 impl VmTable {
     /// Returns whether this VM reads the store.
     ///
-    /// While the store responds to no VM of the region, the other VMs try in turn, the next one every
-    /// [`READER_TAKEOVER_INTERVAL_MS`], so that the calls don't overload a recovering store.
+    /// While the store responds to no VM of the region, the VMs that aren't readers try in turn, the
+    /// next one every [`READER_TAKEOVER_INTERVAL_MS`], so that the calls don't overload a recovering
+    /// store.
     pub fn should_read_store(&mut self, now_ms: u64) -> bool {
         let region = self.region_readers(now_ms);
-        let readers = MIN_READERS.div_ceil(1 + region.other_regions.len());
-        let before =
+        let reader_count = MIN_READERS.div_ceil(1 + region.other_regions.len());
+        let rank =
             region.count_before((&self.own.descriptor.domain, self.own.descriptor.peer_address));
-        let (reachable, others) = (region.count_with_store(), region.readers.len());
-        let answered = self.own.state.store_health.is_reachable();
-        if reachable > 0 || answered {
+        let (others_reaching_store, others) =
+            (region.count_store_reachable(), region.readers.len());
+        let reaches_store = self.own.state.store_health.is_reachable();
+        if others_reaching_store > 0 || reaches_store {
             self.store_unreachable_since_ms = None;
         } else {
             self.store_unreachable_since_ms.get_or_insert(now_ms);
         }
-        // A VM that took over keeps reading until the store responds to the regular readers.
-        let needed = reachable < readers && answered;
-        before < readers
-            || needed
-            || self.takes_over(before - readers, 1 + others - readers, now_ms)
+        // A VM that took over keeps reading until enough other VMs can reach the store.
+        let stands_in = others_reaching_store < reader_count && reaches_store;
+        rank < reader_count
+            || stands_in
+            || self.takes_over(rank - reader_count, 1 + others - reader_count, now_ms)
     }
 
     /// Returns whether a VM without the tables reads them from the store now.
     ///
     /// When all VMs start together, the first of each failure domain reads the tables for the others.
-    /// These wait for a time that grows with their number and with `draw`, a random number in 0..1,
-    /// before they read the store themselves, in case the first one is down.
+    /// In case the first one is down, the others read the store themselves after a wait that grows
+    /// with their number and with `draw`, a random number in 0..1.
     pub fn should_read_store_at_start(&self, waited_ms: u64, draw: f64, now_ms: u64) -> bool {
-        let others = self.known.domain_addresses(&self.own.descriptor.domain).count() as u64;
+        let others = self.known_vms.domain_addresses(&self.own.descriptor.domain).count() as u64;
         let max_wait_ms = (others * START_WAIT_PER_VM_MS).min(MAX_START_WAIT_MS) as f64;
         waited_ms as f64 >= max_wait_ms * (1.0 + draw) || self.is_first_of_domain(now_ms)
     }
@@ -116,20 +119,25 @@
         in_domain.filter(|reader| reader.address < own.peer_address).count() == 0
     }
 
-    fn takes_over(&self, number: usize, others: usize, now_ms: u64) -> bool {
+    /// Returns whether it is this VM's turn to try the store, as the VM with index `rank` of the
+    /// `vm_count` VMs of its region that aren't readers.
+    fn takes_over(&self, rank: usize, vm_count: usize, now_ms: u64) -> bool {
         let Some(since_ms) = self.store_unreachable_since_ms else {
             return false;
         };
         let step =
-            (now_ms.saturating_sub(since_ms) / READER_TAKEOVER_INTERVAL_MS) as usize % others;
-        let steps_since = (step + others - number) % others;
+            (now_ms.saturating_sub(since_ms) / READER_TAKEOVER_INTERVAL_MS) as usize % vm_count;
+        let steps_since = (step + vm_count - rank) % vm_count;
         steps_since < TAKEOVER_INTERVALS
     }
 
     fn region_readers(&self, now_ms: u64) -> RegionReaders<'_> {
         let own = &self.own.descriptor;
-        let mut region =
-            RegionReaders { name: &own.region, readers: Vec::new(), other_regions: Set::default() };
+        let mut region = RegionReaders {
+            region: &own.region,
+            readers: Vec::new(),
+            other_regions: Set::default(),
+        };
         for peer in self.peers.values() {
             let Peer { descriptor, state, heard_at_ms } = peer;
             let silent_after_ms = self.timing.reader_silent_after_ms(state.period_ms);
@@ -151,7 +159,7 @@
                 ReaderCandidate { domain: &descriptor.domain, address, store_reachable },
             );
         }
-        for (address, locality) in self.known.starting(now_ms) {
+        for (address, locality) in self.known_vms.starting(now_ms) {
             let reader =
                 ReaderCandidate { domain: &locality.domain, address, store_reachable: false };
             region.add(&locality.region, reader);
--- a/crates/sedgepath-core/src/direct/vms/remote_domains.rs
+++ b/crates/sedgepath-core/src/direct/vms/remote_domains.rs
@@ -1,6 +1,6 @@
 //! The VMs of other failure domains, as listed in summaries of these domains.
 //!
-//! Several VMs send summaries of a domain, and may disagree: one that is cut off lists only itself.
+//! Several VMs send summaries of a domain, and may disagree: a VM that is cut off lists only itself.
 //! A VM therefore counts as running while any recent summary lists it.
 
 use std::net::SocketAddr;
@@ -63,16 +63,17 @@
             }
             unchanged = summary.boot_at_ms == last.boot_at_ms && digest == received.digest;
         }
-        let listed = summary.members.iter();
-        let listed = listed
-            .map(|member| RemoteVm { descriptor: summary.descriptor(member), member: *member });
-        let received = ReceivedSummary { digest, vms: listed.collect(), heard_at_ms, summary };
+        let members = summary.members.iter();
+        let vms = members
+            .map(|member| RemoteVm { descriptor: summary.descriptor(member), member: *member })
+            .collect();
+        let received = ReceivedSummary { summary, digest, vms, heard_at_ms };
         self.by_sender.insert(sender, received);
         Some(if unchanged { SummaryChange::Unchanged } else { SummaryChange::Changed })
     }
 
-    /// Renews the last summary of a sender whose content is unchanged, and returns the summary if its
-    /// digest matches.
+    /// Updates the time of a sender's last summary, and returns the summary, if the sender reports that
+    /// its content is unchanged and the digest matches; otherwise returns `None`.
     pub(super) fn renew(
         &mut self,
         sender: SocketAddr,
@@ -94,9 +95,13 @@
     }
 
     /// Returns the last summary of a sender to be relayed, in full or as a digest.
-    pub(super) fn relayed_update(&self, sender: SocketAddr, full: bool) -> Option<SummaryUpdate> {
+    pub(super) fn relayed_update(
+        &self,
+        sender: SocketAddr,
+        in_full: bool,
+    ) -> Option<SummaryUpdate> {
         let ReceivedSummary { summary, digest, .. } = self.by_sender.get(&sender)?;
-        Some(if full {
+        Some(if in_full {
             SummaryUpdate::Changed(summary.clone())
         } else {
             SummaryUpdate::Unchanged {
@@ -109,8 +114,8 @@
     }
 
     /// Removes the summaries of senders that have been silent for too long.
-    pub(super) fn remove_silent(&mut self, forgotten_after_ms: u64, now_ms: u64) {
-        self.by_sender.retain(|_, received| now_ms < received.heard_at_ms + forgotten_after_ms);
+    pub(super) fn remove_silent(&mut self, forget_after_ms: u64, now_ms: u64) {
+        self.by_sender.retain(|_, received| now_ms < received.heard_at_ms + forget_after_ms);
     }
 
     /// Returns the VMs listed by senders that aren't silent; a VM may occur several times.
@@ -119,9 +124,9 @@
         timing: VmTiming,
         now_ms: u64,
     ) -> impl Iterator<Item = &RemoteVm> {
-        let fresh =
+        let recent =
             self.by_sender.values().filter(move |received| now_ms < received.silent_at_ms(&timing));
-        fresh.flat_map(|received| &received.vms)
+        recent.flat_map(|received| &received.vms)
     }
 
     /// Returns the VMs listed by senders that aren't silent by the shorter limit for store readers.
@@ -133,20 +138,21 @@
         timing: VmTiming,
         now_ms: u64,
     ) -> impl Iterator<Item = &RemoteVm> {
-        let until_ms = move |received: &ReceivedSummary| {
+        let silent_at_ms = move |received: &ReceivedSummary| {
             let period_ms = received.summary.period_ms;
-            let passed_on_ms = period_ms.min(timing.max_silence_ms);
-            received.heard_at_ms + timing.reader_silent_after_ms(period_ms) + passed_on_ms
+            let relay_delay_ms = period_ms.min(timing.max_silence_ms);
+            received.heard_at_ms + timing.reader_silent_after_ms(period_ms) + relay_delay_ms
         };
-        let fresh = self.by_sender.values().filter(move |received| now_ms < until_ms(received));
-        fresh.flat_map(|received| &received.vms)
+        let recent =
+            self.by_sender.values().filter(move |received| now_ms < silent_at_ms(received));
+        recent.flat_map(|received| &received.vms)
     }
 
-    /// Returns the combined view of the store of the other failure domains.
-    pub(super) fn store(&self, timing: &VmTiming, now_ms: u64) -> StoreHealth {
-        let fresh =
+    /// Combines the other failure domains' views of the store.
+    pub(super) fn store_health(&self, timing: &VmTiming, now_ms: u64) -> StoreHealth {
+        let recent =
             self.by_sender.values().filter(|received| now_ms < received.silent_at_ms(timing));
-        let views = fresh.map(|received| {
+        let views = recent.map(|received| {
             received.summary.store_health.extrapolate(now_ms.saturating_sub(received.heard_at_ms))
         });
         views.fold(StoreHealth::Unknown, StoreHealth::combine)
@@ -159,9 +165,8 @@
         timing: VmTiming,
         now_ms: u64,
     ) -> Set<SocketAddr> {
-        let there =
-            self.live_vms(timing, now_ms).filter(|listed| *listed.descriptor.domain == *domain);
-        there.map(|listed| listed.descriptor.peer_address).collect()
+        let in_domain = self.live_vms(timing, now_ms).filter(|vm| *vm.descriptor.domain == *domain);
+        in_domain.map(|vm| vm.descriptor.peer_address).collect()
     }
 }
 
--- a/crates/sedgepath-core/src/direct/vms/summary.rs
+++ b/crates/sedgepath-core/src/direct/vms/summary.rs
@@ -25,7 +25,7 @@
 /// The VMs of a failure domain that one of them hears, including itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DomainSummary {
-    /// The logical time of the sending.
+    /// The hybrid logical time at which the summary was sent.
     pub stamp: HybridTimestamp,
     /// The time until the sender's next summary, in milliseconds.
     pub period_ms: u64,
@@ -37,13 +37,14 @@
     pub region: Box<str>,
     /// The sender's IP address.
     pub sender: IpAddr,
-    /// The port on which the domain's VMs take callers' requests.
-    pub callers_port: u16,
-    /// The port on which the domain's VMs take other VMs' datagrams.
-    pub peers_port: u16,
-    /// The VMs that are heard and aren't leaving.
+    /// The port on which the domain's VMs accept callers' requests.
+    pub caller_port: u16,
+    /// The port on which the domain's VMs receive other VMs' datagrams.
+    pub peer_port: u16,
+    /// The VMs that the sender hears and that aren't leaving, including itself.
     pub members: Vec<DomainMember>,
-    /// The newest store version in each of the sender's table replicas.
+    /// The newest store version in each of the sender's table replicas, in the order of
+    /// [`Table::ALL`](crate::direct::replicas::Table::ALL).
     pub changed_at: [u64; 2],
     /// The combined view of the store of the domain's VMs.
     pub store_health: StoreHealth,
@@ -55,7 +56,7 @@
 impl DomainSummary {
     /// Returns the sender's address for datagrams.
     pub fn sender(&self) -> SocketAddr {
-        SocketAddr::new(self.sender, self.peers_port)
+        SocketAddr::new(self.sender, self.peer_port)
     }
 
     /// Returns the descriptor of a listed VM, named by its address.
@@ -64,28 +65,29 @@
             name: member.ip.to_string().into(),
             domain: self.domain.clone(),
             region: self.region.clone(),
-            caller_address: SocketAddr::new(member.ip, self.callers_port),
-            peer_address: SocketAddr::new(member.ip, self.peers_port),
+            caller_address: SocketAddr::new(member.ip, self.caller_port),
+            peer_address: SocketAddr::new(member.ip, self.peer_port),
         }
     }
 
-    /// Returns a digest of the content, without the times of sending and the receiver's addresses.
+    /// Returns a digest of the content that VMs compare: the period, whether the store is reachable,
+    /// and the listed VMs.
     pub(super) fn digest(&self) -> u64 {
-        let mut said = Vec::new();
-        said.extend(self.period_ms.to_le_bytes());
-        said.push(match self.store_health {
+        let mut content = Vec::new();
+        content.extend(self.period_ms.to_le_bytes());
+        content.push(match self.store_health {
             StoreHealth::Unknown => 0,
             StoreHealth::Reachable { .. } => 1,
             StoreHealth::Failing => 2,
         });
         for member in &self.members {
             match member.ip {
-                IpAddr::V4(ip) => said.extend(ip.octets()),
-                IpAddr::V6(ip) => said.extend(ip.octets()),
+                IpAddr::V4(ip) => content.extend(ip.octets()),
+                IpAddr::V6(ip) => content.extend(ip.octets()),
             }
-            said.extend([u8::from(member.ready), u8::from(member.store_reachable)]);
+            content.extend([u8::from(member.ready), u8::from(member.store_reachable)]);
         }
-        Digest::of(&[&said]).to_u64()
+        Digest::of(&[&content]).to_u64()
     }
 }
 
@@ -98,7 +100,7 @@
     pub update: SummaryUpdate,
 }
 
-/// A relayed summary, compared with the last one of its sender.
+/// The content of a relayed summary, compared with the last summary of its sender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SummaryUpdate {
     /// The full summary: its content changed, or the receiver may lack it.
@@ -109,7 +111,7 @@
         sender: SocketAddr,
         /// When the sender's process started, in milliseconds since the Unix epoch.
         boot_at_ms: u64,
-        /// The logical time of the sending.
+        /// The hybrid logical time at which the summary was sent.
         stamp: HybridTimestamp,
         /// A digest of the content; a receiver whose stored digest differs ignores the message.
         digest: u64,
--- a/crates/sedgepath-core/tests/direct_vms.rs
+++ b/crates/sedgepath-core/tests/direct_vms.rs
@@ -1,24 +1,25 @@
-//! The entry VMs that look-ups name, and those that read the store.
+//! The entry VMs that look-ups return, and those that read the store.
 
 use std::net::SocketAddr;
 
 use sedgepath_core::direct::vms::{StoreHealth, VmHeartbeat, VmTable};
 use sedgepath_test_support::direct::{heartbeat, vms};
 
+/// Returns the address of a VM for callers' requests.
 fn address(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 80))
 }
 
 /// Returns a VM of `north-a` that hears four others.
 fn vm_hearing_four_others() -> VmTable {
-    let mut own = vms("a1", "north-a", 1);
-    for peer in others() {
-        own.record_heartbeat(peer, 0);
+    let mut vm = vms("a1", "north-a", 1);
+    for heartbeat in heartbeats_of_others() {
+        vm.record_heartbeat(heartbeat, 0);
     }
-    own
+    vm
 }
 
-fn others() -> [VmHeartbeat; 4] {
+fn heartbeats_of_others() -> [VmHeartbeat; 4] {
     [
         heartbeat("a2", "north-a", 2),
         heartbeat("b1", "north-b", 3),
@@ -42,7 +43,7 @@
 
 /// Guards against naming a single VM, whose failure would cut off its callers.
 #[test]
-fn a_lone_vm_is_named_with_others_of_its_region() {
+fn the_only_vm_of_a_domain_is_named_with_others_of_its_region() {
     assert_eq!(
         vm_hearing_four_others().look_up("north-b", "north", 100),
         vec![address(1), address(2), address(3)]
@@ -52,12 +53,12 @@
 /// Guards against naming a silent VM because other VMs still list its address.
 #[test]
 fn a_silent_vm_is_no_longer_named() {
-    let mut own = vm_hearing_four_others();
-    let mut living = heartbeat("c2", "south-a", 5);
-    living.known = vec![SocketAddr::from(([10, 0, 0, 4], 7_000))];
-    own.record_heartbeat(living, 2_000);
+    let mut vm = vm_hearing_four_others();
+    let mut later = heartbeat("c2", "south-a", 5);
+    later.known_addresses = vec![SocketAddr::from(([10, 0, 0, 4], 7_000))];
+    vm.record_heartbeat(later, 2_000);
 
-    let named = own.look_up("south-a", "south", 2_300);
+    let named = vm.look_up("south-a", "south", 2_300);
 
     assert!(!named.contains(&address(4)), "a VM that has been silent for 2.3 s is named");
     assert!(named.contains(&address(5)));
@@ -66,25 +67,25 @@
 /// Guards against a delayed heartbeat restoring a leaving VM, and against ignoring its restart.
 #[test]
 fn a_delayed_heartbeat_does_not_restore_a_leaving_vm() {
-    let mut own = vm_hearing_four_others();
+    let mut vm = vm_hearing_four_others();
     let mut leaving = heartbeat("c1", "south-a", 4);
     leaving.state.leaving = true;
-    own.record_heartbeat(leaving, 100);
-    own.record_heartbeat(heartbeat("c1", "south-a", 4), 110);
+    vm.record_heartbeat(leaving, 100);
+    vm.record_heartbeat(heartbeat("c1", "south-a", 4), 110);
 
-    assert!(!own.look_up("south-a", "south", 200).contains(&address(4)));
+    assert!(!vm.look_up("south-a", "south", 200).contains(&address(4)));
 
     let mut restarted = heartbeat("c1", "south-a", 4);
     restarted.state.boot_at_ms = 2;
-    own.record_heartbeat(restarted, 300);
-    assert!(own.look_up("south-a", "south", 400).contains(&address(4)));
+    vm.record_heartbeat(restarted, 300);
+    assert!(vm.look_up("south-a", "south", 400).contains(&address(4)));
 }
 
-/// Guards against an empty answer to a look-up.
+/// Guards against a look-up without a result.
 #[test]
 fn a_vm_that_hears_no_other_names_itself() {
-    let own = vms("a1", "north-a", 1);
-    assert_eq!(own.look_up("south-b", "south", 0), vec![address(1)]);
+    let vm = vms("a1", "north-a", 1);
+    assert_eq!(vm.look_up("south-b", "south", 0), vec![address(1)]);
 }
 
 /// Guards against too few or too many readers of the store in a region.
@@ -94,21 +95,21 @@
     assert!(first.should_read_store(100));
 
     let mut third = vms("b1", "north-b", 3);
-    let mut readers = others();
-    readers[0].state.store_health = StoreHealth::Reachable { for_ms: 5_000 };
-    for peer in readers {
-        third.record_heartbeat(peer, 0);
+    let mut heartbeats = heartbeats_of_others();
+    heartbeats[0].state.store_health = StoreHealth::Reachable { for_ms: 5_000 };
+    for heartbeat in heartbeats {
+        third.record_heartbeat(heartbeat, 0);
     }
     third.record_heartbeat(heartbeat("a1", "north-a", 1), 0);
     assert!(!third.should_read_store(100), "a third VM of the region reads the store");
 }
 
-/// Guards against no VM reading the store when it rejects its regular readers.
+/// Guards against no VM reading the store when it fails its regular readers.
 #[test]
 fn another_vm_takes_over_while_the_store_fails_the_readers() {
     let mut third = vms("b1", "north-b", 3);
-    for peer in [heartbeat("a1", "north-a", 1), heartbeat("a2", "north-a", 2)] {
-        third.record_heartbeat(peer, 0);
+    for heartbeat in [heartbeat("a1", "north-a", 1), heartbeat("a2", "north-a", 2)] {
+        third.record_heartbeat(heartbeat, 0);
     }
     third.record_heartbeat(heartbeat("c1", "south-a", 4), 0);
 
@@ -125,7 +126,7 @@
     }
     third.record_heartbeat(heartbeat("c1", "south-a", 4), 10_000);
 
-    assert!(!third.should_read_store(10_500), "it reads the store in addition to the readers");
+    assert!(!third.should_read_store(10_500), "a third VM reads the store beside its readers");
     assert!(
         third.should_read_store(11_500),
         "no VM reads the store 1.5 s after its readers fell silent"
@@ -136,8 +137,8 @@
 #[test]
 fn a_vm_that_hears_no_other_of_its_region_reads_the_store() {
     let mut last = vms("z9", "north-b", 3);
-    for peer in others() {
-        last.record_heartbeat(peer, 0);
+    for heartbeat in heartbeats_of_others() {
+        last.record_heartbeat(heartbeat, 0);
     }
     assert!(last.should_read_store(10_000));
 }
@@ -146,17 +147,17 @@
 /// as silent.
 #[test]
 fn the_heartbeat_period_grows_with_the_vms_and_scales_the_silence_limit() {
-    let mut own = vms("a1", "north-a", 1);
-    assert_eq!(own.period_ms(), 500);
+    let mut vm = vms("a1", "north-a", 1);
+    assert_eq!(vm.period_ms(), 500);
     for number in 0..200 {
-        own.add_address(SocketAddr::from(([10, 1, 0, number], 7_000)), 0);
+        vm.add_address(SocketAddr::from(([10, 1, 0, number], 7_000)), 0);
     }
-    assert_eq!(own.period_ms(), 2_000);
-    let mut rare = heartbeat("a2", "north-a", 2);
-    rare.state.period_ms = 2_000;
-    own.record_heartbeat(rare, 0);
-    assert_eq!(own.look_up("north-a", "north", 5_000), vec![address(1), address(2)]);
-    assert_eq!(own.look_up("north-a", "north", 5_600), vec![address(1)]);
+    assert_eq!(vm.period_ms(), 2_000);
+    let mut heartbeat = heartbeat("a2", "north-a", 2);
+    heartbeat.state.period_ms = 2_000;
+    vm.record_heartbeat(heartbeat, 0);
+    assert_eq!(vm.look_up("north-a", "north", 5_000), vec![address(1), address(2)]);
+    assert_eq!(vm.look_up("north-a", "north", 5_600), vec![address(1)]);
 }
 
 /// Guards against partitioned VMs that each use the others' connections to an upstream.
@@ -175,8 +176,8 @@
 fn vms_that_were_never_heard_keep_no_connections_to_upstreams() {
     let mut vm = vms("a1", "north-a", 1);
     vm.record_heartbeat(heartbeat("a2", "north-a", 2), 0);
-    for gone in 10..30 {
-        vm.add_address(SocketAddr::from(([10, 0, 0, gone], 7_000)), 0);
+    for number in 10..30 {
+        vm.add_address(SocketAddr::from(([10, 0, 0, number], 7_000)), 0);
     }
     assert_eq!(vm.sharing_vm_count(1_000), 22);
     assert_eq!((vm.sharing_vm_count(60_000), vm.max_known_vm_count()), (2, 22));
@@ -188,8 +189,8 @@
     let mut vm = vms("a2", "north-a", 2);
     vm.add_vm(SocketAddr::from(([10, 0, 0, 1], 7_000)), "north-a", "north", 0);
 
-    assert!(!vm.should_read_store_at_start(0, 1.0, 0), "it doesn't let the other VM read first");
-    assert!(vm.should_read_store_at_start(100, 1.0, 100), "it waits for a VM that may be down");
+    assert!(!vm.should_read_store_at_start(0, 1.0, 0), "the VM doesn't wait for the first one");
+    assert!(vm.should_read_store_at_start(100, 1.0, 100), "the VM waits for one that may be down");
 }
 
 /// Guards against all VMs of a large domain reading the store when they start together.
@@ -201,9 +202,9 @@
         vm.add_vm(address, "north-a", "north", 0);
     }
     assert!(!vm.should_read_store_at_start(500, 0.0, 500));
-    assert!(vm.should_read_store_at_start(1_200, 1.0, 1_200), "it waits forever");
+    assert!(vm.should_read_store_at_start(1_200, 1.0, 1_200), "the VM waits too long");
 
     let mut first = vms("a0", "north-a", 0);
     first.add_vm(SocketAddr::from(([10, 0, 0, 1], 7_000)), "north-a", "north", 0);
-    assert!(first.should_read_store_at_start(0, 1.0, 0), "the first waits too");
+    assert!(first.should_read_store_at_start(0, 1.0, 0), "the first VM waits too");
 }
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -1,4 +1,4 @@
-//! Fuzz test of peer messages that are corrupted, forged, repeated or out of order.
+//! Fuzz test of corrupted peer messages in any order, and a test of messages with extreme times.
 //!
 //! CI runs a fixed seed; the environment variables `FUZZ_CASES` and `FUZZ_SEED` set longer runs.
 
@@ -27,8 +27,8 @@
         domain: "south-a".into(),
         region: "south".into(),
         sender: ip(4),
-        callers_port: 80,
-        peers_port: 7_000,
+        caller_port: 80,
+        peer_port: 7_000,
         members: vec![member(4), member(5)],
         changed_at: [1, 2],
         store_health: StoreHealth::Reachable { for_ms: 100 },
@@ -37,22 +37,25 @@
 }
 
 fn messages() -> Vec<PeerMessage> {
-    let whole = heartbeat("a2", "north-a", 2);
-    let changed = RelayedSummary { age_ms: 10, update: SummaryUpdate::Changed(summary()) };
-    let same = SummaryUpdate::Unchanged {
+    let heartbeat = heartbeat("a2", "north-a", 2);
+    let changed = SummaryUpdate::Changed(summary());
+    let unchanged = SummaryUpdate::Unchanged {
         sender: summary().sender(),
         boot_at_ms: 1,
         stamp: HybridTimestamp { time_ms: 6, count: 0 },
         digest: 7,
     };
     vec![
-        PeerMessage::Heartbeat(Heartbeat::Full(whole)),
+        PeerMessage::Heartbeat(Heartbeat::Full(heartbeat)),
         PeerMessage::Summary(summary()),
-        PeerMessage::RelayedSummary(vec![changed, RelayedSummary { age_ms: 10, update: same }]),
+        PeerMessage::RelayedSummary(vec![
+            RelayedSummary { age_ms: 10, update: changed },
+            RelayedSummary { age_ms: 10, update: unchanged },
+        ]),
     ]
 }
 
-fn take(vm: &mut VmTable, message: PeerMessage) {
+fn receive(vm: &mut VmTable, message: PeerMessage) {
     match message {
         PeerMessage::Heartbeat(Heartbeat::Full(heartbeat)) => {
             vm.record_heartbeat(heartbeat, NOW_MS);
@@ -72,19 +75,20 @@
 proptest! {
     #![proptest_config(config(2_000))]
 
-    /// Guards against a datagram that panics the process or leaves look-ups without an answer.
+    /// Guards against a datagram that panics the process or leaves look-ups without a result.
     #[test]
-    fn no_datagram_stops_a_vm(
-        picks in prop::collection::vec((0..3_usize, any::<u16>(), any::<u8>()), 1..8),
+    fn corrupted_datagrams_do_not_stop_a_vm(
+        corruptions in prop::collection::vec((0..3_usize, any::<u16>(), any::<u8>()), 1..8),
         later_ms in 0..60_000_u64,
     ) {
         let mut vm = vms("a1", "north-a", 1);
-        for (pick, place, byte) in picks {
-            let mut bytes = postcard::to_stdvec(&messages()[pick]).expect("the message serializes");
-            let place = usize::from(place) % bytes.len();
-            bytes[place] = byte;
+        for (message_index, offset, byte) in corruptions {
+            let mut bytes =
+                postcard::to_stdvec(&messages()[message_index]).expect("the message serializes");
+            let offset = usize::from(offset) % bytes.len();
+            bytes[offset] = byte;
             if let Ok(message) = postcard::from_bytes(&bytes) {
-                take(&mut vm, message);
+                receive(&mut vm, message);
             }
         }
         let now_ms = NOW_MS + later_ms;
@@ -99,18 +103,18 @@
 #[test]
 fn extreme_times_do_not_overflow() {
     let mut vm = vms("a1", "north-a", 1);
-    let mut extreme = summary();
-    extreme.period_ms = u64::MAX;
-    extreme.store_health = StoreHealth::Reachable { for_ms: u64::MAX };
-    vm.record_summary(extreme.clone(), NOW_MS);
+    let mut summary = summary();
+    summary.period_ms = u64::MAX;
+    summary.store_health = StoreHealth::Reachable { for_ms: u64::MAX };
+    vm.record_summary(summary.clone(), NOW_MS);
     vm.record_relayed_summary(
-        RelayedSummary { age_ms: u64::MAX, update: SummaryUpdate::Changed(extreme) },
+        RelayedSummary { age_ms: u64::MAX, update: SummaryUpdate::Changed(summary) },
         NOW_MS,
     );
-    let mut near = heartbeat("a2", "north-a", 2);
-    near.state.period_ms = u64::MAX;
-    near.state.store_health = StoreHealth::Reachable { for_ms: u64::MAX };
-    vm.record_heartbeat(near, NOW_MS);
+    let mut heartbeat = heartbeat("a2", "north-a", 2);
+    heartbeat.state.period_ms = u64::MAX;
+    heartbeat.state.store_health = StoreHealth::Reachable { for_ms: u64::MAX };
+    vm.record_heartbeat(heartbeat, NOW_MS);
 
     vm.should_read_store(NOW_MS + 1);
     assert_eq!(
