--- a/crates/sedgepath-core/tests/direct_ablation.rs
+++ b/crates/sedgepath-core/tests/direct_ablation.rs
@@ -1,4 +1,4 @@
-//! Steering parameters with one mechanism turned off.
+//! The names of mechanisms, and steering parameters with one mechanism turned off.
 
 use sedgepath_core::direct::ablation::Mechanism;
 use sedgepath_core::direct::steering::SteeringConfig;
@@ -6,13 +6,14 @@
 /// Guards against a mechanism that can't be turned off and would appear to have no effect.
 #[test]
 fn turning_off_any_mechanism_changes_the_parameters() {
-    let in_force = SteeringConfig::default();
+    let default = SteeringConfig::default();
     for mechanism in Mechanism::ALL {
-        assert_ne!(in_force.without(mechanism), in_force, "without {mechanism}");
+        assert_ne!(default.without(mechanism), default, "without {mechanism}");
     }
 }
 
-/// Guards against names in reports that the command line rejects, and errors that don't list the names.
+/// Guards against names in reports that the command line rejects, and errors that don't list the valid
+/// names.
 #[test]
 fn names_parse_to_their_mechanisms() {
     for mechanism in Mechanism::ALL {
--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -1,4 +1,4 @@
-//! Retries and hedging after refusals and failures.
+//! Retries and hedging after rejections and failures.
 
 use sedgepath_core::direct::Steering;
 use sedgepath_core::direct::attempts::{
@@ -7,15 +7,16 @@
 use sedgepath_core::direct::upstreams::LoadReport;
 use sedgepath_test_support::direct::{COLD_PER_S, begin, earning_vm, heartbeat, serving_vm, vm};
 
-const ANSWER: AttemptOutcome =
+const SUCCESS: AttemptOutcome =
     AttemptOutcome::Answered { failed: false, report: None, body_bytes: 100 };
 const ERROR: AttemptOutcome =
     AttemptOutcome::Answered { failed: true, report: None, body_bytes: 0 };
-const REFUSAL: AttemptOutcome = AttemptOutcome::Refused { report: None };
+const REJECTION: AttemptOutcome = AttemptOutcome::Refused { report: None };
 
+/// Starts the request's next attempt, and panics if there is none.
 fn send(vm: &mut Steering, request: &mut RequestState, now_ms: u64) -> Attempt {
     match vm.next_step(request, 1, now_ms) {
-        NextStep::Send(to) => to,
+        NextStep::Send(attempt) => attempt,
         other => panic!("not sent: {other:?}"),
     }
 }
@@ -27,8 +28,8 @@
     for outcome in [AttemptOutcome::Failed, AttemptOutcome::TimedOut, ERROR] {
         let mut vm = earning_vm("a1", "north-a", 1, 2);
         let mut request = begin(&mut vm, "/charges/1", "x", 0);
-        let to = send(&mut vm, &mut request, 0);
-        vm.record_outcome(&mut request, to.upstream, outcome, 10);
+        let attempt = send(&mut vm, &mut request, 0);
+        vm.record_outcome(&mut request, attempt.upstream, outcome, 10);
 
         let step = vm.next_step(&mut request, 1, 10);
 
@@ -43,7 +44,7 @@
 /// Guards against giving up on a non-idempotent request that provably didn't run.
 #[test]
 fn a_request_that_did_not_run_is_retried_at_another_upstream() {
-    for outcome in [REFUSAL, AttemptOutcome::Misdirected, AttemptOutcome::Unreachable] {
+    for outcome in [REJECTION, AttemptOutcome::Misdirected, AttemptOutcome::Unreachable] {
         let mut vm = earning_vm("a1", "north-a", 1, 2);
         let mut request = begin(&mut vm, "/charges/1", "x", 0);
         let first = send(&mut vm, &mut request, 0);
@@ -61,8 +62,8 @@
     let mut vm = earning_vm("a1", "north-a", 1, 2);
     let mut request = begin(&mut vm, "/reads/1", "x", 0);
     for _ in 0..2 {
-        let to = send(&mut vm, &mut request, 0);
-        vm.record_outcome(&mut request, to.upstream, ERROR, 10);
+        let attempt = send(&mut vm, &mut request, 0);
+        vm.record_outcome(&mut request, attempt.upstream, ERROR, 10);
     }
     assert_eq!(
         vm.next_step(&mut request, 1, 20),
@@ -75,24 +76,24 @@
 fn a_request_that_may_have_run_is_never_rejected() {
     let mut vm = vm("a1", "north-a", 1);
     vm.apply_configuration(sedgepath_test_support::direct::all_kinds(1));
-    let only = sedgepath_test_support::direct::entry("b0", "north-a", 0);
-    vm.upstreams_mut().upsert(only, "north", 0);
+    let entry = sedgepath_test_support::direct::entry("b0", "north-a", 0);
+    vm.upstreams_mut().upsert(entry, "north", 0);
     let mut request = begin(&mut vm, "/reads/1", "x", 0);
-    let to = send(&mut vm, &mut request, 0);
-    vm.record_outcome(&mut request, to.upstream, AttemptOutcome::Failed, 10);
+    let attempt = send(&mut vm, &mut request, 0);
+    vm.record_outcome(&mut request, attempt.upstream, AttemptOutcome::Failed, 10);
 
     assert!(matches!(vm.next_step(&mut request, 1, 10), NextStep::GiveUp { .. }));
 }
 
 /// Checks that the retries in every ten-second window of the first thirty seconds are at most a fifth
 /// of the requests plus 60.
-fn assert_within_budget(asked_at_ms: &[u64], repeated_at_ms: &[u64]) {
-    let within = |times: &[u64], from_ms: u64| {
-        times.iter().filter(|at_ms| (from_ms..from_ms + 10_000).contains(*at_ms)).count() as f64
+fn assert_within_budget(requested_at_ms: &[u64], retried_at_ms: &[u64]) {
+    let count_in_window = |times_ms: &[u64], from_ms: u64| {
+        times_ms.iter().filter(|at_ms| (from_ms..from_ms + 10_000).contains(*at_ms)).count() as f64
     };
     for from_ms in (0..20_000).step_by(100) {
-        let requests = within(asked_at_ms, from_ms);
-        let retries = within(repeated_at_ms, from_ms);
+        let requests = count_in_window(requested_at_ms, from_ms);
+        let retries = count_in_window(retried_at_ms, from_ms);
         assert!(retries <= 0.2 * requests + 60.0, "{retries} of {requests} from {from_ms}");
     }
 }
@@ -104,8 +105,8 @@
     let mut vms: Vec<Steering> = (1..=4)
         .map(|number| serving_vm(names[number as usize - 1], "north-a", number, 4))
         .collect();
-    let mut sent_at_ms = Vec::new();
-    let mut asked_at_ms = Vec::new();
+    let mut retried_at_ms = Vec::new();
+    let mut requested_at_ms = Vec::new();
     for now_ms in (0..30_000).step_by(10) {
         for (index, vm) in vms.iter_mut().enumerate() {
             for (number, name) in (1..).zip(names) {
@@ -113,50 +114,50 @@
                     vm.vms_mut().record_heartbeat(heartbeat(name, "north-a", number as u8), now_ms);
                 }
             }
-            // The demand varies, so that each window has another budget.
+            // The demand varies, so that windows have different budgets.
             if (now_ms / 5_000) % 2 == 1 && now_ms % 50 != 0 {
                 continue;
             }
-            asked_at_ms.push(now_ms);
+            requested_at_ms.push(now_ms);
             let mut request = begin(vm, "/reads/1", &now_ms.to_string(), now_ms);
-            while let NextStep::Send(to) = vm.next_step(&mut request, 1, now_ms) {
+            while let NextStep::Send(attempt) = vm.next_step(&mut request, 1, now_ms) {
                 if request.delivered > 0 {
-                    sent_at_ms.push(now_ms);
+                    retried_at_ms.push(now_ms);
                 }
                 let report = Some(LoadReport { running: 0, waiting: 0, slots: 3 });
                 vm.record_outcome(
                     &mut request,
-                    to.upstream,
+                    attempt.upstream,
                     AttemptOutcome::Refused { report },
                     now_ms,
                 );
             }
         }
     }
-    assert_within_budget(&asked_at_ms, &sent_at_ms);
-    assert!(sent_at_ms.len() > 100, "too few retries: {}", sent_at_ms.len());
+    assert_within_budget(&requested_at_ms, &retried_at_ms);
+    assert!(retried_at_ms.len() > 100, "too few retries: {}", retried_at_ms.len());
 }
 
-/// Guards against one VM using the part of the budget that is reserved for retries in flight and for
+/// Guards against one VM using the share of the budget that is reserved for retries in flight and for
 /// requests that operators don't count.
 #[test]
 fn a_tenth_of_the_budget_is_left_unused() {
     let mut vm = serving_vm("a1", "north-a", 1, 4);
-    let mut repeated_at_ms = Vec::new();
+    let mut retried_at_ms = Vec::new();
     for now_ms in (0..40_000).step_by(10) {
         let mut request = begin(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
-        while let NextStep::Send(to) = vm.next_step(&mut request, 1, now_ms) {
+        while let NextStep::Send(attempt) = vm.next_step(&mut request, 1, now_ms) {
             if request.delivered > 0 {
-                repeated_at_ms.push(now_ms);
+                retried_at_ms.push(now_ms);
             }
-            let refuses = (12_000..21_000).contains(&now_ms);
+            let is_rejected = (12_000..21_000).contains(&now_ms);
             vm.record_outcome(
                 &mut request,
-                to.upstream,
-                if refuses { REFUSAL } else { ANSWER },
+                attempt.upstream,
+                if is_rejected { REJECTION } else { SUCCESS },
                 now_ms,
             );
-            if !refuses {
+            if !is_rejected {
                 break;
             }
         }
@@ -164,9 +165,9 @@
     let requests_in_10_s = 1_000.0;
     for from_ms in (10_000..30_000).step_by(100) {
         let window = from_ms..from_ms + 10_000;
-        let retries = repeated_at_ms.iter().filter(|at_ms| window.contains(*at_ms)).count();
-        let most = 0.9 * (0.2 * requests_in_10_s + 60.0);
-        assert!(retries as f64 <= most, "{retries} of {most} from {from_ms}");
+        let retries = retried_at_ms.iter().filter(|at_ms| window.contains(*at_ms)).count();
+        let max_retries = 0.9 * (0.2 * requests_in_10_s + 60.0);
+        assert!(retries as f64 <= max_retries, "{retries} of {max_retries} from {from_ms}");
     }
 }
 
@@ -184,9 +185,9 @@
         for now_ms in (0..2_000).step_by(50) {
             requests += 1;
             let mut request = begin(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
-            while let NextStep::Send(to) = vm.next_step(&mut request, 1, now_ms) {
+            while let NextStep::Send(attempt) = vm.next_step(&mut request, 1, now_ms) {
                 retries += u32::from(request.delivered > 0);
-                vm.record_outcome(&mut request, to.upstream, REFUSAL, now_ms);
+                vm.record_outcome(&mut request, attempt.upstream, REJECTION, now_ms);
             }
         }
     }
@@ -196,7 +197,7 @@
 /// Guards against restarted processes exceeding the budget because they know neither the retries of
 /// their predecessors nor the other VMs.
 #[test]
-fn vms_that_restart_while_every_upstream_refuses_stay_within_the_budget() {
+fn vms_that_restart_while_every_upstream_rejects_stay_within_the_budget() {
     const VMS: u8 = 10;
     let names: Vec<String> = (0..VMS).map(|number| format!("a{number}")).collect();
     let start = |number: u8, now_ms: u64| {
@@ -208,8 +209,8 @@
         vm
     };
     let mut vms: Vec<Steering> = (0..VMS).map(|number| start(number, 0)).collect();
-    let mut asked_at_ms = Vec::new();
-    let mut repeated_at_ms = Vec::new();
+    let mut requested_at_ms = Vec::new();
+    let mut retried_at_ms = Vec::new();
     for now_ms in (0..30_000).step_by(10) {
         let restarting: Vec<u8> = match now_ms {
             22_000 => (0..6).collect(),
@@ -223,24 +224,24 @@
         for (index, vm) in vms.iter_mut().enumerate() {
             if now_ms % 500 == 250 {
                 for number in (0..VMS).filter(|number| usize::from(*number) != index) {
-                    let heard = heartbeat(&names[usize::from(number)], "north-a", number);
-                    vm.vms_mut().record_heartbeat(heard, now_ms);
+                    let heartbeat = heartbeat(&names[usize::from(number)], "north-a", number);
+                    vm.vms_mut().record_heartbeat(heartbeat, now_ms);
                 }
             }
             if now_ms % 100 != 10 * index as u64 {
                 continue;
             }
-            asked_at_ms.push(now_ms);
+            requested_at_ms.push(now_ms);
             let mut request = begin(vm, "/reads/1", &now_ms.to_string(), now_ms);
-            while let NextStep::Send(to) = vm.next_step(&mut request, 1, now_ms) {
+            while let NextStep::Send(attempt) = vm.next_step(&mut request, 1, now_ms) {
                 if request.delivered > 0 {
-                    repeated_at_ms.push(now_ms);
+                    retried_at_ms.push(now_ms);
                 }
-                vm.record_outcome(&mut request, to.upstream, REFUSAL, now_ms);
+                vm.record_outcome(&mut request, attempt.upstream, REJECTION, now_ms);
             }
         }
     }
-    assert_within_budget(&asked_at_ms, &repeated_at_ms);
+    assert_within_budget(&requested_at_ms, &retried_at_ms);
 }
 
 /// Guards against bypassing the retry budget by telling too many callers to retry immediately.
@@ -250,21 +251,21 @@
     let report = Some(LoadReport { running: 0, waiting: 0, slots: 3 });
     // The time of each caller's next attempt, and the time at which it gives up.
     let mut callers: Vec<(u64, u64)> = Vec::new();
-    let (mut asked, mut at_once) = (0, 0);
+    let (mut requests, mut immediate) = (0, 0);
     for now_ms in (0..20_000).step_by(10) {
         if now_ms % 50 == 0 {
             callers.push((now_ms, now_ms + 3_000));
         }
         callers.retain(|(_, gives_up_at_ms)| now_ms < *gives_up_at_ms);
-        for (asks_at_ms, _) in callers.iter_mut().filter(|(at_ms, _)| *at_ms <= now_ms) {
-            asked += 1;
-            let mut request = begin(&mut vm, "/reads/1", &asked.to_string(), now_ms);
+        for (next_at_ms, _) in callers.iter_mut().filter(|(at_ms, _)| *at_ms <= now_ms) {
+            requests += 1;
+            let mut request = begin(&mut vm, "/reads/1", &requests.to_string(), now_ms);
             let retry_after_ms = loop {
-                match vm.next_step(&mut request, asked, now_ms) {
-                    NextStep::Send(to) => {
+                match vm.next_step(&mut request, requests, now_ms) {
+                    NextStep::Send(attempt) => {
                         vm.record_outcome(
                             &mut request,
-                            to.upstream,
+                            attempt.upstream,
                             AttemptOutcome::Refused { report },
                             now_ms,
                         );
@@ -273,12 +274,12 @@
                     NextStep::GiveUp { reason } => panic!("given up: {reason:?}"),
                 }
             };
-            at_once += u64::from(retry_after_ms < 100);
-            *asks_at_ms = now_ms + retry_after_ms;
+            immediate += u64::from(retry_after_ms < 100);
+            *next_at_ms = now_ms + retry_after_ms;
         }
     }
-    assert!(at_once > 0, "no caller is told to retry immediately");
-    assert!(at_once as f64 <= 0.9 * (asked + 50) as f64, "{at_once} of {asked}");
+    assert!(immediate > 0, "no caller is told to retry immediately");
+    assert!(immediate as f64 <= 0.9 * (requests + 50) as f64, "{immediate} of {requests}");
 }
 
 /// Guards against one request using up the retry budget on many full upstreams.
@@ -289,8 +290,8 @@
         begin(&mut vm, "/reads/1", &number.to_string(), 20_000);
     }
     let mut request = begin(&mut vm, "/reads/1", "x", 20_000);
-    while let NextStep::Send(to) = vm.next_step(&mut request, 1, 20_000) {
-        vm.record_outcome(&mut request, to.upstream, REFUSAL, 20_000);
+    while let NextStep::Send(attempt) = vm.next_step(&mut request, 1, 20_000) {
+        vm.record_outcome(&mut request, attempt.upstream, REJECTION, 20_000);
     }
     assert_eq!(request.delivered, 3);
 }
@@ -308,10 +309,10 @@
 
     assert_ne!(first.upstream, second.upstream);
     assert_eq!(vm.hedge_at_ms(&request), None, "a second hedge is planned");
-    vm.record_outcome(&mut request, second.upstream, ANSWER, at_ms + 200);
+    vm.record_outcome(&mut request, second.upstream, SUCCESS, at_ms + 200);
     vm.cancel_request(&mut request, at_ms + 200);
-    let idle = vm.upstreams().iter().all(|(_, upstream)| upstream.in_flight == 0);
-    assert!(idle, "an attempt in flight wasn't canceled");
+    let all_idle = vm.upstreams().iter().all(|(_, upstream)| upstream.in_flight == 0);
+    assert!(all_idle, "an attempt in flight wasn't canceled");
 }
 
 /// Guards against hedging at an upstream that is only slow and responds to other requests.
@@ -321,8 +322,8 @@
     let mut request = begin(&mut vm, "/reads/1", "x", 0);
     send(&mut vm, &mut request, 0);
     let mut other = begin(&mut vm, "/reads/1", "x", 0);
-    let to = send(&mut vm, &mut other, 0);
-    vm.record_outcome(&mut other, to.upstream, ANSWER, 500);
+    let attempt = send(&mut vm, &mut other, 0);
+    vm.record_outcome(&mut other, attempt.upstream, SUCCESS, 500);
     let at_ms = vm.hedge_at_ms(&request).expect("no hedge is planned");
 
     assert_eq!(vm.hedge(&mut request, 1, at_ms), None);
@@ -339,7 +340,7 @@
 
 /// Guards against two processes of one VM exceeding a cold upstream's rate within a second.
 #[test]
-fn a_vm_that_restarts_within_the_second_spares_cold_upstreams() {
+fn a_vm_that_restarts_within_a_second_does_not_exceed_the_rate_of_cold_upstreams() {
     let mut sent_to: Vec<Box<str>> = Vec::new();
     for started_at_ms in [0, 400] {
         let mut vm = serving_vm("a1", "north-a", 1, 1);
@@ -348,21 +349,21 @@
         }
         for now_ms in (started_at_ms..started_at_ms + 400).step_by(5) {
             let mut request = begin(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
-            if let NextStep::Send(to) = vm.next_step(&mut request, now_ms, now_ms) {
-                sent_to.push(to.name.clone());
-                vm.record_outcome(&mut request, to.upstream, ANSWER, now_ms);
+            if let NextStep::Send(attempt) = vm.next_step(&mut request, now_ms, now_ms) {
+                sent_to.push(attempt.name.clone());
+                vm.record_outcome(&mut request, attempt.upstream, SUCCESS, now_ms);
             }
         }
     }
     for name in ["b0", "b1", "b2", "b3"] {
-        let count = sent_to.iter().filter(|to| &***to == name).count();
+        let count = sent_to.iter().filter(|upstream| &***upstream == name).count();
         assert!(count > 0 && count as f64 <= 1.5 * COLD_PER_S, "{count} to {name}");
     }
 }
 
 /// Guards against VMs that together exceed a cold upstream's rate.
 #[test]
-fn cold_upstreams_get_no_more_than_their_rate_of_all_vms_together() {
+fn all_vms_together_do_not_exceed_the_rate_of_cold_upstreams() {
     let names = ["a1", "a2", "b1"];
     let domains = ["north-a", "north-a", "north-b"];
     let mut vms: Vec<Steering> =
@@ -380,9 +381,9 @@
     for now_ms in (0..1_900).step_by(5) {
         for vm in &mut vms {
             let mut request = begin(vm, "/reads/1", &now_ms.to_string(), now_ms);
-            if let NextStep::Send(to) = vm.next_step(&mut request, now_ms, now_ms) {
-                sent.push((to.name.clone(), now_ms));
-                vm.record_outcome(&mut request, to.upstream, ANSWER, now_ms);
+            if let NextStep::Send(attempt) = vm.next_step(&mut request, now_ms, now_ms) {
+                sent.push((attempt.name.clone(), now_ms));
+                vm.record_outcome(&mut request, attempt.upstream, SUCCESS, now_ms);
             }
         }
     }
@@ -390,7 +391,10 @@
     for name in ["b0", "b1", "b2", "b3"] {
         for from_ms in (0..1_000).step_by(50) {
             let window = from_ms..from_ms + 1_000;
-            let count = sent.iter().filter(|(to, at)| **to == *name && window.contains(at)).count();
+            let count = sent
+                .iter()
+                .filter(|(upstream, at_ms)| **upstream == *name && window.contains(at_ms))
+                .count();
             assert!(count as f64 <= COLD_PER_S, "{count} to {name} from {from_ms}");
         }
     }
@@ -402,8 +406,8 @@
     let mut vm = earning_vm("a1", "north-a", 1, 4);
     let mut request = begin(&mut vm, "/reads/1", "x", 0);
     for _ in 0..2 {
-        let to = send(&mut vm, &mut request, 0);
-        vm.record_outcome(&mut request, to.upstream, REFUSAL, 10);
+        let attempt = send(&mut vm, &mut request, 0);
+        vm.record_outcome(&mut request, attempt.upstream, REJECTION, 10);
     }
     send(&mut vm, &mut request, 10);
 
--- a/crates/sedgepath-core/tests/direct_budget.rs
+++ b/crates/sedgepath-core/tests/direct_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget of all VMs together, in every ten-second window of simulated runs.
+//! The retry budget of all VMs together, checked in every ten-second window of simulated runs.
 
 use sedgepath_core::direct::budget::{RetryBudget, RetryBudgetLimits};
 use sedgepath_test_support::fleet::{
@@ -9,7 +9,7 @@
 
 const VMS: u8 = 10;
 
-/// Returns a run with a burst of demand from 8 s, and upstreams that refuse most requests from 9.5 s
+/// Returns a run with a burst of demand from 8 s, and upstreams that reject most requests from 9.5 s
 /// to 20.5 s.
 fn day(seed: u64, troubles: Vec<(u64, Trouble, Vec<u8>)>) -> Day {
     Day {
@@ -25,16 +25,16 @@
 /// Checks over several seeds that no ten-second window has more retries than allowed, and that at
 /// least half of the retries that the requests allow are sent.
 fn assert_within_budget(day: impl Fn(u64) -> Day) {
-    let plays: Vec<Seen> = SEEDS.iter().map(|seed| day(*seed).play()).collect();
-    let excess: Vec<_> = plays.iter().filter_map(Seen::worst_excess).collect();
-    assert!(excess.is_empty(), "{} of {} runs: {excess:#?}", excess.len(), plays.len());
-    for seen in &plays {
-        let first_ms = seen.repeated_at_ms.first().copied().unwrap_or(0);
-        let last_ms = seen.repeated_at_ms.last().copied().unwrap_or(0);
-        let (asked, _) = seen.served(first_ms, last_ms);
-        let repeats = seen.repeated_at_ms.len();
-        let half = 0.5 * REPEAT_RATIO * asked as f64;
-        assert!(repeats > 0 && repeats as f64 > half, "{repeats} retries for {asked} requests");
+    let runs: Vec<Seen> = SEEDS.iter().map(|seed| day(*seed).play()).collect();
+    let excess: Vec<_> = runs.iter().filter_map(Seen::worst_excess).collect();
+    assert!(excess.is_empty(), "{} of {} runs: {excess:#?}", excess.len(), runs.len());
+    for run in &runs {
+        let first_ms = run.repeated_at_ms.first().copied().unwrap_or(0);
+        let last_ms = run.repeated_at_ms.last().copied().unwrap_or(0);
+        let (requests, _) = run.served(first_ms, last_ms);
+        let retries = run.repeated_at_ms.len();
+        let half = 0.5 * REPEAT_RATIO * requests as f64;
+        assert!(retries > 0 && retries as f64 > half, "{retries} retries for {requests} requests");
     }
 }
 
@@ -51,27 +51,27 @@
 /// Guards against a restarted process using its predecessor's balance again.
 #[test]
 fn vms_stopped_in_turn_stay_within_the_budget() {
-    let in_turn = |from_ms: u64| {
+    let stops_in_turn = |from_ms: u64| {
         (0..VMS / 2).map(move |pair| {
             (from_ms + 1_000 * u64::from(pair), Trouble::Stop, vec![2 * pair, 2 * pair + 1])
         })
     };
-    assert_within_budget(|seed| day(seed, in_turn(8_000).collect()));
+    assert_within_budget(|seed| day(seed, stops_in_turn(8_000).collect()));
 }
 
 /// Guards against restarted processes using their predecessors' balances again after most VMs crash.
 #[test]
 fn vms_killed_together_and_again_stay_within_the_budget() {
-    let killed = |at_ms: u64| (at_ms, Trouble::Kill { down_ms: 300 }, (0..9).collect());
-    assert_within_budget(|seed| day(seed, vec![killed(12_500)]));
-    assert_within_budget(|seed| day(seed, vec![killed(12_500), killed(17_500)]));
+    let kill_most = |at_ms: u64| (at_ms, Trouble::Kill { down_ms: 300 }, (0..9).collect());
+    assert_within_budget(|seed| day(seed, vec![kill_most(12_500)]));
+    assert_within_budget(|seed| day(seed, vec![kill_most(12_500), kill_most(17_500)]));
 }
 
 /// Guards against deposits counted twice when callers move to other VMs and back.
 #[test]
 fn vms_that_lose_their_power_stay_within_the_budget() {
-    let dark = Trouble::Kill { down_ms: 4_000 };
-    assert_within_budget(|seed| day(seed, vec![(12_000, dark.clone(), (0..5).collect())]));
+    let power_loss = Trouble::Kill { down_ms: 4_000 };
+    assert_within_budget(|seed| day(seed, vec![(12_000, power_loss.clone(), (0..5).collect())]));
 }
 
 /// Guards against VMs that have heard no other VM using the whole slack.
@@ -80,51 +80,51 @@
     assert_within_budget(|seed| day(seed, vec![(12_000, Trouble::Join, (6..VMS).collect())]));
 }
 
-/// Guards against partitioned VMs each using the others' parts of the slack.
+/// Guards against partitioned VMs each using the others' shares of the slack.
 #[test]
 fn partitioned_vms_that_still_serve_stay_within_the_budget() {
-    let cut = |number: u8| (1_000, Trouble::CutOff { for_ms: 90_000 }, vec![number]);
+    let cut_off = |number: u8| (1_000, Trouble::CutOff { for_ms: 90_000 }, vec![number]);
     assert_within_budget(|seed| Day {
         length_ms: 85_000,
         demand_per_s: Levels(vec![(0, 40.0)]),
         refused_share: Levels(vec![(65_000, 0.8)]),
-        ..day(seed, (0..VMS).map(cut).collect())
+        ..day(seed, (0..VMS).map(cut_off).collect())
     });
 }
 
 /// Guards against retries decided before a suspension exceeding the budget after it.
 #[test]
 fn retries_of_suspended_vms_stay_within_the_budget() {
-    let still = |at_ms: u64, vms: Vec<u8>| (at_ms, Trouble::Suspend { for_ms: 2_500 }, vms);
+    let suspend = |at_ms: u64, vms: Vec<u8>| (at_ms, Trouble::Suspend { for_ms: 2_500 }, vms);
     assert_within_budget(|seed| {
-        day(seed, vec![still(10_500, vec![0, 1, 2]), still(15_500, vec![2, 3, 4])])
+        day(seed, vec![suspend(10_500, vec![0, 1, 2]), suspend(15_500, vec![2, 3, 4])])
     });
 }
 
-/// Guards against many VMs that each have a part of a token and never retry.
+/// Guards against many VMs that each have a fraction of a token and never retry.
 #[test]
-fn many_vms_with_few_requests_use_the_budget_and_keep_it() {
-    const MANY: usize = 500;
+fn many_vms_with_few_requests_use_the_budget_without_exceeding_it() {
+    const VM_COUNT: usize = 500;
     let limits =
         RetryBudgetLimits { ratio: REPEAT_RATIO, slack: REPEAT_SLACK, window_ms: WINDOW_MS };
     let mut vms: Vec<_> =
-        (0..MANY).map(|number| RetryBudget::new(limits, &format!("vm-{number}"))).collect();
-    let mut seen = Seen::default();
-    let mut sending = vec![false; MANY];
+        (0..VM_COUNT).map(|number| RetryBudget::new(limits, &format!("vm-{number}"))).collect();
+    let mut run = Seen::default();
+    let mut has_retried = vec![false; VM_COUNT];
     for now_ms in (0..40_000).step_by(10) {
         for (number, vm) in vms.iter_mut().enumerate() {
             if (now_ms + 7 * number as u64) % 330 >= 10 {
                 continue;
             }
-            seen.asked_at_ms.push(now_ms);
-            vm.deposit("browse", MANY, now_ms);
-            if now_ms >= 15_000 && vm.try_withdraw("browse", MANY, now_ms) {
-                seen.repeated_at_ms.push(now_ms);
-                sending[number] = true;
+            run.asked_at_ms.push(now_ms);
+            vm.deposit("browse", VM_COUNT, now_ms);
+            if now_ms >= 15_000 && vm.try_withdraw("browse", VM_COUNT, now_ms) {
+                run.repeated_at_ms.push(now_ms);
+                has_retried[number] = true;
             }
         }
     }
-    assert_eq!(seen.worst_excess(), None);
-    let sending = sending.iter().filter(|sends| **sends).count();
-    assert!(sending > MANY / 2, "{sending} of {MANY} VMs sent retries");
+    assert_eq!(run.worst_excess(), None);
+    let retrying = has_retried.iter().filter(|has_retried| **has_retried).count();
+    assert!(retrying > VM_COUNT / 2, "{retrying} of {VM_COUNT} VMs sent retries");
 }
--- a/crates/sedgepath-core/tests/direct_copies.rs
+++ b/crates/sedgepath-core/tests/direct_copies.rs
@@ -1,4 +1,4 @@
-//! Merging of replicas of the store's tables between VMs.
+//! Merging and exchange of replicas of the store's tables.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
     TableUpdate { rows, position, is_snapshot: false }
 }
 
-fn whole(position: u64, rows: Vec<VersionedRow>) -> TableUpdate {
+fn snapshot(position: u64, rows: Vec<VersionedRow>) -> TableUpdate {
     TableUpdate { rows, position, is_snapshot: true }
 }
 
@@ -22,7 +22,7 @@
 #[test]
 fn an_older_replica_does_not_restore_a_removed_row() {
     let mut ahead = TableReplica::default();
-    ahead.merge(whole(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
+    ahead.merge(snapshot(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
     let mut behind = TableReplica::default();
     behind.merge(ahead.changes_since(0));
     ahead.merge(changes(9, vec![row("b1", 9, None)]));
@@ -41,22 +41,22 @@
 #[test]
 fn rows_absent_from_a_snapshot_are_removed() {
     let mut replica = TableReplica::default();
-    replica.merge(whole(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
+    replica.merge(snapshot(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
 
-    let changes = replica.merge(whole(20, vec![row("b2", 4, Some("ready"))]));
+    let changes = replica.merge(snapshot(20, vec![row("b2", 4, Some("ready"))]));
 
     assert_eq!(changes, vec![row("b1", 20, None)]);
-    assert_eq!(replica.merge(whole(20, vec![row("b2", 4, Some("ready"))])), vec![]);
+    assert_eq!(replica.merge(snapshot(20, vec![row("b2", 4, Some("ready"))])), vec![]);
 }
 
 /// Guards against a delayed snapshot removing a row that was written after it.
 #[test]
 fn a_delayed_snapshot_keeps_newer_rows() {
     let mut replica = TableReplica::default();
-    replica.merge(whole(5, vec![]));
+    replica.merge(snapshot(5, vec![]));
     replica.merge(changes(9, vec![row("b1", 9, Some("ready"))]));
 
-    assert_eq!(replica.merge(whole(7, vec![])), vec![]);
+    assert_eq!(replica.merge(snapshot(7, vec![])), vec![]);
     assert_eq!(replica.changes_since(8).rows, vec![row("b1", 9, Some("ready"))]);
 }
 
@@ -65,25 +65,25 @@
 #[test]
 fn a_delayed_older_snapshot_restores_nothing() {
     let mut replica = TableReplica::default();
-    replica.merge(whole(10, vec![row("b2", 4, Some("ready"))]));
+    replica.merge(snapshot(10, vec![row("b2", 4, Some("ready"))]));
 
     let older = vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))];
 
-    assert_eq!(replica.merge(whole(8, older)), vec![]);
+    assert_eq!(replica.merge(snapshot(8, older)), vec![]);
     assert_eq!(replica.merge(changes(9, vec![row("b3", 7, Some("ready"))])), vec![]);
     assert_eq!(replica.changes_since(0).rows, vec![row("b2", 4, Some("ready"))]);
 }
 
-/// Guards against an incremental update that lacks a removal, because its sender's replica began
-/// after the removal.
+/// Guards against an incremental update that lacks a removal, because its sender's replica was
+/// created after the removal.
 #[test]
-fn a_replica_begun_after_a_removal_sends_a_snapshot() {
-    let mut neighbour = TableReplica::default();
-    neighbour.merge(whole(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
+fn a_replica_created_after_a_removal_sends_a_snapshot() {
+    let mut older = TableReplica::default();
+    older.merge(snapshot(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
     let mut restarted = TableReplica::default();
-    restarted.merge(whole(10, vec![row("b2", 9, Some("draining"))]));
+    restarted.merge(snapshot(10, vec![row("b2", 9, Some("draining"))]));
 
-    let changes = neighbour.merge(restarted.changes_since(neighbour.position()));
+    let changes = older.merge(restarted.changes_since(older.position()));
 
     assert!(changes.contains(&row("b1", 10, None)), "the removal is missing: {changes:?}");
     assert!(changes.contains(&row("b2", 9, Some("draining"))), "{changes:?}");
@@ -93,36 +93,36 @@
 #[test]
 fn an_incremental_update_holds_only_later_changes() {
     let mut replica = TableReplica::default();
-    replica.merge(whole(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
+    replica.merge(snapshot(5, vec![row("b1", 3, Some("ready")), row("b2", 4, Some("ready"))]));
     replica.merge(changes(8, vec![row("b3", 8, Some("ready"))]));
 
     assert!(replica.changes_since(4).is_snapshot, "removals up to version 5 are unknown");
-    let page = replica.changes_since(5);
+    let update = replica.changes_since(5);
 
-    assert!(!page.is_snapshot);
-    assert_eq!(page.rows, vec![row("b3", 8, Some("ready"))]);
+    assert!(!update.is_snapshot);
+    assert_eq!(update.rows, vec![row("b3", 8, Some("ready"))]);
     assert_eq!((replica.newest_version(), replica.position()), (8, 8));
 }
 
 /// An event that affects the replicas of one table.
 #[derive(Debug, Clone)]
 enum ReplicaEvent {
-    /// A row of the store is written or removed.
+    /// A row of the store is written, or removed if false.
     Change(u8, bool),
     /// A VM restarts and reads a snapshot from the store.
-    Restart(usize),
+    RestartFromStore(usize),
     /// A VM restarts and gets a snapshot from another VM.
-    RestartFrom(usize, usize),
+    RestartFromVm(usize, usize),
     /// A VM reads the changes from the store.
-    Follow(usize),
+    ReadFromStore(usize),
     /// A VM gets the changes from another VM.
-    Fetch(usize, usize),
+    ReadFromVm(usize, usize),
     /// A VM restarts and has read nothing yet.
-    Lose(usize),
-    /// A VM requests the changes or a snapshot from the store; the update is in transit.
-    AskStore(usize, bool),
+    RestartEmpty(usize),
+    /// A VM requests the changes, or a snapshot if true, from the store; the update is in transit.
+    RequestFromStore(usize, bool),
     /// A VM requests the changes from another VM; the update is in transit.
-    AskVm(usize, usize),
+    RequestFromVm(usize, usize),
     /// One of the updates in transit arrives.
     Arrive(prop::sample::Index),
 }
@@ -130,31 +130,32 @@
 fn event() -> impl Strategy<Value = ReplicaEvent> {
     let vm = 0..4_usize;
     prop_oneof![
-        4 => (0..5_u8, any::<bool>()).prop_map(|(key, there)| ReplicaEvent::Change(key, there)),
-        1 => vm.clone().prop_map(ReplicaEvent::Restart),
-        1 => (vm.clone(), vm.clone()).prop_map(|(vm, from)| ReplicaEvent::RestartFrom(vm, from)),
-        2 => vm.clone().prop_map(ReplicaEvent::Follow),
-        4 => (vm.clone(), vm.clone()).prop_map(|(vm, from)| ReplicaEvent::Fetch(vm, from)),
-        1 => vm.clone().prop_map(ReplicaEvent::Lose),
-        2 => (vm.clone(), any::<bool>()).prop_map(|(vm, all)| ReplicaEvent::AskStore(vm, all)),
-        2 => (vm.clone(), vm).prop_map(|(vm, from)| ReplicaEvent::AskVm(vm, from)),
+        4 => (0..5_u8, any::<bool>()).prop_map(|(key, exists)| ReplicaEvent::Change(key, exists)),
+        1 => vm.clone().prop_map(ReplicaEvent::RestartFromStore),
+        1 => (vm.clone(), vm.clone()).prop_map(|(vm, from)| ReplicaEvent::RestartFromVm(vm, from)),
+        2 => vm.clone().prop_map(ReplicaEvent::ReadFromStore),
+        4 => (vm.clone(), vm.clone()).prop_map(|(vm, from)| ReplicaEvent::ReadFromVm(vm, from)),
+        1 => vm.clone().prop_map(ReplicaEvent::RestartEmpty),
+        2 => (vm.clone(), any::<bool>())
+            .prop_map(|(vm, in_full)| ReplicaEvent::RequestFromStore(vm, in_full)),
+        2 => (vm.clone(), vm).prop_map(|(vm, from)| ReplicaEvent::RequestFromVm(vm, from)),
         4 => any::<prop::sample::Index>().prop_map(ReplicaEvent::Arrive),
     ]
 }
 
-/// The store's table at every version.
+/// All writes to the store's table, in the order of their versions.
 #[derive(Debug, Default)]
 struct History {
     rows: Vec<VersionedRow>,
 }
 
 impl History {
-    fn change(&mut self, key: u8, there: bool) {
+    fn change(&mut self, key: u8, exists: bool) {
         let version = self.rows.len() as u64 + 1;
-        self.rows.push(row(&key.to_string(), version, there.then_some("ready")));
+        self.rows.push(row(&key.to_string(), version, exists.then_some("ready")));
     }
 
-    fn after(&self, position: u64) -> TableUpdate {
+    fn changes_after(&self, position: u64) -> TableUpdate {
         let mut last = std::collections::BTreeMap::new();
         for row in self.rows.iter().filter(|row| row.version > position) {
             last.insert(row.key.clone(), row.clone());
@@ -162,7 +163,7 @@
         changes(self.rows.len() as u64, last.into_values().collect())
     }
 
-    fn at(&self, position: u64) -> Vec<VersionedRow> {
+    fn rows_at(&self, position: u64) -> Vec<VersionedRow> {
         let mut last = std::collections::BTreeMap::new();
         for row in self.rows.iter().filter(|row| row.version <= position) {
             last.insert(row.key.clone(), row.clone());
@@ -190,52 +191,52 @@
         for event in events {
             let newest = history.rows.len() as u64;
             match event {
-                ReplicaEvent::Change(key, there) => history.change(key, there),
-                ReplicaEvent::Lose(vm) => {
-                    // The updates requested by the last process are lost.
-                    in_transit.retain(|(asker, _)| *asker != vm);
+                ReplicaEvent::Change(key, exists) => history.change(key, exists),
+                ReplicaEvent::RestartEmpty(vm) => {
+                    // The updates requested by the previous process are lost.
+                    in_transit.retain(|(requester, _)| *requester != vm);
                     replicas[vm] = TableReplica::default();
                 }
-                ReplicaEvent::AskStore(vm, all) => {
-                    let page = if all || !replicas[vm].is_complete() {
-                        whole(newest, history.at(newest))
+                ReplicaEvent::RequestFromStore(vm, in_full) => {
+                    let update = if in_full || !replicas[vm].is_complete() {
+                        snapshot(newest, history.rows_at(newest))
                     } else {
-                        history.after(replicas[vm].position())
+                        history.changes_after(replicas[vm].position())
                     };
-                    in_transit.push((vm, page));
+                    in_transit.push((vm, update));
                 }
-                ReplicaEvent::AskVm(vm, from) if replicas[from].is_complete() => {
-                    let page = replicas[from].changes_since(replicas[vm].position());
-                    in_transit.push((vm, page));
+                ReplicaEvent::RequestFromVm(vm, from) if replicas[from].is_complete() => {
+                    let update = replicas[from].changes_since(replicas[vm].position());
+                    in_transit.push((vm, update));
                 }
                 ReplicaEvent::Arrive(index) if !in_transit.is_empty() => {
-                    let (vm, page) = in_transit.swap_remove(index.index(in_transit.len()));
-                    replicas[vm].merge(page);
+                    let (vm, update) = in_transit.swap_remove(index.index(in_transit.len()));
+                    replicas[vm].merge(update);
                 }
-                ReplicaEvent::Restart(vm) => {
-                    in_transit.retain(|(asker, _)| *asker != vm);
+                ReplicaEvent::RestartFromStore(vm) => {
+                    in_transit.retain(|(requester, _)| *requester != vm);
                     replicas[vm] = TableReplica::default();
-                    replicas[vm].merge(whole(newest, history.at(newest)));
+                    replicas[vm].merge(snapshot(newest, history.rows_at(newest)));
                 }
-                ReplicaEvent::RestartFrom(vm, from) if vm != from => {
-                    in_transit.retain(|(asker, _)| *asker != vm);
+                ReplicaEvent::RestartFromVm(vm, from) if vm != from => {
+                    in_transit.retain(|(requester, _)| *requester != vm);
                     replicas[vm] = TableReplica::default();
-                    let page = replicas[from].changes_since(0);
-                    replicas[vm].merge(page);
+                    let update = replicas[from].changes_since(0);
+                    replicas[vm].merge(update);
                 }
-                ReplicaEvent::Follow(vm) if replicas[vm].is_complete() => {
+                ReplicaEvent::ReadFromStore(vm) if replicas[vm].is_complete() => {
                     let position = replicas[vm].position();
-                    replicas[vm].merge(history.after(position));
+                    replicas[vm].merge(history.changes_after(position));
                 }
-                ReplicaEvent::Fetch(vm, from) if replicas[from].is_complete() => {
+                ReplicaEvent::ReadFromVm(vm, from) if replicas[from].is_complete() => {
                     let position = replicas[vm].position();
-                    let page = replicas[from].changes_since(position);
-                    replicas[vm].merge(page);
+                    let update = replicas[from].changes_since(position);
+                    replicas[vm].merge(update);
                 }
                 _ => {}
             }
             for replica in replicas.iter().filter(|replica| replica.is_complete()) {
-                prop_assert_eq!(sorted_rows(replica), history.at(replica.position()));
+                prop_assert_eq!(sorted_rows(replica), history.rows_at(replica.position()));
             }
         }
     }
@@ -259,14 +260,14 @@
             })
             .collect();
         let mut in_order = TableReplica::default();
-        in_order.merge(whole(0, vec![]));
+        in_order.merge(snapshot(0, vec![]));
         in_order.merge(changes(rows.len() as u64, rows.clone()));
 
         let mut out_of_order = TableReplica::default();
-        out_of_order.merge(whole(0, vec![]));
+        out_of_order.merge(snapshot(0, vec![]));
         for index in &order {
-            let picked = index.get(&rows).clone();
-            out_of_order.merge(changes(0, vec![picked]));
+            let row = index.get(&rows).clone();
+            out_of_order.merge(changes(0, vec![row]));
         }
         out_of_order.merge(in_order.changes_since(0));
         out_of_order.merge(changes(0, rows));
--- a/crates/sedgepath-core/tests/direct_tiers.rs
+++ b/crates/sedgepath-core/tests/direct_tiers.rs
@@ -1,16 +1,17 @@
-//! Membership of VMs over many failure domains.
+//! Membership of VMs in several failure domains and regions.
 
 use std::collections::BTreeSet;
 
 use sedgepath_test_support::vm_net::VmNet;
 
-/// The time within which a change of the running VMs must be known everywhere, in milliseconds.
+/// The time within which all VMs must know of a change of the running VMs, in milliseconds.
 const STABILITY_MS: u64 = 4_000;
 
 /// The most control traffic that a VM may send, in bytes per second.
 const CONTROL_BYTES_PER_S: u64 = 11_000;
 
-fn agree(net: &VmNet) -> bool {
+/// Returns whether each running VM knows exactly the running VMs.
+fn all_agree(net: &VmNet) -> bool {
     let live = net.live();
     live.iter().all(|vm| net.serving(*vm) == live)
 }
@@ -19,27 +20,27 @@
 #[test]
 fn vms_that_start_together_know_each_other() {
     let net = VmNet::running(9, 8, 1);
-    assert!(agree(&net));
+    assert!(all_agree(&net));
 }
 
 /// Guards against other failure domains naming a dead VM.
 #[test]
-fn a_silent_vm_is_unknown_everywhere_in_time() {
+fn all_vms_drop_a_silent_vm_in_time() {
     for seed in 1..=5 {
         let mut net = VmNet::running(9, 6, seed);
         net.kill(&[7, 20, 33]);
-        let took_ms = net.run_until(10_000, agree).expect("a VM still names silent VMs");
+        let took_ms = net.run_until(10_000, all_agree).expect("a VM still names silent VMs");
         assert!(took_ms <= STABILITY_MS, "seed {seed}: {took_ms} ms");
     }
 }
 
 /// Guards against naming VMs of a failure domain that lost its power.
 #[test]
-fn a_domain_without_power_is_unknown_everywhere_in_time() {
+fn all_vms_drop_a_domain_without_power_in_time() {
     for seed in 1..=5 {
         let mut net = VmNet::running(9, 6, seed);
         net.kill(&net.of_domain(4));
-        let took_ms = net.run_until(10_000, agree).expect("a VM still names silent VMs");
+        let took_ms = net.run_until(10_000, all_agree).expect("a VM still names silent VMs");
         assert!(took_ms <= STABILITY_MS, "seed {seed}: {took_ms} ms");
     }
 }
@@ -70,12 +71,12 @@
         net.run_for(100);
         missing += live.iter().map(|vm| live.difference(&net.serving(*vm)).count()).sum::<usize>();
     }
-    // Four heartbeats lost in a row remove a VM for a moment.
+    // The loss of four heartbeats in a row removes a VM until the next one.
     let views = 200 * live.len() * live.len();
     assert!(missing * 1_000 < views, "{missing} of {views} views lack a VM that serves");
 }
 
-/// Guards against regions that stay apart after a partition longer than any VM is remembered.
+/// Guards against regions that stay apart after a partition that outlasts the memory of silent VMs.
 #[test]
 fn regions_find_each_other_after_a_long_partition() {
     let mut net = VmNet::running(6, 4, 5);
@@ -83,7 +84,7 @@
     net.run_for(60_000);
     assert_eq!(net.serving(0), net.of_region(0).into_iter().collect::<BTreeSet<_>>());
     net.mend();
-    assert!(net.run_until(5_000, agree).is_some(), "they don't know each other again");
+    assert!(net.run_until(5_000, all_agree).is_some(), "they don't know each other again");
 }
 
 /// Guards against halves of a failure domain that stay apart after a long partition.
@@ -93,7 +94,7 @@
     net.cut(&[0, 1, 2], &[3, 4, 5]);
     net.run_for(60_000);
     net.mend();
-    assert!(net.run_until(5_000, agree).is_some(), "they don't know each other again");
+    assert!(net.run_until(5_000, all_agree).is_some(), "they don't know each other again");
 }
 
 /// Guards against relaying a domain's summary to a third domain, which could keep dead VMs named.
@@ -106,7 +107,7 @@
     assert_eq!(net.serving(8), net.live());
 }
 
-/// Guards against an added VM that look-ups don't name for long.
+/// Guards against a long time until look-ups name an added VM.
 #[test]
 fn a_vm_that_joins_is_known_to_all_in_time() {
     let mut net = VmNet::new(6, 4, 15);
@@ -116,7 +117,7 @@
     }
     net.run_for(5_000);
     net.start(0, &all);
-    let took_ms = net.run_until(10_000, agree).expect("the VM stays unknown");
+    let took_ms = net.run_until(10_000, all_agree).expect("the VM stays unknown");
     assert!(took_ms <= STABILITY_MS, "{took_ms} ms");
 }
 
@@ -127,7 +128,7 @@
     net.kill(&[2]);
     net.run_for(5_000);
     net.start_with_seeds(2, &[9, 14, 20]);
-    let took_ms = net.run_until(10_000, agree).expect("the VM stays unknown");
+    let took_ms = net.run_until(10_000, all_agree).expect("the VM stays unknown");
     assert!(took_ms <= STABILITY_MS, "{took_ms} ms");
 }
 
@@ -138,7 +139,7 @@
     net.kill(&[2]);
     net.run_for(300);
     net.start_with_clock_set_back(2, &[1, 5]);
-    assert!(net.run_until(10_000, agree).is_some(), "the restarted VM is ignored");
+    assert!(net.run_until(10_000, all_agree).is_some(), "the restarted VM is ignored");
 }
 
 /// Guards against removing a domain's other VMs when all senders of its summaries fail at once.
@@ -153,10 +154,10 @@
             assert!(net.serving(*vm).is_superset(&rest), "{vm} at {} ms", net.now_ms());
         }
     }
-    assert!(agree(&net));
+    assert!(all_agree(&net));
 }
 
-/// Guards against a resumed VM that stays unknown for long.
+/// Guards against a resumed VM that stays unknown for a long time.
 #[test]
 fn suspended_vms_are_known_again() {
     let mut net = VmNet::running(4, 5, 11);
@@ -164,7 +165,7 @@
     net.run_for(5_000);
     assert!(!net.serving(3).contains(&0));
     net.run_for(3_000);
-    let took_ms = net.run_until(5_000, agree).expect("a resumed VM stays unknown");
+    let took_ms = net.run_until(5_000, all_agree).expect("a resumed VM stays unknown");
     assert!(took_ms <= 2_000, "{took_ms} ms");
 }
 
@@ -184,18 +185,18 @@
 
 /// Guards against one VM sending most of its domain's control traffic.
 #[test]
-fn no_vm_sends_more_control_traffic_than_it_may() {
+fn no_vm_exceeds_the_limit_on_control_traffic() {
     let mut net = VmNet::running(9, 22, 13);
     let before = net.sent_by.clone();
     net.run_for(10_000);
-    let per_s = net.sent_by.iter().zip(before).map(|(after, before)| (after - before) / 10);
-    let busiest = per_s.max().expect("there is at least one VM");
-    assert!(busiest <= CONTROL_BYTES_PER_S, "{busiest} bytes per second");
+    let bytes_per_s = net.sent_by.iter().zip(before).map(|(after, before)| (after - before) / 10);
+    let max_bytes_per_s = bytes_per_s.max().expect("there is at least one VM");
+    assert!(max_bytes_per_s <= CONTROL_BYTES_PER_S, "{max_bytes_per_s} bytes per second");
 }
 
 /// Guards against VMs that circulate the addresses of removed VMs and try them forever.
 #[test]
-fn vms_that_never_answer_are_forgotten_by_all() {
+fn vms_that_never_respond_are_removed_by_all() {
     let mut net = VmNet::new(3, 4, 14);
     let all: Vec<_> = (0..net.count()).collect();
     let live: Vec<_> = all.iter().copied().filter(|vm| ![3, 7].contains(vm)).collect();
@@ -206,7 +207,7 @@
     net.run_for(90_000);
 
     let now_ms = net.now_ms();
-    let table = net.table(0).expect("it runs");
+    let table = net.table(0).expect("the VM is running");
     assert_eq!(
         table.domain_addresses().len(),
         2,
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -23,7 +23,7 @@
     let step = vm.next_step(&mut request, 1, now_ms);
     vm.cancel_request(&mut request, now_ms);
     match step {
-        NextStep::Send(to) => Some(to.name),
+        NextStep::Send(attempt) => Some(attempt.name),
         NextStep::Reject { .. } | NextStep::GiveUp { .. } => None,
     }
 }
@@ -74,7 +74,7 @@
     let change = vm.upstreams_mut().upsert(second, "north", 8_000);
 
     let EntryChange::Joined(key) = change else {
-        panic!("the new start was treated as {change:?}");
+        panic!("the restart was treated as {change:?}");
     };
     assert!(vm.upstreams().get(key).is_some_and(|upstream| upstream.is_cold(8_100)));
 }
@@ -89,14 +89,14 @@
     vm.upstreams_mut().remove("b0", 14_010);
 
     assert_eq!(selected_upstream(&mut vm, "x", 14_100).as_deref(), Some("b0"));
-    let gone = vm.upstreams_mut().remove_lapsed(14_000 + LAPSED_ENTRY_GRACE_MS);
-    assert_eq!(gone, vec!["b0".into()]);
+    let removed = vm.upstreams_mut().remove_lapsed(14_000 + LAPSED_ENTRY_GRACE_MS);
+    assert_eq!(removed, vec!["b0".into()]);
     assert_eq!(selected_upstream(&mut vm, "x", 16_100), None);
 }
 
 /// Guards against treating a removal as a lapse when only this VM was cut off from the store.
 #[test]
-fn an_entry_removed_while_others_reached_the_store_is_removed_immediately() {
+fn an_entry_missing_while_others_reached_the_store_is_removed_immediately() {
     let mut vm = vm_with_one_upstream();
     vm.update_store_health(StoreHealth::Reachable { for_ms: 5_000 }, 5_000);
     vm.update_store_health(StoreHealth::Failing, 9_000);
@@ -114,7 +114,7 @@
 /// Guards against treating a removal as a lapse when the store was available but all its readers were
 /// suspended.
 #[test]
-fn an_entry_removed_while_no_vm_read_the_store_is_removed_immediately() {
+fn an_entry_removed_while_no_vm_called_the_store_is_removed_immediately() {
     let mut vm = vm_with_one_upstream();
     let mut reader = heartbeat("a0", "north-a", 2);
     reader.state.store_health = StoreHealth::Reachable { for_ms: 5_000 };
@@ -161,9 +161,9 @@
 fn an_upstream_whose_address_was_taken_over_is_removed() {
     let mut vm = vm_with_one_upstream();
     let mut request = begin(&mut vm, "/charges/1", "x", 0);
-    let NextStep::Send(to) = vm.next_step(&mut request, 1, 0) else { panic!("not sent") };
+    let NextStep::Send(attempt) = vm.next_step(&mut request, 1, 0) else { panic!("not sent") };
 
-    vm.record_outcome(&mut request, to.upstream, AttemptOutcome::Misdirected, 10);
+    vm.record_outcome(&mut request, attempt.upstream, AttemptOutcome::Misdirected, 10);
 
     assert_eq!(request.possible_runs, 0, "a misdirected request counts as run");
     assert_eq!(selected_upstream(&mut vm, "x", 20), None);
@@ -173,8 +173,8 @@
 #[test]
 fn an_evacuated_domain_gets_no_requests_and_is_cold_afterwards() {
     let mut vm = serving_vm("a1", "north-a", 1, 2);
-    let emptied: Set<Box<str>> = [Box::from("north-a")].into_iter().collect();
-    vm.set_evacuated_domains(emptied, 0);
+    let evacuated: Set<Box<str>> = [Box::from("north-a")].into_iter().collect();
+    vm.set_evacuated_domains(evacuated, 0);
     let in_domain = |name: Option<Box<str>>| matches!(name.as_deref(), Some("b0" | "b1"));
     for object in 0..50 {
         assert!(
@@ -192,9 +192,9 @@
         );
     }
     let later_ms = 1_000 + COLD_START_MS;
-    let again = (0..50)
+    let in_domain_later = (0..50)
         .filter(|object| in_domain(selected_upstream(&mut vm, &object.to_string(), later_ms)));
-    assert!(again.count() > 0, "the domain is never used again");
+    assert!(in_domain_later.count() > 0, "the domain is never used again");
 }
 
 /// Guards against sending the full rate to an upstream that may have restarted unnoticed.
@@ -202,12 +202,12 @@
 fn an_upstream_that_is_reachable_again_counts_as_cold() {
     let mut vm = vm_with_one_upstream();
     let mut request = begin(&mut vm, "/reads/1", "x", 0);
-    let NextStep::Send(to) = vm.next_step(&mut request, 1, 0) else { panic!("not sent") };
-    vm.record_outcome(&mut request, to.upstream, AttemptOutcome::Unreachable, 10);
+    let NextStep::Send(attempt) = vm.next_step(&mut request, 1, 0) else { panic!("not sent") };
+    vm.record_outcome(&mut request, attempt.upstream, AttemptOutcome::Unreachable, 10);
     let mut request = begin(&mut vm, "/reads/1", "x", 2_000);
-    let NextStep::Send(to) = vm.next_step(&mut request, 1, 2_000) else { panic!("not sent") };
-    let answer = AttemptOutcome::Answered { failed: false, report: None, body_bytes: 1 };
-    vm.record_outcome(&mut request, to.upstream, answer, 2_100);
+    let NextStep::Send(attempt) = vm.next_step(&mut request, 1, 2_000) else { panic!("not sent") };
+    let success = AttemptOutcome::Answered { failed: false, report: None, body_bytes: 1 };
+    vm.record_outcome(&mut request, attempt.upstream, success, 2_100);
 
-    assert!(vm.upstreams().get(to.upstream).is_some_and(|upstream| upstream.is_cold(2_200)));
+    assert!(vm.upstreams().get(attempt.upstream).is_some_and(|upstream| upstream.is_cold(2_200)));
 }
--- a/crates/sedgepath-core/tests/fuzz_budget.rs
+++ b/crates/sedgepath-core/tests/fuzz_budget.rs
@@ -1,4 +1,4 @@
-//! Fuzz test of the retry budget over schedules of demand, refusals and faults of VMs.
+//! Fuzz test of the retry budget over schedules of demand, rejections and faults of VMs.
 //!
 //! In every ten-second window the retries stay within a fifth of the requests plus the slack. The
 //! check uses only the times of callers' requests and of retries that arrive at upstreams.
@@ -13,12 +13,12 @@
 
 const LENGTH_MS: u64 = 30_000;
 
-fn moment() -> impl Strategy<Value = u64> {
+fn time_ms() -> impl Strategy<Value = u64> {
     0..LENGTH_MS
 }
 
 fn levels(level: impl Strategy<Value = f64>) -> impl Strategy<Value = Levels> {
-    prop::collection::vec((moment(), level), 1..6).prop_map(|mut levels| {
+    prop::collection::vec((time_ms(), level), 1..6).prop_map(|mut levels| {
         levels.sort_by_key(|(from_ms, _)| *from_ms);
         Levels(levels)
     })
@@ -40,13 +40,13 @@
         mut demand in levels(prop_oneof![Just(0.0), 10.0..60.0, 100.0..400.0]),
         refused_share in levels(prop_oneof![Just(0.0), 0.1..0.6, 0.7..1.0]),
         troubles in prop::collection::vec(
-            (moment(), trouble(), prop::collection::vec(0..vms, 1..8)),
+            (time_ms(), trouble(), prop::collection::vec(0..vms, 1..8)),
             0..8,
         ),
         seed in any::<u64>(),
-        from_start in 20.0..300.0,
+        initial_per_s in 20.0..300.0,
     ) -> Day {
-        demand.0.insert(0, (0, from_start));
+        demand.0.insert(0, (0, initial_per_s));
         Day { vms, length_ms: LENGTH_MS, demand_per_s: demand, refused_share, troubles, seed }
     }
 }
--- a/crates/sedgepath-core/tests/fuzz_support/mod.rs
+++ b/crates/sedgepath-core/tests/fuzz_support/mod.rs
@@ -1,4 +1,4 @@
-//! The number of cases and the seed of fuzz tests.
+//! The configuration of fuzz tests.
 
 use proptest::test_runner::{Config, RngSeed};
 
@@ -6,14 +6,14 @@
 /// variables `FUZZ_CASES` and `FUZZ_SEED` override.
 pub fn config(cases: u32) -> Config {
     Config {
-        cases: from_environment("FUZZ_CASES", u64::from(cases)) as u32,
-        rng_seed: RngSeed::Fixed(from_environment("FUZZ_SEED", 1)),
+        cases: env_number("FUZZ_CASES", u64::from(cases)) as u32,
+        rng_seed: RngSeed::Fixed(env_number("FUZZ_SEED", 1)),
         failure_persistence: None,
         max_shrink_iters: 2_000,
         ..Config::default()
     }
 }
 
-fn from_environment(name: &str, default: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
