--- a/crates/sedgepath-core/src/direct/attempts.rs
+++ b/crates/sedgepath-core/src/direct/attempts.rs
@@ -49,7 +49,7 @@
     #[default]
     First,
     /// The last upstream rejected the request or wasn't the expected one.
-    Refused,
+    Rejected,
     /// The last attempt failed, or its response was incomplete.
     Failed,
     /// The upstream of the attempt in flight responds to no request.
@@ -61,7 +61,7 @@
     pub fn name(self) -> &'static str {
         match self {
             Self::First => "first",
-            Self::Refused => "refused",
+            Self::Rejected => "refused",
             Self::Failed => "failed",
             Self::Unresponsive => "silent",
         }
--- a/crates/sedgepath-core/src/direct/steering/learning.rs
+++ b/crates/sedgepath-core/src/direct/steering/learning.rs
@@ -26,7 +26,7 @@
             }
             AttemptOutcome::Refused { .. } | AttemptOutcome::Misdirected => {
                 request.delivered += 1;
-                request.cause = AttemptCause::Refused;
+                request.cause = AttemptCause::Rejected;
             }
             AttemptOutcome::Unreachable | AttemptOutcome::Canceled => {}
         }
--- a/crates/sedgepath-core/src/direct/vms/gossip.rs
+++ b/crates/sedgepath-core/src/direct/vms/gossip.rs
@@ -314,8 +314,8 @@
         other_scores.filter(|other| *other > own_score).count() < SENDERS_PER_DOMAIN
     }
 
-    /// Returns random VMs of another failure domain that get a summary, chosen from those that summaries
-    /// list if there are any, otherwise from all known addresses.
+    /// Returns the addresses of random VMs of another failure domain that get a summary, chosen from
+    /// the VMs that recent summaries list, or else from all known addresses of the domain.
     fn summary_receivers(&self, domain: &str, rng: &mut Rng, now_ms: u64) -> Vec<SocketAddr> {
         let addresses = self.remote_domains.domain_addresses(domain, self.timing, now_ms);
         let mut addresses: Vec<_> = if addresses.is_empty() {
--- a/crates/sedgepath-core/src/direct/vms/readers.rs
+++ b/crates/sedgepath-core/src/direct/vms/readers.rs
@@ -41,16 +41,16 @@
 
 /// The other VMs of this VM's region that may read the store, and the other regions with such VMs.
 #[derive(Debug)]
-struct RegionReaders<'a> {
+struct RegionCandidates<'a> {
     region: &'a str,
-    readers: Vec<ReaderCandidate<'a>>,
+    candidates: Vec<ReaderCandidate<'a>>,
     other_regions: Set<&'a str>,
 }
 
-impl<'a> RegionReaders<'a> {
-    fn add(&mut self, region: &'a str, reader: ReaderCandidate<'a>) {
+impl<'a> RegionCandidates<'a> {
+    fn add(&mut self, region: &'a str, candidate: ReaderCandidate<'a>) {
         if *region == *self.region {
-            self.readers.push(reader);
+            self.candidates.push(candidate);
         } else {
             self.other_regions.insert(region);
         }
@@ -58,19 +58,20 @@
 
     /// Keeps one entry per VM, preferring one whose store is reachable.
     fn merge(&mut self) {
-        self.readers.sort_unstable();
-        self.readers.reverse();
-        self.readers.dedup_by(|one, other| one.address == other.address);
+        self.candidates.sort_unstable();
+        self.candidates.reverse();
+        self.candidates.dedup_by(|one, other| one.address == other.address);
     }
 
     /// Returns the number of VMs that precede a VM in the order of failure domains and addresses.
     fn count_before(&self, vm: (&str, SocketAddr)) -> usize {
-        let precedes = |reader: &&ReaderCandidate<'_>| (reader.domain, reader.address) < vm;
-        self.readers.iter().filter(precedes).count()
+        let precedes =
+            |candidate: &&ReaderCandidate<'_>| (candidate.domain, candidate.address) < vm;
+        self.candidates.iter().filter(precedes).count()
     }
 
     fn count_store_reachable(&self) -> usize {
-        self.readers.iter().filter(|reader| reader.store_reachable).count()
+        self.candidates.iter().filter(|candidate| candidate.store_reachable).count()
     }
 }
 
@@ -81,12 +82,12 @@
     /// next one every [`READER_TAKEOVER_INTERVAL_MS`], so that the calls don't overload a recovering
     /// store.
     pub fn should_read_store(&mut self, now_ms: u64) -> bool {
-        let region = self.region_readers(now_ms);
+        let region = self.region_candidates(now_ms);
         let reader_count = MIN_READERS.div_ceil(1 + region.other_regions.len());
         let rank =
             region.count_before((&self.own.descriptor.domain, self.own.descriptor.peer_address));
         let (others_reaching_store, others) =
-            (region.count_store_reachable(), region.readers.len());
+            (region.count_store_reachable(), region.candidates.len());
         let reaches_store = self.own.state.store_health.is_reachable();
         if others_reaching_store > 0 || reaches_store {
             self.store_unreachable_since_ms = None;
@@ -114,9 +115,10 @@
     /// Returns whether this VM is the first one of its failure domain that may be running.
     fn is_first_of_domain(&self, now_ms: u64) -> bool {
         let own = &self.own.descriptor;
-        let region = self.region_readers(now_ms);
-        let in_domain = region.readers.iter().filter(|reader| *reader.domain == *own.domain);
-        in_domain.filter(|reader| reader.address < own.peer_address).count() == 0
+        let region = self.region_candidates(now_ms);
+        let in_domain =
+            region.candidates.iter().filter(|candidate| *candidate.domain == *own.domain);
+        in_domain.filter(|candidate| candidate.address < own.peer_address).count() == 0
     }
 
     /// Returns whether it is this VM's turn to try the store, as the VM with index `rank` of the
@@ -131,11 +133,11 @@
         steps_since < TAKEOVER_INTERVALS
     }
 
-    fn region_readers(&self, now_ms: u64) -> RegionReaders<'_> {
+    fn region_candidates(&self, now_ms: u64) -> RegionCandidates<'_> {
         let own = &self.own.descriptor;
-        let mut region = RegionReaders {
+        let mut region = RegionCandidates {
             region: &own.region,
-            readers: Vec::new(),
+            candidates: Vec::new(),
             other_regions: Set::default(),
         };
         for peer in self.peers.values() {
@@ -160,9 +162,9 @@
             );
         }
         for (address, locality) in self.known_vms.starting(now_ms) {
-            let reader =
+            let candidate =
                 ReaderCandidate { domain: &locality.domain, address, store_reachable: false };
-            region.add(&locality.region, reader);
+            region.add(&locality.region, candidate);
         }
         region.merge();
         region
--- a/crates/sedgepath-core/tests/direct_tiers.rs
+++ b/crates/sedgepath-core/tests/direct_tiers.rs
@@ -47,7 +47,7 @@
 
 /// Guards against a cut-off VM's summary removing the other VMs of its domain.
 #[test]
-fn a_vm_that_hears_no_other_removes_none() {
+fn a_cut_off_vm_does_not_remove_the_others_of_its_domain() {
     let mut net = VmNet::running(6, 6, 3);
     let all: Vec<_> = (0..net.count()).collect();
     net.cut_one_way(&all, &[0]);
