--- a/crates/sedgepath-wire/src/datagram.rs
+++ b/crates/sedgepath-wire/src/datagram.rs
@@ -11,7 +11,7 @@
 
 use crate::key::{MAC_BYTES, SharedKey};
 
-/// The maximum size of a datagram in bytes: the payload of an unfragmented IPv6 packet on Ethernet.
+/// The maximum size of a datagram in bytes, which fits in an unfragmented IPv6 packet on Ethernet.
 pub const MAX_DATAGRAM_BYTES: usize = 1_432;
 
 /// The number of sequence numbers, up to the highest received, that a replay window tracks.
@@ -32,7 +32,7 @@
     /// The datagram is too short for a MAC, or an envelope can't be encoded or decoded.
     #[error("datagram envelope is malformed")]
     Malformed,
-    /// The sequence number was received before, or is older than the replay window.
+    /// The sequence number was received before, or is below the replay window.
     #[error("datagram is a replay")]
     Replayed,
 }
@@ -69,7 +69,7 @@
 #[derive(Debug)]
 pub struct DatagramDecoder {
     key: SharedKey,
-    windows: HashMap<(VmKey, BootId), ReplayWindow>,
+    replay_windows: HashMap<(VmKey, BootId), ReplayWindow>,
 }
 
 #[derive(Debug, Default)]
@@ -80,9 +80,9 @@
 }
 
 impl DatagramDecoder {
-    /// Creates a decoder with empty replay windows.
+    /// Creates a decoder without any replay windows.
     pub fn new(key: SharedKey) -> Self {
-        Self { key, windows: HashMap::new() }
+        Self { key, replay_windows: HashMap::new() }
     }
 
     /// Authenticates and decodes a datagram and records its sequence number.
@@ -102,10 +102,10 @@
         let envelope: Envelope = postcard::from_bytes(body).ok().ok_or(DatagramError::Malformed)?;
         // Only authenticated senders add windows, so an outsider can't force this reset. Replays of
         // datagrams received before the reset are not detected.
-        if self.windows.len() >= MAX_REPLAY_WINDOWS {
-            self.windows.clear();
+        if self.replay_windows.len() >= MAX_REPLAY_WINDOWS {
+            self.replay_windows.clear();
         }
-        let window = self.windows.entry((envelope.from, envelope.boot)).or_default();
+        let window = self.replay_windows.entry((envelope.from, envelope.boot)).or_default();
         if window.accept(envelope.sequence) { Ok(envelope) } else { Err(DatagramError::Replayed) }
     }
 }
--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -76,7 +76,7 @@
     StoreTickets,
 }
 
-/// The metadata of a request that is forwarded to the home of its ticket, beside its HTTP head.
+/// The metadata of a request that is forwarded to the home of its ticket, in addition to its HTTP head.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HomeRequest {
     /// The boot that minted the ticket, as stated in the ticket.
@@ -93,7 +93,7 @@
     pub deduplication: sedgepath_core::request::Deduplication,
     /// The number of the caller's attempt.
     pub attempt: u32,
-    /// The digest of method, path and body, which distinguishes a repeat from another request.
+    /// The digest of method, path and body, which distinguishes a retry from another request.
     pub digest: sedgepath_core::hash::Digest,
 }
 
@@ -109,7 +109,7 @@
         /// The HTTP head of the request.
         head: HttpRequestHead,
     },
-    /// A part of a request or response body.
+    /// A chunk of a request or response body.
     BodyChunk(Vec<u8>),
     /// The body is complete.
     BodyEnd,
@@ -124,11 +124,11 @@
         /// The HTTP head that the caller receives.
         http: HttpResponseHead,
     },
-    /// The request was not run.
+    /// The request was rejected and not run.
     Refused {
-        /// The refused exchange.
+        /// The rejected exchange.
         id: ExchangeId,
-        /// Why the request was refused, and when to retry.
+        /// Why the request was rejected, and when to retry.
         refusal: Rejection,
     },
     /// The request was sent to an upstream, but no response was received.
@@ -273,7 +273,7 @@
     /// Waits until the peer closes the connection or sends a byte; returns whether it closed.
     ///
     /// Consumes the byte, so the stream can't be used afterwards. For use between exchanges and while
-    /// the peer waits for a response: it sends nothing then, so any input ends the connection.
+    /// the peer waits for a response: the peer sends nothing then, so any input ends the connection.
     ///
     /// # Errors
     ///
--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -35,8 +35,8 @@
     pub domain: DomainKey,
     /// The configuration revision in force.
     pub revision: u64,
-    /// The time since the newest successful reading of the platform's head that the node knows of,
-    /// in milliseconds.
+    /// The time since the newest successful read of the platform's head revision that the node knows
+    /// of, in milliseconds.
     pub head_age_ms: u64,
     /// Whether the node serves callers.
     pub ready: bool,
@@ -80,7 +80,7 @@
 /// The error code of a node that is shutting down.
 pub const STOPPING_CODE: i32 = -32_001;
 
-/// The error code of a call that needs the platform while it is unreachable.
+/// The error code of a call that needs the platform while the platform is unreachable.
 pub const PLATFORM_UNAVAILABLE_CODE: i32 = -32_002;
 
 /// The error code of a call whose signature is invalid or that is a replay.
--- a/crates/sedgepath-wire/src/rpc/node_client.rs
+++ b/crates/sedgepath-wire/src/rpc/node_client.rs
@@ -14,12 +14,12 @@
 use crate::signed_call::SignedCall;
 use crate::time::unix_ms;
 
-/// Makes a signed call; repeats it with the node's time if the node rejected the timestamp.
+/// Makes a signed call; retries it with the node's time if the node rejected the timestamp.
 macro_rules! call_signed {
     ($node:ident.$call:ident($method:expr, $params:expr)) => {{
         let params = $params;
-        let first = $node.sign($method, params.clone(), unix_ms());
-        let result = $node.client.$call(first).await;
+        let call = $node.sign($method, params.clone(), unix_ms());
+        let result = $node.client.$call(call).await;
         match node_time_ms(&result) {
             Some(node_ms) => $node.client.$call($node.sign($method, params, node_ms)).await,
             None => result,
@@ -29,7 +29,7 @@
 
 /// Makes signed remote calls to one node.
 ///
-/// A node that rejects a timestamp for clock skew reports its own time; the call is then repeated
+/// A node that rejects a timestamp for clock skew reports its own time; the call is then retried
 /// once with that time.
 #[derive(Debug)]
 pub struct NodeClient {
@@ -97,8 +97,8 @@
         call_signed!(self.timeline(method::TIMELINE, after))
     }
 
-    fn sign<T: Serialize>(&self, method: &str, params: T, at_ms: u64) -> SignedCall<T> {
-        SignedCall::new(&self.key, method, params, at_ms, fastrand::u64(..))
+    fn sign<T: Serialize>(&self, method: &str, params: T, signed_at_ms: u64) -> SignedCall<T> {
+        SignedCall::new(&self.key, method, params, signed_at_ms, fastrand::u64(..))
     }
 }
 
--- a/crates/sedgepath-wire/src/signed_call.rs
+++ b/crates/sedgepath-wire/src/signed_call.rs
@@ -2,13 +2,13 @@
 //!
 //! A signature is a MAC of the method, its parameters, a timestamp and a random nonce. A node accepts
 //! a call if one of its keys verifies the MAC, the timestamp differs from its clock by at most
-//! [`MAX_CLOCK_SKEW_MS`], and it does not remember the nonce. Nonces are remembered until their
+//! [`MAX_CLOCK_SKEW_MS`], and the node does not remember the nonce. Nonces are remembered until their
 //! timestamps expire, but are lost in a restart: a recorded call can then be replayed until its
 //! timestamp expires. A replayed change still takes effect only once, since changes carry an
 //! identifier of their own; all other calls only read.
 //!
-//! A node accepts several keys, so that a key can be rotated: add the new key to all nodes, give it to
-//! the operators, then remove the old one.
+//! A node accepts several keys, so that a key can be rotated: the new key is added to all nodes and
+//! given to the operators before the old one is removed.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -84,7 +84,7 @@
 #[derive(Debug)]
 pub struct CallVerifier {
     keys: Vec<SharedKey>,
-    /// The expiry times and nonces of accepted calls, in the order of their arrival.
+    /// The expiry times in milliseconds and nonces of accepted calls, in the order of their arrival.
     nonce_expiries: VecDeque<(u64, u64)>,
     seen_nonces: HashSet<u64>,
 }
@@ -112,7 +112,7 @@
         let Some(signed) = signed_bytes(method, &call.params, signed_at_ms, nonce) else {
             return Err(SignatureError::InvalidSignature);
         };
-        // Tries all keys, so that the duration does not reveal which one matches.
+        // Tries all keys, so that the duration does not reveal which key matches.
         if self.keys.iter().filter(|key| key.verify(&[&signed], &mac)).count() == 0 {
             return Err(SignatureError::InvalidSignature);
         }
--- a/crates/sedgepath-wire/src/ticket.rs
+++ b/crates/sedgepath-wire/src/ticket.rs
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the text is not a ticket, or its MAC was not made with this key.
+/// Fails if the text is not a ticket, or its MAC was not computed with this key.
 pub fn parse(key: &SharedKey, text: &str) -> Result<Ticket, TicketError> {
     let (fields, mac) = text.rsplit_once('.').ok_or(TicketError::Malformed)?;
     let mac = (mac.len() == 32).then(|| u128::from_str_radix(mac, 16).ok()).flatten();
--- a/crates/sedgepath-yaml/src/error_report.rs
+++ b/crates/sedgepath-yaml/src/error_report.rs
@@ -12,7 +12,7 @@
 /// An error with its location in a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocatedError {
-    /// The part of the file that the report marks.
+    /// The range of the file that the report marks.
     pub span: Span,
     /// What is wrong and what is expected.
     pub message: Box<str>,
@@ -24,17 +24,17 @@
         Self::at_path(document, &located.path, &located.fault)
     }
 
-    /// Locates a fault at a path: a field that is not allowed by its key, all other faults by their
-    /// value.
+    /// Locates a fault at a path. The span of an unknown or too new field is that of its key; the span
+    /// of any other fault is that of the value at the path (see [`YamlNode::span_of`]).
     pub fn at_path(document: &YamlNode, path: &ValuePath, fault: &Fault) -> Self {
-        let by_key = matches!(fault, Fault::UnknownField { .. } | Fault::TooNew { .. });
-        let key = by_key.then(|| document.key_span_of(path)).flatten();
-        let span = key.unwrap_or_else(|| document.span_of(path));
+        let marks_key = matches!(fault, Fault::UnknownField { .. } | Fault::TooNew { .. });
+        let key_span = marks_key.then(|| document.key_span_of(path)).flatten();
+        let span = key_span.unwrap_or_else(|| document.span_of(path));
         Self { span, message: fault.to_string().into() }
     }
 }
 
-/// All errors of a file, as a [`Diagnostic`] with source code.
+/// All errors of a file, as a [`Diagnostic`] with the text of the file.
 #[derive(Debug)]
 pub struct ErrorReport {
     file: Box<str>,
@@ -52,8 +52,8 @@
 
     /// Creates the report of a file that is not valid YAML.
     pub fn from_parse_error(file: &str, text: &str, error: &ParseError) -> Self {
-        let located = LocatedError { span: error.span, message: error.message.clone() };
-        Self::new(file, text, vec![located])
+        let error = LocatedError { span: error.span, message: error.message.clone() };
+        Self::new(file, text, vec![error])
     }
 
     /// Returns the errors in the order of their offsets.
--- a/crates/sedgepath-yaml/src/lib.rs
+++ b/crates/sedgepath-yaml/src/lib.rs
@@ -1,7 +1,7 @@
 //! YAML documents with source spans.
 //!
-//! Operators' files are parsed into [`YamlNode`]s and validated there, so that one report shows all
-//! errors of a file, each at its location.
+//! Operators' files are parsed into [`YamlNode`]s and validated in that form, so that one report
+//! shows all errors of a file, each at its location.
 
 mod error_report;
 mod tree;
--- a/crates/sedgepath-yaml/src/tree.rs
+++ b/crates/sedgepath-yaml/src/tree.rs
@@ -55,7 +55,7 @@
 /// An entry of a mapping.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MappingEntry {
-    /// The key; other types than text are rejected.
+    /// The key, which must be text.
     pub key: Box<str>,
     /// The source span of the key.
     pub key_span: Span,
@@ -77,13 +77,14 @@
 ///
 /// # Errors
 ///
-/// Fails if the text is not valid YAML or a mapping contains a key twice.
+/// Fails if the text is not valid YAML, a mapping contains a key twice or a key that is not text, or
+/// a number is not finite.
 pub fn parse(text: &str) -> Result<Vec<YamlNode>, ParseError> {
     let documents: Vec<YamlNode> = serde_saphyr::from_multiple(text).map_err(|error| {
-        let plain = error.without_snippet();
-        let span = plain.location().map(|location| error_span(text, location));
+        let error = error.without_snippet();
+        let span = error.location().map(|location| error_span(text, location));
         let span = span.unwrap_or_default();
-        ParseError { message: plain.to_string().into(), span }
+        ParseError { message: error.to_string().into(), span }
     })?;
     Ok(documents.into_iter().filter(|document| document.content != YamlValue::Null).collect())
 }
@@ -94,8 +95,9 @@
     if location.span().byte_offset().is_some_and(|offset| offset > 0) {
         return location.into();
     }
-    let before = text.split_inclusive('\n').take(location.line().saturating_sub(1) as usize);
-    let line_offset: usize = before.map(str::len).sum();
+    let preceding_lines =
+        text.split_inclusive('\n').take(location.line().saturating_sub(1) as usize);
+    let line_offset: usize = preceding_lines.map(str::len).sum();
     let line = text.get(line_offset..).unwrap_or_default();
     let column = location.column().saturating_sub(1) as usize;
     let column_offset = line.char_indices().nth(column).map_or(0, |(offset, _)| offset);
@@ -146,8 +148,8 @@
     }
 
     /// Returns the span that an error report marks for a path: that of a scalar, or else that of the
-    /// key, since other values may extend over many lines. A value without a key is marked at its
-    /// first part, and a path that does not exist at its longest existing prefix.
+    /// key, since sequences and mappings may extend over many lines. A value without a key is marked at its
+    /// first item or key, and a path that does not exist at its longest existing prefix.
     pub fn span_of(&self, path: &ValuePath) -> Span {
         let mut node = self;
         let mut key_span = None;
@@ -186,13 +188,13 @@
 
 impl<'de> Deserialize<'de> for YamlValue {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_any(ContentVisitor)
+        deserializer.deserialize_any(YamlValueVisitor)
     }
 }
 
-struct ContentVisitor;
+struct YamlValueVisitor;
 
-impl<'de> Visitor<'de> for ContentVisitor {
+impl<'de> Visitor<'de> for YamlValueVisitor {
     type Value = YamlValue;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -224,8 +226,8 @@
     }
 
     fn visit_f64<E: serde::de::Error>(self, v: f64) -> Result<YamlValue, E> {
-        let finite = Number::from_f64(v);
-        finite.map(YamlValue::Number).ok_or_else(|| E::custom("a number must be finite"))
+        let number = Number::from_f64(v);
+        number.map(YamlValue::Number).ok_or_else(|| E::custom("a number must be finite"))
     }
 
     fn visit_str<E>(self, v: &str) -> Result<YamlValue, E> {
@@ -233,11 +235,11 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<YamlValue, A::Error> {
-        let mut list = Vec::new();
+        let mut items = Vec::new();
         while let Some(item) = seq.next_element()? {
-            list.push(item);
+            items.push(item);
         }
-        Ok(YamlValue::Sequence(list))
+        Ok(YamlValue::Sequence(items))
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<YamlValue, A::Error> {
--- a/crates/sedgepath-yaml/tests/tree.rs
+++ b/crates/sedgepath-yaml/tests/tree.rs
@@ -11,18 +11,18 @@
 #[test]
 fn paths_resolve_to_spans() {
     let documents = parse(TEXT).expect("YAML");
-    let marked = |document: usize, path: &ValuePath| {
+    let marked_text = |document: usize, path: &ValuePath| {
         let span = documents[document].span_of(path);
         &TEXT[span.offset_bytes..span.offset_bytes + span.length_bytes]
     };
-    let item = ValuePath::field("list").with_item(0);
-    assert_eq!(marked(0, &ValuePath::field("name")), "é one");
-    assert_eq!(marked(0, &ValuePath::field("list")), "list");
-    assert_eq!(marked(0, &item.with_field("weight")), "1.5");
-    assert_eq!(marked(0, &item.with_field("missing")), "weight");
-    assert_eq!(marked(0, &item), "weight");
-    assert_eq!(marked(1, &ValuePath::field("name")), "\"2\"");
-    assert_eq!(marked(1, &ValuePath::field("empty")), "empty");
+    let first_item = ValuePath::field("list").with_item(0);
+    assert_eq!(marked_text(0, &ValuePath::field("name")), "é one");
+    assert_eq!(marked_text(0, &ValuePath::field("list")), "list");
+    assert_eq!(marked_text(0, &first_item.with_field("weight")), "1.5");
+    assert_eq!(marked_text(0, &first_item.with_field("missing")), "weight");
+    assert_eq!(marked_text(0, &first_item), "weight");
+    assert_eq!(marked_text(1, &ValuePath::field("name")), "\"2\"");
+    assert_eq!(marked_text(1, &ValuePath::field("empty")), "empty");
 }
 
 /// Guards against quoted numbers that become JSON numbers, and unquoted ones that become strings.
