--- a/crates/sedgepath-core/src/lease.rs
+++ b/crates/sedgepath-core/src/lease.rs
@@ -25,8 +25,8 @@
 //! - With a grant a member also lists its requests in flight at the owner's upstreams, and the
 //!   owner leaves those slots free.
 //! - Without the lease a member uses its share of an upstream, unless it has promised not to.
-//! - An owner that lacks a grant for long gives up its claim, and reports [`LeaseClaim::Released`]
-//!   once it has no more in flight than its share.
+//! - An owner that lacks a grant under its roster for a heartbeat of the last 2T gives up its claim,
+//!   and reports [`LeaseClaim::Released`] once it has no more in flight than its share.
 //! - `Released` voids the promises to that owner and all grants for heartbeats sent before.
 //!   Otherwise, while one member is dead, the live ones would keep each other from their shares.
 //! - A new boot does not know what the previous boot promised or started.
@@ -81,7 +81,7 @@
 /// upstreams in use, no acknowledgement is sent.
 const MAX_ACKNOWLEDGED_UPSTREAMS: usize = 40;
 
-/// The parts of another member's heartbeat that an acknowledgement needs.
+/// The fields of another member's heartbeat that an acknowledgement needs.
 #[derive(Debug, Clone, Copy)]
 pub struct ReceivedHeartbeat {
     /// The boot that sent the heartbeat.
@@ -134,10 +134,12 @@
     upstreams: Vec<DomainUpstream>,
     roster: Roster,
     roster_digest: u64,
+    /// The members of the roster, including this node, each with its leaving flag.
     members: Vec<(VmKey, bool)>,
     members_changed_at_ms: u64,
     grants: Map<VmKey, Grant>,
     promises: Promises,
+    /// The members that have reported the current roster.
     confirmed_by: Set<VmKey>,
     share_usable_at_ms: Option<u64>,
     claim: LeaseClaim,
@@ -194,9 +196,9 @@
 
     /// Adds VMs of the platform's list to the roster.
     pub fn apply_vm_list(&mut self, listed: &[ListedVm], now_ms: u64) {
-        let here = listed.iter().filter(|vm| DomainKey::of(&vm.domain) == self.domain);
+        let in_domain = listed.iter().filter(|vm| DomainKey::of(&vm.domain) == self.domain);
         let others: Vec<_> =
-            here.map(|vm| VmKey::of(&vm.name)).filter(|vm| *vm != self.own_vm).collect();
+            in_domain.map(|vm| VmKey::of(&vm.name)).filter(|vm| *vm != self.own_vm).collect();
         let delays = self.removal_delays();
         self.roster.apply_vm_list(&others, now_ms, delays);
     }
@@ -240,8 +242,9 @@
 
     /// Records an upstream's load report.
     pub fn handle_upstream_report(&mut self, upstream: UpstreamKey, report: &UpstreamReport) {
-        let newer = self.booted_at_ms.is_some_and(|booted_at_ms| report.made_at_ms > booted_at_ms);
-        if report.in_flight == Some(0) && newer {
+        let is_newer =
+            self.booted_at_ms.is_some_and(|booted_at_ms| report.made_at_ms > booted_at_ms);
+        if report.in_flight == Some(0) && is_newer {
             self.reported_idle.insert(upstream);
         }
     }
@@ -306,9 +309,9 @@
             return None;
         }
         if heartbeat.claim == LeaseClaim::Requested {
-            let longest_ms = self.longest_deadline_ms.max(heartbeat.longest_deadline_ms);
+            let longest_deadline_ms = self.longest_deadline_ms.max(heartbeat.longest_deadline_ms);
             let until_ms =
-                heartbeat.received_at_ms + 2 * self.settings.suspect_after_ms + longest_ms;
+                heartbeat.received_at_ms + 2 * self.settings.suspect_after_ms + longest_deadline_ms;
             let upstreams: Vec<_> = owned().map(|entry| entry.upstream).collect();
             for upstream in upstreams {
                 let holder = LeaseHolder { vm, boot: heartbeat.boot };
@@ -330,8 +333,8 @@
         let Some(booted_at_ms) = self.booted_at_ms else {
             return false;
         };
-        let waited = booted_at_ms + self.promise_duration_ms() <= now_ms;
-        waited
+        let has_waited = booted_at_ms + self.promise_duration_ms() <= now_ms;
+        has_waited
             && self.has_run_recently(now_ms)
             && self.share_usable_at_ms.is_some_and(|from_ms| from_ms <= now_ms)
     }
@@ -354,45 +357,45 @@
     /// Returns when the lease expires, if all other members have granted it.
     fn lease_expires_at_ms(&self, now_ms: u64) -> Option<u64> {
         if self.roster.is_empty() {
-            let alone = self.is_established(now_ms);
-            return alone.then(|| now_ms + self.settings.suspect_after_ms);
+            let is_established = self.is_established(now_ms);
+            return is_established.then(|| now_ms + self.settings.suspect_after_ms);
         }
         // Without the VM list, a restarted VM and a newcomer that know only each other could grant
         // each other the lease while a third member, unreachable for both, uses its share.
         if !self.roster.has_vm_list() {
             return None;
         }
-        let mut until_ms = u64::MAX;
+        let mut expires_at_ms = u64::MAX;
         for (vm, _) in self.roster.iter() {
             let grant = self.grants.get(&vm)?;
-            let counts = grant.roster_digest == self.roster_digest
+            let is_valid = grant.roster_digest == self.roster_digest
                 && grant.sent_at_ms >= self.claimed_at_ms
                 && grant.longest_deadline_ms >= self.longest_deadline_ms;
-            if !counts || self.claim != LeaseClaim::Requested {
+            if !is_valid || self.claim != LeaseClaim::Requested {
                 return None;
             }
-            until_ms = until_ms.min(grant.sent_at_ms + self.settings.suspect_after_ms);
+            expires_at_ms = expires_at_ms.min(grant.sent_at_ms + self.settings.suspect_after_ms);
         }
-        (until_ms > now_ms).then_some(until_ms)
+        (expires_at_ms > now_ms).then_some(expires_at_ms)
     }
 
     fn update_roster(&mut self, membership: &Membership, out: &mut Outbox) {
         let now_ms = out.now_ms();
         let members = membership.members_in(self.domain);
-        let established = self.is_established(now_ms);
-        self.roster.update_members(&members, established, now_ms);
+        let is_established = self.is_established(now_ms);
+        self.roster.update_members(&members, is_established, now_ms);
         let delays = self.removal_delays();
         for vm in self.roster.remove_gone(now_ms, delays) {
             self.grants.remove(&vm);
             out.log(Topic::Membership, "member_off_roster", &[("vm", &vm.0)]);
         }
         let leaving = out.identity().descriptor.leaving;
-        let mut current: Vec<_> =
+        let mut members: Vec<_> =
             self.roster.iter().map(|(vm, entry)| (vm, entry.leaving)).collect();
-        current.push((self.own_vm, leaving));
-        current.sort_unstable();
-        if current != self.members {
-            self.members = current;
+        members.push((self.own_vm, leaving));
+        members.sort_unstable();
+        if members != self.members {
+            self.members = members;
             self.members_changed_at_ms = now_ms;
             self.rank_members();
         }
@@ -404,8 +407,8 @@
     }
 
     fn apply_catalogue(&mut self, catalogue: &Catalogue) {
-        let here = catalogue.upstreams.iter().filter(|(_, entry)| entry.domain == self.domain);
-        self.upstreams = here
+        let in_domain = catalogue.upstreams.iter().filter(|(_, entry)| entry.domain == self.domain);
+        self.upstreams = in_domain
             .map(|(upstream, entry)| DomainUpstream {
                 upstream: *upstream,
                 slots: entry.slots,
@@ -417,20 +420,21 @@
             })
             .collect();
         self.upstreams.sort_unstable_by_key(|entry| entry.upstream);
-        let services =
+        let service_keys =
             self.upstreams.iter().map(|entry| catalogue.upstreams[&entry.upstream].service);
-        let deadlines = services.filter_map(|service| catalogue.services.get(&service));
-        let longest_ms = deadlines.map(|entry| entry.longest_deadline_ms).max().unwrap_or(0);
+        let services = service_keys.filter_map(|service| catalogue.services.get(&service));
+        let longest_deadline_ms =
+            services.map(|entry| entry.longest_deadline_ms).max().unwrap_or(0);
         // Never reduced within a boot: requests with a longer deadline may still be running.
-        self.longest_deadline_ms = self.longest_deadline_ms.max(longest_ms);
+        self.longest_deadline_ms = self.longest_deadline_ms.max(longest_deadline_ms);
     }
 
     /// Computes the owner and the member order of each upstream.
     fn rank_members(&mut self) {
-        let staying: Vec<_> =
+        let not_leaving: Vec<_> =
             self.members.iter().filter(|member| !member.1).map(|member| member.0).collect();
         let all: Vec<_> = self.members.iter().map(|member| member.0).collect();
-        let candidates = if staying.is_empty() { &all } else { &staying };
+        let candidates = if not_leaving.is_empty() { &all } else { &not_leaving };
         for entry in &mut self.upstreams {
             let item = u64::from(entry.upstream.0);
             entry.owner = rendezvous::owner(item, candidates).unwrap_or(self.own_vm);
@@ -466,17 +470,17 @@
     /// roster.
     fn update_claim(&mut self, now_ms: u64) {
         let recent_since_ms = now_ms.saturating_sub(2 * self.settings.suspect_after_ms);
-        let reachable = self.roster.iter().all(|(vm, _)| {
+        let is_acknowledged = self.roster.iter().all(|(vm, _)| {
             let grant = self.grants.get(&vm);
             grant.is_some_and(|grant| {
                 grant.sent_at_ms >= recent_since_ms && grant.roster_digest == self.roster_digest
             })
         });
-        if reachable && self.claim != LeaseClaim::Requested {
+        if is_acknowledged && self.claim != LeaseClaim::Requested {
             self.claim = LeaseClaim::Requested;
             self.claimed_at_ms = now_ms;
         }
-        if !reachable {
+        if !is_acknowledged {
             // Includes upstreams owned under an earlier roster: members whose promises end with the
             // release may use their shares there.
             let exceeds_share = self.upstreams.iter().any(|entry| {
@@ -502,10 +506,10 @@
     }
 
     fn removal_delays(&self) -> RemovalDelays {
-        let gone_after_ms = self.promise_duration_ms();
+        let promise_duration_ms = self.promise_duration_ms();
         RemovalDelays {
-            delisted_ms: gone_after_ms,
-            never_listed_ms: gone_after_ms.max(self.settings.forget_after_ms),
+            delisted_ms: promise_duration_ms,
+            never_listed_ms: promise_duration_ms.max(self.settings.forget_after_ms),
         }
     }
 }
--- a/crates/sedgepath-core/src/lease/allowances.rs
+++ b/crates/sedgepath-core/src/lease/allowances.rs
@@ -30,24 +30,24 @@
         if share_slots.max(leased_slots) == 0 {
             return None;
         }
-        let by_share = |total: u32| share_of(total, &entry.ranked_members, self.own_vm);
-        let by_lease = leased_slots > share_slots;
-        let full_rate = self
+        let own_share = |total: u32| share_of(total, &entry.ranked_members, self.own_vm);
+        let uses_lease = leased_slots > share_slots;
+        let has_full_rate = self
             .lease_since_ms
             .is_some_and(|since_ms| since_ms + CONNECTION_RATE_WINDOW_MS <= now_ms);
-        // A decision by the slot share expires after T, so that a paused process does not act on
+        // An allowance from the slot share expires after T, so that a paused process does not act on
         // outdated information when it resumes.
-        let share_until_ms = now_ms + self.settings.suspect_after_ms;
+        let share_expires_at_ms = now_ms + self.settings.suspect_after_ms;
         Some(Allowance {
             upstream: entry.upstream,
             slots: share_slots.max(leased_slots),
-            connections: if by_lease { entry.connections } else { by_share(entry.connections) },
-            new_connections_per_s: if by_lease && full_rate {
+            connections: if uses_lease { entry.connections } else { own_share(entry.connections) },
+            new_connections_per_s: if uses_lease && has_full_rate {
                 entry.new_connections_per_s
             } else {
-                by_share(entry.new_connections_per_s)
+                own_share(entry.new_connections_per_s)
             },
-            send_by_ms: if by_lease { lease_expires_at_ms? } else { share_until_ms },
+            send_by_ms: if uses_lease { lease_expires_at_ms? } else { share_expires_at_ms },
         })
     }
 
@@ -73,15 +73,20 @@
         };
         let newcomer = self.roster.get(vm).is_some_and(|entry| entry.newcomer);
         if !grant.predecessor_may_run || newcomer {
-            let listed = grant.in_flight.iter().find(|listed| listed.upstream == entry.upstream);
-            return listed.map_or(0, |listed| listed.in_flight);
+            let acknowledged =
+                grant.in_flight.iter().find(|in_flight| in_flight.upstream == entry.upstream);
+            return acknowledged.map_or(0, |acknowledged| acknowledged.in_flight);
         }
         // The member's previous boot used at most its share if the roster has been stable long
         // enough that all leases and requests under an earlier roster ended before that boot did.
         let wait_ms = 2 * (self.settings.suspect_after_ms + self.longest_deadline_ms);
-        let roster_stable =
+        let is_roster_stable =
             self.is_established(now_ms) && self.members_changed_at_ms + wait_ms <= now_ms;
-        if roster_stable { share_of(entry.slots, &entry.ranked_members, vm) } else { entry.slots }
+        if is_roster_stable {
+            share_of(entry.slots, &entry.ranked_members, vm)
+        } else {
+            entry.slots
+        }
     }
 
     /// Returns whether requests of this node's previous boot may still run at an owned upstream.
@@ -97,8 +102,8 @@
 
     /// Returns the slots of an upstream that this node may use without the lease.
     fn usable_share(&self, entry: &DomainUpstream, now_ms: u64) -> u32 {
-        let forbidden = self.promises.forbid(entry.upstream, now_ms, |_| None);
-        if forbidden || !self.is_established(now_ms) {
+        let is_forbidden = self.promises.forbid(entry.upstream, now_ms, |_| None);
+        if is_forbidden || !self.is_established(now_ms) {
             return 0;
         }
         share_of(entry.slots, &entry.ranked_members, self.own_vm)
@@ -110,8 +115,8 @@
 /// The shares of all members add up to the total, the first-ranked members receive the remainder of
 /// the division, and no share grows when members are added.
 pub(super) fn share_of(total: u32, ranked: &[VmKey], vm: VmKey) -> u32 {
-    let Some(place) = ranked.iter().position(|member| *member == vm) else {
+    let Some(rank) = ranked.iter().position(|member| *member == vm) else {
         return 0;
     };
-    total.saturating_sub(place as u32).div_ceil(ranked.len() as u32)
+    total.saturating_sub(rank as u32).div_ceil(ranked.len() as u32)
 }
--- a/crates/sedgepath-core/src/lease/promise.rs
+++ b/crates/sedgepath-core/src/lease/promise.rs
@@ -28,16 +28,24 @@
 
 impl Promises {
     /// Promises not to use an upstream; an existing promise is extended, never shortened.
-    pub fn extend(&mut self, upstream: UpstreamKey, to: LeaseHolder, now_ms: u64, until_ms: u64) {
-        let promise =
-            self.promises.entry((upstream, to)).or_insert(Promise { made_at_ms: 0, until_ms: 0 });
+    pub fn extend(
+        &mut self,
+        upstream: UpstreamKey,
+        holder: LeaseHolder,
+        now_ms: u64,
+        until_ms: u64,
+    ) {
+        let promise = self
+            .promises
+            .entry((upstream, holder))
+            .or_insert(Promise { made_at_ms: 0, until_ms: 0 });
         promise.made_at_ms = now_ms;
         promise.until_ms = promise.until_ms.max(until_ms);
     }
 
-    /// Removes the promises to a boot that has released its claim or announced its end.
-    pub fn release(&mut self, to: LeaseHolder) {
-        self.promises.retain(|(_, holder), _| *holder != to);
+    /// Removes the promises to a boot that has released its claim or announced that it has ended.
+    pub fn release(&mut self, released: LeaseHolder) {
+        self.promises.retain(|(_, holder), _| *holder != released);
     }
 
     /// Removes expired promises.
@@ -56,10 +64,10 @@
         now_ms: u64,
         granted_at_ms: impl Fn(VmKey) -> Option<u64>,
     ) -> bool {
-        self.promises.iter().any(|((promised, to), promise)| {
-            let released =
-                granted_at_ms(to.vm).is_some_and(|sent_at_ms| sent_at_ms > promise.made_at_ms);
-            *promised == upstream && promise.until_ms > now_ms && !released
+        self.promises.iter().any(|((promised_upstream, holder), promise)| {
+            let is_released =
+                granted_at_ms(holder.vm).is_some_and(|sent_at_ms| sent_at_ms > promise.made_at_ms);
+            *promised_upstream == upstream && promise.until_ms > now_ms && !is_released
         })
     }
 }
--- a/crates/sedgepath-core/src/lease/roster.rs
+++ b/crates/sedgepath-core/src/lease/roster.rs
@@ -1,7 +1,7 @@
 //! The roster: the members of the failure domain whose grants a lease requires.
 //!
 //! A member is added when a direct or indirect sign of life arrives, or when the platform lists it.
-//! It is removed when it announces its end, or when it is missing from the platform's list and has
+//! It is removed when it announces that it has ended its work, or when it is missing from the platform's list and has
 //! been silent for so long that every promise to it and every request of it has ended. Silence
 //! alone never removes a member, since a dead member cannot be distinguished from a partitioned
 //! one.
@@ -70,8 +70,14 @@
         self.has_vm_list
     }
 
-    /// Adds or updates the known members of the own failure domain.
-    pub fn update_members(&mut self, members: &[(VmKey, &Member)], established: bool, now_ms: u64) {
+    /// Adds or updates the members of the own failure domain; new ones are newcomers if this node is
+    /// established.
+    pub fn update_members(
+        &mut self,
+        members: &[(VmKey, &Member)],
+        is_established: bool,
+        now_ms: u64,
+    ) {
         for (vm, member) in members {
             if self
                 .departed
@@ -82,7 +88,7 @@
             }
             self.departed.remove(vm);
             let entry =
-                self.entries.entry(*vm).or_insert_with(|| RosterEntry::new(established, now_ms));
+                self.entries.entry(*vm).or_insert_with(|| RosterEntry::new(is_established, now_ms));
             entry.newcomer &= entry.boot.is_none_or(|boot| boot == member.boot);
             entry.boot = Some(member.boot);
             entry.leaving = member.descriptor.leaving;
@@ -130,16 +136,16 @@
 
     /// Returns a digest of all members including this node, with their boots and leaving flags;
     /// equal digests mean equal rosters.
-    pub fn digest(&self, own: VmKey, own_boot: BootId, own_leaving: bool) -> u64 {
-        let mut lines: Vec<_> = self
+    pub fn digest(&self, own_vm: VmKey, own_boot: BootId, own_leaving: bool) -> u64 {
+        let mut entries: Vec<_> = self
             .entries
             .iter()
             .map(|(vm, entry)| (*vm, entry.boot, entry.leaving))
-            .chain([(own, Some(own_boot), own_leaving)])
+            .chain([(own_vm, Some(own_boot), own_leaving)])
             .collect();
-        lines.sort_unstable();
-        let mut bytes = Vec::with_capacity(lines.len() * 18);
-        for (vm, boot, leaving) in lines {
+        entries.sort_unstable();
+        let mut bytes = Vec::with_capacity(entries.len() * 18);
+        for (vm, boot, leaving) in entries {
             bytes.extend_from_slice(&vm.0.to_le_bytes());
             bytes.extend_from_slice(&boot.map_or(0, |boot| boot.0).to_le_bytes());
             bytes.extend_from_slice(&[u8::from(boot.is_some()), u8::from(leaving)]);
@@ -149,12 +155,12 @@
 }
 
 impl RosterEntry {
-    fn new(newcomer: bool, entered_at_ms: u64) -> Self {
+    fn new(newcomer: bool, added_at_ms: u64) -> Self {
         Self {
             boot: None,
             leaving: false,
             newcomer,
-            added_at_ms: entered_at_ms,
+            added_at_ms,
             last_heard_at_ms: 0,
             unlisted_since_ms: None,
             was_listed: false,
