--- a/crates/sedgepath-core/src/membership.rs
+++ b/crates/sedgepath-core/src/membership.rs
@@ -16,8 +16,8 @@
 //! - The platform's list only adds addresses to contact and permits the removal of silent members.
 //! - [`Member::last_heard_at_ms`] exceeds the time of the member's last sign of life by at most the
 //!   transit time of the datagrams that carried it, including the wait at a paused receiver.
-//! - Indirect reports carry an age that only grows, so repeating them cannot keep a dead member
-//!   alive.
+//! - Indirect reports carry an age that only grows, so forwarding them again cannot keep a dead
+//!   member alive.
 //! - Of two boots of a member the later counts; an earlier boot ID, as after a VM's clock was set
 //!   back, is accepted once the later boot is suspected.
 
@@ -74,7 +74,7 @@
 /// The state that a node reports to other members.
 #[derive(Debug, Clone, Copy)]
 pub struct LocalState<'a> {
-    /// The node's configuration revision and the age of its last head read.
+    /// The node's configuration revision and the age of its last read of the head revision.
     pub configuration: ConfigurationStatus,
     /// The node's load by service.
     pub loads: &'a [ServiceLoad],
@@ -105,7 +105,7 @@
 pub struct Membership {
     settings: NodeSettings,
     members: Map<VmKey, Member>,
-    /// The boots that have announced their end, so that indirect reports don't add them again.
+    /// The boots that have announced that they ended, so that indirect reports don't add them again.
     departed: Map<VmKey, BootId>,
     listed_vms: Vec<ListedVm>,
     listed_keys: Vec<ListedVmKeys>,
@@ -180,11 +180,11 @@
     /// Applies a peer's copy of the platform's VM list and returns true, unless this node already
     /// has a list.
     pub fn apply_peer_vm_list(&mut self, listed: &[ListedVm]) -> bool {
-        let unread = self.listed_vms.is_empty();
-        if unread {
+        let has_no_list = self.listed_vms.is_empty();
+        if has_no_list {
             self.apply_vm_list(listed.to_vec());
         }
-        unread
+        has_no_list
     }
 
     /// Handles a heartbeat from a member of the own failure domain; returns false if the heartbeat
@@ -195,13 +195,13 @@
         heartbeat: &Heartbeat,
         out: &mut Outbox,
     ) -> bool {
-        let valid_ms = self.settings.suspect_after_ms;
+        let suspect_after_ms = self.settings.suspect_after_ms;
         if self.has_departed(envelope.from, envelope.boot)
-            || !self.heartbeats.record(envelope, heartbeat, valid_ms, out)
+            || !self.heartbeats.record(envelope, heartbeat, suspect_after_ms, out)
         {
             return false;
         }
-        let known = self.members.get(&envelope.from).map(|member| member.boot);
+        let previous_boot = self.members.get(&envelope.from).map(|member| member.boot);
         let was_leaving =
             self.members.get(&envelope.from).is_some_and(|member| member.descriptor.leaving);
         let report = LivenessReport {
@@ -217,9 +217,9 @@
             descriptor: heartbeat.descriptor.clone(),
         };
         self.apply_report(report, out);
-        let joined = known != Some(envelope.boot)
+        let has_joined = previous_boot != Some(envelope.boot)
             && self.members.get(&envelope.from).is_some_and(|member| member.boot == envelope.boot);
-        if joined && self.is_introducer_of(envelope.from, out) {
+        if has_joined && self.is_introducer_of(envelope.from, out) {
             self.introduce(envelope.from, out);
         }
         true
@@ -228,8 +228,8 @@
     /// Removes the member whose boot has ended its work; returns false if the boot is not the
     /// member's current one.
     pub fn handle_boot_ended(&mut self, envelope: &Envelope, out: &mut Outbox) -> bool {
-        let known = self.members.get(&envelope.from);
-        let Some(member) = known.filter(|member| member.boot == envelope.boot) else {
+        let member = self.members.get(&envelope.from);
+        let Some(member) = member.filter(|member| member.boot == envelope.boot) else {
             return false;
         };
         out.log(Topic::Membership, "member_farewell", &[("member", &member.descriptor.name)]);
@@ -253,8 +253,8 @@
     /// Answers a probe if this node has received a heartbeat of the probed member.
     pub fn handle_probe(&self, envelope: &Envelope, probe: &Probe, out: &mut Outbox) {
         if let Some(sender) = self.members.get(&envelope.from) {
-            let direct = self.heartbeats.last_received(probe.member);
-            probe::send_answer(sender.descriptor.peer_address, probe.member, direct, out);
+            let last_heartbeat = self.heartbeats.last_received(probe.member);
+            probe::send_answer(sender.descriptor.peer_address, probe.member, last_heartbeat, out);
         }
     }
 
@@ -276,7 +276,7 @@
     }
 
     /// Updates members from a summary, and forwards the summary within the own failure domain if it
-    /// asks for that.
+    /// requests that.
     pub fn handle_summary(&mut self, summary: &MembershipSummary, out: &mut Outbox) {
         for line in &summary.members {
             let report = LivenessReport {
@@ -300,24 +300,29 @@
         }
     }
 
-    /// Suspects silent members, removes those gone, and sends heartbeats, probes and summaries that
-    /// are due.
-    pub fn tick(&mut self, own: LocalState<'_>, lease: &mut UpstreamLease, out: &mut Outbox) {
+    /// Suspects members that have become silent, removes members that are gone, and sends the
+    /// heartbeats, probes and summaries that are due.
+    pub fn tick(
+        &mut self,
+        local_state: LocalState<'_>,
+        lease: &mut UpstreamLease,
+        out: &mut Outbox,
+    ) {
         self.suspect_silent(out);
         self.remove_gone(out);
-        self.send_heartbeats(own, lease, out);
-        self.send_summaries(own, out);
+        self.send_heartbeats(local_state, lease, out);
+        self.send_summaries(local_state, out);
     }
 
     /// Updates the member table from a sign of life unless a later one is known.
     fn apply_report(&mut self, report: LivenessReport, out: &mut Outbox) {
-        let own = report.vm == out.identity().vm;
-        if own || self.has_departed(report.vm, report.boot) {
+        let is_own = report.vm == out.identity().vm;
+        if is_own || self.has_departed(report.vm, report.boot) {
             return;
         }
         match self.members.get_mut(&report.vm) {
             Some(member) if member.boot == report.boot => {
-                // Leaving is irreversible within a boot, so a stale report of it still counts.
+                // Leaving is irreversible within a boot, so the flag counts even in a stale report.
                 member.descriptor.leaving |= report.leaving;
                 if report.last_heard_at_ms >= member.last_heard_at_ms {
                     member.last_heard_at_ms = report.last_heard_at_ms;
--- a/crates/sedgepath-core/src/membership/heartbeat.rs
+++ b/crates/sedgepath-core/src/membership/heartbeat.rs
@@ -48,17 +48,18 @@
 pub(super) struct Heartbeats {
     peers: Map<VmKey, PeerState>,
     next_at_ms: u64,
+    /// The leaving flag and the lease claim in the last heartbeats sent.
     announced: Option<(bool, LeaseClaim)>,
 }
 
 impl Heartbeats {
     /// Records a heartbeat; returns false if it is stale. A heartbeat from an earlier boot is
-    /// accepted only if the later boot has been silent for `valid_ms`.
+    /// accepted only if the later boot has been silent for `suspect_after_ms`.
     pub fn record(
         &mut self,
         envelope: &Envelope,
         heartbeat: &Heartbeat,
-        valid_ms: u64,
+        suspect_after_ms: u64,
         out: &Outbox,
     ) -> bool {
         let received = ReceivedHeartbeat {
@@ -69,8 +70,8 @@
             longest_deadline_ms: heartbeat.longest_deadline_ms,
         };
         let peer = self.peers.entry(envelope.from).or_insert(PeerState::new(received));
-        let silent = peer.heartbeat.received_at_ms + valid_ms <= out.now_ms();
-        if envelope.boot < peer.heartbeat.boot && !silent {
+        let is_silent = peer.heartbeat.received_at_ms + suspect_after_ms <= out.now_ms();
+        if envelope.boot < peer.heartbeat.boot && !is_silent {
             return false;
         }
         if peer.heartbeat.boot != envelope.boot {
@@ -107,12 +108,12 @@
 
     /// Returns whether a peer needs this node's descriptor: it has not acknowledged the current
     /// one, or its acknowledgement is old enough that the peer may have restarted since.
-    fn needs_descriptor(&self, vm: VmKey, valid_ms: u64, out: &Outbox) -> bool {
+    fn needs_descriptor(&self, vm: VmKey, suspect_after_ms: u64, out: &Outbox) -> bool {
         let Some(peer) = self.peers.get(&vm) else {
             return true;
         };
-        let stale = peer.acknowledged_at_ms + valid_ms < out.now_ms();
-        stale || peer.descriptor_leaving != Some(out.identity().descriptor.leaving)
+        let is_stale = peer.acknowledged_at_ms + suspect_after_ms < out.now_ms();
+        is_stale || peer.descriptor_leaving != Some(out.identity().descriptor.leaving)
     }
 }
 
@@ -133,7 +134,7 @@
     /// changed.
     pub(super) fn send_heartbeats(
         &mut self,
-        own: LocalState<'_>,
+        local_state: LocalState<'_>,
         lease: &mut UpstreamLease,
         out: &mut Outbox,
     ) {
@@ -150,11 +151,11 @@
             .map(|(vm, member)| (vm, member.descriptor.peer_address))
             .collect();
         for (vm, address) in &peers {
-            let heartbeat = self.heartbeat(Some(*vm), own, lease, out);
+            let heartbeat = self.heartbeat(Some(*vm), local_state, lease, out);
             out.send(*address, Message::Heartbeat(Box::new(heartbeat)));
         }
         for address in self.listed_only_addresses(domain, &peers, out) {
-            let heartbeat = self.heartbeat(None, own, lease, out);
+            let heartbeat = self.heartbeat(None, local_state, lease, out);
             out.send(address, Message::Heartbeat(Box::new(heartbeat)));
         }
         self.probe_silent(out);
@@ -163,18 +164,18 @@
     fn heartbeat(
         &self,
         to: Option<VmKey>,
-        own: LocalState<'_>,
+        local_state: LocalState<'_>,
         lease: &mut UpstreamLease,
         out: &Outbox,
     ) -> Heartbeat {
-        let valid_ms = self.settings.suspect_after_ms;
+        let suspect_after_ms = self.settings.suspect_after_ms;
         let needs_descriptor =
-            to.is_none_or(|vm| self.heartbeats.needs_descriptor(vm, valid_ms, out));
+            to.is_none_or(|vm| self.heartbeats.needs_descriptor(vm, suspect_after_ms, out));
         Heartbeat {
             sent_at_ms: out.now_ms(),
             descriptor: needs_descriptor.then(|| out.identity().descriptor.clone()),
-            configuration: own.configuration,
-            loads: largest_loads(own.loads),
+            configuration: local_state.configuration,
+            loads: largest_loads(local_state.loads),
             roster_digest: lease.roster_digest(),
             claim: lease.claim(),
             longest_deadline_ms: lease.longest_deadline_ms(),
@@ -203,11 +204,18 @@
     /// This informs two members that cannot reach each other of each other's restarts. Otherwise
     /// one would keep an outdated boot in its roster, and no member that reaches both could hold a
     /// lease.
-    pub fn reconcile_roster(&mut self, vm: VmKey, peer_digest: u64, own: u64, out: &mut Outbox) {
+    pub fn reconcile_roster(
+        &mut self,
+        vm: VmKey,
+        peer_digest: u64,
+        own_digest: u64,
+        out: &mut Outbox,
+    ) {
         let Some(peer) = self.heartbeats.peers.get_mut(&vm) else {
             return;
         };
-        peer.roster_mismatches = if peer_digest == own { 0 } else { peer.roster_mismatches + 1 };
+        peer.roster_mismatches =
+            if peer_digest == own_digest { 0 } else { peer.roster_mismatches + 1 };
         if peer.roster_mismatches >= ROSTER_MISMATCHES_BEFORE_SHARING {
             peer.roster_mismatches = 0;
             self.share_roster(vm, out);
@@ -221,10 +229,12 @@
         peers: &[(VmKey, SocketAddr)],
         out: &Outbox,
     ) -> Vec<SocketAddr> {
-        let own = out.identity().descriptor.peer_address;
+        let own_address = out.identity().descriptor.peer_address;
         let listed = self.listed_keys.iter().filter(|vm| vm.domain == domain);
         let mut addresses: Vec<_> = listed.map(|vm| vm.peers).collect();
-        addresses.retain(|address| *address != own && peers.iter().all(|peer| peer.1 != *address));
+        addresses.retain(|address| {
+            *address != own_address && peers.iter().all(|peer| peer.1 != *address)
+        });
         addresses.sort_unstable();
         addresses.dedup();
         addresses
@@ -236,8 +246,8 @@
         let silent_after_ms = self.settings.suspect_after_ms / 2;
         let members = self.members_in(domain);
         for (vm, member) in &members {
-            let silent = member.last_heard_at_ms + silent_after_ms <= out.now_ms();
-            if silent && !member.suspected {
+            let is_silent = member.last_heard_at_ms + silent_after_ms <= out.now_ms();
+            if is_silent && !member.suspected {
                 let others =
                     members.iter().filter(|(other, entry)| other != vm && entry.accepts_work());
                 let others =
--- a/crates/sedgepath-core/src/membership/probe.rs
+++ b/crates/sedgepath-core/src/membership/probe.rs
@@ -3,7 +3,7 @@
 //! Without them, a broken link between two members would make each suspect the other, and look-ups
 //! would omit a healthy VM. Peers answer from the heartbeats that they received themselves and
 //! don't ping the member. Indirect reports don't count, so two peers cannot keep a dead member
-//! alive by repeating each other.
+//! alive by passing on each other's reports.
 
 use std::net::SocketAddr;
 
@@ -14,13 +14,13 @@
 use crate::rendezvous;
 
 /// The number of peers that are asked about a silent member in each heartbeat interval.
-const PROBED_PEERS: usize = 3;
+const PEERS_PER_PROBE: usize = 3;
 
 /// Asks some other members about a silent member; the selection varies with time.
 pub(super) fn send_probes(member: VmKey, mut others: Vec<(VmKey, SocketAddr)>, out: &mut Outbox) {
     let round = member.0 ^ out.now_ms();
     others.sort_unstable_by_key(|(vm, _)| rendezvous::score(round, vm.0));
-    for (_, address) in others.into_iter().take(PROBED_PEERS) {
+    for (_, address) in others.into_iter().take(PEERS_PER_PROBE) {
         out.send(address, Message::Probe(Probe { member }));
     }
 }
@@ -29,11 +29,11 @@
 pub(super) fn send_answer(
     to: SocketAddr,
     member: VmKey,
-    direct: Option<LastHeartbeat>,
+    last_heartbeat: Option<LastHeartbeat>,
     out: &mut Outbox,
 ) {
-    if let Some(heard) = direct {
-        let age_ms = out.now_ms().saturating_sub(heard.received_at_ms);
-        out.send(to, Message::ProbeAnswer(ProbeAnswer { member, boot: heard.boot, age_ms }));
+    if let Some(heartbeat) = last_heartbeat {
+        let age_ms = out.now_ms().saturating_sub(heartbeat.received_at_ms);
+        out.send(to, Message::ProbeAnswer(ProbeAnswer { member, boot: heartbeat.boot, age_ms }));
     }
 }
--- a/crates/sedgepath-core/src/membership/relay.rs
+++ b/crates/sedgepath-core/src/membership/relay.rs
@@ -1,7 +1,7 @@
 //! Relays, which exchange member summaries between failure domains.
 //!
 //! - For each other failure domain, the first two serving members by rendezvous hashing over that
-//!   domain's key are the relays. They alternate rounds, each alternating between two receivers.
+//!   domain's key are the relays. They send in alternate rounds, each to two receivers in turn.
 //! - Any node that receives a summary from another domain forwards it to its own domain, so the two
 //!   sides need not agree on the relays.
 //! - A summary lists the members that report load and a few others for look-ups. Rendezvous hashing
@@ -42,8 +42,8 @@
 
 impl Membership {
     /// Sends the summaries of the own failure domain that are due.
-    pub(super) fn send_summaries(&mut self, own: LocalState<'_>, out: &mut Outbox) {
-        self.announce_leaving(own, out);
+    pub(super) fn send_summaries(&mut self, local_state: LocalState<'_>, out: &mut Outbox) {
+        self.announce_leaving(local_state, out);
         if out.now_ms() < self.relay.next_at_ms {
             return;
         }
@@ -54,7 +54,7 @@
                 && let Some(address) = self.summary_receiver(domain, turn, out)
             {
                 let with_descriptors = turn % DESCRIPTOR_INTERVAL_TURNS < 2;
-                let lines = self.own_domain_lines(own, with_descriptors, out);
+                let lines = self.own_domain_lines(local_state, with_descriptors, out);
                 send_lines(address, out.identity().descriptor.domain, true, lines, out);
             }
         }
@@ -64,14 +64,14 @@
     ///
     /// Otherwise their look-ups would return this node until the next summary, by which time the
     /// process may have stopped.
-    fn announce_leaving(&mut self, own: LocalState<'_>, out: &mut Outbox) {
+    fn announce_leaving(&mut self, local_state: LocalState<'_>, out: &mut Outbox) {
         if !out.identity().descriptor.leaving || self.relay.announced_leaving {
             return;
         }
         self.relay.announced_leaving = true;
         for domain in self.other_domains(out) {
             if let Some(address) = self.summary_receiver(domain, self.relay.round, out) {
-                let line = own_line(own, true, out);
+                let line = own_line(local_state, true, out);
                 send_lines(address, out.identity().descriptor.domain, true, vec![line], out);
             }
         }
@@ -106,10 +106,11 @@
 
     /// Returns the known failure domains other than the node's own.
     fn other_domains(&self, out: &Outbox) -> Vec<DomainKey> {
-        let own = out.identity().descriptor.domain;
-        let heard = self.members.values().map(|member| member.descriptor.domain);
-        let listed = self.listed_keys.iter().map(|vm| vm.domain);
-        let mut domains: Vec<_> = heard.chain(listed).filter(|domain| *domain != own).collect();
+        let own_domain = out.identity().descriptor.domain;
+        let member_domains = self.members.values().map(|member| member.descriptor.domain);
+        let listed_domains = self.listed_keys.iter().map(|vm| vm.domain);
+        let mut domains: Vec<_> =
+            member_domains.chain(listed_domains).filter(|domain| *domain != own_domain).collect();
         domains.sort_unstable();
         domains.dedup();
         domains
@@ -124,9 +125,9 @@
             candidates.push(identity.vm);
         }
         let relays = select_relays(domain, candidates);
-        let place = relays.iter().position(|vm| *vm == identity.vm)? as u64;
+        let position = relays.iter().position(|vm| *vm == identity.vm)? as u64;
         let period = relays.len() as u64;
-        (self.relay.round % period == place).then(|| self.relay.round / period)
+        (self.relay.round % period == position).then(|| self.relay.round / period)
     }
 
     /// Returns the address in a failure domain that receives the summary of a turn.
@@ -141,12 +142,12 @@
             .map(|entry| entry.descriptor.peer_address)
             .collect();
         if addresses.is_empty() {
-            let heard = self
+            let members = self
                 .members_in(domain)
                 .into_iter()
                 .map(|(_, member)| member.descriptor.peer_address);
             let listed = self.listed_keys.iter().filter(|vm| vm.domain == domain);
-            addresses = heard.chain(listed.map(|vm| vm.peers)).collect();
+            addresses = members.chain(listed.map(|vm| vm.peers)).collect();
             addresses.sort_unstable();
             addresses.dedup();
         }
@@ -157,7 +158,7 @@
     /// Returns the summary lines of the own failure domain, including this node's.
     fn own_domain_lines(
         &self,
-        own: LocalState<'_>,
+        local_state: LocalState<'_>,
         with_descriptors: bool,
         out: &Outbox,
     ) -> Vec<MemberSummary> {
@@ -165,12 +166,12 @@
         let live = self.members_in(domain).into_iter().filter(|(_, member)| !member.suspected);
         let mut lines: Vec<_> =
             live.map(|(vm, _)| self.member_line(vm, with_descriptors, out)).collect();
-        lines.push(own_line(own, with_descriptors, out));
+        lines.push(own_line(local_state, with_descriptors, out));
         lines.sort_unstable_by_key(|line| rendezvous::score(u64::from(domain.0), line.vm.0));
-        let mut idle = 0;
+        let mut idle_count = 0;
         lines.retain(|line| {
-            idle += usize::from(line.loads.is_empty());
-            !line.loads.is_empty() || idle <= MAX_IDLE_MEMBERS
+            idle_count += usize::from(line.loads.is_empty());
+            !line.loads.is_empty() || idle_count <= MAX_IDLE_MEMBERS
         });
         lines
     }
@@ -197,15 +198,15 @@
     );
 }
 
-fn own_line(own: LocalState<'_>, with_descriptor: bool, out: &Outbox) -> MemberSummary {
+fn own_line(local_state: LocalState<'_>, with_descriptor: bool, out: &Outbox) -> MemberSummary {
     let identity = out.identity();
     MemberSummary {
         vm: identity.vm,
         boot: identity.boot,
         age_ms: 0,
-        revision: own.configuration.revision,
+        revision: local_state.configuration.revision,
         leaving: identity.descriptor.leaving,
-        loads: largest_loads(own.loads),
+        loads: largest_loads(local_state.loads),
         descriptor: with_descriptor.then(|| identity.descriptor.clone()),
     }
 }
