--- a/crates/sedgepath-core/src/shift.rs
+++ b/crates/sedgepath-core/src/shift.rs
@@ -2,8 +2,8 @@
 //!
 //! A record's cap limits the share C of a service's traffic from an origin group that may move in
 //! any window of length W. Moved traffic is the share that failure domains receive beyond their
-//! share in the window before, or half the sum of the absolute share differences. A rejected
-//! request counts where its traffic stands.
+//! share in the window before, which is half the sum of the absolute share differences. A rejected
+//! request counts for its home domain.
 //!
 //! - For each service and origin group a node keeps *standing shares* and assigns each request a
 //!   home domain by them.
@@ -27,8 +27,8 @@
 //! - Between nodes that a partition keeps from seeing the same state, the difference of standing
 //!   shares is unbounded, and callers that change entry VMs move it.
 //! - Traffic that some nodes reject because they cannot reach its domain returns at once when they
-//!   can; it is not a move, so the cap does not limit it, also while other nodes move traffic
-//!   there.
+//!   can reach it. That is not a move, so the cap does not limit it, even while other nodes move
+//!   traffic to that domain.
 
 use crate::catalogue::{Catalogue, SteeringEntry};
 use crate::hash::Map;
@@ -68,6 +68,7 @@
 pub struct ShiftLedger {
     random: fastrand::Rng,
     revision: u64,
+    /// The shares by the records in force.
     declared: Map<ShiftKey, Vec<(DomainKey, f64)>>,
     splits: Map<ShiftKey, TrafficSplit>,
 }
@@ -129,25 +130,25 @@
 
     /// Returns the keys of the splits whose next bucket has begun, sorted.
     pub fn due_keys(&self, now_ms: u64) -> Vec<ShiftKey> {
-        let due = self.splits.iter().filter(|(_, split)| split.is_due(now_ms));
-        let mut due: Vec<_> = due.map(|(key, _)| *key).collect();
-        due.sort_unstable();
-        due
+        let due_splits = self.splits.iter().filter(|(_, split)| split.is_due(now_ms));
+        let mut keys: Vec<_> = due_splits.map(|(key, _)| *key).collect();
+        keys.sort_unstable();
+        keys
     }
 
     /// Returns the standing shares that differ from the record's, to send to a peer.
     pub fn moved_shares(&self) -> Vec<GroupShares> {
-        let mut moved: Vec<_> = self
+        let mut groups: Vec<_> = self
             .splits
             .iter()
             .filter(|(key, split)| split.differs_from(&self.declared[key]))
             .map(|(key, split)| split.to_peer(key.service, key.group))
             .collect();
-        moved.sort_unstable_by_key(|moved| (moved.service, moved.group));
-        moved
+        groups.sort_unstable_by_key(|shares| (shares.service, shares.group));
+        groups
     }
 
-    /// Replaces splits by a peer's, for a node that has no baseline of its own.
+    /// Replaces splits with those of a peer, for a node that has no baseline of its own.
     pub fn apply_baseline(&mut self, moved: &[GroupShares], now_ms: u64) {
         for peer in moved {
             let key = ShiftKey { service: peer.service, group: peer.group };
@@ -176,16 +177,16 @@
     }
 }
 
-/// Returns the cap in force: the failover cap while a domain with standing traffic has failed.
+/// Returns the cap in force: the failover cap while a domain with a standing share has failed.
 pub fn cap_in_force(
     entry: &SteeringEntry,
     candidates: &[CandidateDomain],
     shares: &[(DomainKey, f64)],
 ) -> TrafficCap {
-    let holds = |domain| shares.iter().any(|share| share.0 == domain && share.1 > 0.0);
-    let failover =
-        candidates.iter().any(|candidate| candidate.has_failed() && holds(candidate.domain));
-    if failover { entry.failover_cap } else { entry.cap }
+    let has_share = |domain| shares.iter().any(|share| share.0 == domain && share.1 > 0.0);
+    let is_failover =
+        candidates.iter().any(|candidate| candidate.has_failed() && has_share(candidate.domain));
+    if is_failover { entry.failover_cap } else { entry.cap }
 }
 
 fn steering(catalogue: &Catalogue, service: ServiceKey) -> Option<&SteeringEntry> {
--- a/crates/sedgepath-core/src/shift/baseline.rs
+++ b/crates/sedgepath-core/src/shift/baseline.rs
@@ -1,8 +1,8 @@
 //! Fetches the standing shares from a peer after a node's start.
 //!
 //! A new process knows the record's shares but not the progress of a shift. Steering by the record
-//! at once would make its callers' traffic jump past the cap. So the node asks its peers and serves
-//! once one has answered, or with the record's shares after `MAX_WAIT_MS`.
+//! at once would move its callers' traffic beyond the cap. The node therefore asks its peers and
+//! serves once one of them has answered, or with the record's shares after `MAX_WAIT_MS`.
 
 use crate::key::VmKey;
 use crate::message::{Baseline, Message};
@@ -24,27 +24,27 @@
 #[derive(Debug, Default)]
 pub struct BaselineFetch {
     give_up_at_ms: Option<u64>,
-    next_ask_at_ms: u64,
-    finished: bool,
+    next_request_at_ms: u64,
+    is_finished: bool,
 }
 
 impl BaselineFetch {
     /// Returns whether the fetch is over, so that the node may steer.
     pub fn is_ready(&self) -> bool {
-        self.finished
+        self.is_finished
     }
 
-    /// Sends requests to peers until one has answered or the wait is over.
+    /// Sends requests to peers until one of them has answered or `MAX_WAIT_MS` has passed.
     pub fn tick(&mut self, view: &SystemView<'_>, out: &mut Outbox) {
-        if self.finished || view.revision == 0 {
+        if self.is_finished || view.revision == 0 {
             return;
         }
         let give_up_at_ms = *self.give_up_at_ms.get_or_insert(view.now_ms + MAX_WAIT_MS);
         if give_up_at_ms <= view.now_ms {
-            self.finished = true;
+            self.is_finished = true;
             return;
         }
-        if self.next_ask_at_ms > view.now_ms {
+        if self.next_request_at_ms > view.now_ms {
             return;
         }
         let mut peers = view.membership.members();
@@ -52,7 +52,7 @@
         let own_domain = view.identity.descriptor.domain;
         peers.sort_by_key(|(_, member)| member.descriptor.domain != own_domain);
         if !peers.is_empty() {
-            self.next_ask_at_ms = view.now_ms + REQUEST_INTERVAL_MS;
+            self.next_request_at_ms = view.now_ms + REQUEST_INTERVAL_MS;
         }
         for (_, member) in peers.into_iter().take(PEERS_PER_REQUEST) {
             out.send(member.descriptor.peer_address, Message::BaselineRequest);
@@ -67,7 +67,7 @@
         view: &SystemView<'_>,
         out: &mut Outbox,
     ) {
-        if let Some(member) = view.membership.member(sender).filter(|_| self.finished) {
+        if let Some(member) = view.membership.member(sender).filter(|_| self.is_finished) {
             let baseline = Baseline { revision: view.revision, moved: ledger.moved_shares() };
             out.send(member.descriptor.peer_address, Message::Baseline(baseline));
         }
@@ -80,11 +80,11 @@
         ledger: &mut ShiftLedger,
         view: &SystemView<'_>,
     ) {
-        if self.finished || baseline.revision < view.revision {
+        if self.is_finished || baseline.revision < view.revision {
             return;
         }
         ledger.apply_revision(view.revision, view.catalogue, view.now_ms);
         ledger.apply_baseline(&baseline.moved, view.now_ms);
-        self.finished = true;
+        self.is_finished = true;
     }
 }
--- a/crates/sedgepath-core/src/shift/history.rs
+++ b/crates/sedgepath-core/src/shift/history.rs
@@ -5,45 +5,50 @@
 /// The number of buckets in a window.
 pub(super) const BUCKETS_PER_WINDOW: usize = 10;
 
-/// The weight of a bucket without requests. It preserves the standing shares of idle periods, so
-/// that they don't permit a sudden move.
-const EMPTY_BUCKET_WEIGHT: f64 = 0.001;
+/// The requests that each bucket starts with, distributed by the standing shares. They make an idle
+/// period count in the averages, so that it does not permit a sudden move.
+const INITIAL_BUCKET_REQUESTS: f64 = 0.001;
 
-/// A tenth of a window: the number of requests and their shares by domain.
+/// The requests in a tenth of a window, including [`INITIAL_BUCKET_REQUESTS`].
 #[derive(Debug, Clone)]
 struct Bucket {
-    weight: f64,
-    sums: Vec<f64>,
+    requests: f64,
+    requests_by_domain: Vec<f64>,
 }
 
 impl Bucket {
     fn new(shares: &[f64]) -> Self {
-        let sums = shares.iter().map(|share| share * EMPTY_BUCKET_WEIGHT).collect();
-        Self { weight: EMPTY_BUCKET_WEIGHT, sums }
+        let requests_by_domain =
+            shares.iter().map(|share| share * INITIAL_BUCKET_REQUESTS).collect();
+        Self { requests: INITIAL_BUCKET_REQUESTS, requests_by_domain }
     }
 }
 
-/// A window that ends in the next bucket, and the window before it.
+/// The past part of a window that includes future requests, and the window before it.
 #[derive(Debug)]
 pub(super) struct WindowPair {
-    before: Vec<f64>,
-    sums: Vec<f64>,
-    weight: f64,
+    /// The average shares of the window before.
+    shares_before: Vec<f64>,
+    requests_by_domain: Vec<f64>,
+    requests: f64,
 }
 
 impl WindowPair {
-    /// Returns the share that moves between the two windows if the given number of requests arrive
-    /// with these shares.
-    pub(super) fn moved_share(&self, shares: &[f64], requests: f64) -> f64 {
-        let sums = self.sums.iter().zip(shares).zip(&self.before);
-        let later = |sum: &f64, share: &f64| {
-            if requests.is_infinite() {
+    /// Returns the share that moves between the two windows if `future_requests` arrive with these
+    /// shares. With an infinite number the later window has exactly these shares.
+    pub(super) fn moved_share(&self, shares: &[f64], future_requests: f64) -> f64 {
+        let domains = self.requests_by_domain.iter().zip(shares).zip(&self.shares_before);
+        let share_after = |past: &f64, share: &f64| {
+            if future_requests.is_infinite() {
                 *share
             } else {
-                (sum + share * requests) / (self.weight + requests)
+                (past + share * future_requests) / (self.requests + future_requests)
             }
         };
-        sums.map(|((sum, share), before)| (later(sum, share) - before).abs()).sum::<f64>() / 2.0
+        domains
+            .map(|((past, share), before)| (share_after(past, share) - before).abs())
+            .sum::<f64>()
+            / 2.0
     }
 }
 
@@ -54,8 +59,8 @@
 }
 
 impl History {
-    /// The number of buckets kept: two windows, and one bucket each for windows that begin or end
-    /// within a bucket.
+    /// The number of buckets kept: the current bucket, the two windows before it, and one older
+    /// bucket.
     const KEPT_BUCKETS: usize = 2 * BUCKETS_PER_WINDOW + 2;
 
     /// Creates a history with constant shares.
@@ -63,13 +68,13 @@
         Self { buckets: vec![Bucket::new(shares); Self::KEPT_BUCKETS].into() }
     }
 
-    /// Creates a history by linear interpolation from the shares two windows ago through those one
-    /// window ago to the current shares.
+    /// Creates a history whose shares are interpolated linearly between the current shares and those
+    /// of one and two windows ago.
     pub(super) fn interpolated(now: &[f64], one_ago: &[f64], two_ago: &[f64]) -> Self {
         let mut history = Self::new(two_ago);
         for (from, to) in [(two_ago, one_ago), (one_ago, now)] {
-            for number in 1..=BUCKETS_PER_WINDOW {
-                let fraction = number as f64 / BUCKETS_PER_WINDOW as f64;
+            for bucket in 1..=BUCKETS_PER_WINDOW {
+                let fraction = bucket as f64 / BUCKETS_PER_WINDOW as f64;
                 let shares: Vec<_> =
                     from.iter().zip(to).map(|(from, to)| from + fraction * (to - from)).collect();
                 history.begin_bucket(&shares);
@@ -78,13 +83,13 @@
         history
     }
 
-    /// Returns the average shares of the bucket that was current the given number of buckets ago.
-    pub(super) fn shares_buckets_ago(&self, buckets: usize) -> Vec<f64> {
+    /// Returns the shares of a bucket; an age of 0 buckets is the current one.
+    pub(super) fn shares_at_age(&self, age_buckets: usize) -> Vec<f64> {
         let last = self.buckets.len() - 1;
-        self.average(last - buckets, last - buckets + 1)
+        self.average(last - age_buckets, last - age_buckets + 1)
     }
 
-    /// Begins a bucket with its standing shares, and drops the oldest.
+    /// Begins a bucket with these standing shares, and drops the oldest bucket.
     pub(super) fn begin_bucket(&mut self, shares: &[f64]) {
         self.buckets.pop_front();
         self.buckets.push_back(Bucket::new(shares));
@@ -93,31 +98,31 @@
     /// Adds a request, distributed by the standing shares, to the current bucket.
     pub(super) fn add_request(&mut self, shares: &[f64]) {
         let bucket = self.current();
-        bucket.weight += 1.0;
-        for (sum, share) in bucket.sums.iter_mut().zip(shares) {
-            *sum += share;
+        bucket.requests += 1.0;
+        for (requests, share) in bucket.requests_by_domain.iter_mut().zip(shares) {
+            *requests += share;
         }
     }
 
     /// Moves a request of the current bucket from one domain to another.
     pub(super) fn move_request(&mut self, from: usize, to: usize) {
         let bucket = self.current();
-        bucket.sums[from] -= 1.0;
-        bucket.sums[to] += 1.0;
+        bucket.requests_by_domain[from] -= 1.0;
+        bucket.requests_by_domain[to] += 1.0;
     }
 
     /// Adds a domain without any requests.
     pub(super) fn add_domain(&mut self) {
         for bucket in &mut self.buckets {
-            bucket.sums.push(0.0);
+            bucket.requests_by_domain.push(0.0);
         }
     }
 
-    /// Returns every pair of a window that ends in the next bucket and the window before it.
+    /// Returns every pair of a window that includes future requests and the window before it.
     ///
-    /// A window may begin within a bucket. Its average then lies between the averages with and
-    /// without that bucket, and the distance is at most the larger of the two, so it suffices to
-    /// check whole buckets, each pair with and without the boundary buckets.
+    /// A window may begin or end within a bucket. Its average then lies between the averages with and
+    /// without that bucket, so the share that it moves is at most the larger of the two shares that
+    /// these averages move. Each pair is therefore returned with and without each boundary bucket.
     pub(super) fn window_pairs(&self) -> Vec<WindowPair> {
         let end = self.buckets.len();
         let mut pairs = Vec::with_capacity(8 * (BUCKETS_PER_WINDOW + 1));
@@ -125,9 +130,9 @@
             for begin in [boundary - BUCKETS_PER_WINDOW, boundary - BUCKETS_PER_WINDOW + 1] {
                 for before_end in [boundary, (boundary + 1).min(end)] {
                     for later_begin in [boundary, (boundary + 1).min(end)] {
-                        let before = self.average(begin, before_end);
-                        let (sums, weight) = self.sum(later_begin, end);
-                        pairs.push(WindowPair { before, sums, weight });
+                        let shares_before = self.average(begin, before_end);
+                        let (requests_by_domain, requests) = self.sum(later_begin, end);
+                        pairs.push(WindowPair { shares_before, requests_by_domain, requests });
                     }
                 }
             }
@@ -135,36 +140,38 @@
         pairs
     }
 
-    /// Returns the number of requests in the busiest bucket kept.
+    /// Returns the number of requests in the busiest bucket, including [`INITIAL_BUCKET_REQUESTS`].
     pub(super) fn max_bucket_requests(&self) -> f64 {
-        self.buckets.iter().map(|bucket| bucket.weight).fold(0.0, f64::max)
+        self.buckets.iter().map(|bucket| bucket.requests).fold(0.0, f64::max)
     }
 
-    /// Returns the number of requests in the current bucket.
+    /// Returns the number of requests in the current bucket, including [`INITIAL_BUCKET_REQUESTS`].
     pub(super) fn current_bucket_requests(&self) -> f64 {
-        self.buckets[self.buckets.len() - 1].weight
+        self.buckets[self.buckets.len() - 1].requests
     }
 
+    /// Returns the shares of the requests in a range of buckets.
     fn average(&self, begin: usize, end: usize) -> Vec<f64> {
-        let (sums, weight) = self.sum(begin, end);
-        sums.iter().map(|sum| sum / weight).collect()
+        let (requests_by_domain, requests) = self.sum(begin, end);
+        requests_by_domain.iter().map(|domain_requests| domain_requests / requests).collect()
     }
 
+    /// Returns the requests in a range of buckets, by domain and in total.
     fn sum(&self, begin: usize, end: usize) -> (Vec<f64>, f64) {
-        let mut sums = vec![0.0; self.buckets[0].sums.len()];
-        let mut weight = 0.0;
+        let mut requests_by_domain = vec![0.0; self.buckets[0].requests_by_domain.len()];
+        let mut requests = 0.0;
         for bucket in self.buckets.range(begin..end) {
-            weight += bucket.weight;
-            for (sum, added) in sums.iter_mut().zip(&bucket.sums) {
+            requests += bucket.requests;
+            for (sum, added) in requests_by_domain.iter_mut().zip(&bucket.requests_by_domain) {
                 *sum += added;
             }
         }
-        (sums, weight)
+        (requests_by_domain, requests)
     }
 
-    /// Returns the number of requests in the previous bucket.
+    /// Returns the number of requests in the previous bucket, including [`INITIAL_BUCKET_REQUESTS`].
     pub(super) fn previous_bucket_requests(&self) -> f64 {
-        self.buckets[self.buckets.len() - 2].weight
+        self.buckets[self.buckets.len() - 2].requests
     }
 
     fn current(&mut self) -> &mut Bucket {
--- a/crates/sedgepath-core/src/shift/traffic_split.rs
+++ b/crates/sedgepath-core/src/shift/traffic_split.rs
@@ -21,11 +21,13 @@
 pub struct TrafficSplit {
     domains: Vec<DomainKey>,
     shares: Vec<f64>,
+    /// By domain, the sum of the shares of past requests less the requests assigned, from a random
+    /// start.
     remainders: Vec<f64>,
     history: History,
     tokens: f64,
     bucket_ends_at_ms: u64,
-    capped: bool,
+    is_capped: bool,
     /// The maximum share that may move between two windows.
     max_moved_share: f64,
     /// The number of requests in the current bucket up to which its shares keep the cap.
@@ -43,13 +45,13 @@
             shares: values,
             tokens: 1.0,
             bucket_ends_at_ms: now_ms,
-            capped: true,
+            is_capped: true,
             max_moved_share: 0.0,
             covered_requests: f64::INFINITY,
         }
     }
 
-    /// Creates a split that continues a peer's.
+    /// Creates a split that continues that of a peer.
     ///
     /// The peer's history of the last two windows is included. With the current shares alone, a
     /// shift in progress would look complete, and the node could move more than the cap.
@@ -64,8 +66,8 @@
 
     /// Returns the current shares and those of one and two windows ago, to send to a peer.
     pub fn to_peer(&self, service: ServiceKey, group: OriginKey) -> GroupShares {
-        let one_ago = self.history.shares_buckets_ago(BUCKETS_PER_WINDOW);
-        let two_ago = self.history.shares_buckets_ago(2 * BUCKETS_PER_WINDOW);
+        let one_ago = self.history.shares_at_age(BUCKETS_PER_WINDOW);
+        let two_ago = self.history.shares_at_age(2 * BUCKETS_PER_WINDOW);
         let shares = (0..self.domains.len()).map(|index| DomainShare {
             domain: self.domains[index],
             now: self.shares[index],
@@ -77,10 +79,10 @@
 
     /// Returns whether the shares differ from the given ones, now or one or two windows ago.
     pub fn differs_from(&self, declared: &[(DomainKey, f64)]) -> bool {
-        let ago = [0, BUCKETS_PER_WINDOW, 2 * BUCKETS_PER_WINDOW]
-            .map(|buckets| self.history.shares_buckets_ago(buckets));
+        let past_shares = [0, BUCKETS_PER_WINDOW, 2 * BUCKETS_PER_WINDOW]
+            .map(|age_buckets| self.history.shares_at_age(age_buckets));
         let declared = self.in_domain_order(declared);
-        ago.iter().any(|shares| distance(shares, &declared) > MIN_REPORTED_DISTANCE)
+        past_shares.iter().any(|shares| distance(shares, &declared) > MIN_REPORTED_DISTANCE)
             || distance(&self.shares, &declared) > MIN_REPORTED_DISTANCE
     }
 
@@ -137,11 +139,11 @@
         }
         self.bucket_ends_at_ms = now_ms - (now_ms - self.bucket_ends_at_ms) % bucket_ms + bucket_ms;
         let cap_share = cap.percent / 100.0;
-        self.capped = cap_share < UNLIMITED_CAP_SHARE;
+        self.is_capped = cap_share < UNLIMITED_CAP_SHARE;
         self.max_moved_share = cap_share * STANDING_CAP_FRACTION;
         self.covered_requests =
             (BURST_FACTOR * self.history.max_bucket_requests()).max(BURST_FACTOR);
-        if self.capped {
+        if self.is_capped {
             self.step_toward(target);
         } else {
             self.shares = target.to_vec();
@@ -160,13 +162,13 @@
 
     /// Moves the shares back toward those of one window ago, as far as the cap requires.
     ///
-    /// Otherwise a burst of requests at the end of a shift would weigh more than the steps assumed.
+    /// Otherwise a burst of requests at the end of a shift would have more weight than the steps assumed.
     /// If even the old shares exceed the cap, because a wider failover cap was in force, the shares
     /// stay.
     fn step_back(&mut self, pairs: &[WindowPair]) {
-        let safe = self.history.shares_buckets_ago(BUCKETS_PER_WINDOW);
-        if self.is_within_cap(pairs, &safe) {
-            self.shares = self.farthest_within_cap(pairs, &safe, &self.shares);
+        let old_shares = self.history.shares_at_age(BUCKETS_PER_WINDOW);
+        if self.is_within_cap(pairs, &old_shares) {
+            self.shares = self.farthest_within_cap(pairs, &old_shares, &self.shares);
         }
     }
 
@@ -179,7 +181,7 @@
     /// Returns the farthest shares on the line between two points that keep the cap; the start must
     /// keep it.
     fn farthest_within_cap(&self, pairs: &[WindowPair], from: &[f64], to: &[f64]) -> Vec<f64> {
-        let at = |fraction: f64| -> Vec<f64> {
+        let interpolate = |fraction: f64| -> Vec<f64> {
             from.iter().zip(to).map(|(from, to)| from + fraction * (to - from)).collect()
         };
         if self.is_within_cap(pairs, to) {
@@ -188,13 +190,13 @@
         let (mut allowed, mut exceeding) = (0.0, 1.0);
         for _ in 0..BISECTION_STEPS {
             let middle = f64::midpoint(allowed, exceeding);
-            if self.is_within_cap(pairs, &at(middle)) {
+            if self.is_within_cap(pairs, &interpolate(middle)) {
                 allowed = middle;
             } else {
                 exceeding = middle;
             }
         }
-        at(allowed)
+        interpolate(allowed)
     }
 
     /// Switches for the rest of the bucket to shares that keep the cap for any number of requests,
@@ -207,15 +209,15 @@
         }
     }
 
-    /// Assigns a request to its home: the domain whose count lags its share the most.
+    /// Assigns a request to its home: the domain whose number of requests lags its share the most.
     pub fn assign_home(&mut self, cap: TrafficCap) -> Option<usize> {
-        if self.capped && self.history.current_bucket_requests() >= self.covered_requests {
+        if self.is_capped && self.history.current_bucket_requests() >= self.covered_requests {
             self.handle_burst();
         }
         self.history.add_request(&self.shares);
-        let earned = cap.percent / 100.0 * TOKEN_CAP_FRACTION;
-        let max_tokens = 1.0_f64.max(2.0 * earned * self.history.previous_bucket_requests());
-        self.tokens = (self.tokens + earned).min(max_tokens);
+        let earned_tokens = cap.percent / 100.0 * TOKEN_CAP_FRACTION;
+        let max_tokens = 1.0_f64.max(2.0 * earned_tokens * self.history.previous_bucket_requests());
+        self.tokens = (self.tokens + earned_tokens).min(max_tokens);
         for (remainder, share) in self.remainders.iter_mut().zip(&self.shares) {
             *remainder += share;
         }
@@ -228,7 +230,7 @@
 
     /// Moves a request from one domain to another if a token is available or no cap applies.
     pub fn try_move_request(&mut self, from: usize, to: usize) -> bool {
-        if from == to || !self.capped {
+        if from == to || !self.is_capped {
             return true;
         }
         if self.tokens < 1.0 {
