--- a/crates/sedgepath-core/src/look_up.rs
+++ b/crates/sedgepath-core/src/look_up.rs
@@ -50,7 +50,7 @@
     /// # Errors
     ///
     /// Fails if the service is unknown, if this node has no usable configuration for it, or if the
-    /// caller has seen a newer revision than this node and every member known here.
+    /// caller has seen a newer revision than this node and all members that accept work.
     pub fn answer(
         &mut self,
         look_up: &LookUp,
@@ -62,11 +62,11 @@
             return Err(LookUpError::Configuration);
         }
         let entry_vms = if look_up.revision_seen > view.revision {
-            // A node with an outdated revision must not return itself or others with one: the
-            // caller would be steered by records that it has already seen replaced.
+            // A node with an outdated revision must not return itself or other such nodes: they would
+            // steer the caller by records that it has already seen replaced.
             up_to_date_entry_vms(look_up.revision_seen, view)?
         } else if view.catalogue.services.contains_key(&service) {
-            self.list(service, look_up.source, view)
+            self.cached_entry_vms(service, look_up.source, view)
         } else {
             return Err(LookUpError::NoService);
         };
@@ -86,11 +86,11 @@
         view: &SystemView<'_>,
     ) -> Vec<EntryVm> {
         let own = &view.identity.descriptor.name;
-        let list = self.list(service, source, view);
+        let list = self.cached_entry_vms(service, source, view);
         list.iter().filter(|entry_vm| entry_vm.name != *own).cloned().collect()
     }
 
-    fn list(
+    fn cached_entry_vms(
         &mut self,
         service: ServiceKey,
         source: IpAddr,
@@ -103,6 +103,7 @@
     }
 }
 
+/// Returns the order variant for a caller's address.
 fn variant(source: IpAddr) -> u64 {
     let bits = match source {
         IpAddr::V4(address) => u64::from(address.to_bits()),
@@ -143,26 +144,29 @@
     view: &SystemView<'_>,
 ) -> Arc<[EntryVm]> {
     let shares = view.catalogue.shares(service, origin).unwrap_or_default();
-    let mut candidate: Vec<_> = entry_vm_candidates(view)
+    let mut candidates: Vec<_> = entry_vm_candidates(view)
         .into_iter()
         .map(|candidate| (domain_sort_key(candidate.domain, shares, variant, view), candidate))
         .collect();
-    candidate.sort_by(|(order, a), (other, b)| {
-        let key = |candidate: &EntryVmCandidate| (score(variant, candidate.vm.0), candidate.vm);
-        order.total_cmp(other).then(a.domain.cmp(&b.domain)).then_with(|| key(a).cmp(&key(b)))
+    candidates.sort_by(|(a_domain_key, a), (b_domain_key, b)| {
+        let vm_key = |candidate: &EntryVmCandidate| (score(variant, candidate.vm.0), candidate.vm);
+        a_domain_key
+            .total_cmp(b_domain_key)
+            .then(a.domain.cmp(&b.domain))
+            .then_with(|| vm_key(a).cmp(&vm_key(b)))
     });
     let mut count_by_domain: Map<DomainKey, usize> = Map::default();
-    candidate.retain(|(_, candidate)| {
+    candidates.retain(|(_, candidate)| {
         let count = count_by_domain.entry(candidate.domain).or_default();
         *count += 1;
         *count <= MAX_ENTRY_VMS_PER_DOMAIN
     });
-    candidate.into_iter().take(MAX_ENTRY_VMS).map(|(_, candidate)| candidate.entry_vm).collect()
+    candidates.into_iter().take(MAX_ENTRY_VMS).map(|(_, candidate)| candidate.entry_vm).collect()
 }
 
 /// Returns the sort key of a failure domain in a variant's order.
 ///
-/// Weighted rendezvous hashing: with `u` uniform from the hash, each domain has the smallest
+/// Implements weighted rendezvous hashing: with `u` uniform from the hash, each domain has the smallest
 /// `-ln(u) / share` with a probability equal to its share. Domains without a share come last, those
 /// of this node's region first among them.
 fn domain_sort_key(
@@ -185,7 +189,7 @@
     revision_seen: u64,
     view: &SystemView<'_>,
 ) -> Result<Arc<[EntryVm]>, LookUpError> {
-    let candidate: Arc<[EntryVm]> = view
+    let entry_vms: Arc<[EntryVm]> = view
         .membership
         .members()
         .into_iter()
@@ -196,7 +200,7 @@
             address: member.descriptor.caller_address,
         })
         .collect();
-    if candidate.is_empty() { Err(LookUpError::Configuration) } else { Ok(candidate) }
+    if entry_vms.is_empty() { Err(LookUpError::Configuration) } else { Ok(entry_vms) }
 }
 
 fn fingerprint(view: &SystemView<'_>) -> u64 {
--- a/crates/sedgepath-core/src/steering.rs
+++ b/crates/sedgepath-core/src/steering.rs
@@ -14,11 +14,11 @@
 pub struct CandidateDomain {
     /// The key of the failure domain.
     pub domain: DomainKey,
-    /// The domain's share by the record, from 0 to 1.
+    /// The domain's share in the record, from 0 to 1.
     pub share: f64,
     /// The number of slots that the domain's owners report.
     pub slots: u32,
-    /// The number of slots in use by the same reports.
+    /// The number of slots in use according to the same reports.
     pub in_flight: u32,
     /// Whether any serving VM of the domain has reported on the service.
     pub has_report: bool,
@@ -29,8 +29,8 @@
     pub declared_slots: u32,
     /// Whether any entry VM of the domain serves.
     pub accepts_work: bool,
-    /// Whether traffic is to move away while the domain keeps serving: a drain takes the domain out
-    /// of service, or all of its serving entry VMs are about to stop.
+    /// Whether traffic must move away while the domain keeps serving: the domain is drained, or all of
+    /// its serving entry VMs are about to stop.
     pub leaving: bool,
     /// The domain's region, if a record defines it.
     pub region: Option<RegionKey>,
@@ -93,10 +93,10 @@
 /// Returns the record's shares, with the shares of unusable or leaving candidates distributed over
 /// the others in proportion.
 pub fn usable_shares(candidates: &[CandidateDomain]) -> Vec<f64> {
-    let usable = |candidate: &CandidateDomain| {
+    let weight = |candidate: &CandidateDomain| {
         if candidate.is_usable() && !candidate.leaving { candidate.share } else { 0.0 }
     };
-    let weights: Vec<_> = candidates.iter().map(usable).collect();
+    let weights: Vec<_> = candidates.iter().map(weight).collect();
     let sum = weights.iter().sum::<f64>();
     if sum > 0.0 {
         return weights.iter().map(|weight| weight / sum).collect();
@@ -114,11 +114,12 @@
             return order;
         }
         let mut point = random.f64() * sum;
-        let drawn = weights.iter().position(|weight| {
+        let drawn_index = weights.iter().position(|weight| {
             point -= weight;
             *weight > 0.0 && point < 0.0
         });
-        let Some(index) = drawn.or_else(|| weights.iter().rposition(|weight| *weight > 0.0)) else {
+        let Some(index) = drawn_index.or_else(|| weights.iter().rposition(|weight| *weight > 0.0))
+        else {
             return order;
         };
         weights[index] = 0.0;
--- a/crates/sedgepath-core/src/steering/headroom.rs
+++ b/crates/sedgepath-core/src/steering/headroom.rs
@@ -17,8 +17,8 @@
 /// The fraction of its share that a full domain keeps.
 const MIN_KEPT_FRACTION: f64 = 0.4;
 
-/// The age up to which a report has full weight, in milliseconds: a round of summaries between
-/// failure domains plus transit.
+/// The age up to which a report has full weight, in milliseconds; covers the interval between
+/// summaries from another failure domain and their transit.
 const FRESH_REPORT_AGE_MS: f64 = 1_000.0;
 
 /// The age from which a report has no weight, in milliseconds.
@@ -64,18 +64,18 @@
         let mut target: Vec<f64> =
             candidates.iter().map(|candidate| candidate.share * kept_fraction(candidate)).collect();
         for (from, candidate) in candidates.iter().enumerate() {
-            let leaving = candidate.share - candidate.share * kept_fraction(candidate);
-            if leaving <= 0.0 {
+            let excess_share = candidate.share - candidate.share * kept_fraction(candidate);
+            if excess_share <= 0.0 {
                 continue;
             }
             let weights = receiver_weights(from, candidates);
             let sum = weights.iter().sum::<f64>();
             if sum <= 0.0 {
-                target[from] += leaving;
+                target[from] += excess_share;
                 continue;
             }
             for (share, weight) in target.iter_mut().zip(&weights) {
-                *share += leaving * weight / sum;
+                *share += excess_share * weight / sum;
             }
         }
         target
@@ -100,9 +100,9 @@
             }
         });
         let mut order = weighted_random_order(weights.collect(), random);
-        let home_last = request.class == Class::Paying && is_full(home);
-        let place = if home_last { order.len() } else { 0 };
-        order.insert(place, request.home);
+        let is_home_last = request.class == Class::Paying && is_full(home);
+        let home_position = if is_home_last { order.len() } else { 0 };
+        order.insert(home_position, request.home);
         order
     }
 }
@@ -133,19 +133,19 @@
     1.0 - overload * (1.0 - MIN_KEPT_FRACTION) * report_weight(candidate)
 }
 
-/// Returns the weights with which domains receive the traffic that leaves one of them; all zero if
-/// it should stay.
+/// Returns the weights with which domains receive the traffic that leaves one of them; all are zero
+/// if the traffic should stay.
 fn receiver_weights(from: usize, candidates: &[CandidateDomain]) -> Vec<f64> {
-    let others = |weight: fn(&CandidateDomain, &CandidateDomain) -> f64| -> Vec<f64> {
+    let weights_of_others = |weight: fn(&CandidateDomain, &CandidateDomain) -> f64| -> Vec<f64> {
         let weight_of = |(index, candidate)| {
             if index == from { 0.0 } else { weight(&candidates[from], candidate) }
         };
         candidates.iter().enumerate().map(weight_of).collect()
     };
-    let by_spare_slots = others(receiver_weight);
+    let by_spare_slots = weights_of_others(receiver_weight);
     let must_leave = kept_fraction(&candidates[from]) <= 0.0;
     if must_leave && by_spare_slots.iter().sum::<f64>() <= 0.0 {
-        return others(|home, candidate| {
+        return weights_of_others(|home, candidate| {
             if candidate.accepts_more_traffic() {
                 f64::from(candidate.declared_slots) * proximity_weight(home, candidate)
             } else {
@@ -165,11 +165,11 @@
     if !candidate.accepts_more_traffic() {
         return 0.0;
     }
-    let known = report_weight(candidate);
-    let reported =
+    let weight = report_weight(candidate);
+    let reported_slots =
         (BUSY_LOAD * f64::from(candidate.slots) - f64::from(candidate.in_flight)).max(0.0);
-    let assumed = (1.0 - BUSY_LOAD) * f64::from(candidate.declared_slots);
-    known * reported + (1.0 - known) * assumed
+    let assumed_slots = (1.0 - BUSY_LOAD) * f64::from(candidate.declared_slots);
+    weight * reported_slots + (1.0 - weight) * assumed_slots
 }
 
 fn proximity_weight(home: &CandidateDomain, candidate: &CandidateDomain) -> f64 {
--- a/crates/sedgepath-core/src/view.rs
+++ b/crates/sedgepath-core/src/view.rs
@@ -59,7 +59,7 @@
     }
 
     fn candidate(&self, service: ServiceKey, domain: DomainKey, share: f64) -> CandidateDomain {
-        let serving = self.serving_vms_in(domain);
+        let serving_vms = self.serving_vms_in(domain);
         let mut candidate = CandidateDomain {
             domain,
             share,
@@ -71,11 +71,11 @@
                 .upstreams_in(domain, service)
                 .map(|upstream| self.catalogue.upstreams[&upstream].slots)
                 .sum(),
-            accepts_work: !serving.is_empty(),
-            leaving: self.is_drained(domain) || serving.iter().all(|vm| self.is_leaving(*vm)),
+            accepts_work: !serving_vms.is_empty(),
+            leaving: self.is_drained(domain) || serving_vms.iter().all(|vm| self.is_leaving(*vm)),
             region: self.catalogue.domains.get(&domain).map(|entry| entry.region),
         };
-        for vm in serving {
+        for vm in serving_vms {
             if let Some((load, age_ms)) = self.reported_load(vm, service) {
                 candidate.slots += load.slots;
                 candidate.in_flight += load.in_flight;
@@ -86,8 +86,8 @@
         candidate
     }
 
-    /// Returns whether a drain record takes a failure domain out of service. Its owners keep
-    /// serving the traffic that the cap does not yet let move away.
+    /// Returns whether a record drains a failure domain. The domain's owners keep serving the traffic
+    /// that the cap does not yet allow to move.
     fn is_drained(&self, domain: DomainKey) -> bool {
         self.catalogue.domains.get(&domain).is_some_and(|entry| entry.draining)
     }
@@ -115,10 +115,14 @@
     ///
     /// If no VM reports slots, returns the owners computed from the members known here.
     pub fn upstream_owners(&self, domain: DomainKey, service: ServiceKey) -> Vec<UpstreamOwner> {
-        let serving = self.serving_vms_in(domain);
-        let reported: Vec<_> =
-            serving.iter().filter_map(|vm| self.reported_owner(*vm, service)).collect();
-        if reported.is_empty() { self.computed_owners(domain, service, &serving) } else { reported }
+        let serving_vms = self.serving_vms_in(domain);
+        let reported_owners: Vec<_> =
+            serving_vms.iter().filter_map(|vm| self.reported_owner(*vm, service)).collect();
+        if reported_owners.is_empty() {
+            self.computed_owners(domain, service, &serving_vms)
+        } else {
+            reported_owners
+        }
     }
 
     fn reported_owner(&self, vm: VmKey, service: ServiceKey) -> Option<UpstreamOwner> {
@@ -135,11 +139,11 @@
         &self,
         domain: DomainKey,
         service: ServiceKey,
-        serving: &[VmKey],
+        serving_vms: &[VmKey],
     ) -> Vec<UpstreamOwner> {
         let mut owners: Vec<UpstreamOwner> = Vec::new();
         for upstream in self.upstreams_in(domain, service) {
-            let Some(vm) = rendezvous::owner(u64::from(upstream.0), serving) else { continue };
+            let Some(vm) = rendezvous::owner(u64::from(upstream.0), serving_vms) else { continue };
             let slots = self.catalogue.upstreams[&upstream].slots;
             if let Some(owner) = owners.iter_mut().find(|owner| owner.vm == vm) {
                 owner.slots += slots;
@@ -153,11 +157,11 @@
 
     /// Returns the serving VMs of a failure domain, including this node.
     pub fn serving_vms_in(&self, domain: DomainKey) -> Vec<VmKey> {
-        let mut alive = self.membership.unsuspected_in(domain);
+        let mut live_vms = self.membership.unsuspected_in(domain);
         if self.identity.descriptor.domain == domain {
-            alive.push((self.identity.vm, self.identity.descriptor.leaving));
+            live_vms.push((self.identity.vm, self.identity.descriptor.leaving));
         }
-        membership::serving_vms(&alive)
+        membership::serving_vms(&live_vms)
     }
 
     fn upstreams_in(
