--- a/crates/sedgepath-core/src/blocks.rs
+++ b/crates/sedgepath-core/src/blocks.rs
@@ -1,9 +1,9 @@
 //! Maps client address blocks to origin groups by longest prefix match.
 //!
 //! Every node holds the whole table, so memory per block matters. Each address family has a pair of
-//! sorted arrays: range starts (4 bytes for IPv4, 8 for IPv6, whose prefixes have at most 64 bits)
-//! and group indexes (2 bytes). Building the table splits overlapping blocks into disjoint ranges,
-//! so a look-up is one binary search.
+//! arrays in the order of addresses: range starts (4 bytes for IPv4, 8 for IPv6, whose prefixes have at most 64 bits)
+//! and group indexes (2 bytes). Building the table flattens nested blocks into disjoint ranges, so a
+//! look-up is one binary search.
 
 use std::net::IpAddr;
 
@@ -40,14 +40,15 @@
     ///
     /// # Errors
     ///
-    /// Fails if the text is not an IP address and a prefix length separated by `/`, or if the
-    /// address has bits set beyond the prefix.
+    /// Fails if the text is not an IP address and a prefix length separated by `/`, if the prefix is
+    /// longer than 32 bits for IPv4 or 64 bits for IPv6, or if the address has bits set beyond the
+    /// prefix.
     pub fn parse(text: &str) -> Result<Self, CidrError> {
         let (address, prefix) = text.split_once('/').ok_or(CidrError::MissingPrefix)?;
         let address = address.parse::<IpAddr>().ok().ok_or(CidrError::InvalidAddress)?;
         let prefix_bits = prefix.parse::<u8>().ok().ok_or(CidrError::InvalidPrefix)?;
         let cidr = Self { address, prefix_bits };
-        if prefix_bits > cidr.width_bits() {
+        if prefix_bits > cidr.max_prefix_bits() {
             return Err(CidrError::InvalidPrefix);
         }
         if cidr.first() & (cidr.span() - 1) != 0 || cidr.has_interface_bits() {
@@ -56,7 +57,7 @@
         Ok(cidr)
     }
 
-    fn width_bits(&self) -> u8 {
+    fn max_prefix_bits(&self) -> u8 {
         match self.address {
             IpAddr::V4(_) => 32,
             IpAddr::V6(_) => 64,
@@ -70,20 +71,20 @@
         }
     }
 
-    /// Returns the block's first position in its family's address space.
+    /// Returns the routing bits of the block's first address.
     fn first(&self) -> u128 {
-        position(self.address)
+        routing_bits(self.address)
     }
 
-    /// Returns the number of positions that the block covers.
+    /// Returns the number of different routing bits that the block covers.
     fn span(&self) -> u128 {
-        1 << (self.width_bits() - self.prefix_bits)
+        1 << (self.max_prefix_bits() - self.prefix_bits)
     }
 }
 
-/// Returns an address's position in its family's address space: all 32 bits of an IPv4 address, the
-/// upper 64 bits of an IPv6 address.
-fn position(address: IpAddr) -> u128 {
+/// Returns the bits of an address that the table distinguishes, as an integer: all 32 bits of an
+/// IPv4 address, the upper 64 bits of an IPv6 address.
+fn routing_bits(address: IpAddr) -> u128 {
     match address {
         IpAddr::V4(address) => u128::from(address.to_bits()),
         IpAddr::V6(address) => address.to_bits() >> 64,
@@ -93,6 +94,7 @@
 /// An index into [`BlockTable::groups`], or [`NO_GROUP`].
 type GroupIndex = u16;
 
+/// The index of addresses that no block contains.
 const NO_GROUP: GroupIndex = GroupIndex::MAX;
 
 /// A longest-prefix-match table from addresses to origin groups.
@@ -113,11 +115,11 @@
     /// Panics if the blocks refer to 65,535 groups or more.
     pub fn new(blocks: impl IntoIterator<Item = (Cidr, OriginKey)>) -> Self {
         let mut groups = Vec::new();
-        let mut index_of = crate::hash::Map::default();
+        let mut index_by_origin = crate::hash::Map::default();
         let mut v4 = Vec::new();
         let mut v6 = Vec::new();
         for (cidr, origin) in blocks {
-            let index = *index_of.entry(origin).or_insert_with(|| {
+            let index = *index_by_origin.entry(origin).or_insert_with(|| {
                 groups.push(origin);
                 assert!(groups.len() < usize::from(NO_GROUP), "too many origin groups");
                 (groups.len() - 1) as GroupIndex
@@ -128,8 +130,8 @@
                 IpAddr::V6(_) => v6.push(range),
             }
         }
-        let v4 = split_into_disjoint(v4);
-        let v6 = split_into_disjoint(v6);
+        let v4 = flatten_ranges(v4);
+        let v6 = flatten_ranges(v6);
         Self {
             groups,
             v4_starts: v4.iter().map(|start| start.0 as u32).collect(),
@@ -144,12 +146,14 @@
         let address = address.to_canonical();
         let index = match address {
             IpAddr::V4(address) => find_group(&self.v4_starts, &self.v4_groups, address.to_bits()),
-            IpAddr::V6(_) => find_group(&self.v6_starts, &self.v6_groups, position(address) as u64),
+            IpAddr::V6(_) => {
+                find_group(&self.v6_starts, &self.v6_groups, routing_bits(address) as u64)
+            }
         };
         self.groups.get(usize::from(index)).copied()
     }
 
-    /// Returns the memory that the table's arrays occupy, in bytes.
+    /// Returns the memory that the range starts and group indexes occupy, in bytes.
     pub fn size_bytes(&self) -> usize {
         self.v4_starts.capacity() * 4
             + self.v6_starts.capacity() * 8
@@ -157,10 +161,10 @@
     }
 }
 
-fn find_group<T: Ord + Copy>(starts: &[T], groups: &[GroupIndex], position: T) -> GroupIndex {
-    match starts.partition_point(|start| *start <= position) {
+fn find_group<T: Ord + Copy>(starts: &[T], groups: &[GroupIndex], address_bits: T) -> GroupIndex {
+    match starts.partition_point(|start| *start <= address_bits) {
         0 => NO_GROUP,
-        after => groups[after - 1],
+        count => groups[count - 1],
     }
 }
 
@@ -171,10 +175,11 @@
     index: GroupIndex,
 }
 
-/// Splits nested ranges into sorted range starts, each with the group that applies from there on.
+/// Flattens nested or disjoint ranges into the sorted starts of disjoint ranges, each with the group
+/// of the innermost block.
 ///
 /// CIDR blocks are either nested or disjoint, so a stack of the enclosing ranges suffices.
-fn split_into_disjoint(mut ranges: Vec<BlockRange>) -> Vec<(u128, GroupIndex)> {
+fn flatten_ranges(mut ranges: Vec<BlockRange>) -> Vec<(u128, GroupIndex)> {
     ranges.sort_by(|a, b| a.first.cmp(&b.first).then(b.end.cmp(&a.end)));
     let mut starts = Vec::with_capacity(ranges.len() * 2);
     let mut open: Vec<BlockRange> = Vec::new();
@@ -187,16 +192,17 @@
     starts
 }
 
-fn close_ranges(open: &mut Vec<BlockRange>, position: u128, starts: &mut Vec<(u128, GroupIndex)>) {
-    while let Some(range) = open.pop_if(|range| range.end <= position) {
-        let outer = open.last().map_or(NO_GROUP, |outer| outer.index);
-        push_range_start(starts, range.end, outer);
+/// Ends the open ranges that end at or before `until`; the enclosing range continues after each.
+fn close_ranges(open: &mut Vec<BlockRange>, until: u128, starts: &mut Vec<(u128, GroupIndex)>) {
+    while let Some(range) = open.pop_if(|range| range.end <= until) {
+        let outer_index = open.last().map_or(NO_GROUP, |outer| outer.index);
+        push_range_start(starts, range.end, outer_index);
     }
 }
 
-fn push_range_start(starts: &mut Vec<(u128, GroupIndex)>, position: u128, index: GroupIndex) {
+fn push_range_start(starts: &mut Vec<(u128, GroupIndex)>, start: u128, index: GroupIndex) {
     if let Some(last) = starts.last_mut()
-        && last.0 == position
+        && last.0 == start
     {
         last.1 = index;
         return;
@@ -204,5 +210,5 @@
     if starts.last().is_some_and(|last| last.1 == index) {
         return;
     }
-    starts.push((position, index));
+    starts.push((start, index));
 }
--- a/crates/sedgepath-core/src/clock.rs
+++ b/crates/sedgepath-core/src/clock.rs
@@ -1,7 +1,7 @@
 //! A hybrid logical clock, which gives the events of all processes one causal order.
 //!
 //! See Kulkarni et al., "Logical Physical Clocks" (2014). A timestamp is the largest physical time
-//! seen so far, with a counter for events within the same millisecond. A received message's
+//! seen so far and a counter for events within the same millisecond. A received message's
 //! timestamp is merged into the clock, so an event never precedes one that it depends on, whatever
 //! the clock skew.
 
--- a/crates/sedgepath-core/src/identity.rs
+++ b/crates/sedgepath-core/src/identity.rs
@@ -17,8 +17,8 @@
 
 impl Identity {
     /// Creates an identity whose VM key is derived from the descriptor's name.
-    pub fn new(card: MemberDescriptor, boot: BootId) -> Self {
-        Self { vm: VmKey::of(&card.name), boot, descriptor: card }
+    pub fn new(descriptor: MemberDescriptor, boot: BootId) -> Self {
+        Self { vm: VmKey::of(&descriptor.name), boot, descriptor }
     }
 }
 
@@ -28,7 +28,7 @@
     /// The interval between heartbeats, in milliseconds.
     pub heartbeat_every_ms: u64,
     /// The silence after which a member is suspected, in milliseconds. An upstream lease expires
-    /// this long after the acknowledged heartbeat was sent (T in docs/DESIGN.md).
+    /// this long after the acknowledged heartbeat was sent (T in the rules of [`crate::lease`]).
     pub suspect_after_ms: u64,
     /// The silence after which a member missing from the VM list is removed, in milliseconds.
     pub forget_after_ms: u64,
@@ -41,7 +41,7 @@
     pub head_stale_ms: u64,
     /// The maximum random delay before fetching records from a peer, in milliseconds.
     pub fetch_jitter_ms: u64,
-    /// How long a node that cannot reach the platform listens for members after its start before it
+    /// How long after its start a node that cannot reach the platform waits for members before it
     /// serves with records from a peer, in milliseconds.
     pub boot_wait_ms: u64,
     /// How long callers may cache the answer to a look-up, in milliseconds.
--- a/crates/sedgepath-core/src/rendezvous.rs
+++ b/crates/sedgepath-core/src/rendezvous.rs
@@ -2,7 +2,7 @@
 //!
 //! See Thaler and Ravishankar (1998). Every node ranks the candidates by a hash of candidate and
 //! item, so nodes that know the same candidates agree without messages, and removing a candidate
-//! reassigns only its own items.
+//! reassigns only the items of that candidate.
 
 use crate::key::VmKey;
 
