--- a/crates/sedgepath-wire/src/frame.rs
+++ b/crates/sedgepath-wire/src/frame.rs
@@ -76,7 +76,8 @@
     StoreTickets,
 }
 
-/// The metadata of a request that is forwarded to the home of its ticket, in addition to its HTTP head.
+/// The metadata of a request that is forwarded to the home of its ticket, in addition to the HTTP
+/// head.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HomeRequest {
     /// The boot that minted the ticket, as stated in the ticket.
--- a/crates/sedgepath-yaml/src/tree.rs
+++ b/crates/sedgepath-yaml/src/tree.rs
@@ -63,7 +63,7 @@
     pub value: YamlNode,
 }
 
-/// A syntax error, a repeated key, or a value that is not supported.
+/// A syntax error, a duplicate key, or a key or number that is not supported.
 #[derive(Debug, thiserror::Error)]
 #[error("{message}")]
 pub struct ParseError {
@@ -148,8 +148,8 @@
     }
 
     /// Returns the span that an error report marks for a path: that of a scalar, or else that of the
-    /// key, since sequences and mappings may extend over many lines. A value without a key is marked at its
-    /// first item or key, and a path that does not exist at its longest existing prefix.
+    /// key, since sequences and mappings may extend over many lines. A value without a key is marked
+    /// at its first item or key, and a path that does not exist at its longest existing prefix.
     pub fn span_of(&self, path: &ValuePath) -> Span {
         let mut node = self;
         let mut key_span = None;
--- a/crates/sedgepath-yaml/tests/tree.rs
+++ b/crates/sedgepath-yaml/tests/tree.rs
@@ -34,9 +34,9 @@
     assert_eq!(json[1], r#"{"empty":null,"name":"2"}"#);
 }
 
-/// Guards against a repeated key that silently overrides the earlier value.
+/// Guards against a duplicate key that silently overrides the earlier value.
 #[test]
-fn repeated_keys_are_rejected() {
-    let error = parse("name: a\nname: b\n").expect_err("a repeated key");
+fn duplicate_keys_are_rejected() {
+    let error = parse("name: a\nname: b\n").expect_err("a duplicate key");
     assert_eq!(error.span.offset_bytes, 8, "{error}");
 }
