--- a/crates/sedgepath-core/src/blocks.rs
+++ b/crates/sedgepath-core/src/blocks.rs
@@ -1,9 +1,9 @@
 //! Maps client address blocks to origin groups by longest prefix match.
 //!
 //! Every node holds the whole table, so memory per block matters. Each address family has a pair of
-//! arrays in the order of addresses: range starts (4 bytes for IPv4, 8 for IPv6, whose prefixes have at most 64 bits)
-//! and group indexes (2 bytes). Building the table flattens nested blocks into disjoint ranges, so a
-//! look-up is one binary search.
+//! arrays in the order of addresses: range starts (4 bytes for IPv4, 8 for IPv6, whose prefixes have
+//! at most 64 bits) and group indexes (2 bytes). Building the table flattens nested blocks into
+//! disjoint ranges, so a look-up is one binary search.
 
 use std::net::IpAddr;
 
--- a/crates/sedgepath-core/src/lease/roster.rs
+++ b/crates/sedgepath-core/src/lease/roster.rs
@@ -1,10 +1,10 @@
 //! The roster: the members of the failure domain whose grants a lease requires.
 //!
 //! A member is added when a direct or indirect sign of life arrives, or when the platform lists it.
-//! It is removed when it announces that it has ended its work, or when it is missing from the platform's list and has
-//! been silent for so long that every promise to it and every request of it has ended. Silence
-//! alone never removes a member, since a dead member cannot be distinguished from a partitioned
-//! one.
+//! It is removed when it announces that it has ended its work, or when it is missing from the
+//! platform's list and has been silent for so long that every promise to it and every request of it
+//! has ended. Silence alone never removes a member, since a dead member cannot be distinguished from
+//! a partitioned one.
 
 use std::collections::BTreeMap;
 
--- a/crates/sedgepath-core/src/look_up.rs
+++ b/crates/sedgepath-core/src/look_up.rs
@@ -166,9 +166,9 @@
 
 /// Returns the sort key of a failure domain in a variant's order.
 ///
-/// Implements weighted rendezvous hashing: with `u` uniform from the hash, each domain has the smallest
-/// `-ln(u) / share` with a probability equal to its share. Domains without a share come last, those
-/// of this node's region first among them.
+/// Implements weighted rendezvous hashing: with `u` uniform from the hash, each domain has the
+/// smallest `-ln(u) / share` with a probability equal to its share. Domains without a share come
+/// last, those of this node's region first among them.
 fn domain_sort_key(
     domain: DomainKey,
     shares: &[(DomainKey, f64)],
--- a/crates/sedgepath-core/src/shift/baseline.rs
+++ b/crates/sedgepath-core/src/shift/baseline.rs
@@ -2,7 +2,7 @@
 //!
 //! A new process knows the record's shares but not the progress of a shift. Steering by the record
 //! at once would move its callers' traffic beyond the cap. The node therefore asks its peers and
-//! serves once one of them has answered, or with the record's shares after `MAX_WAIT_MS`.
+//! serves once one of them has sent its shares, or with the record's shares after `MAX_WAIT_MS`.
 
 use crate::key::VmKey;
 use crate::message::{Baseline, Message};
@@ -11,7 +11,7 @@
 
 use super::ShiftLedger;
 
-/// The maximum wait for a peer's answer, in milliseconds.
+/// The maximum wait for a peer's baseline, in milliseconds.
 const MAX_WAIT_MS: u64 = 1_000;
 
 /// The interval between requests, in milliseconds.
@@ -34,7 +34,7 @@
         self.is_finished
     }
 
-    /// Sends requests to peers until one of them has answered or `MAX_WAIT_MS` has passed.
+    /// Sends requests to peers until one of them has sent its baseline or `MAX_WAIT_MS` has passed.
     pub fn tick(&mut self, view: &SystemView<'_>, out: &mut Outbox) {
         if self.is_finished || view.revision == 0 {
             return;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Answers a peer's request if this node has a baseline.
+    /// Sends this node's baseline to a peer that requested it, if this node has one.
     pub fn answer(
         &self,
         sender: VmKey,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Applies the first answer from a peer whose revision is not older than this node's.
+    /// Applies the first baseline from a peer whose revision is not older than this node's.
     pub fn handle_answer(
         &mut self,
         baseline: &Baseline,
--- a/crates/sedgepath-core/src/shift/traffic_split.rs
+++ b/crates/sedgepath-core/src/shift/traffic_split.rs
@@ -162,9 +162,9 @@
 
     /// Moves the shares back toward those of one window ago, as far as the cap requires.
     ///
-    /// Otherwise a burst of requests at the end of a shift would have more weight than the steps assumed.
-    /// If even the old shares exceed the cap, because a wider failover cap was in force, the shares
-    /// stay.
+    /// Otherwise a burst of requests at the end of a shift would have more weight than the steps
+    /// assumed. If even the old shares exceed the cap, because a wider failover cap was in force, the
+    /// shares stay.
     fn step_back(&mut self, pairs: &[WindowPair]) {
         let old_shares = self.history.shares_at_age(BUCKETS_PER_WINDOW);
         if self.is_within_cap(pairs, &old_shares) {
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -187,12 +187,13 @@
         self.follow(origin, |followed| followed.last_shares(&self.bed))
     }
 
-    /// Returns the fraction of requests sent since a time that were answered.
-    fn answered_fraction_since(&self, from_ms: u64) -> f64 {
+    /// Returns the fraction of the requests sent since a time that received a response.
+    fn response_fraction_since(&self, from_ms: u64) -> f64 {
         let sent_calls: Vec<_> =
             self.bed.calls().iter().filter(|call| call.asked_at_ms >= from_ms).collect();
-        let answered = sent_calls.iter().filter(|call| matches!(call.seen, Seen::Answered { .. }));
-        answered.count() as f64 / sent_calls.len() as f64
+        let with_response =
+            sent_calls.iter().filter(|call| matches!(call.seen, Seen::Answered { .. }));
+        with_response.count() as f64 / sent_calls.len() as f64
     }
 
     fn assert_within_cap(&self, cap_percent: f64) {
@@ -224,9 +225,9 @@
     scenario.run_windows(12, &[]);
     scenario.assert_within_cap(CAP_PERCENT);
     assert!(
-        scenario.answered_fraction_since(from_ms) > 0.999,
+        scenario.response_fraction_since(from_ms) > 0.999,
         "{}",
-        scenario.answered_fraction_since(from_ms)
+        scenario.response_fraction_since(from_ms)
     );
     let shares = scenario.last_shares(0);
     assert!(
@@ -244,7 +245,7 @@
     scenario.run_windows(8, &[]);
     scenario.assert_within_cap(CAP_PERCENT);
     assert!(scenario.last_shares(0)[0] < 0.01);
-    assert!(scenario.answered_fraction_since(scenario.bed.now_ms() - WINDOW_MS) > 0.98);
+    assert!(scenario.response_fraction_since(scenario.bed.now_ms() - WINDOW_MS) > 0.98);
 }
 
 /// Guards against failures of single upstreams that move traffic faster than the cap.
@@ -265,7 +266,7 @@
     scenario.kill_domain(0);
     scenario.run_windows(9, &[]);
     scenario.assert_within_cap(CAP_PERCENT);
-    assert!(scenario.answered_fraction_since(scenario.bed.now_ms() - WINDOW_MS) > 0.98);
+    assert!(scenario.response_fraction_since(scenario.bed.now_ms() - WINDOW_MS) > 0.98);
 }
 
 /// Guards against a failover of two domains at once that exceeds the cap or never completes.
@@ -276,7 +277,7 @@
     scenario.kill_domain(1);
     scenario.run_windows(14, &[]);
     scenario.assert_within_cap(CAP_PERCENT);
-    assert!(scenario.answered_fraction_since(scenario.bed.now_ms() - WINDOW_MS) > 0.98);
+    assert!(scenario.response_fraction_since(scenario.bed.now_ms() - WINDOW_MS) > 0.98);
 }
 
 /// Guards against spill from full upstreams, and its return, that exceed the cap.
@@ -365,5 +366,5 @@
     scenario.run_windows(4, &[]);
     scenario.assert_within_cap(30.0);
     assert!(scenario.max_moved_percent() > CAP_PERCENT);
-    assert!(scenario.answered_fraction_since(scenario.bed.now_ms() - WINDOW_MS) > 0.98);
+    assert!(scenario.response_fraction_since(scenario.bed.now_ms() - WINDOW_MS) > 0.98);
 }
