--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Seen {
     /// No result yet.
-    Waiting,
+    Pending,
     /// The complete response of an upstream.
     Answered {
         /// The upstream that sent the response.
@@ -473,7 +473,7 @@
             asked_at_ms: now_ms,
             seen_at_ms: now_ms,
             head: head.clone(),
-            seen: Seen::Waiting,
+            seen: Seen::Pending,
         });
         if self.nodes[node].node.is_none() {
             self.record_result(call, Seen::ConnectionLost);
@@ -600,7 +600,7 @@
     }
 
     fn record_result(&mut self, call: CallIndex, result: Seen) {
-        if self.calls[call].seen == Seen::Waiting {
+        if self.calls[call].seen == Seen::Pending {
             self.calls[call].seen = result;
             self.calls[call].seen_at_ms = self.now_ms;
         }
--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -158,7 +158,7 @@
         let class = if paying { &mut stats.paying } else { &mut stats.trial };
         class.asked += 1;
         match &call.seen {
-            Seen::Waiting => stats.waiting += 1,
+            Seen::Pending => stats.waiting += 1,
             Seen::Answered { .. } => {
                 class.answered += 1;
                 class.in_time += usize::from(call.seen_at_ms <= call.head.deadline_at_ms);
