--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -44,7 +44,7 @@
 
 /// Returns the number of requests that callers sent since `from_ms`, and how many got a response.
 fn count_sent_and_answered(bed: &Bed, from_ms: u64) -> (usize, usize) {
-    let calls = bed.calls().iter().filter(|call| call.asked_at_ms >= from_ms);
+    let calls = bed.calls().iter().filter(|call| call.sent_at_ms >= from_ms);
     let answered = calls.clone().filter(|call| matches!(call.seen, Seen::Answered { .. })).count();
     (calls.count(), answered)
 }
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -190,7 +190,7 @@
     /// Returns the fraction of the requests sent since a time that received a response.
     fn response_fraction_since(&self, from_ms: u64) -> f64 {
         let sent_calls: Vec<_> =
-            self.bed.calls().iter().filter(|call| call.asked_at_ms >= from_ms).collect();
+            self.bed.calls().iter().filter(|call| call.sent_at_ms >= from_ms).collect();
         let with_response =
             sent_calls.iter().filter(|call| matches!(call.seen, Seen::Answered { .. }));
         with_response.count() as f64 / sent_calls.len() as f64
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -99,7 +99,7 @@
     /// The node that received the request.
     pub node: NodeIndex,
     /// When the request was sent, in milliseconds of the simulated clock.
-    pub asked_at_ms: u64,
+    pub sent_at_ms: u64,
     /// When the result arrived, in milliseconds of the simulated clock.
     pub seen_at_ms: u64,
     /// The head of the request.
@@ -470,7 +470,7 @@
         let now_ms = self.now_ms;
         self.calls.push(Call {
             node,
-            asked_at_ms: now_ms,
+            sent_at_ms: now_ms,
             seen_at_ms: now_ms,
             head: head.clone(),
             seen: Seen::Pending,
--- a/crates/sedgepath-test-support/src/moves.rs
+++ b/crates/sedgepath-test-support/src/moves.rs
@@ -95,7 +95,7 @@
     fn splits_by_bin<'s>(&self, splits: &'s [Vec<f64>], bed: &Bed) -> Vec<Vec<&'s [f64]>> {
         let mut bins = vec![Vec::new(); self.bin_count(bed)];
         for (index, shares) in splits.iter().enumerate() {
-            let asked_at_ms = bed.calls()[index].asked_at_ms;
+            let asked_at_ms = bed.calls()[index].sent_at_ms;
             if self.includes_call(bed, index)
                 && let Some(bin) = self.bin_at(asked_at_ms).and_then(|bin| bins.get_mut(bin))
             {
@@ -131,7 +131,7 @@
         let includes_call = |call: usize| self.includes_call(bed, call);
         let calls = bed.calls().iter().enumerate();
         for (_, asked) in calls.filter(|(call, _)| includes_call(*call)) {
-            if let Some(bin) = self.bin_at(asked.asked_at_ms).and_then(|bin| bins.get_mut(bin)) {
+            if let Some(bin) = self.bin_at(asked.sent_at_ms).and_then(|bin| bins.get_mut(bin)) {
                 bin.requested += 1.0;
             }
         }
