--- a/crates/sedgepath-core/examples/once_figures.rs
+++ b/crates/sedgepath-core/examples/once_figures.rs
@@ -79,7 +79,7 @@
 /// Returns the latencies of the calls with a response, in milliseconds.
 fn latencies_ms(bed: &Bed) -> Vec<u64> {
     let answered = bed.calls().iter().filter(|call| matches!(call.seen, Seen::Answered { .. }));
-    answered.map(|call| call.seen_at_ms - call.sent_at_ms).collect()
+    answered.map(|call| call.ended_at_ms - call.sent_at_ms).collect()
 }
 
 fn percentiles(mut values: Vec<u64>) -> String {
--- a/crates/sedgepath-core/examples/policy/report.rs
+++ b/crates/sedgepath-core/examples/policy/report.rs
@@ -33,7 +33,7 @@
         let measured = run.bed.calls().iter().filter(|call| call.sent_at_ms >= run.event_at_ms);
         for call in measured {
             let class = class_index(call.head.key_digest);
-            let took_ms = call.seen_at_ms - call.sent_at_ms + 2 * run.deployment.client_latency_ms;
+            let took_ms = call.ended_at_ms - call.sent_at_ms + 2 * run.deployment.client_latency_ms;
             self.requests[class] += 1.0;
             match &call.seen {
                 Seen::Answered { .. } => {
--- a/crates/sedgepath-core/tests/claims.rs
+++ b/crates/sedgepath-core/tests/claims.rs
@@ -271,7 +271,7 @@
         let not_run = matches!(call.seen, Seen::Concluded(Outcome::NotRun { .. }));
         let unknown = matches!(call.seen, Seen::Concluded(Outcome::Unknown { .. }));
         assert!(if number % 2 == 0 { not_run } else { unknown }, "{:?}", call.seen);
-        assert!(call.seen_at_ms - call.sent_at_ms <= 50, "{call:?}");
+        assert!(call.ended_at_ms - call.sent_at_ms <= 50, "{call:?}");
     }
     assert_holds(&settle(&mut bed));
     assert!(bed.upstreams.runs_by_key().is_empty());
--- a/crates/sedgepath-core/tests/retry.rs
+++ b/crates/sedgepath-core/tests/retry.rs
@@ -120,7 +120,7 @@
     let calls = send(&mut bed, 30, true);
     for call in calls {
         let seen = &bed.calls()[call];
-        assert!(seen.seen_at_ms - seen.sent_at_ms < 100, "{seen:?}");
+        assert!(seen.ended_at_ms - seen.sent_at_ms < 100, "{seen:?}");
         let Seen::Concluded(Outcome::NotRun { refusal, others }) = &seen.seen else {
             panic!("{seen:?}");
         };
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -101,7 +101,7 @@
     /// When the request was sent, in milliseconds of the simulated clock.
     pub sent_at_ms: u64,
     /// When the result arrived, in milliseconds of the simulated clock.
-    pub seen_at_ms: u64,
+    pub ended_at_ms: u64,
     /// The head of the request.
     pub head: RequestHead,
     /// The result that the caller observed.
@@ -471,7 +471,7 @@
         self.calls.push(Call {
             node,
             sent_at_ms: now_ms,
-            seen_at_ms: now_ms,
+            ended_at_ms: now_ms,
             head: head.clone(),
             seen: Seen::Pending,
         });
@@ -602,7 +602,7 @@
     fn record_result(&mut self, call: CallIndex, result: Seen) {
         if self.calls[call].seen == Seen::Pending {
             self.calls[call].seen = result;
-            self.calls[call].seen_at_ms = self.now_ms;
+            self.calls[call].ended_at_ms = self.now_ms;
         }
     }
 
--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -153,7 +153,7 @@
 pub fn summarize(calls: &[Call]) -> LoadSeen {
     let mut stats = LoadSeen::default();
     for call in calls {
-        let took_ms = call.seen_at_ms - call.sent_at_ms;
+        let took_ms = call.ended_at_ms - call.sent_at_ms;
         let paying = call.head.key_digest == Some(records::key_digest("payer-key"));
         let class = if paying { &mut stats.paying } else { &mut stats.trial };
         class.asked += 1;
@@ -161,7 +161,7 @@
             Seen::Pending => stats.waiting += 1,
             Seen::Answered { .. } => {
                 class.answered += 1;
-                class.in_time += usize::from(call.seen_at_ms <= call.head.deadline_at_ms);
+                class.in_time += usize::from(call.ended_at_ms <= call.head.deadline_at_ms);
                 class.response_ms.push(took_ms);
             }
             Seen::Concluded(Outcome::NotRun { .. }) => {
