--- a/crates/sedgepath-core/examples/once_figures.rs
+++ b/crates/sedgepath-core/examples/once_figures.rs
@@ -66,7 +66,7 @@
         for seed in 0..SEEDS {
             let mut bed = bed(seed);
             for call in run(&mut bed, tickets, 200, Some(LOAD_MS / 2)) {
-                counts[outcome_column(&bed.calls()[call].seen)] += 1;
+                counts[outcome_column(&bed.calls()[call].result)] += 1;
             }
             assert!(bed.upstreams.runs_by_key().values().all(|runs| *runs == 1), "a second run");
         }
@@ -78,7 +78,7 @@
 
 /// Returns the latencies of the calls with a response, in milliseconds.
 fn latencies_ms(bed: &Bed) -> Vec<u64> {
-    let answered = bed.calls().iter().filter(|call| matches!(call.seen, Seen::Answered { .. }));
+    let answered = bed.calls().iter().filter(|call| matches!(call.result, Seen::Answered { .. }));
     answered.map(|call| call.ended_at_ms - call.sent_at_ms).collect()
 }
 
@@ -154,8 +154,8 @@
     for _ in 0..20 {
         bed.run_for(1_000);
         for (last, attempt) in latest.iter_mut().zip(&mut attempts) {
-            let Seen::Answered { .. } = bed.calls()[*last].seen else {
-                if outcome_column(&bed.calls()[*last].seen) != 0 {
+            let Seen::Answered { .. } = bed.calls()[*last].result else {
+                if outcome_column(&bed.calls()[*last].result) != 0 {
                     *attempt += 1;
                     let deduplication = bed.calls()[*last].head.deduplication;
                     *last = send_call(bed, 1 + *last % (NODES - 1), deduplication, *attempt);
--- a/crates/sedgepath-core/examples/policy/report.rs
+++ b/crates/sedgepath-core/examples/policy/report.rs
@@ -35,7 +35,7 @@
             let class = class_index(call.head.key_digest);
             let took_ms = call.ended_at_ms - call.sent_at_ms + 2 * run.deployment.client_latency_ms;
             self.requests[class] += 1.0;
-            match &call.seen {
+            match &call.result {
                 Seen::Answered { .. } => {
                     self.response_ms[class].push(took_ms);
                     self.in_time[class] += f64::from(u8::from(took_ms <= DEADLINE_MS));
--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -299,7 +299,7 @@
     let calls = load::run(&mut bed, load, 5_000);
     assert_eq!(calls.paying.answered, calls.paying.asked);
     assert_eq!(calls.trial.answered, calls.trial.asked);
-    assert!(bed.calls().iter().all(|call| call.seen != Seen::Pending));
+    assert!(bed.calls().iter().all(|call| call.result != Seen::Pending));
 }
 
 /// The actual state of a call at the upstream, whether or not the owner knows it.
--- a/crates/sedgepath-core/tests/configuration_change.rs
+++ b/crates/sedgepath-core/tests/configuration_change.rs
@@ -304,8 +304,8 @@
     let head = guest_request("browse", bed.now_ms() + 2_000);
     let call = bed.call(0, head);
     assert_eq!(look_up(&mut bed, 0, "browse"), Err(LookUpError::Configuration));
-    let Seen::Concluded(Outcome::NotRun { refusal, .. }) = &bed.calls()[call].seen else {
-        panic!("{:?}", bed.calls()[call].seen);
+    let Seen::Concluded(Outcome::NotRun { refusal, .. }) = &bed.calls()[call].result else {
+        panic!("{:?}", bed.calls()[call].result);
     };
     assert_eq!(refusal.reason, RejectionReason::NotReady);
 }
--- a/crates/sedgepath-core/tests/drain.rs
+++ b/crates/sedgepath-core/tests/drain.rs
@@ -197,7 +197,7 @@
         bed.write_records(&all);
         run_load(&mut bed, 60_000);
         bed.run_for(2_000);
-        let rejected = bed.calls().iter().filter(|call| matches!(call.seen, Seen::Concluded(_)));
+        let rejected = bed.calls().iter().filter(|call| matches!(call.result, Seen::Concluded(_)));
         assert_eq!(rejected.count(), 0, "seed {seed}");
         let moved_ms = plan.groups[0].steps.last().expect("a plan has steps").at_ms;
         let runs = bed.upstreams.iter().filter(|(key, _)| *key != UpstreamKey::of("b3"));
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -45,7 +45,8 @@
 /// Returns the number of requests that callers sent since `from_ms`, and how many got a response.
 fn count_sent_and_answered(bed: &Bed, from_ms: u64) -> (usize, usize) {
     let calls = bed.calls().iter().filter(|call| call.sent_at_ms >= from_ms);
-    let answered = calls.clone().filter(|call| matches!(call.seen, Seen::Answered { .. })).count();
+    let answered =
+        calls.clone().filter(|call| matches!(call.result, Seen::Answered { .. })).count();
     (calls.count(), answered)
 }
 
@@ -54,7 +55,7 @@
     let runs = bed.upstreams.get("u1").runs.clone();
     for run in runs {
         let call = run.call.expect("the run's owner was not killed");
-        let seen = &bed.calls()[call].seen;
+        let seen = &bed.calls()[call].result;
         assert!(matches!(seen, Seen::Answered { .. }), "{seen:?}");
     }
 }
--- a/crates/sedgepath-core/tests/once_support/callers.rs
+++ b/crates/sedgepath-core/tests/once_support/callers.rs
@@ -24,7 +24,7 @@
 
     /// Sends the next attempt if the caller has no response one second after the last attempt.
     pub fn poll(&mut self, bed: &mut Bed) {
-        if bed.now_ms() < self.retry_at_ms || is_answered(&bed.calls()[self.call].seen) {
+        if bed.now_ms() < self.retry_at_ms || is_answered(&bed.calls()[self.call].result) {
             return;
         }
         let node = (bed.calls()[self.call].node + 1) % bed.node_count();
--- a/crates/sedgepath-core/tests/once_support/mod.rs
+++ b/crates/sedgepath-core/tests/once_support/mod.rs
@@ -86,7 +86,7 @@
     let mut calls_by_key: BTreeMap<String, Vec<CallIndex>> = BTreeMap::new();
     for (index, call) in bed.calls().iter().enumerate() {
         calls_by_key.entry(format!("{:?}", call.head.deduplication)).or_default().push(index);
-        if is_not_run(&call.seen) {
+        if is_not_run(&call.result) {
             verdict.ran_after_not_run += usize::from(bed.upstreams.runs_of(index) > 0);
         }
     }
@@ -99,7 +99,7 @@
 fn evaluate_key(bed: &Bed, calls: &[CallIndex], verdict: &mut Verdict) {
     let ran = calls.iter().find(|call| bed.upstreams.runs_of(**call) > 0);
     for call in calls {
-        if let Seen::Concluded(Outcome::Repeated(stored)) = &bed.calls()[*call].seen {
+        if let Seen::Concluded(Outcome::Repeated(stored)) = &bed.calls()[*call].result {
             let expected = ran.map(|ran| format!("call {ran}"));
             verdict.wrong_responses += usize::from(expected.as_deref() != Some(&*stored.body));
         }
@@ -109,11 +109,11 @@
     let numbered_runs =
         calls.iter().filter(|call| attempt(call) > 0 && bed.upstreams.runs_of(**call) > 0);
     let first_run_attempt = numbered_runs.map(attempt).min().unwrap_or(u32::MAX);
-    let not_run = calls.iter().filter(|call| is_not_run(&bed.calls()[**call].seen));
+    let not_run = calls.iter().filter(|call| is_not_run(&bed.calls()[**call].result));
     verdict.not_run_despite_run +=
         not_run.filter(|call| attempt(call) >= first_run_attempt).count();
     let newest = &bed.calls()[calls[calls.len() - 1]];
-    match &newest.seen {
+    match &newest.result {
         seen if is_answered(seen) => verdict.answered += 1,
         Seen::Concluded(Outcome::NotRun { .. }) => verdict.not_run += 1,
         _ => verdict.unknown += 1,
--- a/crates/sedgepath-core/tests/path.rs
+++ b/crates/sedgepath-core/tests/path.rs
@@ -33,7 +33,7 @@
     }
     bed.run_for(3_000);
     let answered =
-        bed.calls().iter().filter(|call| matches!(call.seen, Seen::Answered { .. })).count();
+        bed.calls().iter().filter(|call| matches!(call.result, Seen::Answered { .. })).count();
     assert_eq!(answered, 60, "{:?}", bed.calls().last());
     let runs: Vec<usize> = bed.upstreams.iter().map(|(_, upstream)| upstream.runs.len()).collect();
     assert_eq!(runs.iter().sum::<usize>(), 60);
--- a/crates/sedgepath-core/tests/retry.rs
+++ b/crates/sedgepath-core/tests/retry.rs
@@ -54,7 +54,7 @@
 }
 
 fn count(bed: &Bed, calls: &[CallIndex], matches_seen: impl Fn(&Seen) -> bool) -> usize {
-    calls.iter().filter(|call| matches_seen(&bed.calls()[**call].seen)).count()
+    calls.iter().filter(|call| matches_seen(&bed.calls()[**call].result)).count()
 }
 
 fn is_answered(seen: &Seen) -> bool {
@@ -121,7 +121,7 @@
     for call in calls {
         let seen = &bed.calls()[call];
         assert!(seen.ended_at_ms - seen.sent_at_ms < 100, "{seen:?}");
-        let Seen::Concluded(Outcome::NotRun { refusal, others }) = &seen.seen else {
+        let Seen::Concluded(Outcome::NotRun { refusal, others }) = &seen.result else {
             panic!("{seen:?}");
         };
         assert!(refusal.retry_after_ms > 0 && refusal.retry_after_ms <= 500, "{refusal:?}");
@@ -137,8 +137,8 @@
     let late = RequestHead { deadline_at_ms: bed.now_ms() - 1, ..head(&bed, true) };
     let call = bed.call(0, late);
     bed.run_for(1_000);
-    let Seen::Concluded(Outcome::NotRun { refusal, .. }) = &bed.calls()[call].seen else {
-        panic!("{:?}", bed.calls()[call].seen);
+    let Seen::Concluded(Outcome::NotRun { refusal, .. }) = &bed.calls()[call].result else {
+        panic!("{:?}", bed.calls()[call].result);
     };
     assert_eq!(refusal.reason, RejectionReason::Deadline);
     assert_eq!(bed.upstreams.runs_of(call), 0);
@@ -190,8 +190,8 @@
     bed.run_for(3_000);
     let calls = send(&mut bed, 6, true);
     for call in calls {
-        let Seen::Concluded(Outcome::NotRun { refusal, .. }) = &bed.calls()[call].seen else {
-            panic!("{:?}", bed.calls()[call].seen);
+        let Seen::Concluded(Outcome::NotRun { refusal, .. }) = &bed.calls()[call].result else {
+            panic!("{:?}", bed.calls()[call].result);
         };
         assert_eq!(refusal.reason, RejectionReason::Configuration);
     }
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -192,7 +192,7 @@
         let sent_calls: Vec<_> =
             self.bed.calls().iter().filter(|call| call.sent_at_ms >= from_ms).collect();
         let with_response =
-            sent_calls.iter().filter(|call| matches!(call.seen, Seen::Answered { .. }));
+            sent_calls.iter().filter(|call| matches!(call.result, Seen::Answered { .. }));
         with_response.count() as f64 / sent_calls.len() as f64
     }
 
--- a/crates/sedgepath-core/tests/tickets.rs
+++ b/crates/sedgepath-core/tests/tickets.rs
@@ -29,7 +29,7 @@
     let head = head(bed, ticket, attempt);
     let call = bed.call(node, head);
     bed.run_for(500);
-    bed.calls()[call].seen.clone()
+    bed.calls()[call].result.clone()
 }
 
 fn is_rejected(seen: &Seen, reason: RejectionReason) -> bool {
@@ -64,7 +64,7 @@
         other.digest = Digest::of(&[b"another request"]);
         let call = bed.call(node, other);
         bed.run_for(100);
-        assert_eq!(bed.calls()[call].seen, Seen::Concluded(Outcome::KeyReused));
+        assert_eq!(bed.calls()[call].result, Seen::Concluded(Outcome::KeyReused));
     }
     assert_eq!(evaluate(&bed).ran_twice, 0);
 }
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -105,7 +105,7 @@
     /// The head of the request.
     pub head: RequestHead,
     /// The result that the caller observed.
-    pub seen: Seen,
+    pub result: Seen,
 }
 
 #[derive(Debug)]
@@ -473,7 +473,7 @@
             sent_at_ms: now_ms,
             ended_at_ms: now_ms,
             head: head.clone(),
-            seen: Seen::Pending,
+            result: Seen::Pending,
         });
         if self.nodes[node].node.is_none() {
             self.record_result(call, Seen::ConnectionLost);
@@ -600,8 +600,8 @@
     }
 
     fn record_result(&mut self, call: CallIndex, result: Seen) {
-        if self.calls[call].seen == Seen::Pending {
-            self.calls[call].seen = result;
+        if self.calls[call].result == Seen::Pending {
+            self.calls[call].result = result;
             self.calls[call].ended_at_ms = self.now_ms;
         }
     }
--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -157,7 +157,7 @@
         let paying = call.head.key_digest == Some(records::key_digest("payer-key"));
         let class = if paying { &mut stats.paying } else { &mut stats.trial };
         class.asked += 1;
-        match &call.seen {
+        match &call.result {
             Seen::Pending => stats.waiting += 1,
             Seen::Answered { .. } => {
                 class.answered += 1;
