--- a/crates/sedgepath-core/examples/policy/scenario.rs
+++ b/crates/sedgepath-core/examples/policy/scenario.rs
@@ -296,7 +296,7 @@
             .filter(|(until_ms, _)| *until_ms > self.bed.now_ms());
         if cached.is_none() {
             let is_remote = |node: &NodeIndex| node % DOMAINS % REGIONS != region;
-            let mut nodes: Vec<_> = (0..NODES).filter(|node| self.bed.runs(*node)).collect();
+            let mut nodes: Vec<_> = (0..NODES).filter(|node| self.bed.is_running(*node)).collect();
             nodes.sort_by_key(is_remote);
             let look_up =
                 LookUp { service: service.into(), source: IpAddr::V4(source), revision_seen: 0 };
@@ -308,6 +308,6 @@
             self.entry_vms_by_caller.insert(source, (until_ms, entry_vms));
         }
         let (_, entry_vms) = self.entry_vms_by_caller.get(&source)?;
-        entry_vms.iter().copied().find(|node| self.bed.runs(*node))
+        entry_vms.iter().copied().find(|node| self.bed.is_running(*node))
     }
 }
--- a/crates/sedgepath-core/tests/fuzz_once.rs
+++ b/crates/sedgepath-core/tests/fuzz_once.rs
@@ -177,7 +177,7 @@
             Step::Start(node) if bed.node(node).is_none() => bed.start(node),
             Step::Pause(node) => bed.pause(node),
             Step::Resume(node) => bed.wake(node),
-            Step::Stop(node) if bed.runs(node) => bed.stop(node),
+            Step::Stop(node) if bed.is_running(node) => bed.stop(node),
             Step::Start(_) | Step::Stop(_) => {}
             Step::SkewClock { node, skew_ms } => bed.set_skew_ms(node, skew_ms),
             Step::CutNodes(a, b) => bed.faults.cut(Place::Node(a), Place::Node(b)),
--- a/crates/sedgepath-core/tests/lease.rs
+++ b/crates/sedgepath-core/tests/lease.rs
@@ -215,7 +215,7 @@
         bed.list_node(1, false);
         bed.stop(second);
         load(&mut bed, 16_000);
-        assert!(bed.has_stopped(second) && bed.runs(third));
+        assert!(bed.has_stopped(second) && bed.is_running(third));
         bed.list_node(second, false);
         assert_within_slots_and_fully_used(&mut bed, "joined and left");
     }
@@ -270,7 +270,7 @@
             let name = format!("late{}", bed.node_count());
             bed.add_node(&name, "near");
         }
-        9 if node > 1 && bed.runs(node) => bed.stop(node),
+        9 if node > 1 && bed.is_running(node) => bed.stop(node),
         _ => {}
     }
 }
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -22,7 +22,8 @@
 /// Sends a request every 25 ms to one of the running nodes in offset.
 fn run_load(bed: &mut Bed, duration_ms: u64) {
     for step in 0..duration_ms / 25 {
-        let node = (0..3).map(|offset| (step as usize + offset) % 3).find(|node| bed.runs(*node));
+        let node =
+            (0..3).map(|offset| (step as usize + offset) % 3).find(|node| bed.is_running(*node));
         let head = load::head(bed, Class::Paying, 1_000);
         bed.call(node.expect("a node runs"), head);
         bed.run_for(25);
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -112,7 +112,7 @@
                 source: IpAddr::V4(source),
                 ..self.bed.head("browse")
             };
-            if self.bed.runs(node) {
+            if self.bed.is_running(node) {
                 self.bed.call(node, head);
                 self.standing_shares.push(self.standing_shares_at(node, source));
             }
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -343,7 +343,7 @@
     }
 
     /// Returns whether a node is running and not paused.
-    pub fn runs(&self, node: NodeIndex) -> bool {
+    pub fn is_running(&self, node: NodeIndex) -> bool {
         self.nodes[node].node.is_some() && !self.nodes[node].paused
     }
 
@@ -490,7 +490,7 @@
     /// Requests tickets from a node; returns none if it rejects the request or is not running.
     pub fn mint(&mut self, node: NodeIndex, service: &str, count: u32) -> Vec<Ticket> {
         self.minted_tickets.clear();
-        if self.runs(node) {
+        if self.is_running(node) {
             let reply = ReplyKey(self.next_key());
             self.handle(node, Event::MintTickets { reply, service: service.into(), count });
         }
--- a/crates/sedgepath-test-support/src/bed/platform.rs
+++ b/crates/sedgepath-test-support/src/bed/platform.rs
@@ -85,7 +85,7 @@
     ) {
         let target = self.nodes.iter().position(|slot| slot.descriptor.operator_address == from);
         let reached =
-            target.filter(|target| self.can_connect(index, *target) && self.runs(*target));
+            target.filter(|target| self.can_connect(index, *target) && self.is_running(*target));
         let page = reached.and_then(|target| self.node(target)).map(|node| node.page(after));
         let bytes = page.as_ref().map_or(0, |page| serde_json::json!(page).to_string().len());
         self.nodes[index].traffic.fetches += 1;
@@ -102,7 +102,8 @@
         tickets: TicketHandover,
     ) {
         let target = self.nodes.iter().position(|slot| VmKey::of(&slot.name) == to);
-        let target = target.filter(|target| self.can_connect(index, *target) && self.runs(*target));
+        let target =
+            target.filter(|target| self.can_connect(index, *target) && self.is_running(*target));
         if let Some(target) = target {
             self.handle(target, Event::TicketsReceived(tickets));
         }
