--- a/crates/sedgepath-core/tests/fuzz_configuration.rs
+++ b/crates/sedgepath-core/tests/fuzz_configuration.rs
@@ -200,7 +200,7 @@
             Step::Start(node) if self.bed.node(*node).is_none() => self.bed.start(*node),
             Step::RetryChange { .. } | Step::Start(_) => {}
             Step::Pause(node) => self.bed.pause(*node),
-            Step::Resume(node) => self.bed.wake(*node),
+            Step::Resume(node) => self.bed.resume(*node),
             Step::CutNodes(a, b) => self.bed.faults.cut(Place::Node(*a), Place::Node(*b)),
             Step::CutPlatform(node) => self.bed.faults.cut(Place::Node(*node), Place::Platform),
             Step::Heal => self.bed.faults.heal_all(),
@@ -275,7 +275,7 @@
             if self.bed.node(node).is_none() {
                 self.bed.start(node);
             }
-            self.bed.wake(node);
+            self.bed.resume(node);
         }
         self.bed.run_for(SETTLE_MS);
         self.check_look_ups();
--- a/crates/sedgepath-core/tests/fuzz_once.rs
+++ b/crates/sedgepath-core/tests/fuzz_once.rs
@@ -176,7 +176,7 @@
             Step::Kill(node) => bed.kill(node),
             Step::Start(node) if bed.node(node).is_none() => bed.start(node),
             Step::Pause(node) => bed.pause(node),
-            Step::Resume(node) => bed.wake(node),
+            Step::Resume(node) => bed.resume(node),
             Step::Stop(node) if bed.is_running(node) => bed.stop(node),
             Step::Start(_) | Step::Stop(_) => {}
             Step::SkewClock { node, skew_ms } => bed.set_skew_ms(node, skew_ms),
--- a/crates/sedgepath-core/tests/lease.rs
+++ b/crates/sedgepath-core/tests/lease.rs
@@ -178,7 +178,7 @@
         load(&mut bed, 2_000);
         bed.pause(1);
         load(&mut bed, paused_ms);
-        bed.wake(1);
+        bed.resume(1);
         load(&mut bed, 14_000);
         bed.faults.pause_before_send_ms = 0;
         load(&mut bed, 5_000);
@@ -240,7 +240,7 @@
         bed.faults.loss_percent = 0;
         bed.faults.pause_before_send_ms = 0;
         for node in 1..bed.node_count() {
-            bed.wake(node);
+            bed.resume(node);
             if bed.node(node).is_none() && !bed.has_stopped(node) {
                 bed.start(node);
             }
@@ -264,7 +264,7 @@
         4 => bed.faults.cut(Place::Node(node), Place::Node(other)),
         5 => bed.faults.heal_all(),
         6 => bed.pause(node),
-        7 => bed.wake(node),
+        7 => bed.resume(node),
         8 => bed.faults.pause_before_send_ms = random.u64(0..500),
         9 if bed.node_count() < 6 => {
             let name = format!("late{}", bed.node_count());
--- a/crates/sedgepath-core/tests/once_support/callers.rs
+++ b/crates/sedgepath-core/tests/once_support/callers.rs
@@ -79,8 +79,8 @@
     match number {
         20 | 40 => bed.pause(number / 20),
         180 => {
-            bed.wake(1);
-            bed.wake(2);
+            bed.resume(1);
+            bed.resume(2);
         }
         _ => {}
     }
--- a/crates/sedgepath-core/tests/once_support/mod.rs
+++ b/crates/sedgepath-core/tests/once_support/mod.rs
@@ -126,7 +126,7 @@
     bed.faults.lost_answers_percent = 0;
     bed.faults.heal_all();
     for node in 0..bed.node_count() {
-        bed.wake(node);
+        bed.resume(node);
         if bed.node(node).is_none() {
             bed.start(node);
         }
--- a/crates/sedgepath-core/tests/tickets.rs
+++ b/crates/sedgepath-core/tests/tickets.rs
@@ -205,7 +205,7 @@
     assert!(is_not_run(&send(&mut bed, 2, ticket, 2)));
     bed.upstreams.get("d1").refuses = false;
     bed.upstreams.get("d2").refuses = false;
-    bed.wake(0);
+    bed.resume(0);
     bed.run_for(1_000);
     assert!(bed.upstreams.runs_by_key().is_empty());
     assert_holds(&evaluate(&bed));
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -400,13 +400,13 @@
         }
     }
 
-    /// Suspends a node: it handles nothing until [`Self::wake`].
+    /// Suspends a node: it handles nothing until [`Self::resume`].
     pub fn pause(&mut self, index: NodeIndex) {
         self.nodes[index].paused = true;
     }
 
     /// Resumes a paused node; events that arrived during the pause are delivered immediately.
-    pub fn wake(&mut self, index: NodeIndex) {
+    pub fn resume(&mut self, index: NodeIndex) {
         self.nodes[index].paused = false;
         let held = std::mem::take(&mut self.nodes[index].held_items);
         for item in held {
