--- a/crates/sedgepath-core/tests/lease.rs
+++ b/crates/sedgepath-core/tests/lease.rs
@@ -119,7 +119,7 @@
         load(&mut bed, 14_000);
         let used = utilization_percent(&mut bed, 8_000);
         assert!((55..=72).contains(&used), "two of three shares should be used, not {used}%");
-        bed.list_node(killed, false);
+        bed.set_node_listed(killed, false);
         load(&mut bed, 9_000);
         assert_within_slots_and_fully_used(&mut bed, "killed");
     }
@@ -212,11 +212,11 @@
         bed.stop(1);
         load(&mut bed, 16_000);
         assert!(bed.has_stopped(1));
-        bed.list_node(1, false);
+        bed.set_node_listed(1, false);
         bed.stop(second);
         load(&mut bed, 16_000);
         assert!(bed.has_stopped(second) && bed.is_running(third));
-        bed.list_node(second, false);
+        bed.set_node_listed(second, false);
         assert_within_slots_and_fully_used(&mut bed, "joined and left");
     }
 }
@@ -247,7 +247,7 @@
         }
         load(&mut bed, 20_000);
         for node in 1..bed.node_count() {
-            bed.list_node(node, !bed.has_stopped(node));
+            bed.set_node_listed(node, !bed.has_stopped(node));
         }
         load(&mut bed, 14_000);
         assert_within_slots_and_fully_used(&mut bed, &format!("seed {seed}"));
--- a/crates/sedgepath-core/tests/membership.rs
+++ b/crates/sedgepath-core/tests/membership.rs
@@ -94,7 +94,7 @@
     for node in 1..9 {
         assert_eq!(vms_accepting_work(&bed, node).len(), 8, "node {node}");
     }
-    bed.list_node(0, false);
+    bed.set_node_listed(0, false);
     bed.run_for(70_000);
     let removal_count =
         bed.log().iter().filter(|(_, entry)| &*entry.event == "member_gone").count();
@@ -109,7 +109,7 @@
 #[test]
 fn a_live_unlisted_member_is_kept() {
     let mut bed = bed(3, 2, 2);
-    bed.list_node(0, false);
+    bed.set_node_listed(0, false);
     bed.run_for(70_000);
     for node in 1..4 {
         assert!(vms_accepting_work(&bed, node).contains(&"d0-0".to_owned()), "node {node}");
@@ -208,7 +208,7 @@
 fn an_unlisted_newcomer_is_known_to_all() {
     let mut bed = bed(8, 3, 3);
     let newcomer = bed.add_node("d1-new", "d1");
-    bed.list_node(newcomer, false);
+    bed.set_node_listed(newcomer, false);
     bed.run_for(2_000);
     for node in 0..10 {
         assert_eq!(vms_accepting_work(&bed, node).len(), 10, "node {node}");
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -425,7 +425,7 @@
     }
 
     /// Adds a node to the platform's VM list or removes it.
-    pub fn list_node(&mut self, index: NodeIndex, listed: bool) {
+    pub fn set_node_listed(&mut self, index: NodeIndex, listed: bool) {
         if listed {
             self.unlisted_nodes.remove(&index);
         } else {
