--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -109,7 +109,7 @@
 /// Guards against ignoring the leaving mark in the platform's list of VMs.
 #[test]
 fn upstream_leaving_in_vm_list_gets_no_new_requests() {
-    assert_no_late_runs(3, |bed| bed.list_upstream_leaving("u1", "a"));
+    assert_no_late_runs(3, |bed| bed.mark_upstream_leaving("u1", "a"));
 }
 
 /// Guards against ignoring responses that report leaving while the upstream's failure domain is
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -439,7 +439,7 @@
     }
 
     /// Marks an upstream as leaving in the platform's VM list.
-    pub fn list_upstream_leaving(&mut self, name: &str, domain: &str) {
+    pub fn mark_upstream_leaving(&mut self, name: &str, domain: &str) {
         self.leaving_upstreams.push(ListedVm {
             name: name.into(),
             domain: domain.into(),
