--- a/crates/sedgepath-core/examples/policy/scenario.rs
+++ b/crates/sedgepath-core/examples/policy/scenario.rs
@@ -281,7 +281,7 @@
             key_digest: key.map(records::key_digest),
             deadline_at_ms: self.bed.now_ms() + DEADLINE_MS,
             idempotent: service.idempotent,
-            ..self.bed.head(service.name)
+            ..self.bed.request_head(service.name)
         };
         if let Some(node) = self.entry_vm(source, region, service.name) {
             self.bed.call(node, head);
--- a/crates/sedgepath-core/tests/drain.rs
+++ b/crates/sedgepath-core/tests/drain.rs
@@ -228,7 +228,7 @@
 
 fn run_load(bed: &mut Bed, duration_ms: u64) {
     for step in 0..duration_ms / 20 {
-        let head = bed.head("browse");
+        let head = bed.request_head("browse");
         bed.call((step % 4) as usize, head);
         bed.run_for(20);
     }
--- a/crates/sedgepath-core/tests/path.rs
+++ b/crates/sedgepath-core/tests/path.rs
@@ -27,7 +27,7 @@
 fn requests_reach_upstreams_of_both_domains() {
     let mut bed = bed();
     for number in 0..60 {
-        let head = bed.head("browse");
+        let head = bed.request_head("browse");
         bed.call(number % 3, head);
         bed.run_for(20);
     }
--- a/crates/sedgepath-core/tests/retry.rs
+++ b/crates/sedgepath-core/tests/retry.rs
@@ -36,7 +36,7 @@
 }
 
 fn head(bed: &Bed, idempotent: bool) -> RequestHead {
-    RequestHead { idempotent, ..bed.head("browse") }
+    RequestHead { idempotent, ..bed.request_head("browse") }
 }
 
 /// Sends requests one after another and waits for their outcomes.
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -110,7 +110,7 @@
             };
             let head = sedgepath_core::request::RequestHead {
                 source: IpAddr::V4(source),
-                ..self.bed.head("browse")
+                ..self.bed.request_head("browse")
             };
             if self.bed.is_running(node) {
                 self.bed.call(node, head);
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -449,7 +449,7 @@
     }
 
     /// Creates the head of a repeatable guest request with a deadline in two seconds.
-    pub fn head(&self, service: &str) -> RequestHead {
+    pub fn request_head(&self, service: &str) -> RequestHead {
         RequestHead {
             service: service.into(),
             source: IpAddr::V4(Ipv4Addr::LOCALHOST),
