--- a/crates/sedgepath-core/examples/once_figures.rs
+++ b/crates/sedgepath-core/examples/once_figures.rs
@@ -142,7 +142,7 @@
         }
         let node = if bed.node(node).is_some() { node } else { 1 };
         let deduplication = if tickets {
-            Deduplication::Ticket(bed.mint(node, "deposit", 1)[0])
+            Deduplication::Ticket(bed.mint_tickets(node, "deposit", 1)[0])
         } else {
             Deduplication::Key(Digest::of(&[&number.to_le_bytes()]))
         };
--- a/crates/sedgepath-core/tests/fuzz_once.rs
+++ b/crates/sedgepath-core/tests/fuzz_once.rs
@@ -143,7 +143,9 @@
         let key = if action.is_multiple_of(2) {
             Deduplication::Key(Digest::of(&[b"key", &action.to_le_bytes()]))
         } else {
-            Deduplication::Ticket(*self.bed.mint((node + action) % NODES, "deposit", 1).first()?)
+            Deduplication::Ticket(
+                *self.bed.mint_tickets((node + action) % NODES, "deposit", 1).first()?,
+            )
         };
         self.keys.insert(action, key);
         Some(key)
@@ -172,7 +174,7 @@
         match *step {
             Step::Call { node, action } => self.call(node, action, false),
             Step::ReuseKey { node, action } => self.call(node, action, true),
-            Step::MintUnused(node) => drop(bed.mint(node, "deposit", 3)),
+            Step::MintUnused(node) => drop(bed.mint_tickets(node, "deposit", 3)),
             Step::Kill(node) => bed.kill(node),
             Step::Start(node) if bed.node(node).is_none() => bed.start(node),
             Step::Pause(node) => bed.pause(node),
--- a/crates/sedgepath-core/tests/tickets.rs
+++ b/crates/sedgepath-core/tests/tickets.rs
@@ -12,7 +12,7 @@
 use sedgepath_test_support::bed::{Bed, NodeIndex, Seen};
 
 fn mint_ticket(bed: &mut Bed, node: NodeIndex) -> Deduplication {
-    let tickets = bed.mint(node, "deposit", 1);
+    let tickets = bed.mint_tickets(node, "deposit", 1);
     Deduplication::Ticket(*tickets.first().expect("the node should mint a ticket"))
 }
 
@@ -20,7 +20,7 @@
 fn new_ticket(bed: &mut Bed, number: usize) -> Deduplication {
     let nodes = bed.node_count();
     let mut minted =
-        (1..=nodes).flat_map(|step| bed.mint((number / 2 + step) % nodes, "deposit", 1));
+        (1..=nodes).flat_map(|step| bed.mint_tickets((number / 2 + step) % nodes, "deposit", 1));
     Deduplication::Ticket(minted.next().expect("a node should mint a ticket"))
 }
 
@@ -92,7 +92,7 @@
     bed.kill(0);
     bed.start(0);
     bed.run_for(5_000);
-    assert_eq!(bed.mint(0, "deposit", 5).len(), 5);
+    assert_eq!(bed.mint_tickets(0, "deposit", 5).len(), 5);
     for node in 0..4 {
         assert_eq!(send(&mut bed, node, ticket, 2), unknown);
     }
@@ -183,12 +183,12 @@
 #[test]
 fn minting_stops_at_the_maximum_number_of_valid_tickets() {
     let mut bed = bed(8);
-    let minted: usize = (0..300).map(|_| bed.mint(0, "deposit", 100).len()).sum();
+    let minted: usize = (0..300).map(|_| bed.mint_tickets(0, "deposit", 100).len()).sum();
     assert_eq!(minted, MAX_VALID_TICKETS);
     bed.run_for(TICKET_VALIDITY_MS);
-    assert_eq!(bed.mint(0, "deposit", 100).len(), 100);
-    assert!(bed.mint(0, "deposit", 101).is_empty());
-    assert!(bed.mint(0, "no such service", 1).is_empty());
+    assert_eq!(bed.mint_tickets(0, "deposit", 100).len(), 100);
+    assert!(bed.mint_tickets(0, "deposit", 101).is_empty());
+    assert!(bed.mint_tickets(0, "no such service", 1).is_empty());
 }
 
 /// An earlier attempt, delayed at a paused node, is forwarded after the caller was told *not
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -488,7 +488,7 @@
     }
 
     /// Requests tickets from a node; returns none if it rejects the request or is not running.
-    pub fn mint(&mut self, node: NodeIndex, service: &str, count: u32) -> Vec<Ticket> {
+    pub fn mint_tickets(&mut self, node: NodeIndex, service: &str, count: u32) -> Vec<Ticket> {
         self.minted_tickets.clear();
         if self.is_running(node) {
             let reply = ReplyKey(self.next_key());
