--- a/crates/sedgepath-core/examples/configuration_spread.rs
+++ b/crates/sedgepath-core/examples/configuration_spread.rs
@@ -80,7 +80,7 @@
         expected_revision: None,
         note: Box::default(),
     };
-    let reply = bed.change(change as usize % bed.node_count(), request);
+    let reply = bed.request_change(change as usize % bed.node_count(), request);
     let revision = loop {
         bed.run_for(1);
         match bed.change_outcome(reply) {
--- a/crates/sedgepath-core/tests/configuration_change.rs
+++ b/crates/sedgepath-core/tests/configuration_change.rs
@@ -81,7 +81,7 @@
     let replies: Vec<_> = (0..6)
         .map(|node| {
             let record = steering(2.0 + f64::from(node as u32));
-            bed.change(node, request(&format!("race-{node}"), Some(1), record))
+            bed.request_change(node, request(&format!("race-{node}"), Some(1), record))
         })
         .collect();
     bed.run_for(3_000);
@@ -114,7 +114,7 @@
             .map(|node| {
                 let id = format!("change-{round}-{node}");
                 let record = steering(1.0 + f64::from(round as u32));
-                (bed.change(node, request(&id, None, record)), id)
+                (bed.request_change(node, request(&id, None, record)), id)
             })
             .collect();
         bed.run_for(3_000);
@@ -141,7 +141,7 @@
     let mut bed = bed(3);
     bed.faults.late_writes = 1;
     bed.faults.late_by_ms = 2_000;
-    let reply = bed.change(0, request("late", None, steering(2.0)));
+    let reply = bed.request_change(0, request("late", None, steering(2.0)));
     bed.run_for(1_000);
     assert_eq!(outcome(&bed, reply), ChangeOutcome::Accepted { revision: 2 });
     bed.run_for(5_000);
@@ -155,7 +155,7 @@
 fn a_retried_change_returns_its_revision_and_is_not_committed_again() {
     let mut bed = bed(4);
     bed.faults.lost_answers_percent = 100;
-    let reply = bed.change(0, request("again", None, steering(2.0)));
+    let reply = bed.request_change(0, request("again", None, steering(2.0)));
     while logged_revisions(&bed, "again").is_empty() {
         bed.run_for(1);
     }
@@ -164,11 +164,11 @@
     assert_eq!(outcome(&bed, reply), ChangeOutcome::Unknown);
     bed.faults.platform_down = false;
     bed.faults.lost_answers_percent = 0;
-    let other = bed.change(5, request("other", None, steering(3.0)));
+    let other = bed.request_change(5, request("other", None, steering(3.0)));
     bed.run_for(3_000);
     assert_eq!(outcome(&bed, other), ChangeOutcome::Accepted { revision: 3 });
     for (node, expected) in [(4, None), (3, Some(1))] {
-        let reply = bed.change(node, request("again", expected, steering(2.0)));
+        let reply = bed.request_change(node, request("again", expected, steering(2.0)));
         bed.run_for(3_000);
         assert_eq!(outcome(&bed, reply), ChangeOutcome::Accepted { revision: 2 });
     }
@@ -181,7 +181,7 @@
 fn a_change_during_an_outage_is_never_committed() {
     let mut bed = bed(5);
     bed.faults.platform_down = true;
-    let reply = bed.change(0, request("down", None, steering(2.0)));
+    let reply = bed.request_change(0, request("down", None, steering(2.0)));
     bed.run_for(10_000);
     let refusal = ChangeRefusal::Unavailable;
     assert_eq!(outcome(&bed, reply), ChangeOutcome::NotAccepted { refusal });
@@ -202,15 +202,15 @@
         request.records = (0..count).map(service).collect();
         request
     };
-    let reply = bed.change(0, request_with_records(97));
+    let reply = bed.request_change(0, request_with_records(97));
     let refusal = ChangeRefusal::TooManyRecords { records: 97, most: 96 };
     assert_eq!(outcome(&bed, reply), ChangeOutcome::NotAccepted { refusal });
     let mut long = request("long", None, steering(2.0));
     long.records[0].body = " ".repeat(350 * 1024 + 1).into();
-    let reply = bed.change(0, long);
+    let reply = bed.request_change(0, long);
     let refusal = ChangeRefusal::TooLarge { bytes: 350 * 1024 + 1, most: 350 * 1024 };
     assert_eq!(outcome(&bed, reply), ChangeOutcome::NotAccepted { refusal });
-    let reply = bed.change(0, request_with_records(96));
+    let reply = bed.request_change(0, request_with_records(96));
     bed.run_for(3_000);
     assert_eq!(outcome(&bed, reply), ChangeOutcome::Accepted { revision: 2 });
 }
@@ -220,7 +220,7 @@
 fn a_change_with_an_unknown_reference_is_rejected() {
     let mut bed = bed(6);
     let record = records::steering("browse", &[("north-z", 1.0)], 100.0, 10_000);
-    let reply = bed.change(0, request("wrong", None, record));
+    let reply = bed.request_change(0, request("wrong", None, record));
     bed.run_for(1_000);
     let ChangeOutcome::NotAccepted { refusal: ChangeRefusal::InvalidRecords { problems } } =
         outcome(&bed, reply)
@@ -270,7 +270,7 @@
             bed.faults.cut(Place::Node(0), Place::Node(other));
         }
         bed.faults.cut(Place::Node(0), Place::Platform);
-        let reply = bed.change(1, request("newer", None, steering(2.0)));
+        let reply = bed.request_change(1, request("newer", None, steering(2.0)));
         bed.run_for(4_000);
         assert_eq!(outcome(&bed, reply), ChangeOutcome::Accepted { revision: 2 });
         bed.faults.platform_down = true;
--- a/crates/sedgepath-core/tests/fuzz_configuration.rs
+++ b/crates/sedgepath-core/tests/fuzz_configuration.rs
@@ -160,7 +160,7 @@
             expected_revision: change.expected_revision,
             note: Box::default(),
         };
-        change.replies.push(self.bed.change(node, request));
+        change.replies.push(self.bed.request_change(node, request));
     }
 
     fn change(&mut self, node: usize, expect_current_revision: bool) {
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -509,7 +509,7 @@
     }
 
     /// Submits a configuration change to a node, as an operator's command does.
-    pub fn change(&mut self, node: NodeIndex, request: ChangeRequest) -> ReplyKey {
+    pub fn request_change(&mut self, node: NodeIndex, request: ChangeRequest) -> ReplyKey {
         let reply = ReplyKey(self.next_key());
         self.handle(node, Event::Change { reply, request });
         reply
