--- a/crates/sedgepath-core/tests/lease.rs
+++ b/crates/sedgepath-core/tests/lease.rs
@@ -230,7 +230,7 @@
         let mut bed = bed(seed, 3);
         let mut random = fastrand::Rng::with_seed(seed);
         bed.faults.loss_percent = 20;
-        bed.faults.repeat_percent = 10;
+        bed.faults.duplicate_percent = 10;
         for _ in 0..40 {
             inject_random_fault(&mut bed, &mut random);
             load(&mut bed, random.u64(20..3_000));
--- a/crates/sedgepath-core/tests/membership.rs
+++ b/crates/sedgepath-core/tests/membership.rs
@@ -170,7 +170,7 @@
 fn datagram_loss_and_duplication_rarely_hide_members() {
     let mut bed = bed(7, 3, 3);
     bed.faults.loss_percent = 20;
-    bed.faults.repeat_percent = 10;
+    bed.faults.duplicate_percent = 10;
     let (mut checks, mut complete) = (0, 0);
     for _ in 0..300 {
         bed.run_for(1_000);
--- a/crates/sedgepath-test-support/src/bed/faults.rs
+++ b/crates/sedgepath-test-support/src/bed/faults.rs
@@ -33,7 +33,7 @@
     /// The percentage of datagrams that are lost.
     pub loss_percent: u32,
     /// The percentage of datagrams that are delivered twice.
-    pub repeat_percent: u32,
+    pub duplicate_percent: u32,
     /// The delay between a node's decision to call an upstream and the send, in milliseconds.
     pub pause_before_send_ms: u64,
     /// Whether the platform is unavailable.
@@ -59,7 +59,7 @@
             omit_loads: false,
             jitter_ms: 1,
             loss_percent: 0,
-            repeat_percent: 0,
+            duplicate_percent: 0,
             pause_before_send_ms: 0,
             platform_down: false,
             table_ms: 2,
@@ -107,7 +107,7 @@
         if random.u32(0..100) < self.loss_percent {
             return 0;
         }
-        if random.u32(0..100) < self.repeat_percent { 2 } else { 1 }
+        if random.u32(0..100) < self.duplicate_percent { 2 } else { 1 }
     }
 
     /// Draws the one-way latency of a message to or from the table, in milliseconds.
