--- a/crates/sedgepath-core/tests/lease.rs
+++ b/crates/sedgepath-core/tests/lease.rs
@@ -174,13 +174,13 @@
 fn a_paused_member_resumes_without_its_lease() {
     for (seed, paused_ms) in [800, 1_600, 3_000, 6_000, 12_000].into_iter().enumerate() {
         let mut bed = bed(seed as u64, 3);
-        bed.faults.pause_before_send_ms = 500;
+        bed.faults.upstream_send_delay_ms = 500;
         load(&mut bed, 2_000);
         bed.pause(1);
         load(&mut bed, paused_ms);
         bed.resume(1);
         load(&mut bed, 14_000);
-        bed.faults.pause_before_send_ms = 0;
+        bed.faults.upstream_send_delay_ms = 0;
         load(&mut bed, 5_000);
         assert_within_slots_and_fully_used(&mut bed, "paused");
     }
@@ -190,7 +190,7 @@
 #[test]
 fn an_expired_decision_is_not_sent() {
     let mut bed = bed(1, 3);
-    bed.faults.pause_before_send_ms = 1_600;
+    bed.faults.upstream_send_delay_ms = 1_600;
     load(&mut bed, 2_000);
     let run_count =
         |bed: &Bed| bed.upstreams.iter().map(|(_, upstream)| upstream.runs.len()).sum::<usize>();
@@ -238,7 +238,7 @@
         }
         bed.faults.heal_all();
         bed.faults.loss_percent = 0;
-        bed.faults.pause_before_send_ms = 0;
+        bed.faults.upstream_send_delay_ms = 0;
         for node in 1..bed.node_count() {
             bed.resume(node);
             if bed.node(node).is_none() && !bed.has_stopped(node) {
@@ -265,7 +265,7 @@
         5 => bed.faults.heal_all(),
         6 => bed.pause(node),
         7 => bed.resume(node),
-        8 => bed.faults.pause_before_send_ms = random.u64(0..500),
+        8 => bed.faults.upstream_send_delay_ms = random.u64(0..500),
         9 if bed.node_count() < 6 => {
             let name = format!("late{}", bed.node_count());
             bed.add_node(&name, "near");
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -181,7 +181,7 @@
         upstream: UpstreamKey,
         send_by_ms: u64,
     ) {
-        let delay_ms = self.faults.pause_before_send_ms;
+        let delay_ms = self.faults.upstream_send_delay_ms;
         let sent_at_ms = self.node_time_ms(index) + delay_ms;
         if sent_at_ms > send_by_ms || !self.can_reach_upstream(index, upstream) {
             let event = NodeEvent::CallEnded(exchange, CallOutcome::NotSent, 0);
--- a/crates/sedgepath-test-support/src/bed/faults.rs
+++ b/crates/sedgepath-test-support/src/bed/faults.rs
@@ -35,7 +35,7 @@
     /// The percentage of datagrams that are delivered twice.
     pub duplicate_percent: u32,
     /// The delay between a node's decision to call an upstream and the send, in milliseconds.
-    pub pause_before_send_ms: u64,
+    pub upstream_send_delay_ms: u64,
     /// Whether the platform is unavailable.
     pub platform_down: bool,
     /// The minimum one-way latency to the table, in milliseconds.
@@ -60,7 +60,7 @@
             jitter_ms: 1,
             loss_percent: 0,
             duplicate_percent: 0,
-            pause_before_send_ms: 0,
+            upstream_send_delay_ms: 0,
             platform_down: false,
             table_ms: 2,
             lost_answers_percent: 0,
