--- a/crates/sedgepath-core/tests/configuration.rs
+++ b/crates/sedgepath-core/tests/configuration.rs
@@ -166,7 +166,7 @@
     let mut partial_pages = 0;
     for change_at_ms in (0..3_000).step_by(100) {
         let mut bed = Bed::new(5);
-        bed.faults.table_ms = 150;
+        bed.faults.table_latency_ms = 150;
         let services: Vec<_> = (0..200).map(|number| service(number, 1_000)).collect();
         bed.write_records(&services);
         bed.add_node("n1", "north-a");
--- a/crates/sedgepath-test-support/src/bed/faults.rs
+++ b/crates/sedgepath-test-support/src/bed/faults.rs
@@ -39,7 +39,7 @@
     /// Whether the platform is unavailable.
     pub platform_down: bool,
     /// The minimum one-way latency to the table, in milliseconds.
-    pub table_ms: u64,
+    pub table_latency_ms: u64,
     /// The percentage of commits whose result is lost.
     pub lost_answers_percent: u32,
     /// The number of upcoming commits that take effect late and whose result is lost.
@@ -62,7 +62,7 @@
             duplicate_percent: 0,
             upstream_send_delay_ms: 0,
             platform_down: false,
-            table_ms: 2,
+            table_latency_ms: 2,
             lost_answers_percent: 0,
             late_writes: 0,
             late_by_ms: 1_000,
@@ -112,7 +112,7 @@
 
     /// Draws the one-way latency of a message to or from the table, in milliseconds.
     pub(super) fn table_delay_ms(&self, random: &mut fastrand::Rng) -> u64 {
-        self.table_ms + random.u64(0..=self.jitter_ms)
+        self.table_latency_ms + random.u64(0..=self.jitter_ms)
     }
 
     /// Draws whether the result of a commit is lost.
