--- a/crates/sedgepath-core/tests/claims.rs
+++ b/crates/sedgepath-core/tests/claims.rs
@@ -74,7 +74,7 @@
 #[test]
 fn lost_write_results_cause_no_second_run() {
     let mut bed = bed(3);
-    bed.faults.lost_answers_percent = 40;
+    bed.faults.lost_commit_result_percent = 40;
     run_actions(&mut bed, 200, 10, new_key, |_, _| {});
     let verdict = settle(&mut bed);
     assert_holds(&verdict);
--- a/crates/sedgepath-core/tests/configuration_change.rs
+++ b/crates/sedgepath-core/tests/configuration_change.rs
@@ -107,7 +107,7 @@
 #[test]
 fn lost_commit_results_are_resolved_from_the_log() {
     let mut bed = bed(2);
-    bed.faults.lost_answers_percent = 100;
+    bed.faults.lost_commit_result_percent = 100;
     let mut accepted = 0;
     for round in 0..20 {
         let requests: Vec<_> = (0..=round % 2)
@@ -154,7 +154,7 @@
 #[test]
 fn a_retried_change_returns_its_revision_and_is_not_committed_again() {
     let mut bed = bed(4);
-    bed.faults.lost_answers_percent = 100;
+    bed.faults.lost_commit_result_percent = 100;
     let reply = bed.request_change(0, request("again", None, steering(2.0)));
     while logged_revisions(&bed, "again").is_empty() {
         bed.run_for(1);
@@ -163,7 +163,7 @@
     bed.run_for(10_000);
     assert_eq!(outcome(&bed, reply), ChangeOutcome::Unknown);
     bed.faults.platform_down = false;
-    bed.faults.lost_answers_percent = 0;
+    bed.faults.lost_commit_result_percent = 0;
     let other = bed.request_change(5, request("other", None, steering(3.0)));
     bed.run_for(3_000);
     assert_eq!(outcome(&bed, other), ChangeOutcome::Accepted { revision: 3 });
--- a/crates/sedgepath-core/tests/fuzz_configuration.rs
+++ b/crates/sedgepath-core/tests/fuzz_configuration.rs
@@ -205,7 +205,9 @@
             Step::CutPlatform(node) => self.bed.faults.cut(Place::Node(*node), Place::Platform),
             Step::Heal => self.bed.faults.heal_all(),
             Step::PlatformDown(down) => self.bed.faults.platform_down = *down,
-            Step::LoseTableResults { percent } => self.bed.faults.lost_answers_percent = *percent,
+            Step::LoseTableResults { percent } => {
+                self.bed.faults.lost_commit_result_percent = *percent
+            }
             Step::LateWrites { count, late_by_ms } => {
                 self.bed.faults.late_writes = *count;
                 self.bed.faults.late_by_ms = *late_by_ms;
@@ -269,7 +271,7 @@
     fn settle(&mut self) {
         self.bed.faults.heal_all();
         self.bed.faults.platform_down = false;
-        self.bed.faults.lost_answers_percent = 0;
+        self.bed.faults.lost_commit_result_percent = 0;
         self.bed.faults.late_writes = 0;
         for node in 0..NODES {
             if self.bed.node(node).is_none() {
--- a/crates/sedgepath-core/tests/fuzz_once.rs
+++ b/crates/sedgepath-core/tests/fuzz_once.rs
@@ -189,7 +189,7 @@
             }
             Step::Heal => bed.faults.heal_all(),
             Step::PlatformDown(down) => bed.faults.platform_down = down,
-            Step::LoseTableResults { percent } => bed.faults.lost_answers_percent = percent,
+            Step::LoseTableResults { percent } => bed.faults.lost_commit_result_percent = percent,
             Step::LateWrites { count, late_by_ms } => {
                 bed.faults.late_writes = count;
                 bed.faults.late_by_ms = late_by_ms;
--- a/crates/sedgepath-core/tests/once_support/mod.rs
+++ b/crates/sedgepath-core/tests/once_support/mod.rs
@@ -123,7 +123,7 @@
 /// Ends all faults, lets late writes and pending work finish, and evaluates all calls.
 pub fn settle(bed: &mut Bed) -> Verdict {
     bed.faults.platform_down = false;
-    bed.faults.lost_answers_percent = 0;
+    bed.faults.lost_commit_result_percent = 0;
     bed.faults.heal_all();
     for node in 0..bed.node_count() {
         bed.resume(node);
--- a/crates/sedgepath-test-support/src/bed/faults.rs
+++ b/crates/sedgepath-test-support/src/bed/faults.rs
@@ -41,7 +41,7 @@
     /// The minimum one-way latency to the table, in milliseconds.
     pub table_latency_ms: u64,
     /// The percentage of commits whose result is lost.
-    pub lost_answers_percent: u32,
+    pub lost_commit_result_percent: u32,
     /// The number of upcoming commits that take effect late and whose result is lost.
     pub late_writes: u32,
     /// The delay of such late commits, in milliseconds.
@@ -63,7 +63,7 @@
             upstream_send_delay_ms: 0,
             platform_down: false,
             table_latency_ms: 2,
-            lost_answers_percent: 0,
+            lost_commit_result_percent: 0,
             late_writes: 0,
             late_by_ms: 1_000,
             cut: BTreeSet::new(),
@@ -117,6 +117,6 @@
 
     /// Draws whether the result of a commit is lost.
     pub(super) fn loses_commit_result(&self, random: &mut fastrand::Rng) -> bool {
-        random.u32(0..100) < self.lost_answers_percent
+        random.u32(0..100) < self.lost_commit_result_percent
     }
 }
