--- a/crates/sedgepath-core/tests/claims.rs
+++ b/crates/sedgepath-core/tests/claims.rs
@@ -89,7 +89,7 @@
     bed.faults.late_by_ms = 3_000;
     bed.upstreams.get("d1").loses_answers = true;
     run_actions(&mut bed, 200, 10, new_key, |bed, number| {
-        bed.faults.late_writes = u32::from(number % 5 == 0);
+        bed.faults.delayed_commits = u32::from(number % 5 == 0);
     });
     let verdict = settle(&mut bed);
     assert_holds(&verdict);
@@ -101,7 +101,7 @@
 #[test]
 fn a_late_claim_of_a_request_told_not_run_is_released() {
     let mut bed = bed(12);
-    bed.faults.late_writes = 1;
+    bed.faults.delayed_commits = 1;
     bed.faults.late_by_ms = 300;
     let first = head(&bed, key(0), 1);
     let first = bed.call(0, first);
@@ -128,7 +128,7 @@
     run_actions(&mut bed, 200, 10, new_key, |bed, number| {
         bed.faults.platform_down = number % 20 >= 10;
         if number % 20 == 9 {
-            bed.faults.late_writes = 4;
+            bed.faults.delayed_commits = 4;
         }
     });
     let verdict = settle(&mut bed);
@@ -224,12 +224,12 @@
     let first = head(&bed, key(0), 1);
     let first = bed.call(0, first);
     bed.run_for(12);
-    bed.faults.late_writes = 1;
+    bed.faults.delayed_commits = 1;
     bed.faults.late_by_ms = 2_000;
     bed.run_for(300);
     let seen = &bed.calls()[first].result;
     assert!(matches!(seen, Seen::Concluded(Outcome::NotRun { .. })), "{seen:?}");
-    assert_eq!(bed.faults.late_writes, 0);
+    assert_eq!(bed.faults.delayed_commits, 0);
     for upstream in ["d1", "d2"] {
         bed.upstreams.get(upstream).refuses = false;
         bed.upstreams.get(upstream).loses_answers = true;
--- a/crates/sedgepath-core/tests/fuzz_configuration.rs
+++ b/crates/sedgepath-core/tests/fuzz_configuration.rs
@@ -209,7 +209,7 @@
                 self.bed.faults.lost_commit_result_percent = *percent
             }
             Step::LateWrites { count, late_by_ms } => {
-                self.bed.faults.late_writes = *count;
+                self.bed.faults.delayed_commits = *count;
                 self.bed.faults.late_by_ms = *late_by_ms;
             }
             Step::RunFor { duration_ms } => self.bed.run_for(*duration_ms),
@@ -272,7 +272,7 @@
         self.bed.faults.heal_all();
         self.bed.faults.platform_down = false;
         self.bed.faults.lost_commit_result_percent = 0;
-        self.bed.faults.late_writes = 0;
+        self.bed.faults.delayed_commits = 0;
         for node in 0..NODES {
             if self.bed.node(node).is_none() {
                 self.bed.start(node);
--- a/crates/sedgepath-core/tests/fuzz_once.rs
+++ b/crates/sedgepath-core/tests/fuzz_once.rs
@@ -191,7 +191,7 @@
             Step::PlatformDown(down) => bed.faults.platform_down = down,
             Step::LoseTableResults { percent } => bed.faults.lost_commit_result_percent = percent,
             Step::LateWrites { count, late_by_ms } => {
-                bed.faults.late_writes = count;
+                bed.faults.delayed_commits = count;
                 bed.faults.late_by_ms = late_by_ms;
             }
             Step::RejectRequests(rejects) => {
--- a/crates/sedgepath-test-support/src/bed/faults.rs
+++ b/crates/sedgepath-test-support/src/bed/faults.rs
@@ -43,7 +43,7 @@
     /// The percentage of commits whose result is lost.
     pub lost_commit_result_percent: u32,
     /// The number of upcoming commits that take effect late and whose result is lost.
-    pub late_writes: u32,
+    pub delayed_commits: u32,
     /// The delay of such late commits, in milliseconds.
     pub late_by_ms: u64,
     cut: BTreeSet<(Place, Place)>,
@@ -64,7 +64,7 @@
             platform_down: false,
             table_latency_ms: 2,
             lost_commit_result_percent: 0,
-            late_writes: 0,
+            delayed_commits: 0,
             late_by_ms: 1_000,
             cut: BTreeSet::new(),
         }
--- a/crates/sedgepath-test-support/src/bed/platform.rs
+++ b/crates/sedgepath-test-support/src/bed/platform.rs
@@ -47,8 +47,8 @@
         let commits = matches!(request, TableRequest::Commit(_));
         self.table_commits += u64::from(commits);
         self.table_reads += u64::from(!commits);
-        if commits && self.faults.late_writes > 0 {
-            self.faults.late_writes -= 1;
+        if commits && self.faults.delayed_commits > 0 {
+            self.faults.delayed_commits -= 1;
             let late_by_ms = self.faults.late_by_ms;
             self.schedule(late_by_ms, ScheduledItem::DelayedCommit { request: request.clone() });
             self.send_table_result(index, boot, operation, TableResult::Unknown);
