--- a/crates/sedgepath-core/tests/claims.rs
+++ b/crates/sedgepath-core/tests/claims.rs
@@ -86,7 +86,7 @@
 #[test]
 fn late_writes_cause_no_second_run() {
     let mut bed = bed(4);
-    bed.faults.late_by_ms = 3_000;
+    bed.faults.commit_delay_ms = 3_000;
     bed.upstreams.get("d1").loses_answers = true;
     run_actions(&mut bed, 200, 10, new_key, |bed, number| {
         bed.faults.delayed_commits = u32::from(number % 5 == 0);
@@ -102,7 +102,7 @@
 fn a_late_claim_of_a_request_told_not_run_is_released() {
     let mut bed = bed(12);
     bed.faults.delayed_commits = 1;
-    bed.faults.late_by_ms = 300;
+    bed.faults.commit_delay_ms = 300;
     let first = head(&bed, key(0), 1);
     let first = bed.call(0, first);
     bed.run_for(1);
@@ -124,7 +124,7 @@
 #[test]
 fn late_writes_while_the_table_cannot_be_read_cause_no_second_run() {
     let mut bed = bed(13);
-    bed.faults.late_by_ms = 3_000;
+    bed.faults.commit_delay_ms = 3_000;
     run_actions(&mut bed, 200, 10, new_key, |bed, number| {
         bed.faults.platform_down = number % 20 >= 10;
         if number % 20 == 9 {
@@ -225,7 +225,7 @@
     let first = bed.call(0, first);
     bed.run_for(12);
     bed.faults.delayed_commits = 1;
-    bed.faults.late_by_ms = 2_000;
+    bed.faults.commit_delay_ms = 2_000;
     bed.run_for(300);
     let seen = &bed.calls()[first].result;
     assert!(matches!(seen, Seen::Concluded(Outcome::NotRun { .. })), "{seen:?}");
--- a/crates/sedgepath-core/tests/configuration_change.rs
+++ b/crates/sedgepath-core/tests/configuration_change.rs
@@ -140,7 +140,7 @@
 fn a_late_commit_takes_effect_once() {
     let mut bed = bed(3);
     bed.faults.delayed_commits = 1;
-    bed.faults.late_by_ms = 2_000;
+    bed.faults.commit_delay_ms = 2_000;
     let reply = bed.request_change(0, request("late", None, steering(2.0)));
     bed.run_for(1_000);
     assert_eq!(outcome(&bed, reply), ChangeOutcome::Accepted { revision: 2 });
--- a/crates/sedgepath-core/tests/fuzz_configuration.rs
+++ b/crates/sedgepath-core/tests/fuzz_configuration.rs
@@ -210,7 +210,7 @@
             }
             Step::LateWrites { count, late_by_ms } => {
                 self.bed.faults.delayed_commits = *count;
-                self.bed.faults.late_by_ms = *late_by_ms;
+                self.bed.faults.commit_delay_ms = *late_by_ms;
             }
             Step::RunFor { duration_ms } => self.bed.run_for(*duration_ms),
         }
--- a/crates/sedgepath-core/tests/fuzz_once.rs
+++ b/crates/sedgepath-core/tests/fuzz_once.rs
@@ -192,7 +192,7 @@
             Step::LoseTableResults { percent } => bed.faults.lost_commit_result_percent = percent,
             Step::LateWrites { count, late_by_ms } => {
                 bed.faults.delayed_commits = count;
-                bed.faults.late_by_ms = late_by_ms;
+                bed.faults.commit_delay_ms = late_by_ms;
             }
             Step::RejectRequests(rejects) => {
                 for name in UPSTREAMS {
--- a/crates/sedgepath-test-support/src/bed/faults.rs
+++ b/crates/sedgepath-test-support/src/bed/faults.rs
@@ -45,7 +45,7 @@
     /// The number of upcoming commits that take effect late and whose result is lost.
     pub delayed_commits: u32,
     /// The delay of such late commits, in milliseconds.
-    pub late_by_ms: u64,
+    pub commit_delay_ms: u64,
     cut: BTreeSet<(Place, Place)>,
 }
 
@@ -65,7 +65,7 @@
             table_latency_ms: 2,
             lost_commit_result_percent: 0,
             delayed_commits: 0,
-            late_by_ms: 1_000,
+            commit_delay_ms: 1_000,
             cut: BTreeSet::new(),
         }
     }
--- a/crates/sedgepath-test-support/src/bed/platform.rs
+++ b/crates/sedgepath-test-support/src/bed/platform.rs
@@ -49,7 +49,7 @@
         self.table_reads += u64::from(!commits);
         if commits && self.faults.delayed_commits > 0 {
             self.faults.delayed_commits -= 1;
-            let late_by_ms = self.faults.late_by_ms;
+            let late_by_ms = self.faults.commit_delay_ms;
             self.schedule(late_by_ms, ScheduledItem::DelayedCommit { request: request.clone() });
             self.send_table_result(index, boot, operation, TableResult::Unknown);
             return;
