--- a/crates/sedgepath-test-support/src/bed/upstreams.rs
+++ b/crates/sedgepath-test-support/src/bed/upstreams.rs
@@ -21,7 +21,7 @@
     /// The call that the request belongs to.
     pub call: Option<CallIndex>,
     /// How the request is deduplicated.
-    pub once: Option<Deduplication>,
+    pub deduplication: Option<Deduplication>,
     /// When the run started, in milliseconds of the simulated clock.
     pub started_at_ms: u64,
 }
@@ -158,7 +158,7 @@
         let mut runs = BTreeMap::new();
         for run in self.upstreams.values().flat_map(|upstream| &upstream.runs) {
             if let Some(deduplication @ (Deduplication::Key(_) | Deduplication::Ticket(_))) =
-                run.once
+                run.deduplication
             {
                 *runs.entry(format!("{deduplication:?}")).or_insert(0) += 1;
             }
@@ -193,7 +193,7 @@
         upstream.peak_in_flight = upstream.peak_in_flight.max(upstream.in_flight);
         upstream.runs.push(Run {
             call: run.call,
-            once: head.map(|head| head.deduplication),
+            deduplication: head.map(|head| head.deduplication),
             started_at_ms: run.started_at_ms,
         });
         let variation_ms = upstream.service_ms / 5;
