--- a/crates/sedgepath-core/examples/policy/report.rs
+++ b/crates/sedgepath-core/examples/policy/report.rs
@@ -170,7 +170,7 @@
     let measured_ms = (run.bed.now_ms() - run.event_at_ms) as f64;
     let mut busy = [0.0; DOMAINS];
     let mut slots = [0.0; DOMAINS];
-    for (upstream, state) in run.bed.upstreams.iter().filter(|(_, state)| !state.dead) {
+    for (upstream, state) in run.bed.upstreams.iter().filter(|(_, state)| !state.unreachable) {
         if let Some(domain) = domains.get(&upstream) {
             let runs = state.runs.iter().filter(|run_| run_.started_at_ms >= run.event_at_ms);
             busy[*domain] += runs.count() as f64 * service.service_ms as f64 / measured_ms;
--- a/crates/sedgepath-core/examples/policy/scenario.rs
+++ b/crates/sedgepath-core/examples/policy/scenario.rs
@@ -219,7 +219,7 @@
         }
         for service in self.deployment.services {
             for number in (0..service.upstreams).filter(|number| number % REGIONS == region) {
-                self.bed.upstreams.get(&service.upstream(number)).dead = true;
+                self.bed.upstreams.get(&service.upstream(number)).unreachable = true;
             }
         }
     }
--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -186,7 +186,7 @@
 #[test]
 fn unreachable_upstream_costs_few_requests() {
     let mut bed = load::bed(5, 1, &[("u1", 4, 20), ("u2", 4, 20)]);
-    bed.upstreams.get("u1").dead = true;
+    bed.upstreams.get("u1").unreachable = true;
     let load =
         Load { seed: 1, paying_per_s: 100, paying_at_once: 1, trial_per_s: 0, deadline_ms: 2_000 };
     let calls = load::run(&mut bed, load, 20_000);
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -143,7 +143,7 @@
             self.bed.kill(index);
         }
         for number in 0..UPSTREAMS_PER_DOMAIN {
-            self.bed.upstreams.get(&format!("{}-{number}", DOMAINS[domain])).dead = true;
+            self.bed.upstreams.get(&format!("{}-{number}", DOMAINS[domain])).unreachable = true;
         }
     }
 
@@ -253,7 +253,7 @@
 fn dead_upstreams_move_no_more_than_the_cap() {
     let mut scenario = Scenario::new(3);
     for number in 0..UPSTREAMS_PER_DOMAIN {
-        scenario.bed.upstreams.get(&format!("low-a-{number}")).dead = true;
+        scenario.bed.upstreams.get(&format!("low-a-{number}")).unreachable = true;
         scenario.run_windows(3, &[]);
     }
     scenario.assert_within_cap(CAP_PERCENT);
--- a/crates/sedgepath-test-support/src/bed/upstreams.rs
+++ b/crates/sedgepath-test-support/src/bed/upstreams.rs
@@ -46,7 +46,7 @@
     /// The service time of a request in milliseconds, varied at random by up to a fifth.
     pub service_ms: u64,
     /// Whether connections to the upstream fail.
-    pub dead: bool,
+    pub unreachable: bool,
     /// Whether the upstream rejects requests before it starts them.
     pub refuses: bool,
     /// Whether the upstream reports that it is leaving.
@@ -79,7 +79,7 @@
         Self {
             slots,
             service_ms,
-            dead: false,
+            unreachable: false,
             refuses: false,
             leaving: false,
             loses_answers: false,
@@ -184,7 +184,8 @@
         head: Option<&RequestHead>,
         random: &mut fastrand::Rng,
     ) -> Result<u64, CallOutcome> {
-        let upstream = self.upstreams.get_mut(&run.upstream).filter(|upstream| !upstream.dead);
+        let upstream =
+            self.upstreams.get_mut(&run.upstream).filter(|upstream| !upstream.unreachable);
         let upstream = upstream.ok_or(CallOutcome::NotSent)?;
         if upstream.refuses {
             return Err(CallOutcome::Refused);
@@ -210,7 +211,7 @@
             return CallOutcome::Lost;
         };
         upstream.in_flight -= 1;
-        if upstream.dead || upstream.loses_answers {
+        if upstream.unreachable || upstream.loses_answers {
             return CallOutcome::Lost;
         }
         if let Some(call) = run.call {
