--- a/crates/sedgepath-core/tests/claims.rs
+++ b/crates/sedgepath-core/tests/claims.rs
@@ -164,8 +164,8 @@
 fn rejected_requests_release_their_claims() {
     let mut bed = bed(7);
     run_actions(&mut bed, 100, 20, new_key, |bed, number| {
-        bed.upstreams.get("d1").refuses = number < 100 && number % 4 < 2;
-        bed.upstreams.get("d2").refuses = number < 100 && number % 4 < 2;
+        bed.upstreams.get("d1").rejects_requests = number < 100 && number % 4 < 2;
+        bed.upstreams.get("d2").rejects_requests = number < 100 && number % 4 < 2;
     });
     let verdict = settle(&mut bed);
     assert_holds(&verdict);
@@ -180,15 +180,15 @@
     bed.pause(0);
     let first = head(&bed, key(0), 1);
     bed.call(0, first);
-    bed.upstreams.get("d1").refuses = true;
-    bed.upstreams.get("d2").refuses = true;
+    bed.upstreams.get("d1").rejects_requests = true;
+    bed.upstreams.get("d2").rejects_requests = true;
     let second = head(&bed, key(0), 2);
     let second = bed.call(2, second);
     bed.run_for(500);
     let seen = &bed.calls()[second].result;
     assert!(matches!(seen, Seen::Concluded(Outcome::NotRun { .. })), "{seen:?}");
-    bed.upstreams.get("d1").refuses = false;
-    bed.upstreams.get("d2").refuses = false;
+    bed.upstreams.get("d1").rejects_requests = false;
+    bed.upstreams.get("d2").rejects_requests = false;
     bed.resume(0);
     bed.run_for(1_000);
     assert!(bed.upstreams.runs_by_key().is_empty());
@@ -202,8 +202,8 @@
     let mut bed = bed(12);
     let seen: Vec<_> = [(0, 1, true), (2, 1, false), (2, 2, false)]
         .map(|(node, attempt, refuses)| {
-            bed.upstreams.get("d1").refuses = refuses;
-            bed.upstreams.get("d2").refuses = refuses;
+            bed.upstreams.get("d1").rejects_requests = refuses;
+            bed.upstreams.get("d2").rejects_requests = refuses;
             let head = head(&bed, key(0), attempt);
             let call = bed.call(node, head);
             bed.run_for(500);
@@ -219,8 +219,8 @@
 #[test]
 fn a_late_release_does_not_free_a_later_claim() {
     let mut bed = bed(15);
-    bed.upstreams.get("d1").refuses = true;
-    bed.upstreams.get("d2").refuses = true;
+    bed.upstreams.get("d1").rejects_requests = true;
+    bed.upstreams.get("d2").rejects_requests = true;
     let first = head(&bed, key(0), 1);
     let first = bed.call(0, first);
     bed.run_for(12);
@@ -231,7 +231,7 @@
     assert!(matches!(seen, Seen::Concluded(Outcome::NotRun { .. })), "{seen:?}");
     assert_eq!(bed.faults.delayed_commits, 0);
     for upstream in ["d1", "d2"] {
-        bed.upstreams.get(upstream).refuses = false;
+        bed.upstreams.get(upstream).rejects_requests = false;
         bed.upstreams.get(upstream).loses_answers = true;
     }
     for attempt in 2..6 {
--- a/crates/sedgepath-core/tests/fuzz_once.rs
+++ b/crates/sedgepath-core/tests/fuzz_once.rs
@@ -196,7 +196,7 @@
             }
             Step::RejectRequests(rejects) => {
                 for name in UPSTREAMS {
-                    bed.upstreams.get(name).refuses = rejects;
+                    bed.upstreams.get(name).rejects_requests = rejects;
                 }
             }
             Step::LoseResponses { upstream, lost } => {
--- a/crates/sedgepath-core/tests/retry.rs
+++ b/crates/sedgepath-core/tests/retry.rs
@@ -71,7 +71,7 @@
 fn rejected_request_is_retried_elsewhere() {
     let mut bed = bed(1);
     send(&mut bed, 30, true);
-    bed.upstreams.get("up-north-b").refuses = true;
+    bed.upstreams.get("up-north-b").rejects_requests = true;
     let calls = send(&mut bed, 12, false);
     assert_eq!(count(&bed, &calls, is_answered), 12);
     assert!(calls.iter().all(|call| bed.upstreams.runs_of(*call) == 1));
@@ -115,7 +115,7 @@
 fn rejection_is_returned_at_once() {
     let mut bed = bed(4);
     for domain in DOMAINS {
-        bed.upstreams.get(&format!("up-{domain}")).refuses = true;
+        bed.upstreams.get(&format!("up-{domain}")).rejects_requests = true;
     }
     let calls = send(&mut bed, 30, true);
     for call in calls {
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -286,8 +286,10 @@
     let mut scenario = Scenario::new(6);
     for round in 0..4 {
         for number in 0..UPSTREAMS_PER_DOMAIN {
-            scenario.bed.upstreams.get(&format!("low-a-{number}")).refuses = round % 2 == 0;
-            scenario.bed.upstreams.get(&format!("pied-b-{number}")).refuses = round % 2 == 1;
+            scenario.bed.upstreams.get(&format!("low-a-{number}")).rejects_requests =
+                round % 2 == 0;
+            scenario.bed.upstreams.get(&format!("pied-b-{number}")).rejects_requests =
+                round % 2 == 1;
         }
         scenario.run_windows(2, &[]);
     }
--- a/crates/sedgepath-core/tests/tickets.rs
+++ b/crates/sedgepath-core/tests/tickets.rs
@@ -117,13 +117,13 @@
     for ticket in &tickets[..20] {
         assert!(matches!(send(&mut bed, 2, *ticket, 1), Seen::Answered { .. }));
     }
-    bed.upstreams.get("d1").refuses = true;
-    bed.upstreams.get("d2").refuses = true;
+    bed.upstreams.get("d1").rejects_requests = true;
+    bed.upstreams.get("d2").rejects_requests = true;
     for ticket in &tickets[20..40] {
         assert!(is_not_run(&send(&mut bed, 1, *ticket, 1)));
     }
-    bed.upstreams.get("d1").refuses = false;
-    bed.upstreams.get("d2").refuses = false;
+    bed.upstreams.get("d1").rejects_requests = false;
+    bed.upstreams.get("d2").rejects_requests = false;
     bed.faults.platform_down = platform_down;
     bed.stop(1);
     bed.run_for(30_000);
@@ -200,11 +200,11 @@
     bed.pause(0);
     let first = head(&bed, ticket, 1);
     bed.call(0, first);
-    bed.upstreams.get("d1").refuses = true;
-    bed.upstreams.get("d2").refuses = true;
+    bed.upstreams.get("d1").rejects_requests = true;
+    bed.upstreams.get("d2").rejects_requests = true;
     assert!(is_not_run(&send(&mut bed, 2, ticket, 2)));
-    bed.upstreams.get("d1").refuses = false;
-    bed.upstreams.get("d2").refuses = false;
+    bed.upstreams.get("d1").rejects_requests = false;
+    bed.upstreams.get("d2").rejects_requests = false;
     bed.resume(0);
     bed.run_for(1_000);
     assert!(bed.upstreams.runs_by_key().is_empty());
--- a/crates/sedgepath-test-support/src/bed/upstreams.rs
+++ b/crates/sedgepath-test-support/src/bed/upstreams.rs
@@ -48,7 +48,7 @@
     /// Whether connections to the upstream fail.
     pub unreachable: bool,
     /// Whether the upstream rejects requests before it starts them.
-    pub refuses: bool,
+    pub rejects_requests: bool,
     /// Whether the upstream reports that it is leaving.
     pub leaving: bool,
     /// Whether responses are lost although the requests run.
@@ -80,7 +80,7 @@
             slots,
             service_ms,
             unreachable: false,
-            refuses: false,
+            rejects_requests: false,
             leaving: false,
             loses_answers: false,
             reports: true,
@@ -187,7 +187,7 @@
         let upstream =
             self.upstreams.get_mut(&run.upstream).filter(|upstream| !upstream.unreachable);
         let upstream = upstream.ok_or(CallOutcome::NotSent)?;
-        if upstream.refuses {
+        if upstream.rejects_requests {
             return Err(CallOutcome::Refused);
         }
         upstream.in_flight += 1;
