--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -53,7 +53,7 @@
 #[test]
 fn lost_responses_stay_within_slots() {
     let mut bed = load::bed(4, 1, &[("u1", 4, 50)]);
-    bed.upstreams.get("u1").loses_answers = true;
+    bed.upstreams.get("u1").loses_responses = true;
     bed.upstreams.get("u1").reports = false;
     let load =
         Load { seed: 1, paying_per_s: 240, paying_at_once: 1, trial_per_s: 0, deadline_ms: 1_000 };
--- a/crates/sedgepath-core/tests/claims.rs
+++ b/crates/sedgepath-core/tests/claims.rs
@@ -87,7 +87,7 @@
 fn late_writes_cause_no_second_run() {
     let mut bed = bed(4);
     bed.faults.commit_delay_ms = 3_000;
-    bed.upstreams.get("d1").loses_answers = true;
+    bed.upstreams.get("d1").loses_responses = true;
     run_actions(&mut bed, 200, 10, new_key, |bed, number| {
         bed.faults.delayed_commits = u32::from(number % 5 == 0);
     });
@@ -232,7 +232,7 @@
     assert_eq!(bed.faults.delayed_commits, 0);
     for upstream in ["d1", "d2"] {
         bed.upstreams.get(upstream).rejects_requests = false;
-        bed.upstreams.get(upstream).loses_answers = true;
+        bed.upstreams.get(upstream).loses_responses = true;
     }
     for attempt in 2..6 {
         let retry = head(&bed, key(0), attempt);
@@ -248,7 +248,7 @@
 #[test]
 fn requests_with_lost_upstream_responses_stay_unknown() {
     let mut bed = bed(8);
-    bed.upstreams.get("d1").loses_answers = true;
+    bed.upstreams.get("d1").loses_responses = true;
     run_actions(&mut bed, 100, 20, new_key, |_, _| {});
     let verdict = settle(&mut bed);
     assert_holds(&verdict);
--- a/crates/sedgepath-core/tests/fuzz_once.rs
+++ b/crates/sedgepath-core/tests/fuzz_once.rs
@@ -200,7 +200,7 @@
                 }
             }
             Step::LoseResponses { upstream, lost } => {
-                bed.upstreams.get(UPSTREAMS[upstream]).loses_answers = lost;
+                bed.upstreams.get(UPSTREAMS[upstream]).loses_responses = lost;
             }
             Step::RunFor { duration_ms } => bed.run_for(duration_ms),
         }
--- a/crates/sedgepath-core/tests/retry.rs
+++ b/crates/sedgepath-core/tests/retry.rs
@@ -83,7 +83,7 @@
 fn request_with_lost_response_is_retried_only_if_idempotent() {
     let mut bed = bed(2);
     send(&mut bed, 60, true);
-    bed.upstreams.get("up-north-b").loses_answers = true;
+    bed.upstreams.get("up-north-b").loses_responses = true;
     let idempotent = send(&mut bed, 12, true);
     let others = send(&mut bed, 30, false);
     assert_eq!(count(&bed, &idempotent, is_answered), 12);
@@ -100,7 +100,7 @@
 fn retries_stay_within_the_budget() {
     let mut bed = bed_with_slots(3, 200);
     for domain in DOMAINS {
-        bed.upstreams.get(&format!("up-{domain}")).loses_answers = true;
+        bed.upstreams.get(&format!("up-{domain}")).loses_responses = true;
     }
     let calls = send(&mut bed, 300, true);
     let runs: usize = bed.upstreams.iter().map(|(_, upstream)| upstream.runs.len()).sum();
--- a/crates/sedgepath-core/tests/tickets.rs
+++ b/crates/sedgepath-core/tests/tickets.rs
@@ -85,8 +85,8 @@
 fn a_restarted_home_does_not_run_the_tickets_of_its_last_boot() {
     let mut bed = bed(10);
     let ticket = mint_ticket(&mut bed, 0);
-    bed.upstreams.get("d1").loses_answers = true;
-    bed.upstreams.get("d2").loses_answers = true;
+    bed.upstreams.get("d1").loses_responses = true;
+    bed.upstreams.get("d2").loses_responses = true;
     let unknown = Seen::Concluded(Outcome::Unknown { retry_after_ms: 500 });
     assert_eq!(send(&mut bed, 0, ticket, 1), unknown);
     bed.kill(0);
--- a/crates/sedgepath-test-support/src/bed/upstreams.rs
+++ b/crates/sedgepath-test-support/src/bed/upstreams.rs
@@ -52,7 +52,7 @@
     /// Whether the upstream reports that it is leaving.
     pub leaving: bool,
     /// Whether responses are lost although the requests run.
-    pub loses_answers: bool,
+    pub loses_responses: bool,
     /// Whether the upstream reports its load.
     pub reports: bool,
     /// Whether requests beyond the slots slow down all requests, as CPU contention does.
@@ -82,7 +82,7 @@
             unreachable: false,
             rejects_requests: false,
             leaving: false,
-            loses_answers: false,
+            loses_responses: false,
             reports: true,
             slows_when_full: false,
             warm_up: None,
@@ -211,7 +211,7 @@
             return CallOutcome::Lost;
         };
         upstream.in_flight -= 1;
-        if upstream.unreachable || upstream.loses_answers {
+        if upstream.unreachable || upstream.loses_responses {
             return CallOutcome::Lost;
         }
         if let Some(call) = run.call {
