--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -54,7 +54,7 @@
 fn lost_responses_stay_within_slots() {
     let mut bed = load::bed(4, 1, &[("u1", 4, 50)]);
     bed.upstreams.get("u1").loses_responses = true;
-    bed.upstreams.get("u1").reports = false;
+    bed.upstreams.get("u1").reports_load = false;
     let load =
         Load { seed: 1, paying_per_s: 240, paying_at_once: 1, trial_per_s: 0, deadline_ms: 1_000 };
     let calls = load::run(&mut bed, load, 5_000);
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -136,7 +136,7 @@
         bed.upstreams.get("u1").leaving = true;
         run_load(&mut bed, 300);
         let reported_at_ms = bed.now_ms();
-        bed.upstreams.get("u1").reports = false;
+        bed.upstreams.get("u1").reports_load = false;
         run_load(&mut bed, 700);
         bed.kill(owner_of("u1"));
         run_load(&mut bed, 15_000);
@@ -158,7 +158,7 @@
         bed.upstreams.get("u1").leaving = true;
         run_load(&mut bed, 1_000);
         let reported_at_ms = bed.now_ms();
-        bed.upstreams.get("u1").reports = false;
+        bed.upstreams.get("u1").reports_load = false;
         run_load(&mut bed, 10_000);
         assert_eq!(late_runs(&mut bed, reported_at_ms), 0, "seed {seed}");
         bed.start(owner);
--- a/crates/sedgepath-test-support/src/bed/upstreams.rs
+++ b/crates/sedgepath-test-support/src/bed/upstreams.rs
@@ -54,7 +54,7 @@
     /// Whether responses are lost although the requests run.
     pub loses_responses: bool,
     /// Whether the upstream reports its load.
-    pub reports: bool,
+    pub reports_load: bool,
     /// Whether requests beyond the slots slow down all requests, as CPU contention does.
     pub slows_when_full: bool,
     /// The warm-up that begins with the first request; until it ends, fewer slots run at full speed.
@@ -83,7 +83,7 @@
             rejects_requests: false,
             leaving: false,
             loses_responses: false,
-            reports: true,
+            reports_load: true,
             slows_when_full: false,
             warm_up: None,
             cold_requests_per_block: 0,
@@ -222,7 +222,7 @@
 
     /// Returns an upstream's load report, or `None` if it sends none.
     pub(super) fn report(&self, upstream: UpstreamKey, made_at_ms: u64) -> Option<UpstreamReport> {
-        let upstream = self.upstreams.get(&upstream).filter(|upstream| upstream.reports)?;
+        let upstream = self.upstreams.get(&upstream).filter(|upstream| upstream.reports_load)?;
         Some(UpstreamReport {
             in_flight: Some(upstream.in_flight),
             slots: Some(upstream.slots),
