--- a/crates/sedgepath-core/tests/once_support/mod.rs
+++ b/crates/sedgepath-core/tests/once_support/mod.rs
@@ -87,7 +87,7 @@
     for (index, call) in bed.calls().iter().enumerate() {
         calls_by_key.entry(format!("{:?}", call.head.deduplication)).or_default().push(index);
         if is_not_run(&call.result) {
-            verdict.ran_after_not_run += usize::from(bed.upstreams.runs_of(index) > 0);
+            verdict.ran_after_not_run += usize::from(bed.upstreams.run_count(index) > 0);
         }
     }
     for calls in calls_by_key.values() {
@@ -97,7 +97,7 @@
 }
 
 fn evaluate_key(bed: &Bed, calls: &[CallIndex], verdict: &mut Verdict) {
-    let ran = calls.iter().find(|call| bed.upstreams.runs_of(**call) > 0);
+    let ran = calls.iter().find(|call| bed.upstreams.run_count(**call) > 0);
     for call in calls {
         if let Seen::Concluded(Outcome::Repeated(stored)) = &bed.calls()[*call].result {
             let expected = ran.map(|ran| format!("call {ran}"));
@@ -107,7 +107,7 @@
     // Without an attempt number, *not run* applies to the request alone and not to the action.
     let attempt = |call: &CallIndex| bed.calls()[*call].head.attempt;
     let numbered_runs =
-        calls.iter().filter(|call| attempt(call) > 0 && bed.upstreams.runs_of(**call) > 0);
+        calls.iter().filter(|call| attempt(call) > 0 && bed.upstreams.run_count(**call) > 0);
     let first_run_attempt = numbered_runs.map(attempt).min().unwrap_or(u32::MAX);
     let not_run = calls.iter().filter(|call| is_not_run(&bed.calls()[**call].result));
     verdict.not_run_despite_run +=
--- a/crates/sedgepath-core/tests/retry.rs
+++ b/crates/sedgepath-core/tests/retry.rs
@@ -74,7 +74,7 @@
     bed.upstreams.get("up-north-b").rejects_requests = true;
     let calls = send(&mut bed, 12, false);
     assert_eq!(count(&bed, &calls, is_answered), 12);
-    assert!(calls.iter().all(|call| bed.upstreams.runs_of(*call) == 1));
+    assert!(calls.iter().all(|call| bed.upstreams.run_count(*call) == 1));
 }
 
 /// Guards against retrying a non-idempotent request whose response was lost, not retrying an
@@ -91,7 +91,7 @@
         count(&bed, &others, |seen| matches!(seen, Seen::Concluded(Outcome::Unknown { .. })));
     assert_eq!(count(&bed, &others, is_answered) + unknown, 30);
     assert!(unknown > 3, "{unknown}");
-    assert!(others.iter().all(|call| bed.upstreams.runs_of(*call) == 1));
+    assert!(others.iter().all(|call| bed.upstreams.run_count(*call) == 1));
 }
 
 /// Guards against retries beyond the budget when all responses are lost. There are slots for all
@@ -126,7 +126,7 @@
         };
         assert!(refusal.retry_after_ms > 0 && refusal.retry_after_ms <= 500, "{refusal:?}");
         assert!(!others.is_empty());
-        assert_eq!(bed.upstreams.runs_of(call), 0);
+        assert_eq!(bed.upstreams.run_count(call), 0);
     }
 }
 
@@ -141,7 +141,7 @@
         panic!("{:?}", bed.calls()[call].result);
     };
     assert_eq!(refusal.reason, RejectionReason::Deadline);
-    assert_eq!(bed.upstreams.runs_of(call), 0);
+    assert_eq!(bed.upstreams.run_count(call), 0);
 }
 
 /// Guards against not retrying requests that were never sent because their owner failed.
@@ -154,7 +154,7 @@
     let calls: Vec<_> = heads.into_iter().map(|head| bed.call(2, head)).collect();
     bed.run_for(3_000);
     assert_eq!(count(&bed, &calls, is_answered), 8);
-    assert!(calls.iter().all(|call| bed.upstreams.runs_of(*call) == 1));
+    assert!(calls.iter().all(|call| bed.upstreams.run_count(*call) == 1));
 }
 
 /// Guards against rejected guest requests that use up the retry budget of paying requests.
--- a/crates/sedgepath-test-support/src/bed/upstreams.rs
+++ b/crates/sedgepath-test-support/src/bed/upstreams.rs
@@ -167,7 +167,7 @@
     }
 
     /// Returns how often a caller's request was run.
-    pub fn runs_of(&self, call: CallIndex) -> usize {
+    pub fn run_count(&self, call: CallIndex) -> usize {
         let runs = self.upstreams.values().flat_map(|upstream| &upstream.runs);
         runs.filter(|run| run.call == Some(call)).count()
     }
