--- a/crates/sedgepath-core/examples/retry_budget.rs
+++ b/crates/sedgepath-core/examples/retry_budget.rs
@@ -25,7 +25,7 @@
             troubles: vec![kill],
             seed: 1,
         };
-        let result = scenario.play();
+        let result = scenario.run();
         let (requests, served) = result.served(REJECTION_PERIOD_MS.0, REJECTION_PERIOD_MS.1);
         let budget = REPEAT_RATIO * requests as f64 + REPEAT_SLACK;
         let retries = result.repeated_at_ms.len();
--- a/crates/sedgepath-core/tests/direct_budget.rs
+++ b/crates/sedgepath-core/tests/direct_budget.rs
@@ -25,7 +25,7 @@
 /// Checks over several seeds that no ten-second window has more retries than allowed, and that at
 /// least half of the retries that the requests allow are sent.
 fn assert_within_budget(day: impl Fn(u64) -> Day) {
-    let runs: Vec<Seen> = SEEDS.iter().map(|seed| day(*seed).play()).collect();
+    let runs: Vec<Seen> = SEEDS.iter().map(|seed| day(*seed).run()).collect();
     let excess: Vec<_> = runs.iter().filter_map(Seen::worst_excess).collect();
     assert!(excess.is_empty(), "{} of {} runs: {excess:#?}", excess.len(), runs.len());
     for run in &runs {
--- a/crates/sedgepath-core/tests/fuzz_budget.rs
+++ b/crates/sedgepath-core/tests/fuzz_budget.rs
@@ -57,6 +57,6 @@
     /// Guards against a combination of faults that exceeds the retry budget.
     #[test]
     fn retries_stay_within_the_budget_under_random_faults(day in day()) {
-        prop_assert_eq!(day.play().worst_excess(), None);
+        prop_assert_eq!(day.run().worst_excess(), None);
     }
 }
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -212,7 +212,7 @@
 
 impl Day {
     /// Runs the scenario to its end.
-    pub fn play(&self) -> Seen {
+    pub fn run(&self) -> Seen {
         let is_joining = |number: &u8| {
             let joins_later = |disruption: &(u64, Trouble, Vec<u8>)| {
                 matches!(disruption.1, Trouble::Join) && disruption.2.contains(number)
