--- a/crates/sedgepath-core/examples/retry_budget.rs
+++ b/crates/sedgepath-core/examples/retry_budget.rs
@@ -19,7 +19,7 @@
         let kill = (15_000, Trouble::Kill { down_ms: 300 }, (0..vms / 2).collect());
         let scenario = Day {
             vms,
-            length_ms: 30_000,
+            duration_ms: 30_000,
             demand_per_s: Levels(vec![(0, DEMAND_PER_S)]),
             refused_share: Levels(vec![(REJECTION_PERIOD_MS.0, 0.8), (REJECTION_PERIOD_MS.1, 0.0)]),
             troubles: vec![kill],
--- a/crates/sedgepath-core/tests/direct_budget.rs
+++ b/crates/sedgepath-core/tests/direct_budget.rs
@@ -14,7 +14,7 @@
 fn day(seed: u64, troubles: Vec<(u64, Trouble, Vec<u8>)>) -> Day {
     Day {
         vms: VMS,
-        length_ms: 30_000,
+        duration_ms: 30_000,
         demand_per_s: Levels(vec![(0, 200.0), (8_000, 360.0), (11_500, 200.0)]),
         refused_share: Levels(vec![(9_500, 0.8), (20_500, 0.0)]),
         troubles,
@@ -85,7 +85,7 @@
 fn partitioned_vms_that_still_serve_stay_within_the_budget() {
     let cut_off = |number: u8| (1_000, Trouble::CutOff { for_ms: 90_000 }, vec![number]);
     assert_within_budget(|seed| Day {
-        length_ms: 85_000,
+        duration_ms: 85_000,
         demand_per_s: Levels(vec![(0, 40.0)]),
         refused_share: Levels(vec![(65_000, 0.8)]),
         ..day(seed, (0..VMS).map(cut_off).collect())
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -83,7 +83,7 @@
     /// The number of VMs, including those that join later.
     pub vms: u8,
     /// The duration in milliseconds.
-    pub length_ms: u64,
+    pub duration_ms: u64,
     /// The demand in requests per second.
     pub demand_per_s: Levels,
     /// The fraction of the attempts that upstreams reject.
@@ -317,7 +317,7 @@
             self.fractional_demand -= 1.0;
             self.send_caller_request(true);
         }
-        if now_ms + TICK_INTERVAL_MS < self.scenario.length_ms {
+        if now_ms + TICK_INTERVAL_MS < self.scenario.duration_ms {
             self.schedule(now_ms + TICK_INTERVAL_MS, Event::Tick);
         }
     }
@@ -411,7 +411,7 @@
             NextStep::Reject { retry_after_ms, .. } => {
                 let retries_on_rejection = current.retries_on_rejection;
                 self.requests[request] = None;
-                if retries_on_rejection && now_ms + retry_after_ms < self.scenario.length_ms {
+                if retries_on_rejection && now_ms + retry_after_ms < self.scenario.duration_ms {
                     let asked_at_ms = now_ms + retry_after_ms;
                     // The chosen VM may be down by then, in which case the retry is lost.
                     let vm = self.rng.u8(0..self.scenario.vms);
