--- a/crates/sedgepath-core/examples/retry_budget.rs
+++ b/crates/sedgepath-core/examples/retry_budget.rs
@@ -21,7 +21,10 @@
             vms,
             duration_ms: 30_000,
             demand_per_s: Levels(vec![(0, DEMAND_PER_S)]),
-            refused_share: Levels(vec![(REJECTION_PERIOD_MS.0, 0.8), (REJECTION_PERIOD_MS.1, 0.0)]),
+            rejected_share: Levels(vec![
+                (REJECTION_PERIOD_MS.0, 0.8),
+                (REJECTION_PERIOD_MS.1, 0.0),
+            ]),
             troubles: vec![kill],
             seed: 1,
         };
--- a/crates/sedgepath-core/tests/direct_budget.rs
+++ b/crates/sedgepath-core/tests/direct_budget.rs
@@ -16,7 +16,7 @@
         vms: VMS,
         duration_ms: 30_000,
         demand_per_s: Levels(vec![(0, 200.0), (8_000, 360.0), (11_500, 200.0)]),
-        refused_share: Levels(vec![(9_500, 0.8), (20_500, 0.0)]),
+        rejected_share: Levels(vec![(9_500, 0.8), (20_500, 0.0)]),
         troubles,
         seed,
     }
@@ -43,7 +43,7 @@
 fn requests_of_an_earlier_burst_do_not_allow_retries_after_it() {
     assert_within_budget(|seed| Day {
         demand_per_s: Levels(vec![(0, 60.0), (4_000, 400.0), (11_500, 60.0)]),
-        refused_share: Levels(vec![(10_500, 0.95)]),
+        rejected_share: Levels(vec![(10_500, 0.95)]),
         ..day(seed, Vec::new())
     });
 }
@@ -87,7 +87,7 @@
     assert_within_budget(|seed| Day {
         duration_ms: 85_000,
         demand_per_s: Levels(vec![(0, 40.0)]),
-        refused_share: Levels(vec![(65_000, 0.8)]),
+        rejected_share: Levels(vec![(65_000, 0.8)]),
         ..day(seed, (0..VMS).map(cut_off).collect())
     });
 }
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -87,7 +87,7 @@
     /// The demand in requests per second.
     pub demand_per_s: Levels,
     /// The fraction of the attempts that upstreams reject.
-    pub refused_share: Levels,
+    pub rejected_share: Levels,
     /// The disruptions: a time in milliseconds, a kind, and the affected VMs.
     pub troubles: Vec<(u64, Trouble, Vec<u8>)>,
     /// The seed of all random choices.
@@ -444,7 +444,7 @@
         if self.attempts[attempt].1 {
             self.result.repeated_at_ms.push(arrives_at_ms);
         }
-        let rejected = self.rng.f64() < self.scenario.refused_share.value_at(arrives_at_ms);
+        let rejected = self.rng.f64() < self.scenario.rejected_share.value_at(arrives_at_ms);
         let service_ms = if rejected { 0 } else { SERVICE_TIME_MS };
         let ended = Event::AttemptEnded { request, attempt, rejected };
         self.schedule(arrives_at_ms + service_ms + ONE_WAY_LATENCY_MS, ended);
