--- a/crates/sedgepath-core/examples/retry_budget.rs
+++ b/crates/sedgepath-core/examples/retry_budget.rs
@@ -25,7 +25,7 @@
                 (REJECTION_PERIOD_MS.0, 0.8),
                 (REJECTION_PERIOD_MS.1, 0.0),
             ]),
-            troubles: vec![kill],
+            disruptions: vec![kill],
             seed: 1,
         };
         let result = scenario.run();
--- a/crates/sedgepath-core/tests/direct_budget.rs
+++ b/crates/sedgepath-core/tests/direct_budget.rs
@@ -17,7 +17,7 @@
         duration_ms: 30_000,
         demand_per_s: Levels(vec![(0, 200.0), (8_000, 360.0), (11_500, 200.0)]),
         rejected_share: Levels(vec![(9_500, 0.8), (20_500, 0.0)]),
-        troubles,
+        disruptions: troubles,
         seed,
     }
 }
--- a/crates/sedgepath-core/tests/fuzz_budget.rs
+++ b/crates/sedgepath-core/tests/fuzz_budget.rs
@@ -47,7 +47,7 @@
         initial_per_s in 20.0..300.0,
     ) -> Day {
         demand.0.insert(0, (0, initial_per_s));
-        Day { vms, duration_ms: LENGTH_MS, demand_per_s: demand, rejected_share: refused_share, troubles, seed }
+        Day { vms, duration_ms: LENGTH_MS, demand_per_s: demand, rejected_share: refused_share, disruptions: troubles, seed }
     }
 }
 
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -89,7 +89,7 @@
     /// The fraction of the attempts that upstreams reject.
     pub rejected_share: Levels,
     /// The disruptions: a time in milliseconds, a kind, and the affected VMs.
-    pub troubles: Vec<(u64, Trouble, Vec<u8>)>,
+    pub disruptions: Vec<(u64, Trouble, Vec<u8>)>,
     /// The seed of all random choices.
     pub seed: u64,
 }
@@ -217,7 +217,7 @@
             let joins_later = |disruption: &(u64, Trouble, Vec<u8>)| {
                 matches!(disruption.1, Trouble::Join) && disruption.2.contains(number)
             };
-            self.troubles.iter().any(joins_later)
+            self.disruptions.iter().any(joins_later)
         };
         let vm = |_| Vm { steering: None, process: 0, suspended_until_ms: 0, cut_off_until_ms: 0 };
         let mut fleet = Fleet {
@@ -235,7 +235,7 @@
         for number in (0..self.vms).filter(|number| !is_joining(number)) {
             fleet.start_vm(number);
         }
-        for (index, (at_ms, _, _)) in self.troubles.iter().enumerate() {
+        for (index, (at_ms, _, _)) in self.disruptions.iter().enumerate() {
             fleet.schedule(*at_ms, Event::Disruption(index));
         }
         fleet.schedule(0, Event::Tick);
@@ -273,7 +273,7 @@
     }
 
     fn apply_disruption(&mut self, index: usize) {
-        let (_, disruption, vms) = self.scenario.troubles[index].clone();
+        let (_, disruption, vms) = self.scenario.disruptions[index].clone();
         for number in vms {
             let now_ms = self.now_ms;
             let vm = &mut self.vms[usize::from(number)];
