--- a/crates/sedgepath-core/examples/retry_budget.rs
+++ b/crates/sedgepath-core/examples/retry_budget.rs
@@ -31,7 +31,7 @@
         let result = scenario.run();
         let (requests, served) = result.served(REJECTION_PERIOD_MS.0, REJECTION_PERIOD_MS.1);
         let budget = REPEAT_RATIO * requests as f64 + REPEAT_SLACK;
-        let retries = result.repeated_at_ms.len();
+        let retries = result.retried_at_ms.len();
         let excess = result.worst_excess().map_or(0, |excess| excess.retries);
         println!(
             "{vms:>5} {requests:>8} {retries:>8} {:>13.0}% {excess:>8} {:>7.1}%",
--- a/crates/sedgepath-core/tests/direct_budget.rs
+++ b/crates/sedgepath-core/tests/direct_budget.rs
@@ -29,10 +29,10 @@
     let excess: Vec<_> = runs.iter().filter_map(Seen::worst_excess).collect();
     assert!(excess.is_empty(), "{} of {} runs: {excess:#?}", excess.len(), runs.len());
     for run in &runs {
-        let first_ms = run.repeated_at_ms.first().copied().unwrap_or(0);
-        let last_ms = run.repeated_at_ms.last().copied().unwrap_or(0);
+        let first_ms = run.retried_at_ms.first().copied().unwrap_or(0);
+        let last_ms = run.retried_at_ms.last().copied().unwrap_or(0);
         let (requests, _) = run.served(first_ms, last_ms);
-        let retries = run.repeated_at_ms.len();
+        let retries = run.retried_at_ms.len();
         let half = 0.5 * REPEAT_RATIO * requests as f64;
         assert!(retries > 0 && retries as f64 > half, "{retries} retries for {requests} requests");
     }
@@ -119,7 +119,7 @@
             run.asked_at_ms.push(now_ms);
             vm.deposit("browse", VM_COUNT, now_ms);
             if now_ms >= 15_000 && vm.try_withdraw("browse", VM_COUNT, now_ms) {
-                run.repeated_at_ms.push(now_ms);
+                run.retried_at_ms.push(now_ms);
                 has_retried[number] = true;
             }
         }
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -100,7 +100,7 @@
     /// When callers sent requests, in milliseconds, in ascending order.
     pub asked_at_ms: Vec<u64>,
     /// When retries arrived at upstreams, in milliseconds, in ascending order.
-    pub repeated_at_ms: Vec<u64>,
+    pub retried_at_ms: Vec<u64>,
     /// When the served requests had been sent, in milliseconds.
     pub served_at_ms: Vec<u64>,
 }
@@ -122,7 +122,7 @@
     /// The budget of a window follows from the requests in that window, in the window before it, or
     /// in the window that begins half a window earlier, whichever has the most.
     pub fn worst_excess(&self) -> Option<BudgetExcess> {
-        let last_ms = self.repeated_at_ms.last().copied().unwrap_or(0);
+        let last_ms = self.retried_at_ms.last().copied().unwrap_or(0);
         let windows = (0..=last_ms).map(|from_ms| self.window_excess(from_ms));
         windows
             .filter(|window| window.retries as f64 > window.allowed)
@@ -144,7 +144,7 @@
         let most = requests.into_iter().max().unwrap_or(0);
         BudgetExcess {
             from_ms,
-            retries: count_between(&self.repeated_at_ms, from_ms, from_ms + WINDOW_MS),
+            retries: count_between(&self.retried_at_ms, from_ms, from_ms + WINDOW_MS),
             allowed: REPEAT_RATIO * most as f64 + REPEAT_SLACK,
         }
     }
@@ -244,7 +244,7 @@
             fleet.handle_event(event);
         }
         fleet.result.asked_at_ms.sort_unstable();
-        fleet.result.repeated_at_ms.sort_unstable();
+        fleet.result.retried_at_ms.sort_unstable();
         fleet.result
     }
 }
@@ -442,7 +442,7 @@
         }
         let arrives_at_ms = self.now_ms + ONE_WAY_LATENCY_MS;
         if self.attempts[attempt].1 {
-            self.result.repeated_at_ms.push(arrives_at_ms);
+            self.result.retried_at_ms.push(arrives_at_ms);
         }
         let rejected = self.rng.f64() < self.scenario.rejected_share.value_at(arrives_at_ms);
         let service_ms = if rejected { 0 } else { SERVICE_TIME_MS };
