--- a/crates/sedgepath-core/examples/retry_budget.rs
+++ b/crates/sedgepath-core/examples/retry_budget.rs
@@ -29,7 +29,7 @@
             seed: 1,
         };
         let result = scenario.run();
-        let (requests, served) = result.served(REJECTION_PERIOD_MS.0, REJECTION_PERIOD_MS.1);
+        let (requests, served) = result.count_served(REJECTION_PERIOD_MS.0, REJECTION_PERIOD_MS.1);
         let budget = REPEAT_RATIO * requests as f64 + REPEAT_SLACK;
         let retries = result.retried_at_ms.len();
         let excess = result.worst_excess().map_or(0, |excess| excess.retries);
--- a/crates/sedgepath-core/tests/direct_budget.rs
+++ b/crates/sedgepath-core/tests/direct_budget.rs
@@ -31,7 +31,7 @@
     for run in &runs {
         let first_ms = run.retried_at_ms.first().copied().unwrap_or(0);
         let last_ms = run.retried_at_ms.last().copied().unwrap_or(0);
-        let (requests, _) = run.served(first_ms, last_ms);
+        let (requests, _) = run.count_served(first_ms, last_ms);
         let retries = run.retried_at_ms.len();
         let half = 0.5 * REPEAT_RATIO * requests as f64;
         assert!(retries > 0 && retries as f64 > half, "{retries} retries for {requests} requests");
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -130,7 +130,7 @@
     }
 
     /// Counts the requests sent in a period, and how many of them were served.
-    pub fn served(&self, from_ms: u64, until_ms: u64) -> (usize, usize) {
+    pub fn count_served(&self, from_ms: u64, until_ms: u64) -> (usize, usize) {
         let asked = count_between(&self.asked_at_ms, from_ms, until_ms);
         let served = self.served_at_ms.iter().filter(|at| (from_ms..until_ms).contains(at));
         (asked, served.count())
