--- a/crates/sedgepath-core/examples/admission_parts.rs
+++ b/crates/sedgepath-core/examples/admission_parts.rs
@@ -146,7 +146,7 @@
 }
 
 fn merge_stats(sum: &mut ClassStats, stats: ClassStats) {
-    sum.asked += stats.asked;
+    sum.sent += stats.sent;
     sum.answered += stats.answered;
     sum.in_time += stats.in_time;
     sum.response_ms.extend(stats.response_ms);
@@ -199,8 +199,8 @@
         "{name:<18}{:>8}{:>8}{:>10.2}{:>12.2}{:>10}{:>12}{slowest_rejection_ms:>12}",
         percentile(&mut paying.response_ms, 50),
         percentile(&mut paying.response_ms, 99),
-        percent_of(paying.in_time, paying.asked),
-        percent_of(trial.in_time, trial.asked),
+        percent_of(paying.in_time, paying.sent),
+        percent_of(trial.in_time, trial.sent),
         rejections_ms.len(),
         percentile(&mut rejections_ms, 99),
     );
--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -190,7 +190,7 @@
     let load =
         Load { seed: 1, paying_per_s: 100, paying_at_once: 1, trial_per_s: 0, deadline_ms: 2_000 };
     let calls = load::run(&mut bed, load, 20_000);
-    assert!(calls.paying.answered >= calls.paying.asked - 16, "{} answered", calls.paying.answered);
+    assert!(calls.paying.answered >= calls.paying.sent - 16, "{} answered", calls.paying.answered);
 }
 
 /// Simulates the driver's connection pool and records the connections that the upstream sees.
@@ -297,8 +297,8 @@
     let load =
         Load { seed: 1, paying_per_s: 50, paying_at_once: 1, trial_per_s: 10, deadline_ms: 2_000 };
     let calls = load::run(&mut bed, load, 5_000);
-    assert_eq!(calls.paying.answered, calls.paying.asked);
-    assert_eq!(calls.trial.answered, calls.trial.asked);
+    assert_eq!(calls.paying.answered, calls.paying.sent);
+    assert_eq!(calls.trial.answered, calls.trial.sent);
     assert!(bed.calls().iter().all(|call| call.result != Seen::Pending));
 }
 
--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -46,11 +46,11 @@
         let alone = run(seed, 0);
         let with_trial = run(seed, 800);
         let paying = &with_trial.paying;
-        assert_eq!(alone.paying.in_time, alone.paying.asked, "seed {seed}");
+        assert_eq!(alone.paying.in_time, alone.paying.sent, "seed {seed}");
         assert_eq!(
-            paying.in_time, paying.asked,
+            paying.in_time, paying.sent,
             "seed {seed}: {} of {} paying in time",
-            paying.in_time, paying.asked
+            paying.in_time, paying.sent
         );
         let (before_ms, after_ms) = (alone.paying.percentile_ms(99), paying.percentile_ms(99));
         assert!(
@@ -67,7 +67,7 @@
     let trial = &with_trial.trial;
     // The capacity is 80 requests per second; paying requests use 30, and the reserve covers their
     // peaks.
-    assert!(trial.answered >= 20 * 10, "{} of {} trial", trial.answered, trial.asked);
+    assert!(trial.answered >= 20 * 10, "{} of {} trial", trial.answered, trial.sent);
     assert_eq!(with_trial.waiting, 0);
     assert!(with_trial.slowest_refusal_ms <= 500, "{} ms", with_trial.slowest_refusal_ms);
 }
--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Default, Clone)]
 pub struct ClassStats {
     /// The number of requests sent.
-    pub asked: usize,
+    pub sent: usize,
     /// The number of complete responses.
     pub answered: usize,
     /// The number of complete responses before the deadline.
@@ -156,7 +156,7 @@
         let took_ms = call.ended_at_ms - call.sent_at_ms;
         let paying = call.head.key_digest == Some(records::key_digest("payer-key"));
         let class = if paying { &mut stats.paying } else { &mut stats.trial };
-        class.asked += 1;
+        class.sent += 1;
         match &call.result {
             Seen::Pending => stats.waiting += 1,
             Seen::Answered { .. } => {
