--- a/crates/sedgepath-core/examples/admission_parts.rs
+++ b/crates/sedgepath-core/examples/admission_parts.rs
@@ -150,7 +150,7 @@
     sum.answered += stats.answered;
     sum.in_time += stats.in_time;
     sum.response_ms.extend(stats.response_ms);
-    sum.refusal_ms.extend(stats.refusal_ms);
+    sum.rejection_ms.extend(stats.rejection_ms);
 }
 
 fn percentile(times_ms: &mut [u64], percent: usize) -> u64 {
@@ -193,8 +193,8 @@
         merge_stats(&mut paying, stats.paying);
         merge_stats(&mut trial, stats.trial);
     }
-    let mut rejections_ms = paying.refusal_ms;
-    rejections_ms.extend(trial.refusal_ms);
+    let mut rejections_ms = paying.rejection_ms;
+    rejections_ms.extend(trial.rejection_ms);
     println!(
         "{name:<18}{:>8}{:>8}{:>10.2}{:>12.2}{:>10}{:>12}{slowest_rejection_ms:>12}",
         percentile(&mut paying.response_ms, 50),
--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -37,7 +37,7 @@
     /// Latencies of the responses in milliseconds, sorted.
     pub response_ms: Vec<u64>,
     /// Latencies of the rejections in milliseconds, sorted.
-    pub refusal_ms: Vec<u64>,
+    pub rejection_ms: Vec<u64>,
 }
 
 impl ClassStats {
@@ -165,7 +165,7 @@
                 class.response_ms.push(took_ms);
             }
             Seen::Concluded(Outcome::NotRun { .. }) => {
-                class.refusal_ms.push(took_ms);
+                class.rejection_ms.push(took_ms);
                 stats.slowest_refusal_ms = stats.slowest_refusal_ms.max(took_ms);
             }
             Seen::Concluded(_) | Seen::ConnectionLost => {}
@@ -173,7 +173,7 @@
     }
     for class in [&mut stats.paying, &mut stats.trial] {
         class.response_ms.sort_unstable();
-        class.refusal_ms.sort_unstable();
+        class.rejection_ms.sort_unstable();
     }
     stats
 }
