--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -37,7 +37,7 @@
         let calls = load::run(&mut bed, load, 10_000);
         let peaks: Vec<_> = bed.upstreams.iter().map(|(_, up)| up.peak_in_flight).collect();
         assert!(peaks.iter().all(|peak| *peak <= 4), "seed {seed}: peaks {peaks:?} of 4 slots");
-        assert_eq!(calls.waiting, 0, "seed {seed}");
+        assert_eq!(calls.pending, 0, "seed {seed}");
         assert!(
             calls.paying.answered >= 700,
             "seed {seed}: {} of 800 that fit",
@@ -59,7 +59,7 @@
         Load { seed: 1, paying_per_s: 240, paying_at_once: 1, trial_per_s: 0, deadline_ms: 1_000 };
     let calls = load::run(&mut bed, load, 5_000);
     assert!(bed.upstreams.get("u1").peak_in_flight <= 4);
-    assert_eq!(calls.waiting, 0);
+    assert_eq!(calls.pending, 0);
     // A request waits for at most half of its deadline, then holds its slot for the other half.
     let runs = bed.upstreams.get("u1").runs.len();
     assert!(runs <= 4 * 11, "{runs} runs");
--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -68,7 +68,7 @@
     // The capacity is 80 requests per second; paying requests use 30, and the reserve covers their
     // peaks.
     assert!(trial.answered >= 20 * 10, "{} of {} trial", trial.answered, trial.sent);
-    assert_eq!(with_trial.waiting, 0);
+    assert_eq!(with_trial.pending, 0);
     assert!(with_trial.slowest_refusal_ms <= 500, "{} ms", with_trial.slowest_refusal_ms);
 }
 
--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -56,7 +56,7 @@
     /// Results of all other requests.
     pub trial: ClassStats,
     /// The number of requests without an outcome.
-    pub waiting: usize,
+    pub pending: usize,
     /// The maximum latency of a rejection, in milliseconds.
     pub slowest_refusal_ms: u64,
 }
@@ -158,7 +158,7 @@
         let class = if paying { &mut stats.paying } else { &mut stats.trial };
         class.sent += 1;
         match &call.result {
-            Seen::Pending => stats.waiting += 1,
+            Seen::Pending => stats.pending += 1,
             Seen::Answered { .. } => {
                 class.answered += 1;
                 class.in_time += usize::from(call.ended_at_ms <= call.head.deadline_at_ms);
