--- a/crates/sedgepath-core/examples/admission_parts.rs
+++ b/crates/sedgepath-core/examples/admission_parts.rs
@@ -189,7 +189,7 @@
     let mut slowest_rejection_ms = 0;
     for seed in 1..=seeds {
         let stats = run(scenario, admission, seed);
-        slowest_rejection_ms = slowest_rejection_ms.max(stats.slowest_refusal_ms);
+        slowest_rejection_ms = slowest_rejection_ms.max(stats.slowest_rejection_ms);
         merge_stats(&mut paying, stats.paying);
         merge_stats(&mut trial, stats.trial);
     }
--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -44,7 +44,11 @@
             calls.paying.answered
         );
         // Requests for which the queue has no room are rejected at once.
-        assert!(calls.slowest_refusal_ms <= 500, "seed {seed}: {} ms", calls.slowest_refusal_ms);
+        assert!(
+            calls.slowest_rejection_ms <= 500,
+            "seed {seed}: {} ms",
+            calls.slowest_rejection_ms
+        );
     }
 }
 
--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -69,7 +69,7 @@
     // peaks.
     assert!(trial.answered >= 20 * 10, "{} of {} trial", trial.answered, trial.sent);
     assert_eq!(with_trial.pending, 0);
-    assert!(with_trial.slowest_refusal_ms <= 500, "{} ms", with_trial.slowest_refusal_ms);
+    assert!(with_trial.slowest_rejection_ms <= 500, "{} ms", with_trial.slowest_rejection_ms);
 }
 
 /// Guards against a reserve other than one slot without paying traffic, or none for a single slot.
--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -58,7 +58,7 @@
     /// The number of requests without an outcome.
     pub pending: usize,
     /// The maximum latency of a rejection, in milliseconds.
-    pub slowest_refusal_ms: u64,
+    pub slowest_rejection_ms: u64,
 }
 
 /// Creates a test bed with one failure domain `a` and one service `s`.
@@ -166,7 +166,7 @@
             }
             Seen::Concluded(Outcome::NotRun { .. }) => {
                 class.rejection_ms.push(took_ms);
-                stats.slowest_refusal_ms = stats.slowest_refusal_ms.max(took_ms);
+                stats.slowest_rejection_ms = stats.slowest_rejection_ms.max(took_ms);
             }
             Seen::Concluded(_) | Seen::ConnectionLost => {}
         }
