--- a/crates/sedgepath-core/examples/admission_parts.rs
+++ b/crates/sedgepath-core/examples/admission_parts.rs
@@ -117,7 +117,7 @@
     let load = Load {
         seed,
         paying_per_s: scenario.paying_per_s,
-        paying_at_once: scenario.paying_at_once,
+        paying_burst: scenario.paying_at_once,
         trial_per_s: scenario.trial_per_s,
         deadline_ms: DEADLINE_MS,
     };
--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -33,7 +33,7 @@
     for seed in 1..=3 {
         let mut bed = load::bed(seed, 2, &[("u1", 4, 100), ("u2", 4, 100)]);
         let load =
-            Load { seed, paying_per_s: 240, paying_at_once: 1, trial_per_s: 0, deadline_ms: 2_000 };
+            Load { seed, paying_per_s: 240, paying_burst: 1, trial_per_s: 0, deadline_ms: 2_000 };
         let calls = load::run(&mut bed, load, 10_000);
         let peaks: Vec<_> = bed.upstreams.iter().map(|(_, up)| up.peak_in_flight).collect();
         assert!(peaks.iter().all(|peak| *peak <= 4), "seed {seed}: peaks {peaks:?} of 4 slots");
@@ -60,7 +60,7 @@
     bed.upstreams.get("u1").loses_responses = true;
     bed.upstreams.get("u1").reports_load = false;
     let load =
-        Load { seed: 1, paying_per_s: 240, paying_at_once: 1, trial_per_s: 0, deadline_ms: 1_000 };
+        Load { seed: 1, paying_per_s: 240, paying_burst: 1, trial_per_s: 0, deadline_ms: 1_000 };
     let calls = load::run(&mut bed, load, 5_000);
     assert!(bed.upstreams.get("u1").peak_in_flight <= 4);
     assert_eq!(calls.pending, 0);
@@ -192,7 +192,7 @@
     let mut bed = load::bed(5, 1, &[("u1", 4, 20), ("u2", 4, 20)]);
     bed.upstreams.get("u1").unreachable = true;
     let load =
-        Load { seed: 1, paying_per_s: 100, paying_at_once: 1, trial_per_s: 0, deadline_ms: 2_000 };
+        Load { seed: 1, paying_per_s: 100, paying_burst: 1, trial_per_s: 0, deadline_ms: 2_000 };
     let calls = load::run(&mut bed, load, 20_000);
     assert!(calls.paying.answered >= calls.paying.sent - 16, "{} answered", calls.paying.answered);
 }
@@ -299,7 +299,7 @@
 fn load_that_fits_is_answered() {
     let mut bed = load::bed(6, 2, &[("u1", 4, 20), ("u2", 4, 20)]);
     let load =
-        Load { seed: 1, paying_per_s: 50, paying_at_once: 1, trial_per_s: 10, deadline_ms: 2_000 };
+        Load { seed: 1, paying_per_s: 50, paying_burst: 1, trial_per_s: 10, deadline_ms: 2_000 };
     let calls = load::run(&mut bed, load, 5_000);
     assert_eq!(calls.paying.answered, calls.paying.sent);
     assert_eq!(calls.trial.answered, calls.trial.sent);
--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -35,7 +35,7 @@
 /// per second.
 fn run(seed: u64, trial_per_s: u64) -> LoadSeen {
     let mut bed = load::bed(seed, 1, &[("u1", 4, 100), ("u2", 4, 100)]);
-    let load = Load { seed, paying_per_s: 30, paying_at_once: 1, trial_per_s, deadline_ms: 1_000 };
+    let load = Load { seed, paying_per_s: 30, paying_burst: 1, trial_per_s, deadline_ms: 1_000 };
     load::run(&mut bed, load, 20_000)
 }
 
--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -18,7 +18,7 @@
     /// Paying requests per second.
     pub paying_per_s: u64,
     /// The number of paying requests that arrive at the same time.
-    pub paying_at_once: u64,
+    pub paying_burst: u64,
     /// Trial requests per second.
     pub trial_per_s: u64,
     /// The time from a request to its deadline, in milliseconds.
@@ -124,7 +124,7 @@
     let first_call = bed.calls().len();
     // Each class has its own generator: the arrival times of one don't depend on the other's rate.
     let mut paying =
-        arrivals(fastrand::Rng::with_seed(load.seed), load.paying_per_s, load.paying_at_once);
+        arrivals(fastrand::Rng::with_seed(load.seed), load.paying_per_s, load.paying_burst);
     let mut trial = arrivals(fastrand::Rng::with_seed(!load.seed), load.trial_per_s, 1);
     for _ in 0..duration_ms {
         for (class, count) in [(Class::Paying, paying()), (Class::Trial, trial())] {
