--- a/crates/sedgepath-core/examples/policy/report.rs
+++ b/crates/sedgepath-core/examples/policy/report.rs
@@ -145,7 +145,7 @@
             is_origin: |source, origin| matches!(source, IpAddr::V4(source) if usize::from(source.octets()[1]) == origin),
             origin,
             domains: &domains,
-            shares: &Deployment::shares(origin),
+            initial_shares: &Deployment::shares(origin),
             window_ms: WINDOW_MS,
             from_ms: run.started_at_ms,
             rounding: NODES as f64,
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -159,7 +159,7 @@
             is_origin: |source, origin| matches!(source, IpAddr::V4(source) if usize::from(source.octets()[1]) == origin),
             origin,
             domains: &domains,
-            shares: &SHARES[origin],
+            initial_shares: &SHARES[origin],
             window_ms: WINDOW_MS,
             from_ms: self.started_at_ms,
             rounding: NODES as f64,
--- a/crates/sedgepath-test-support/src/moves.rs
+++ b/crates/sedgepath-test-support/src/moves.rs
@@ -26,7 +26,7 @@
     /// The index of each upstream's failure domain.
     pub domains: &'a BTreeMap<UpstreamKey, usize>,
     /// The initial share of each failure domain.
-    pub shares: &'a [f64],
+    pub initial_shares: &'a [f64],
     /// The window of the shift cap, in milliseconds.
     pub window_ms: u64,
     /// When the first window begins, in milliseconds of the simulated clock.
@@ -49,7 +49,7 @@
         let bins = self.bins(bed);
         let mut max_shift: f64 = 0.0;
         for offset in 0..BINS_PER_WINDOW {
-            let mut split = self.shares.to_vec();
+            let mut split = self.initial_shares.to_vec();
             for window in bins[offset.min(bins.len())..].chunks_exact(BINS_PER_WINDOW) {
                 let (runs, requests) = self.sum_bins(window);
                 if requests > 0.0 {
@@ -74,7 +74,7 @@
         let mut max_shift: f64 = 0.0;
         for offset in 0..BINS_PER_WINDOW {
             let offset = offset.min(bins.len());
-            let mut last = self.shares.to_vec();
+            let mut last = self.initial_shares.to_vec();
             let windows = bins[offset..].chunks_exact(BINS_PER_WINDOW);
             for (window, splits) in windows.zip(splits[offset..].chunks_exact(BINS_PER_WINDOW)) {
                 let (runs, requests) = self.sum_bins(window);
@@ -114,7 +114,7 @@
     }
 
     fn sum_bins(&self, window: &[Bin]) -> (Vec<f64>, f64) {
-        let mut runs = vec![0.0; self.shares.len()];
+        let mut runs = vec![0.0; self.initial_shares.len()];
         for bin in window {
             for (sum, added) in runs.iter_mut().zip(&bin.runs_by_domain) {
                 *sum += added;
@@ -126,7 +126,7 @@
     }
 
     fn bins(&self, bed: &Bed) -> Vec<Bin> {
-        let bin = Bin { requested: 0.0, runs_by_domain: vec![0.0; self.shares.len()] };
+        let bin = Bin { requested: 0.0, runs_by_domain: vec![0.0; self.initial_shares.len()] };
         let mut bins = vec![bin; self.bin_count(bed)];
         let includes_call = |call: usize| self.includes_call(bed, call);
         let calls = bed.calls().iter().enumerate();
