--- a/crates/sedgepath-core/examples/policy/report.rs
+++ b/crates/sedgepath-core/examples/policy/report.rs
@@ -147,7 +147,7 @@
             domains: &domains,
             initial_shares: &Deployment::shares(origin),
             window_ms: WINDOW_MS,
-            from_ms: run.started_at_ms,
+            start_ms: run.started_at_ms,
             rounding: NODES as f64,
         };
         measurement.most_moved_percent(&run.bed)
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -43,7 +43,7 @@
     runs.iter().filter(|run| run.started_at_ms > reported_at_ms + MAX_LEAVING_DELAY_MS).count()
 }
 
-/// Returns the number of requests that callers sent since `from_ms`, and how many got a response.
+/// Returns the number of requests that callers sent since `start_ms`, and how many got a response.
 fn count_sent_and_answered(bed: &Bed, from_ms: u64) -> (usize, usize) {
     let calls = bed.calls().iter().filter(|call| call.sent_at_ms >= from_ms);
     let answered =
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -161,7 +161,7 @@
             domains: &domains,
             initial_shares: &SHARES[origin],
             window_ms: WINDOW_MS,
-            from_ms: self.started_at_ms,
+            start_ms: self.started_at_ms,
             rounding: NODES as f64,
         })
     }
--- a/crates/sedgepath-test-support/src/moves.rs
+++ b/crates/sedgepath-test-support/src/moves.rs
@@ -30,7 +30,7 @@
     /// The window of the shift cap, in milliseconds.
     pub window_ms: u64,
     /// When the first window begins, in milliseconds of the simulated clock.
-    pub from_ms: u64,
+    pub start_ms: u64,
     /// The number of requests per window that may shift because of rounding.
     pub rounding: f64,
 }
@@ -148,11 +148,11 @@
     }
 
     fn bin_count(&self, bed: &Bed) -> usize {
-        ((bed.now_ms() - self.from_ms) / self.bin_ms()) as usize
+        ((bed.now_ms() - self.start_ms) / self.bin_ms()) as usize
     }
 
     fn bin_at(&self, at_ms: u64) -> Option<usize> {
-        Some((at_ms.checked_sub(self.from_ms)? / self.bin_ms()) as usize)
+        Some((at_ms.checked_sub(self.start_ms)? / self.bin_ms()) as usize)
     }
 
     fn bin_ms(&self) -> u64 {
