--- a/crates/sedgepath-core/examples/policy/report.rs
+++ b/crates/sedgepath-core/examples/policy/report.rs
@@ -148,7 +148,7 @@
             initial_shares: &Deployment::shares(origin),
             window_ms: WINDOW_MS,
             start_ms: run.started_at_ms,
-            rounding: NODES as f64,
+            rounding_requests: NODES as f64,
         };
         measurement.most_moved_percent(&run.bed)
     };
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -162,7 +162,7 @@
             initial_shares: &SHARES[origin],
             window_ms: WINDOW_MS,
             start_ms: self.started_at_ms,
-            rounding: NODES as f64,
+            rounding_requests: NODES as f64,
         })
     }
 
--- a/crates/sedgepath-test-support/src/moves.rs
+++ b/crates/sedgepath-test-support/src/moves.rs
@@ -32,7 +32,7 @@
     /// When the first window begins, in milliseconds of the simulated clock.
     pub start_ms: u64,
     /// The number of requests per window that may shift because of rounding.
-    pub rounding: f64,
+    pub rounding_requests: f64,
 }
 
 /// The requests and runs in one bin.
@@ -54,7 +54,8 @@
                 let (runs, requests) = self.sum_bins(window);
                 if requests > 0.0 {
                     let run_shares: Vec<_> = runs.iter().map(|count| count / requests).collect();
-                    let shift = shift_split(&mut split, &run_shares) - self.rounding / requests;
+                    let shift =
+                        shift_split(&mut split, &run_shares) - self.rounding_requests / requests;
                     max_shift = max_shift.max(100.0 * shift);
                 }
             }
@@ -82,7 +83,8 @@
                     let run_shares: Vec<_> = runs.iter().map(|count| count / requests).collect();
                     let mut split = average_split(splits);
                     shift_split(&mut split, &run_shares);
-                    let shift = total_variation_distance(&split, &last) - self.rounding / requests;
+                    let shift =
+                        total_variation_distance(&split, &last) - self.rounding_requests / requests;
                     max_shift = max_shift.max(100.0 * shift);
                     last = split;
                 }
