--- a/crates/sedgepath-core/examples/policy/report.rs
+++ b/crates/sedgepath-core/examples/policy/report.rs
@@ -150,7 +150,7 @@
             start_ms: run.started_at_ms,
             rounding_requests: NODES as f64,
         };
-        measurement.most_moved_percent(&run.bed)
+        measurement.max_shift_percent(&run.bed)
     };
     (0..REGIONS).map(shift_percent).fold(0.0, f64::max)
 }
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -168,7 +168,7 @@
 
     /// Returns the largest share, in percent, that moved between two windows beyond rounding.
     fn max_moved_percent(&self) -> f64 {
-        let moved = |origin| self.follow(origin, |followed| followed.most_moved_percent(&self.bed));
+        let moved = |origin| self.follow(origin, |followed| followed.max_shift_percent(&self.bed));
         (0..ORIGINS.len()).map(moved).fold(0.0, f64::max)
     }
 
--- a/crates/sedgepath-test-support/src/moves.rs
+++ b/crates/sedgepath-test-support/src/moves.rs
@@ -45,7 +45,7 @@
 impl Followed<'_> {
     /// Returns the maximum percentage of the traffic that shifted between consecutive windows,
     /// less the rounding.
-    pub fn most_moved_percent(&self, bed: &Bed) -> f64 {
+    pub fn max_shift_percent(&self, bed: &Bed) -> f64 {
         let bins = self.bins(bed);
         let mut max_shift: f64 = 0.0;
         for offset in 0..BINS_PER_WINDOW {
