--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -177,7 +177,7 @@
     fn max_moved_percent_from_standing(&self) -> f64 {
         let moved = |origin| {
             self.follow(origin, |followed| {
-                followed.most_moved_percent_from(&self.standing_shares, &self.bed)
+                followed.max_shift_percent_from_splits(&self.standing_shares, &self.bed)
             })
         };
         (0..ORIGINS.len()).map(moved).fold(0.0, f64::max)
--- a/crates/sedgepath-test-support/src/moves.rs
+++ b/crates/sedgepath-test-support/src/moves.rs
@@ -69,7 +69,7 @@
     /// `splits` holds, for each call, the split of its node when the call was made. The split of a
     /// window is the average of these, adjusted for domains that ran more than their reported share,
     /// so that a node that shifts more than it reports is detected.
-    pub fn most_moved_percent_from(&self, splits: &[Vec<f64>], bed: &Bed) -> f64 {
+    pub fn max_shift_percent_from_splits(&self, splits: &[Vec<f64>], bed: &Bed) -> f64 {
         let bins = self.bins(bed);
         let splits = self.splits_by_bin(splits, bed);
         let mut max_shift: f64 = 0.0;
