--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -107,7 +107,7 @@
     }
 
     /// Replaces the records of the owner.
-    pub fn apply(&mut self, records: &[RawRecord]) {
+    pub fn apply_records(&mut self, records: &[RawRecord]) {
         self.catalogue = Catalogue::new(records);
     }
 
