--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -74,15 +74,15 @@
 fn lost_call_keeps_its_slot_until_its_deadline() {
     let mut owner = owner_of_one_upstream(4, &json!({}));
     let sent = owner.dispatch_many(4, Class::Paying, 2_000);
-    owner.pass_ms(10);
+    owner.advance_ms(10);
     for exchange in &sent {
         owner.end(*exchange, CallOutcome::Lost);
     }
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 4);
     assert!(owner.dispatch_many(4, Class::Paying, 1_500).is_empty());
-    owner.pass_ms(1_980);
+    owner.advance_ms(1_980);
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 4);
-    owner.pass_ms(20);
+    owner.advance_ms(20);
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 0);
     assert_eq!(owner.dispatch_many(4, Class::Paying, 2_000).len(), 4);
 }
@@ -92,13 +92,13 @@
 fn newer_report_frees_the_slots_of_lost_calls() {
     let mut owner = owner_of_one_upstream(4, &json!({}));
     let sent = owner.dispatch_many(3, Class::Paying, 4_000);
-    owner.pass_ms(10);
+    owner.advance_ms(10);
     for exchange in &sent {
         owner.end(*exchange, CallOutcome::Lost);
     }
     owner.report("u", 0, 4, false);
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 3);
-    owner.pass_ms(1_000);
+    owner.advance_ms(1_000);
     owner.report("u", 1, 4, false);
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 1);
 }
@@ -132,7 +132,7 @@
         at_ms: send_by_ms - 100,
     };
     assert_eq!(owner.decision(first), sent);
-    owner.pass_ms(101);
+    owner.advance_ms(101);
     let late = owner.dispatch("s", Class::Paying, 2_000);
     assert_eq!(owner.refusal(late).map(|refusal| refusal.reason), Some(RejectionReason::NotOwner));
 }
@@ -143,10 +143,10 @@
     let mut owner = owner_of_one_upstream(4, &json!({}));
     owner.report("u", 0, 10, false);
     assert_eq!(owner.fits(Class::Paying), 4);
-    owner.pass_ms(2_000);
+    owner.advance_ms(2_000);
     owner.report("u", 0, 2, false);
     assert_eq!(owner.fits(Class::Paying), 2);
-    owner.pass_ms(10_000);
+    owner.advance_ms(10_000);
     assert_eq!(owner.fits(Class::Paying), 4);
 }
 
@@ -160,7 +160,7 @@
         owner.end(*exchange, CallOutcome::Completed);
     }
     assert_eq!(owner.fits(Class::Paying), 4);
-    owner.pass_ms(10_000);
+    owner.advance_ms(10_000);
     assert_eq!(owner.fits(Class::Paying), 8);
 }
 
@@ -175,10 +175,10 @@
             attempts.push(owner.now_ms());
             owner.end(exchange, CallOutcome::NotSent);
         }
-        owner.pass_ms(20);
+        owner.advance_ms(20);
     }
     assert!((5..=16).contains(&attempts.len()), "{} attempts", attempts.len());
-    owner.pass_ms(30_000);
+    owner.advance_ms(30_000);
     let probe = owner.dispatch_many(4, Class::Paying, 400);
     assert_eq!(probe.len(), 1);
     owner.end(probe[0], CallOutcome::Completed);
@@ -254,7 +254,7 @@
         let sent = owner.dispatch_and_take_sent(4, Class::Paying, 1_000);
         driver.step(owner, sent, keep_open);
         peak_open = peak_open.max(driver.open);
-        owner.pass_ms(20);
+        owner.advance_ms(20);
     }
     (driver, peak_open)
 }
@@ -283,13 +283,13 @@
 #[test]
 fn cold_upstream_warms_up_from_its_first_use() {
     let mut owner = owner_of_one_upstream(8, &json!({ "cold_slots": 2, "warm_up_ms": 4_000 }));
-    owner.pass_ms(10_000);
+    owner.advance_ms(10_000);
     assert_eq!(owner.fits(Class::Paying), 2);
-    owner.pass_ms(2_000);
+    owner.advance_ms(2_000);
     assert_eq!(owner.fits(Class::Paying), 5);
-    owner.pass_ms(2_000);
+    owner.advance_ms(2_000);
     assert_eq!(owner.fits(Class::Paying), 8);
-    owner.pass_ms(120_000);
+    owner.advance_ms(120_000);
     assert_eq!(owner.fits(Class::Paying), 2);
 }
 
@@ -336,12 +336,12 @@
                 }
             }
             start_sent_calls(&mut owner, &mut running, &mut random, seed);
-            owner.pass_ms(random.u64(0..30));
+            owner.advance_ms(random.u64(0..30));
             start_sent_calls(&mut owner, &mut running, &mut random, seed);
             end_due_calls(&mut owner, &mut running);
             start_sent_calls(&mut owner, &mut running, &mut random, seed);
         }
-        owner.pass_ms(3_000);
+        owner.advance_ms(3_000);
         let undecided = dispatched.iter().filter(|key| owner.decision(**key) == Decision::Queued);
         assert_eq!(undecided.count(), 0, "seed {seed}");
         assert!(owner.sent_count() > 50, "seed {seed}: {} sent", owner.sent_count());
--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -23,7 +23,7 @@
     let mut owner = Owner::new(&one_upstream(2));
     for _ in 0..20 {
         for exchange in owner.dispatch_many(1, Class::Paying, 5_000) {
-            owner.pass_ms(100);
+            owner.advance_ms(100);
             owner.end(exchange, CallOutcome::Completed);
         }
     }
@@ -96,7 +96,7 @@
     }
     owner.dispatch_many(3, Class::Paying, 1_000);
     assert_eq!(owner.fits(Class::Trial), 1);
-    owner.pass_ms(120_000);
+    owner.advance_ms(120_000);
     assert_eq!(owner.fits(Class::Trial), 5);
 }
 
@@ -134,7 +134,7 @@
     let mut owner = busy_owner();
     let queued = owner.dispatch("s", Class::Paying, 1_000);
     assert_eq!(owner.decision(queued), Decision::Queued);
-    owner.pass_ms(900);
+    owner.advance_ms(900);
     assert_eq!(owner.refusal(queued).map(|refusal| refusal.reason), Some(RejectionReason::Full));
 }
 
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -204,8 +204,8 @@
 fn leaving_mark_expires() {
     let mut owner = owner_of_two_upstreams();
     owner.report("u1", 0, 4, true);
-    owner.pass_ms(14 * 60_000);
+    owner.advance_ms(14 * 60_000);
     assert_eq!(owner.load().0, 4);
-    owner.pass_ms(2 * 60_000);
+    owner.advance_ms(2 * 60_000);
     assert_eq!(owner.load().0, 8);
 }
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -112,7 +112,7 @@
     }
 
     /// Advances the clock and runs the ticks that fall due.
-    pub fn pass_ms(&mut self, duration_ms: u64) {
+    pub fn advance_ms(&mut self, duration_ms: u64) {
         let until_ms = self.now_ms + duration_ms;
         loop {
             let next_ms = (self.now_ms / TICK_INTERVAL_MS + 1) * TICK_INTERVAL_MS;
