--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -168,11 +168,12 @@
         avoid_upstream: Some(UpstreamKey::of("u")),
         revision: 1,
     };
-    let avoiding = owner.hand_in(&dispatch);
+    let avoiding = owner.dispatch_request(&dispatch);
     assert_eq!(
         owner.refusal(avoiding).map(|refusal| refusal.reason),
         Some(RejectionReason::NoUpstream)
     );
-    let late = owner.hand_in(&Dispatch { remaining_ms: 0, avoid_upstream: None, ..dispatch });
+    let late =
+        owner.dispatch_request(&Dispatch { remaining_ms: 0, avoid_upstream: None, ..dispatch });
     assert_eq!(owner.refusal(late).map(|refusal| refusal.reason), Some(RejectionReason::Deadline));
 }
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -127,7 +127,7 @@
 
     /// Dispatches a request to a service and returns its key; see [`Self::decision`].
     pub fn dispatch(&mut self, service: &str, class: Class, remaining_ms: u64) -> ExchangeKey {
-        self.hand_in(&Dispatch {
+        self.dispatch_request(&Dispatch {
             service: ServiceKey::of(service),
             class,
             origin: OriginKey::of("any"),
@@ -139,7 +139,7 @@
     }
 
     /// Dispatches a request and returns its key.
-    pub fn hand_in(&mut self, dispatch: &Dispatch) -> ExchangeKey {
+    pub fn dispatch_request(&mut self, dispatch: &Dispatch) -> ExchangeKey {
         let exchange = ExchangeKey(self.decisions.len() as u64);
         self.decisions.push(Decision::Queued);
         self.with_admission(|egress, context, out| {
