--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -142,12 +142,12 @@
 fn reports_lower_the_slots_for_a_while_and_never_raise_them() {
     let mut owner = owner_of_one_upstream(4, &json!({}));
     owner.report("u", 0, 10, false);
-    assert_eq!(owner.fits(Class::Paying), 4);
+    assert_eq!(owner.count_admitted(Class::Paying), 4);
     owner.advance_ms(2_000);
     owner.report("u", 0, 2, false);
-    assert_eq!(owner.fits(Class::Paying), 2);
+    assert_eq!(owner.count_admitted(Class::Paying), 2);
     owner.advance_ms(10_000);
-    assert_eq!(owner.fits(Class::Paying), 4);
+    assert_eq!(owner.count_admitted(Class::Paying), 4);
 }
 
 /// Guards against slots that a rejection doesn't reduce, or reduces for ever.
@@ -159,9 +159,9 @@
     for exchange in &sent[1..] {
         owner.end(*exchange, CallOutcome::Completed);
     }
-    assert_eq!(owner.fits(Class::Paying), 4);
+    assert_eq!(owner.count_admitted(Class::Paying), 4);
     owner.advance_ms(10_000);
-    assert_eq!(owner.fits(Class::Paying), 8);
+    assert_eq!(owner.count_admitted(Class::Paying), 8);
 }
 
 /// Guards against more than one request at a time probing an unreachable upstream, against probes
@@ -284,13 +284,13 @@
 fn cold_upstream_warms_up_from_its_first_use() {
     let mut owner = owner_of_one_upstream(8, &json!({ "cold_slots": 2, "warm_up_ms": 4_000 }));
     owner.advance_ms(10_000);
-    assert_eq!(owner.fits(Class::Paying), 2);
+    assert_eq!(owner.count_admitted(Class::Paying), 2);
     owner.advance_ms(2_000);
-    assert_eq!(owner.fits(Class::Paying), 5);
+    assert_eq!(owner.count_admitted(Class::Paying), 5);
     owner.advance_ms(2_000);
-    assert_eq!(owner.fits(Class::Paying), 8);
+    assert_eq!(owner.count_admitted(Class::Paying), 8);
     owner.advance_ms(120_000);
-    assert_eq!(owner.fits(Class::Paying), 2);
+    assert_eq!(owner.count_admitted(Class::Paying), 2);
 }
 
 /// Guards against a load generator that itself causes failures: all requests that fit get a
--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -92,12 +92,12 @@
         for exchange in paying {
             owner.end(exchange, CallOutcome::Completed);
         }
-        assert_eq!(owner.fits(Class::Trial), free_for_trial);
+        assert_eq!(owner.count_admitted(Class::Trial), free_for_trial);
     }
     owner.dispatch_many(3, Class::Paying, 1_000);
-    assert_eq!(owner.fits(Class::Trial), 1);
+    assert_eq!(owner.count_admitted(Class::Trial), 1);
     owner.advance_ms(120_000);
-    assert_eq!(owner.fits(Class::Trial), 5);
+    assert_eq!(owner.count_admitted(Class::Trial), 5);
 }
 
 /// Guards against a queue that doesn't serve by class first and then by deadline.
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -177,7 +177,7 @@
     }
 
     /// Dispatches a batch of requests, returns how many were sent immediately, and ends all calls.
-    pub fn fits(&mut self, class: Class) -> usize {
+    pub fn count_admitted(&mut self, class: Class) -> usize {
         let admitted = self.dispatch_many(20, class, 60).len();
         loop {
             let sent = self.take_sent();
