--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -134,7 +134,10 @@
     assert_eq!(owner.decision(first), sent);
     owner.advance_ms(101);
     let late = owner.dispatch("s", Class::Paying, 2_000);
-    assert_eq!(owner.refusal(late).map(|refusal| refusal.reason), Some(RejectionReason::NotOwner));
+    assert_eq!(
+        owner.rejection(late).map(|refusal| refusal.reason),
+        Some(RejectionReason::NotOwner)
+    );
 }
 
 /// Guards against reports that raise the configured slots, or reduce them for ever.
--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -121,7 +121,7 @@
 fn request_that_the_queue_cannot_serve_in_time_is_rejected_at_once() {
     let mut owner = busy_owner();
     let queued: Vec<_> = (0..20).map(|_| owner.dispatch("s", Class::Paying, 300)).collect();
-    let rejected: Vec<_> = queued.iter().filter_map(|key| owner.refusal(*key)).collect();
+    let rejected: Vec<_> = queued.iter().filter_map(|key| owner.rejection(*key)).collect();
     // Two slots, 100 ms a request: the fifth in the queue would start after 250 ms.
     assert!((14..=18).contains(&rejected.len()), "{} rejected", rejected.len());
     assert!(rejected.iter().all(|refusal| refusal.reason == RejectionReason::Full));
@@ -135,7 +135,7 @@
     let queued = owner.dispatch("s", Class::Paying, 1_000);
     assert_eq!(owner.decision(queued), Decision::Queued);
     owner.advance_ms(900);
-    assert_eq!(owner.refusal(queued).map(|refusal| refusal.reason), Some(RejectionReason::Full));
+    assert_eq!(owner.rejection(queued).map(|refusal| refusal.reason), Some(RejectionReason::Full));
 }
 
 /// Guards against cancelled requests that stay in the queue, and against cancelled calls that free
@@ -148,7 +148,7 @@
     owner.gone(queued);
     owner.gone(running);
     assert_eq!(
-        owner.refusal(queued).map(|refusal| refusal.reason),
+        owner.rejection(queued).map(|refusal| refusal.reason),
         Some(RejectionReason::Cancelled)
     );
     assert_eq!(owner.cancelled(), [running]);
@@ -170,10 +170,13 @@
     };
     let avoiding = owner.dispatch_request(&dispatch);
     assert_eq!(
-        owner.refusal(avoiding).map(|refusal| refusal.reason),
+        owner.rejection(avoiding).map(|refusal| refusal.reason),
         Some(RejectionReason::NoUpstream)
     );
     let late =
         owner.dispatch_request(&Dispatch { remaining_ms: 0, avoid_upstream: None, ..dispatch });
-    assert_eq!(owner.refusal(late).map(|refusal| refusal.reason), Some(RejectionReason::Deadline));
+    assert_eq!(
+        owner.rejection(late).map(|refusal| refusal.reason),
+        Some(RejectionReason::Deadline)
+    );
 }
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -189,7 +189,7 @@
     owner.report("u2", 4, 4, true);
     assert_eq!(owner.load(), (0, 0));
     assert_eq!(
-        owner.refusal(queued).map(|refusal| refusal.reason),
+        owner.rejection(queued).map(|refusal| refusal.reason),
         Some(RejectionReason::NoUpstream)
     );
     assert!(owner.cancelled().is_empty());
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -206,7 +206,7 @@
     }
 
     /// Returns the rejection of a request, or `None` if it was not rejected.
-    pub fn refusal(&self, exchange: ExchangeKey) -> Option<Rejection> {
+    pub fn rejection(&self, exchange: ExchangeKey) -> Option<Rejection> {
         match self.decision(exchange) {
             Decision::Refused(rejection) => Some(rejection),
             _ => None,
