--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -76,7 +76,7 @@
     let sent = owner.dispatch_many(4, Class::Paying, 2_000);
     owner.advance_ms(10);
     for exchange in &sent {
-        owner.end(*exchange, CallOutcome::Lost);
+        owner.end_call(*exchange, CallOutcome::Lost);
     }
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 4);
     assert!(owner.dispatch_many(4, Class::Paying, 1_500).is_empty());
@@ -94,7 +94,7 @@
     let sent = owner.dispatch_many(3, Class::Paying, 4_000);
     owner.advance_ms(10);
     for exchange in &sent {
-        owner.end(*exchange, CallOutcome::Lost);
+        owner.end_call(*exchange, CallOutcome::Lost);
     }
     owner.report("u", 0, 4, false);
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 3);
@@ -111,10 +111,10 @@
     owner.allowances[0].slots = 3;
     for exchange in &sent[..3] {
         assert!(owner.dispatch_many(1, Class::Paying, 4_000).is_empty());
-        owner.end(*exchange, CallOutcome::Completed);
+        owner.end_call(*exchange, CallOutcome::Completed);
     }
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 3);
-    owner.end(sent[3], CallOutcome::Completed);
+    owner.end_call(sent[3], CallOutcome::Completed);
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 3);
 }
 
@@ -158,9 +158,9 @@
 fn rejection_lowers_the_slots_for_a_while() {
     let mut owner = owner_of_one_upstream(8, &json!({}));
     let sent = owner.dispatch_many(8, Class::Paying, 1_000);
-    owner.end(sent[0], CallOutcome::Refused);
+    owner.end_call(sent[0], CallOutcome::Refused);
     for exchange in &sent[1..] {
-        owner.end(*exchange, CallOutcome::Completed);
+        owner.end_call(*exchange, CallOutcome::Completed);
     }
     assert_eq!(owner.count_admitted(Class::Paying), 4);
     owner.advance_ms(10_000);
@@ -176,7 +176,7 @@
     while owner.now_ms() < 1_060_000 {
         for exchange in owner.dispatch_and_take_sent(2, Class::Paying, 400) {
             attempts.push(owner.now_ms());
-            owner.end(exchange, CallOutcome::NotSent);
+            owner.end_call(exchange, CallOutcome::NotSent);
         }
         owner.advance_ms(20);
     }
@@ -184,7 +184,7 @@
     owner.advance_ms(30_000);
     let probe = owner.dispatch_many(4, Class::Paying, 400);
     assert_eq!(probe.len(), 1);
-    owner.end(probe[0], CallOutcome::Completed);
+    owner.end_call(probe[0], CallOutcome::Completed);
     owner.dispatch_many(4, Class::Paying, 400);
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 4);
 }
@@ -222,7 +222,7 @@
                 self.opened_at_ms.push(owner.now_ms());
                 owner.connections("u", self.open);
             } else {
-                owner.end(exchange, CallOutcome::NotSent);
+                owner.end_call(exchange, CallOutcome::NotSent);
                 continue;
             }
             self.running.push((exchange, owner.now_ms() + 50));
@@ -238,7 +238,7 @@
                 self.open -= 1;
                 owner.connections("u", self.open);
             }
-            owner.end(exchange, CallOutcome::Completed);
+            owner.end_call(exchange, CallOutcome::Completed);
         }
     }
 
@@ -387,11 +387,11 @@
     for call in running.clone() {
         match call.lost_at_ms {
             Some(lost_at_ms) if lost_at_ms <= now_ms => {
-                owner.end(call.exchange, CallOutcome::Lost);
+                owner.end_call(call.exchange, CallOutcome::Lost);
             }
             None if is_over(&call) => {
                 running.retain(|other| other.exchange != call.exchange);
-                owner.end(call.exchange, CallOutcome::Completed);
+                owner.end_call(call.exchange, CallOutcome::Completed);
             }
             _ => {}
         }
@@ -408,6 +408,6 @@
     let Some(index) = (!running.is_empty()).then(|| random.usize(0..running.len())) else { return };
     if running[index].lost_at_ms.is_none() {
         let call = running.remove(index);
-        owner.end(call.exchange, outcome);
+        owner.end_call(call.exchange, outcome);
     }
 }
--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -24,7 +24,7 @@
     for _ in 0..20 {
         for exchange in owner.dispatch_many(1, Class::Paying, 5_000) {
             owner.advance_ms(100);
-            owner.end(exchange, CallOutcome::Completed);
+            owner.end_call(exchange, CallOutcome::Completed);
         }
     }
     owner.dispatch_many(2, Class::Paying, 5_000);
@@ -90,7 +90,7 @@
     for (paying_requests, free_for_trial) in [(2, 4), (4, 3), (6, 3)] {
         let paying = owner.dispatch_many(paying_requests, Class::Paying, 1_000);
         for exchange in paying {
-            owner.end(exchange, CallOutcome::Completed);
+            owner.end_call(exchange, CallOutcome::Completed);
         }
         assert_eq!(owner.count_admitted(Class::Trial), free_for_trial);
     }
@@ -108,10 +108,10 @@
     let trial = owner.dispatch("s", Class::Trial, 2_000);
     let late = owner.dispatch("s", Class::Paying, 4_000);
     let soon = owner.dispatch("s", Class::Paying, 3_000);
-    owner.end(running[0], CallOutcome::Completed);
+    owner.end_call(running[0], CallOutcome::Completed);
     let sent: Vec<_> = [soon, late, trial].map(|exchange| owner.is_sent(exchange)).into();
     assert_eq!(sent, [true, false, false]);
-    owner.end(running[1], CallOutcome::Completed);
+    owner.end_call(running[1], CallOutcome::Completed);
     assert!(owner.is_sent(late));
     assert!(!owner.is_sent(trial));
 }
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -194,7 +194,7 @@
     );
     assert!(owner.cancelled().is_empty());
     for exchange in running {
-        owner.end(exchange, CallOutcome::Completed);
+        owner.end_call(exchange, CallOutcome::Completed);
     }
     assert!(owner.dispatch_many(1, Class::Paying, 2_000).is_empty());
 }
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -185,7 +185,7 @@
                 return admitted;
             }
             for exchange in sent {
-                self.end(exchange, CallOutcome::Completed);
+                self.end_call(exchange, CallOutcome::Completed);
             }
         }
     }
@@ -219,7 +219,7 @@
     }
 
     /// Ends an upstream call with an outcome.
-    pub fn end(&mut self, exchange: ExchangeKey, end: CallOutcome) {
+    pub fn end_call(&mut self, exchange: ExchangeKey, end: CallOutcome) {
         self.with_admission(|egress, context, out| egress.call_ended(exchange, end, context, out));
     }
 
