--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -96,10 +96,10 @@
     for exchange in &sent {
         owner.end_call(*exchange, CallOutcome::Lost);
     }
-    owner.report("u", 0, 4, false);
+    owner.report_load("u", 0, 4, false);
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 3);
     owner.advance_ms(1_000);
-    owner.report("u", 1, 4, false);
+    owner.report_load("u", 1, 4, false);
     assert_eq!(owner.egress().in_flight(UpstreamKey::of("u")), 1);
 }
 
@@ -144,10 +144,10 @@
 #[test]
 fn reports_lower_the_slots_for_a_while_and_never_raise_them() {
     let mut owner = owner_of_one_upstream(4, &json!({}));
-    owner.report("u", 0, 10, false);
+    owner.report_load("u", 0, 10, false);
     assert_eq!(owner.count_admitted(Class::Paying), 4);
     owner.advance_ms(2_000);
-    owner.report("u", 0, 2, false);
+    owner.report_load("u", 0, 2, false);
     assert_eq!(owner.count_admitted(Class::Paying), 2);
     owner.advance_ms(10_000);
     assert_eq!(owner.count_admitted(Class::Paying), 4);
@@ -354,7 +354,7 @@
 fn report_running(owner: &mut Owner, running: &[ActualCall], slots: u32) {
     let now_ms = owner.now_ms();
     let in_flight = running.iter().filter(|call| now_ms < call.ends_at_ms).count();
-    owner.report("u", in_flight as u32, slots, false);
+    owner.report_load("u", in_flight as u32, slots, false);
 }
 
 fn start_sent_calls(
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -224,7 +224,7 @@
     }
 
     /// Delivers a load report of an upstream, made at the current time.
-    pub fn report(&mut self, upstream: &str, in_flight: u32, slots: u32, leaving: bool) {
+    pub fn report_load(&mut self, upstream: &str, in_flight: u32, slots: u32, leaving: bool) {
         let report = UpstreamReport {
             in_flight: Some(in_flight),
             slots: Some(slots),
