--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -220,7 +220,7 @@
             } else if may_open {
                 self.open += 1;
                 self.opened_at_ms.push(owner.now_ms());
-                owner.connections("u", self.open);
+                owner.set_open_connections("u", self.open);
             } else {
                 owner.end_call(exchange, CallOutcome::NotSent);
                 continue;
@@ -236,7 +236,7 @@
                 self.idle += 1;
             } else {
                 self.open -= 1;
-                owner.connections("u", self.open);
+                owner.set_open_connections("u", self.open);
             }
             owner.end_call(exchange, CallOutcome::Completed);
         }
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -238,7 +238,7 @@
     }
 
     /// Sets the number of open connections to an upstream.
-    pub fn connections(&mut self, upstream: &str, open: u32) {
+    pub fn set_open_connections(&mut self, upstream: &str, open: u32) {
         self.egress.set_open_connections(UpstreamKey::of(upstream), open, self.now_ms);
     }
 
