--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -145,8 +145,8 @@
     let mut owner = Owner::new(&one_upstream(1));
     let running = owner.dispatch("s", Class::Paying, 5_000);
     let queued = owner.dispatch("s", Class::Paying, 5_000);
-    owner.gone(queued);
-    owner.gone(running);
+    owner.cancel_dispatch(queued);
+    owner.cancel_dispatch(running);
     assert_eq!(
         owner.rejection(queued).map(|refusal| refusal.reason),
         Some(RejectionReason::Cancelled)
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -243,7 +243,7 @@
     }
 
     /// Cancels a dispatch whose caller no longer waits.
-    pub fn gone(&mut self, exchange: ExchangeKey) {
+    pub fn cancel_dispatch(&mut self, exchange: ExchangeKey) {
         self.egress.cancel_dispatch(exchange, &mut self.outbox);
         self.record_actions();
     }
