--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -152,7 +152,7 @@
         Some(RejectionReason::Cancelled)
     );
     assert_eq!(owner.cancelled(), [running]);
-    assert_eq!(owner.load().1, 1);
+    assert_eq!(owner.reported_load().1, 1);
 }
 
 /// Guards against queueing a request whose only upstream it avoids, or whose deadline has passed.
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -182,12 +182,12 @@
 fn leaving_upstream_has_no_slots_and_its_queue_is_rejected() {
     let mut owner = owner_of_two_upstreams();
     let running = owner.dispatch_many(8, Class::Paying, 2_000);
-    assert_eq!(owner.load(), (8, 8));
+    assert_eq!(owner.reported_load(), (8, 8));
     owner.report_load("u1", 4, 4, true);
-    assert_eq!(owner.load(), (4, 4));
+    assert_eq!(owner.reported_load(), (4, 4));
     let queued = owner.dispatch("s", Class::Paying, 2_000);
     owner.report_load("u2", 4, 4, true);
-    assert_eq!(owner.load(), (0, 0));
+    assert_eq!(owner.reported_load(), (0, 0));
     assert_eq!(
         owner.rejection(queued).map(|refusal| refusal.reason),
         Some(RejectionReason::NoUpstream)
@@ -205,7 +205,7 @@
     let mut owner = owner_of_two_upstreams();
     owner.report_load("u1", 0, 4, true);
     owner.advance_ms(14 * 60_000);
-    assert_eq!(owner.load().0, 4);
+    assert_eq!(owner.reported_load().0, 4);
     owner.advance_ms(2 * 60_000);
-    assert_eq!(owner.load().0, 8);
+    assert_eq!(owner.reported_load().0, 8);
 }
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -249,7 +249,7 @@
     }
 
     /// Returns the slots and the requests in flight that the owner reports, over all services.
-    pub fn load(&self) -> (u32, u32) {
+    pub fn reported_load(&self) -> (u32, u32) {
         let context = AdmissionContext { allowances: &self.allowances, catalogue: &self.catalogue };
         let loads = self.egress.loads(context, self.now_ms);
         loads.iter().fold((0, 0), |sum, load| (sum.0 + load.slots, sum.1 + load.in_flight))
