--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -40,7 +40,7 @@
         at_ms: u64,
     },
     /// The request was rejected.
-    Refused(Rejection),
+    Rejected(Rejection),
 }
 
 /// The owner of all upstreams in its records.
@@ -208,7 +208,7 @@
     /// Returns the rejection of a request, or `None` if it was not rejected.
     pub fn rejection(&self, exchange: ExchangeKey) -> Option<Rejection> {
         match self.decision(exchange) {
-            Decision::Refused(rejection) => Some(rejection),
+            Decision::Rejected(rejection) => Some(rejection),
             _ => None,
         }
     }
@@ -274,7 +274,7 @@
                     self.sent.push(exchange);
                 }
                 Action::RejectDispatch { exchange, refusal } => {
-                    self.decisions[exchange.0 as usize] = Decision::Refused(refusal);
+                    self.decisions[exchange.0 as usize] = Decision::Rejected(refusal);
                 }
                 Action::CancelCall { exchange } => self.cancelled.push(exchange),
                 _ => {}
