--- a/crates/sedgepath-test-support/src/system.rs
+++ b/crates/sedgepath-test-support/src/system.rs
@@ -103,7 +103,7 @@
     }
 
     /// Returns the caller addresses of the daemons, in the order in which they were added.
-    pub fn entries(&self) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.addresses.iter().map(|address| address.callers).collect()
     }
 
@@ -113,7 +113,7 @@
     /// A daemon serves requests only once it holds the leases of its upstreams.
     pub fn all_serve(&self, mut serves: impl FnMut(SocketAddr, usize) -> bool) -> bool {
         let mut attempts = 0..600;
-        self.entries().into_iter().all(|entry| {
+        self.caller_addresses().into_iter().all(|entry| {
             attempts.any(|number| {
                 std::thread::sleep(std::time::Duration::from_millis(100));
                 serves(entry, number)
--- a/crates/sedgepathd/examples/demo.rs
+++ b/crates/sedgepathd/examples/demo.rs
@@ -80,7 +80,7 @@
     if !system.all_serve(is_served) {
         return Err("a daemon serves nothing".into());
     }
-    let entries = system.entries();
+    let entries = system.caller_addresses();
 
     println!("traffic begins: {CALLERS_PER_CLASS} paying and {CALLERS_PER_CLASS} trial callers");
     let started = Instant::now();
--- a/crates/sedgepathd/tests/faults.rs
+++ b/crates/sedgepathd/tests/faults.rs
@@ -106,7 +106,7 @@
     inject_faults: impl FnOnce(&mut FaultSystem),
 ) -> CallerStats {
     let stop = Arc::new(AtomicBool::new(false));
-    let callers = start_callers(&fixture.system.entries(), &stop);
+    let callers = start_callers(&fixture.system.caller_addresses(), &stop);
     sleep_ms(1_500);
     inject_faults(fixture);
     sleep_ms(1_000);
--- a/crates/sedgepathd/tests/stop.rs
+++ b/crates/sedgepathd/tests/stop.rs
@@ -31,7 +31,7 @@
     let system = system.with_daemons(&records, &[("n1", "north-a"), ("s1", "south-a")]);
     let mut system = system.expect("daemons");
     assert!(system.all_serve(|entry, _| is_answered(entry, "/ready")), "a daemon serves nothing");
-    let entries = system.entries();
+    let entries = system.caller_addresses();
 
     upstream.set_behaviour(Behaviour::DelayAnswer { delay_ms: 2_000 });
     let in_flight: Vec<_> = (0..20)
