--- a/crates/sedgepath-test-support/src/system.rs
+++ b/crates/sedgepath-test-support/src/system.rs
@@ -111,7 +111,7 @@
     /// true for every daemon; returns false after a minute.
     ///
     /// A daemon serves requests only once it holds the leases of its upstreams.
-    pub fn all_serve(&self, mut serves: impl FnMut(SocketAddr, usize) -> bool) -> bool {
+    pub fn wait_until_all_serve(&self, mut serves: impl FnMut(SocketAddr, usize) -> bool) -> bool {
         let mut attempts = 0..600;
         self.caller_addresses().into_iter().all(|entry| {
             attempts.any(|number| {
--- a/crates/sedgepathd/examples/demo.rs
+++ b/crates/sedgepathd/examples/demo.rs
@@ -77,7 +77,7 @@
     let daemons: Vec<_> = vm_names.iter().map(|name| &**name).zip(DOMAINS).collect();
     let mut system = System::new(&std::env::current_exe()?)?
         .with_daemons(&first_records(&upstreams), &daemons)?;
-    if !system.all_serve(is_served) {
+    if !system.wait_until_all_serve(is_served) {
         return Err("a daemon serves nothing".into());
     }
     let entries = system.caller_addresses();
--- a/crates/sedgepathd/examples/slopes/daemon.rs
+++ b/crates/sedgepathd/examples/slopes/daemon.rs
@@ -32,7 +32,7 @@
     let system = System::new(&std::env::current_exe()?)?
         .with_daemons(&records, &[("n1", "north-a"), ("s1", "south-a")])?;
     let entries = system.caller_addresses();
-    if !system.all_serve(|entry, _| is_answered(entry)) {
+    if !system.wait_until_all_serve(|entry, _| is_answered(entry)) {
         return Err("the daemons serve nothing".into());
     }
 
--- a/crates/sedgepathd/tests/callers.rs
+++ b/crates/sedgepathd/tests/callers.rs
@@ -31,7 +31,7 @@
             .with_daemons(&records, &[("s1", "south-a")])
             .expect("daemon");
         let is_served = |entry, _| Caller::new([entry]).call(&get("/ready")).outcome == ANSWERED;
-        assert!(system.all_serve(is_served), "the daemon serves no requests");
+        assert!(system.wait_until_all_serve(is_served), "the daemon serves no requests");
         let callers = system.addresses[0].callers;
         Self { upstream, system, callers }
     }
--- a/crates/sedgepathd/tests/faults.rs
+++ b/crates/sedgepathd/tests/faults.rs
@@ -57,7 +57,7 @@
             let key = format!("{when} {entry} {number}");
             Caller::new([entry]).call(&call(&key, 0)).outcome == ANSWERED
         };
-        assert!(self.system.all_serve(serves), "a daemon serves nothing at the {when}");
+        assert!(self.system.wait_until_all_serve(serves), "a daemon serves nothing at the {when}");
     }
 
     fn signal(&mut self, daemon: usize, signal: Signal) {
--- a/crates/sedgepathd/tests/stop.rs
+++ b/crates/sedgepathd/tests/stop.rs
@@ -30,7 +30,10 @@
     let system = System::new(Path::new(env!("CARGO_BIN_EXE_sedgepathd"))).expect("platform");
     let system = system.with_daemons(&records, &[("n1", "north-a"), ("s1", "south-a")]);
     let mut system = system.expect("daemons");
-    assert!(system.all_serve(|entry, _| is_answered(entry, "/ready")), "a daemon serves nothing");
+    assert!(
+        system.wait_until_all_serve(|entry, _| is_answered(entry, "/ready")),
+        "a daemon serves nothing"
+    );
     let entries = system.caller_addresses();
 
     upstream.set_behaviour(Behaviour::DelayAnswer { delay_ms: 2_000 });
