--- a/crates/sedgepath-test-support/src/system.rs
+++ b/crates/sedgepath-test-support/src/system.rs
@@ -41,7 +41,7 @@
     /// The name of the VM's failure domain.
     pub domain: Box<str>,
     /// The address for callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// The address for peers.
     pub peers: SocketAddr,
     /// The address for operators.
@@ -104,7 +104,7 @@
 
     /// Returns the caller addresses of the daemons, in the order in which they were added.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
-        self.addresses.iter().map(|address| address.callers).collect()
+        self.addresses.iter().map(|address| address.caller_address).collect()
     }
 
     /// Polls until `serves`, called with a caller address and the number of the attempt, has returned
@@ -141,7 +141,7 @@
         self.addresses.push(DaemonAddresses {
             name: name.into(),
             domain: domain.into(),
-            callers: address(0),
+            caller_address: address(0),
             peers: address(1),
             operators: address(2),
             metrics: address(3),
@@ -160,14 +160,15 @@
     pub fn start_daemon(&mut self, index: usize) -> Result<(), SystemError> {
         let addresses = &self.addresses[index];
         let settings = self.settings(addresses);
-        let daemon = DaemonProcess::new(&self.binary, &settings, addresses.callers)?;
+        let daemon = DaemonProcess::new(&self.binary, &settings, addresses.caller_address)?;
         self.daemons[index] = Some(daemon);
         Ok(())
     }
 
     /// Returns the settings of a daemon as YAML.
     pub fn settings(&self, addresses: &DaemonAddresses) -> String {
-        let DaemonAddresses { name, domain, callers, peers, operators, metrics } = addresses;
+        let DaemonAddresses { name, domain, caller_address: callers, peers, operators, metrics } =
+            addresses;
         let platform = self.store.base_url();
         let extra = &self.extra_settings;
         format!(
--- a/crates/sedgepathd/tests/callers.rs
+++ b/crates/sedgepathd/tests/callers.rs
@@ -32,7 +32,7 @@
             .expect("daemon");
         let is_served = |entry, _| Caller::new([entry]).call(&get("/ready")).outcome == ANSWERED;
         assert!(system.wait_until_all_serve(is_served), "the daemon serves no requests");
-        let callers = system.addresses[0].callers;
+        let callers = system.addresses[0].caller_address;
         Self { upstream, system, callers }
     }
 
--- a/crates/sedgepathd/tests/once.rs
+++ b/crates/sedgepathd/tests/once.rs
@@ -43,7 +43,7 @@
         let system = System::new(Path::new(env!("CARGO_BIN_EXE_sedgepathd"))).expect("platform");
         let system = system.with_daemons(&records, &[("n1", "north-a"), ("s1", "south-a")]);
         let system = system.expect("daemons");
-        let entries = [system.addresses[0].callers, system.addresses[1].callers];
+        let entries = [system.addresses[0].caller_address, system.addresses[1].caller_address];
         let pair = Self { upstreams, system, entries };
         pair.wait_until_joined();
         pair
--- a/crates/sedgepathd/tests/path.rs
+++ b/crates/sedgepathd/tests/path.rs
@@ -18,7 +18,7 @@
     let system = System::new(Path::new(env!("CARGO_BIN_EXE_sedgepathd"))).expect("platform");
     let system = system.with_daemons(&records, &[("n1", "north-a"), ("s1", "south-a")]);
     let system = system.expect("daemons");
-    let mut caller = Caller::new([system.addresses[0].callers]);
+    let mut caller = Caller::new([system.addresses[0].caller_address]);
 
     let call = Call::new("guest", "browse", "/v1/call/browse/echo")
         .with_method("POST")
