--- a/crates/sedgepath-test-support/src/system.rs
+++ b/crates/sedgepath-test-support/src/system.rs
@@ -43,7 +43,7 @@
     /// The address for callers.
     pub caller_address: SocketAddr,
     /// The address for peers.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// The address for operators.
     pub operators: SocketAddr,
     /// The address that serves metrics.
@@ -142,7 +142,7 @@
             name: name.into(),
             domain: domain.into(),
             caller_address: address(0),
-            peers: address(1),
+            peer_address: address(1),
             operators: address(2),
             metrics: address(3),
         });
@@ -167,8 +167,14 @@
 
     /// Returns the settings of a daemon as YAML.
     pub fn settings(&self, addresses: &DaemonAddresses) -> String {
-        let DaemonAddresses { name, domain, caller_address: callers, peers, operators, metrics } =
-            addresses;
+        let DaemonAddresses {
+            name,
+            domain,
+            caller_address: callers,
+            peer_address: peers,
+            operators,
+            metrics,
+        } = addresses;
         let platform = self.store.base_url();
         let extra = &self.extra_settings;
         format!(
