--- a/crates/sedgepath-test-support/src/system.rs
+++ b/crates/sedgepath-test-support/src/system.rs
@@ -45,7 +45,7 @@
     /// The address for peers.
     pub peer_address: SocketAddr,
     /// The address for operators.
-    pub operators: SocketAddr,
+    pub operator_address: SocketAddr,
     /// The address that serves metrics.
     pub metrics: SocketAddr,
 }
@@ -143,7 +143,7 @@
             domain: domain.into(),
             caller_address: address(0),
             peer_address: address(1),
-            operators: address(2),
+            operator_address: address(2),
             metrics: address(3),
         });
         self.daemons.push(None);
@@ -172,7 +172,7 @@
             domain,
             caller_address: callers,
             peer_address: peers,
-            operators,
+            operator_address: operators,
             metrics,
         } = addresses;
         let platform = self.store.base_url();
--- a/crates/sedgepathd/examples/demo.rs
+++ b/crates/sedgepathd/examples/demo.rs
@@ -228,7 +228,7 @@
 fn run_operator_command(system: &System, arguments: &[&str]) -> Result<String, Box<dyn Error>> {
     println!("  $ sedgepath {}", arguments.join(" "));
     let arguments: Vec<String> = arguments.iter().map(ToString::to_string).collect();
-    let node = system.addresses[0].operators.to_string();
+    let node = system.addresses[0].operator_address.to_string();
     let environment = Environment { nodes: Some(node), key: Some(SECRET.into()) };
     let mut printed = Vec::new();
     let exit = sedgepath::cli::run(&arguments, &environment, &mut printed);
--- a/crates/sedgepathd/tests/operators.rs
+++ b/crates/sedgepathd/tests/operators.rs
@@ -75,7 +75,7 @@
         daemons: &[usize],
         arguments: &[&str],
     ) -> Result<String, CliError> {
-        let nodes = daemons.iter().map(|daemon| self.system.addresses[*daemon].operators);
+        let nodes = daemons.iter().map(|daemon| self.system.addresses[*daemon].operator_address);
         let nodes: Vec<_> = nodes.map(|node| node.to_string()).collect();
         let arguments: Vec<_> = arguments.iter().map(|argument| (*argument).to_owned()).collect();
         let environment = Environment { nodes: Some(nodes.join(",")), key: Some(key.into()) };
@@ -268,7 +268,7 @@
         REVISION_2_ACCEPTED
     );
 
-    let url = format!("http://{}", fixture.system.addresses[0].operators);
+    let url = format!("http://{}", fixture.system.addresses[0].operator_address);
     let call = |at_ms, number| {
         let recorded =
             SignedCall::new(&signed_call::derive_call_key(old), method::STATUS, (), at_ms, number);
