--- a/crates/sedgepath-test-support/src/system.rs
+++ b/crates/sedgepath-test-support/src/system.rs
@@ -47,7 +47,7 @@
     /// The address for operators.
     pub operator_address: SocketAddr,
     /// The address that serves metrics.
-    pub metrics: SocketAddr,
+    pub metrics_address: SocketAddr,
 }
 
 /// A store and the daemons that use it; dropping it stops them all.
@@ -144,7 +144,7 @@
             caller_address: address(0),
             peer_address: address(1),
             operator_address: address(2),
-            metrics: address(3),
+            metrics_address: address(3),
         });
         self.daemons.push(None);
         let index = self.daemons.len() - 1;
@@ -173,7 +173,7 @@
             caller_address: callers,
             peer_address: peers,
             operator_address: operators,
-            metrics,
+            metrics_address: metrics,
         } = addresses;
         let platform = self.store.base_url();
         let extra = &self.extra_settings;
