--- a/crates/sedgepath-test-support/src/upstream/connection.rs
+++ b/crates/sedgepath-test-support/src/upstream/connection.rs
@@ -162,7 +162,7 @@
             write_response(shared, request, &response, stream, Some(in_flight), 0.5)?;
             return Ok(ConnectionReuse::Close);
         }
-        Behaviour::Normal | Behaviour::DelayStart { .. } | Behaviour::Refuse => {}
+        Behaviour::Normal | Behaviour::DelayStart { .. } | Behaviour::Reject => {}
     }
     // A stopped upstream sends no response, even if the stop has just ended a wait.
     if shared.lock().stopping {
@@ -178,7 +178,7 @@
 }
 
 fn start_request(shared: &Shared, request: &Request, behaviour: Behaviour) -> Option<u64> {
-    if behaviour == Behaviour::Refuse {
+    if behaviour == Behaviour::Reject {
         return None;
     }
     let mut state = shared.lock();
--- a/crates/sedgepath-test-support/src/upstream/settings.rs
+++ b/crates/sedgepath-test-support/src/upstream/settings.rs
@@ -78,7 +78,7 @@
     /// Runs the request, declares the full body, sends half of it, and closes the connection.
     Truncate,
     /// Rejects the request as not started.
-    Refuse,
+    Reject,
     /// Runs the request and holds the response until it is released.
     Hang,
     /// Runs the request and closes the connection without a response.
--- a/crates/sedgepath-test-support/tests/upstream.rs
+++ b/crates/sedgepath-test-support/tests/upstream.rs
@@ -154,7 +154,7 @@
     // Guards against counting a rejected request as run, not counting one whose response is lost, and
     // deduplicating requests in the stand-in, which would hide duplicates sent by the system.
     let upstream = upstream(UpstreamFigures::new(1));
-    upstream.behave_next(1, Behaviour::Refuse);
+    upstream.behave_next(1, Behaviour::Reject);
     upstream.behave_next(1, Behaviour::Close);
     let charge = || get(&upstream, "/charge").header(IDEMPOTENCY_KEY, "k1");
     let rejected = charge().send().expect("a rejection");
