--- a/crates/sedgepath-test-support/src/upstream/connection.rs
+++ b/crates/sedgepath-test-support/src/upstream/connection.rs
@@ -155,7 +155,7 @@
     shared.wait_ms(service_ms);
     let response = path_response(shared, request);
     match behaviour {
-        Behaviour::DelayAnswer { delay_ms } => shared.wait_ms(delay_ms),
+        Behaviour::DelayResponse { delay_ms } => shared.wait_ms(delay_ms),
         Behaviour::Hang => shared.wait_until_released(),
         Behaviour::Close => return Ok(ConnectionReuse::Close),
         Behaviour::Truncate => {
--- a/crates/sedgepath-test-support/src/upstream/settings.rs
+++ b/crates/sedgepath-test-support/src/upstream/settings.rs
@@ -71,7 +71,7 @@
         delay_ms: u64,
     },
     /// Runs the request and delays the response.
-    DelayAnswer {
+    DelayResponse {
         /// The delay between the run and the response, in milliseconds.
         delay_ms: u64,
     },
--- a/crates/sedgepathd/tests/once.rs
+++ b/crates/sedgepathd/tests/once.rs
@@ -149,7 +149,7 @@
     let pair = DaemonPair::new();
     let store = &pair.system.store;
     for upstream in &pair.upstreams {
-        upstream.set_behaviour(Behaviour::DelayAnswer { delay_ms: 600 });
+        upstream.set_behaviour(Behaviour::DelayResponse { delay_ms: 600 });
     }
     let keys: Vec<String> = (0..6).map(|number| format!("late-{number}")).collect();
     for (number, key) in keys.iter().enumerate() {
@@ -261,7 +261,7 @@
 fn a_repeat_after_a_disconnect_gets_the_response() {
     let pair = DaemonPair::new();
     for upstream in &pair.upstreams {
-        upstream.set_behaviour(Behaviour::DelayAnswer { delay_ms: 600 });
+        upstream.set_behaviour(Behaviour::DelayResponse { delay_ms: 600 });
     }
     let url = format!("http://{}/v1/call/deposit/echo", pair.entries[0]);
     let request = attohttpc::post(url).header("idempotency-key", "gone");
--- a/crates/sedgepathd/tests/stop.rs
+++ b/crates/sedgepathd/tests/stop.rs
@@ -36,7 +36,7 @@
     );
     let entries = system.caller_addresses();
 
-    upstream.set_behaviour(Behaviour::DelayAnswer { delay_ms: 2_000 });
+    upstream.set_behaviour(Behaviour::DelayResponse { delay_ms: 2_000 });
     let in_flight: Vec<_> = (0..20)
         .map(|number: usize| {
             let entry = entries[number % 2];
