--- a/crates/sedgepath-test-support/src/upstream.rs
+++ b/crates/sedgepath-test-support/src/upstream.rs
@@ -90,7 +90,7 @@
     }
 
     /// Sets the behaviour for the next `count` requests only.
-    pub fn behave_next(&self, count: usize, behaviour: Behaviour) {
+    pub fn set_next_behaviours(&self, count: usize, behaviour: Behaviour) {
         let mut state = self.shared.lock();
         state.next_behaviours.extend(std::iter::repeat_n(behaviour, count));
     }
--- a/crates/sedgepath-test-support/tests/upstream.rs
+++ b/crates/sedgepath-test-support/tests/upstream.rs
@@ -73,7 +73,7 @@
 fn peaks_count_only_overlapping_requests() {
     // Guards against peaks that count consecutive requests as concurrent, or miss concurrent ones.
     let upstream = upstream(UpstreamFigures::new(7).with_connect_ms(0));
-    upstream.behave_next(5, Behaviour::Hang);
+    upstream.set_next_behaviours(5, Behaviour::Hang);
     let mut callers: Vec<_> = (0..5).map(|_| connect(upstream.addr())).collect();
     for (number, caller) in callers.iter_mut().enumerate() {
         send(caller, "GET /a", &format!("{REQUEST_ID}: r{number}\r\n"));
@@ -140,7 +140,7 @@
     // Guards against a truncated response that declares its actual length, which callers could not
     // detect.
     let upstream = upstream(UpstreamFigures::new(1));
-    upstream.behave_next(1, Behaviour::Truncate);
+    upstream.set_next_behaviours(1, Behaviour::Truncate);
     let truncated = get(&upstream, "/large/200000").send().expect("a head");
     assert_eq!(header(&truncated, "content-length"), Some("200000"));
     assert_eq!(truncated.bytes().expect("half a body").len(), 100_000);
@@ -154,8 +154,8 @@
     // Guards against counting a rejected request as run, not counting one whose response is lost, and
     // deduplicating requests in the stand-in, which would hide duplicates sent by the system.
     let upstream = upstream(UpstreamFigures::new(1));
-    upstream.behave_next(1, Behaviour::Reject);
-    upstream.behave_next(1, Behaviour::Close);
+    upstream.set_next_behaviours(1, Behaviour::Reject);
+    upstream.set_next_behaviours(1, Behaviour::Close);
     let charge = || get(&upstream, "/charge").header(IDEMPOTENCY_KEY, "k1");
     let rejected = charge().send().expect("a rejection");
     assert_eq!(rejected.status().as_u16(), 503);
@@ -177,7 +177,7 @@
         let response = attohttpc::post(url).header(REQUEST_ID, id).send();
         response.expect("a response").status().as_u16()
     };
-    upstream.behave_next(1, Behaviour::DelayStart { delay_ms: 60_000 });
+    upstream.set_next_behaviours(1, Behaviour::DelayStart { delay_ms: 60_000 });
     let mut caller = connect(upstream.addr());
     send(&mut caller, "GET /a", &format!("{REQUEST_ID}: waits\r\n"));
     wait_until("the request waits", || upstream.counts().in_flight == 1);
--- a/crates/sedgepathd/tests/callers.rs
+++ b/crates/sedgepathd/tests/callers.rs
@@ -157,7 +157,7 @@
     let system = TestSystem::new();
     let mut caller = Caller::new([system.callers]);
     for _ in 0..5 {
-        system.upstream.behave_next(1, Behaviour::Truncate);
+        system.upstream.set_next_behaviours(1, Behaviour::Truncate);
         let reply = caller.call(&get("/large/3000000"));
         assert!(
             matches!(reply.outcome, Outcome::Failed(CallFailure::NotWhole(_))),
