--- a/crates/sedgepath-test-support/src/caller/connection.rs
+++ b/crates/sedgepath-test-support/src/caller/connection.rs
@@ -72,7 +72,7 @@
         let status: u16 = status.ok_or(CallFailure::NoResponse(ErrorKind::InvalidData))?;
         let bodiless = bodiless || matches!(status, 204 | 304);
         self.read_response(head, status, bodiless, deadline_ms)
-            .map_err(|error| CallFailure::NotWhole(error.kind()))
+            .map_err(|error| CallFailure::IncompleteBody(error.kind()))
     }
 
     fn send(&mut self, request: &[u8], deadline_ms: u64) -> io::Result<()> {
--- a/crates/sedgepath-test-support/src/caller/report.rs
+++ b/crates/sedgepath-test-support/src/caller/report.rs
@@ -18,7 +18,7 @@
     NoResponse(io::ErrorKind),
     /// The body ended early, or its length was not declared.
     #[error("the response body is incomplete: {0}")]
-    NotWhole(io::ErrorKind),
+    IncompleteBody(io::ErrorKind),
     /// The response has no valid outcome header.
     #[error("the response has no valid outcome header")]
     MissingOutcome,
--- a/crates/sedgepath-test-support/tests/caller.rs
+++ b/crates/sedgepath-test-support/tests/caller.rs
@@ -87,8 +87,8 @@
             [
                 Outcome::Failed(CallFailure::RequestIdMismatch),
                 Outcome::Failed(CallFailure::BodyMismatch),
-                Outcome::Failed(CallFailure::NotWhole(_)),
-                Outcome::Failed(CallFailure::NotWhole(_)),
+                Outcome::Failed(CallFailure::IncompleteBody(_)),
+                Outcome::Failed(CallFailure::IncompleteBody(_)),
                 Outcome::Failed(CallFailure::MissingOutcome),
                 Outcome::Failed(CallFailure::NoResponse(_)),
             ]
--- a/crates/sedgepathd/tests/callers.rs
+++ b/crates/sedgepathd/tests/callers.rs
@@ -160,7 +160,7 @@
         system.upstream.set_next_behaviours(1, Behaviour::Truncate);
         let reply = caller.call(&get("/large/3000000"));
         assert!(
-            matches!(reply.outcome, Outcome::Failed(CallFailure::NotWhole(_))),
+            matches!(reply.outcome, Outcome::Failed(CallFailure::IncompleteBody(_))),
             "{:?}",
             reply.outcome
         );
