--- a/crates/sedgepath-core/tests/direct_tiers.rs
+++ b/crates/sedgepath-core/tests/direct_tiers.rs
@@ -83,7 +83,7 @@
     net.cut(&net.of_region(0), &net.of_region(1));
     net.run_for(60_000);
     assert_eq!(net.serving(0), net.of_region(0).into_iter().collect::<BTreeSet<_>>());
-    net.mend();
+    net.heal_all();
     assert!(net.run_until(5_000, all_agree).is_some(), "they don't know each other again");
 }
 
@@ -93,7 +93,7 @@
     let mut net = VmNet::running(3, 6, 6);
     net.cut(&[0, 1, 2], &[3, 4, 5]);
     net.run_for(60_000);
-    net.mend();
+    net.heal_all();
     assert!(net.run_until(5_000, all_agree).is_some(), "they don't know each other again");
 }
 
--- a/crates/sedgepath-core/tests/fuzz_tiers.rs
+++ b/crates/sedgepath-core/tests/fuzz_tiers.rs
@@ -84,7 +84,7 @@
         Fault::CutVmOneWay(vm) => net.cut_one_way(&all, &[*vm]),
         Fault::CutDomains(one, other) => net.cut(&net.of_domain(*one), &net.of_domain(*other)),
         Fault::CutRegions => net.cut(&net.of_region(0), &net.of_region(1)),
-        Fault::Mend => net.mend(),
+        Fault::Mend => net.heal_all(),
         Fault::Lose(share) => net.loss = *share,
         Fault::Wait(for_ms) => net.run_for(*for_ms),
         Fault::Start(_) | Fault::StartWithoutStore(_) | Fault::StartWithClockSetBack(_) => {}
@@ -114,7 +114,7 @@
             }
         }
     }
-    net.mend();
+    net.heal_all();
     net.loss = 0.0;
     net.run_for(suspended_until_ms.saturating_sub(net.now_ms()));
     net.run_for(CONVERGENCE_MS);
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -210,7 +210,7 @@
     }
 
     /// Restores all links that were cut.
-    pub fn mend(&mut self) {
+    pub fn heal_all(&mut self) {
         self.cut.clear();
     }
 
