--- a/crates/sedgepath-core/tests/direct_tiers.rs
+++ b/crates/sedgepath-core/tests/direct_tiers.rs
@@ -39,7 +39,7 @@
 fn all_vms_drop_a_domain_without_power_in_time() {
     for seed in 1..=5 {
         let mut net = VmNet::running(9, 6, seed);
-        net.kill(&net.of_domain(4));
+        net.kill(&net.vms_in_domain(4));
         let took_ms = net.run_until(10_000, all_agree).expect("a VM still names silent VMs");
         assert!(took_ms <= STABILITY_MS, "seed {seed}: {took_ms} ms");
     }
@@ -101,9 +101,9 @@
 #[test]
 fn summaries_are_not_relayed_to_a_third_domain() {
     let mut net = VmNet::running(3, 4, 7);
-    net.cut(&net.of_domain(0), &net.of_domain(1));
+    net.cut(&net.vms_in_domain(0), &net.vms_in_domain(1));
     net.run_for(STABILITY_MS);
-    assert!(net.serving(0).is_disjoint(&net.of_domain(1).into_iter().collect()));
+    assert!(net.serving(0).is_disjoint(&net.vms_in_domain(1).into_iter().collect()));
     assert_eq!(net.serving(8), net.live());
 }
 
--- a/crates/sedgepath-core/tests/fuzz_tiers.rs
+++ b/crates/sedgepath-core/tests/fuzz_tiers.rs
@@ -67,7 +67,7 @@
     let is_stopped = |net: &VmNet, vm: usize| !net.live().contains(&vm);
     match fault {
         Fault::Kill(vms) => net.kill(&vms.iter().copied().collect::<Vec<_>>()),
-        Fault::KillDomain(domain) => net.kill(&net.of_domain(*domain)),
+        Fault::KillDomain(domain) => net.kill(&net.vms_in_domain(*domain)),
         Fault::Start(vm) if is_stopped(net, *vm) => net.start(*vm, &all),
         Fault::StartWithoutStore(vm) if is_stopped(net, *vm) => {
             let seeds: Vec<_> = net.live().into_iter().take(3).collect();
@@ -82,7 +82,9 @@
         }
         Fault::CutVm(vm) => net.cut(&[*vm], &all),
         Fault::CutVmOneWay(vm) => net.cut_one_way(&all, &[*vm]),
-        Fault::CutDomains(one, other) => net.cut(&net.of_domain(*one), &net.of_domain(*other)),
+        Fault::CutDomains(one, other) => {
+            net.cut(&net.vms_in_domain(*one), &net.vms_in_domain(*other))
+        }
         Fault::CutRegions => net.cut(&net.of_region(0), &net.of_region(1)),
         Fault::Mend => net.heal_all(),
         Fault::Lose(share) => net.loss = *share,
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -120,7 +120,7 @@
     }
 
     /// Returns the VMs in a failure domain, running or not.
-    pub fn of_domain(&self, domain: usize) -> Vec<VmIndex> {
+    pub fn vms_in_domain(&self, domain: usize) -> Vec<VmIndex> {
         (domain * self.per_domain..(domain + 1) * self.per_domain).collect()
     }
 
