--- a/crates/sedgepath-core/tests/direct_tiers.rs
+++ b/crates/sedgepath-core/tests/direct_tiers.rs
@@ -80,9 +80,9 @@
 #[test]
 fn regions_find_each_other_after_a_long_partition() {
     let mut net = VmNet::running(6, 4, 5);
-    net.cut(&net.of_region(0), &net.of_region(1));
+    net.cut(&net.vms_in_region(0), &net.vms_in_region(1));
     net.run_for(60_000);
-    assert_eq!(net.serving(0), net.of_region(0).into_iter().collect::<BTreeSet<_>>());
+    assert_eq!(net.serving(0), net.vms_in_region(0).into_iter().collect::<BTreeSet<_>>());
     net.heal_all();
     assert!(net.run_until(5_000, all_agree).is_some(), "they don't know each other again");
 }
--- a/crates/sedgepath-core/tests/fuzz_tiers.rs
+++ b/crates/sedgepath-core/tests/fuzz_tiers.rs
@@ -85,7 +85,7 @@
         Fault::CutDomains(one, other) => {
             net.cut(&net.vms_in_domain(*one), &net.vms_in_domain(*other))
         }
-        Fault::CutRegions => net.cut(&net.of_region(0), &net.of_region(1)),
+        Fault::CutRegions => net.cut(&net.vms_in_region(0), &net.vms_in_region(1)),
         Fault::Mend => net.heal_all(),
         Fault::Lose(share) => net.loss = *share,
         Fault::Wait(for_ms) => net.run_for(*for_ms),
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -125,7 +125,7 @@
     }
 
     /// Returns the VMs in a region, running or not.
-    pub fn of_region(&self, region: usize) -> Vec<VmIndex> {
+    pub fn vms_in_region(&self, region: usize) -> Vec<VmIndex> {
         let per_region = DOMAINS_PER_REGION * self.per_domain;
         (region * per_region..(region + 1) * per_region).filter(|vm| *vm < self.count()).collect()
     }
