--- a/crates/sedgepath-core/tests/direct_tiers.rs
+++ b/crates/sedgepath-core/tests/direct_tiers.rs
@@ -12,7 +12,7 @@
 
 /// Returns whether each running VM knows exactly the running VMs.
 fn all_agree(net: &VmNet) -> bool {
-    let live = net.live();
+    let live = net.running_vms();
     live.iter().all(|vm| net.serving(*vm) == live)
 }
 
@@ -53,7 +53,7 @@
     net.cut_one_way(&all, &[0]);
     for _ in 0..100 {
         net.run_for(100);
-        let others = net.live().into_iter().filter(|vm| *vm != 0);
+        let others = net.running_vms().into_iter().filter(|vm| *vm != 0);
         for vm in others {
             assert!(net.serving(vm).is_superset(&(1..36).collect()), "{vm} at {}", net.now_ms());
         }
@@ -65,7 +65,7 @@
 fn lost_datagrams_remove_no_vm() {
     let mut net = VmNet::running(6, 6, 4);
     net.loss = 0.1;
-    let live = net.live();
+    let live = net.running_vms();
     let mut missing = 0;
     for _ in 0..200 {
         net.run_for(100);
@@ -104,7 +104,7 @@
     net.cut(&net.vms_in_domain(0), &net.vms_in_domain(1));
     net.run_for(STABILITY_MS);
     assert!(net.serving(0).is_disjoint(&net.vms_in_domain(1).into_iter().collect()));
-    assert_eq!(net.serving(8), net.live());
+    assert_eq!(net.serving(8), net.running_vms());
 }
 
 /// Guards against a long time until look-ups name an added VM.
--- a/crates/sedgepath-core/tests/fuzz_tiers.rs
+++ b/crates/sedgepath-core/tests/fuzz_tiers.rs
@@ -64,13 +64,13 @@
 /// Applies a fault and returns the time for which it suspends VMs, in milliseconds.
 fn apply(net: &mut VmNet, fault: &Fault) -> u64 {
     let all: Vec<usize> = (0..VMS).collect();
-    let is_stopped = |net: &VmNet, vm: usize| !net.live().contains(&vm);
+    let is_stopped = |net: &VmNet, vm: usize| !net.running_vms().contains(&vm);
     match fault {
         Fault::Kill(vms) => net.kill(&vms.iter().copied().collect::<Vec<_>>()),
         Fault::KillDomain(domain) => net.kill(&net.vms_in_domain(*domain)),
         Fault::Start(vm) if is_stopped(net, *vm) => net.start(*vm, &all),
         Fault::StartWithoutStore(vm) if is_stopped(net, *vm) => {
-            let seeds: Vec<_> = net.live().into_iter().take(3).collect();
+            let seeds: Vec<_> = net.running_vms().into_iter().take(3).collect();
             net.start_with_seeds(*vm, &seeds);
         }
         Fault::StartWithClockSetBack(vm) if is_stopped(net, *vm) => {
@@ -102,7 +102,7 @@
     for fault in faults {
         let suspended_for_ms = apply(&mut net, fault);
         suspended_until_ms = suspended_until_ms.max(net.now_ms() + suspended_for_ms);
-        let live = net.live();
+        let live = net.running_vms();
         for (vm, since_ms) in dead_since_ms.iter_mut().enumerate() {
             *since_ms = if live.contains(&vm) { u64::MAX } else { (*since_ms).min(net.now_ms()) };
         }
@@ -120,7 +120,7 @@
     net.loss = 0.0;
     net.run_for(suspended_until_ms.saturating_sub(net.now_ms()));
     net.run_for(CONVERGENCE_MS);
-    let live = net.live();
+    let live = net.running_vms();
     for vm in &live {
         prop_assert_eq!(net.serving(*vm), live.clone(), "the VMs known to {}", vm);
     }
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -229,7 +229,7 @@
     }
 
     /// Returns the VMs that are running.
-    pub fn live(&self) -> BTreeSet<VmIndex> {
+    pub fn running_vms(&self) -> BTreeSet<VmIndex> {
         (0..self.count()).filter(|vm| self.vms[*vm].table.is_some()).collect()
     }
 
