--- a/crates/sedgepath-core/tests/direct_tiers.rs
+++ b/crates/sedgepath-core/tests/direct_tiers.rs
@@ -64,7 +64,7 @@
 #[test]
 fn lost_datagrams_remove_no_vm() {
     let mut net = VmNet::running(6, 6, 4);
-    net.loss = 0.1;
+    net.loss_rate = 0.1;
     let live = net.running_vms();
     let mut missing = 0;
     for _ in 0..200 {
--- a/crates/sedgepath-core/tests/fuzz_tiers.rs
+++ b/crates/sedgepath-core/tests/fuzz_tiers.rs
@@ -87,7 +87,7 @@
         }
         Fault::CutRegions => net.cut(&net.vms_in_region(0), &net.vms_in_region(1)),
         Fault::Mend => net.heal_all(),
-        Fault::Lose(share) => net.loss = *share,
+        Fault::Lose(share) => net.loss_rate = *share,
         Fault::Wait(for_ms) => net.run_for(*for_ms),
         Fault::Start(_) | Fault::StartWithoutStore(_) | Fault::StartWithClockSetBack(_) => {}
     }
@@ -117,7 +117,7 @@
         }
     }
     net.heal_all();
-    net.loss = 0.0;
+    net.loss_rate = 0.0;
     net.run_for(suspended_until_ms.saturating_sub(net.now_ms()));
     net.run_for(CONVERGENCE_MS);
     let live = net.running_vms();
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -64,7 +64,7 @@
     last_timestamp_ms: u64,
     cut: Set<(VmIndex, VmIndex)>,
     /// The fraction of datagrams that are lost.
-    pub loss: f64,
+    pub loss_rate: f64,
     /// The bytes sent by all VMs, including those of lost datagrams.
     pub sent: Sent,
     /// The bytes sent by each VM.
@@ -87,7 +87,7 @@
             last_boot_at_ms: 1_000_000,
             last_timestamp_ms: 0,
             cut: Set::default(),
-            loss: 0.0,
+            loss_rate: 0.0,
             sent: Sent::default(),
             sent_by: vec![0; count],
         }
@@ -321,7 +321,7 @@
         } else {
             self.sent.far += bytes;
         }
-        if !self.cut.contains(&(from, to)) && self.rng.f64() >= self.loss {
+        if !self.cut.contains(&(from, to)) && self.rng.f64() >= self.loss_rate {
             let arrives_at_ms = self.now_ms + latency_ms + self.rng.u64(0..3);
             self.schedule(
                 arrives_at_ms,
