--- a/crates/sedgepath-core/examples/membership_bytes.rs
+++ b/crates/sedgepath-core/examples/membership_bytes.rs
@@ -22,11 +22,11 @@
     for vms in VMS_PER_DOMAIN {
         let mut net = VmNet::running(DOMAINS, vms, 13);
         net.run_for(SETTLE_MS);
-        let (before, by_vm_before) = (net.sent, net.sent_by.clone());
+        let (before, by_vm_before) = (net.sent, net.sent_bytes_by_vm.clone());
         net.run_for(MEASURED_S * 1_000);
         let per_s = |after: u64, before: u64| (after - before) / MEASURED_S;
         let by_vm: Vec<u64> = net
-            .sent_by
+            .sent_bytes_by_vm
             .iter()
             .zip(by_vm_before)
             .map(|(after, before)| per_s(*after, before))
--- a/crates/sedgepath-core/tests/direct_tiers.rs
+++ b/crates/sedgepath-core/tests/direct_tiers.rs
@@ -187,9 +187,10 @@
 #[test]
 fn no_vm_exceeds_the_limit_on_control_traffic() {
     let mut net = VmNet::running(9, 22, 13);
-    let before = net.sent_by.clone();
+    let before = net.sent_bytes_by_vm.clone();
     net.run_for(10_000);
-    let bytes_per_s = net.sent_by.iter().zip(before).map(|(after, before)| (after - before) / 10);
+    let bytes_per_s =
+        net.sent_bytes_by_vm.iter().zip(before).map(|(after, before)| (after - before) / 10);
     let max_bytes_per_s = bytes_per_s.max().expect("there is at least one VM");
     assert!(max_bytes_per_s <= CONTROL_BYTES_PER_S, "{max_bytes_per_s} bytes per second");
 }
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -68,7 +68,7 @@
     /// The bytes sent by all VMs, including those of lost datagrams.
     pub sent: Sent,
     /// The bytes sent by each VM.
-    pub sent_by: Vec<u64>,
+    pub sent_bytes_by_vm: Vec<u64>,
 }
 
 impl VmNet {
@@ -89,7 +89,7 @@
             cut: Set::default(),
             loss_rate: 0.0,
             sent: Sent::default(),
-            sent_by: vec![0; count],
+            sent_bytes_by_vm: vec![0; count],
         }
     }
 
@@ -310,7 +310,7 @@
         let to = vm_index(to);
         let encoded = postcard::to_stdvec(&message).expect("peer messages are serializable");
         let bytes = IP_UDP_HEADER_BYTES + encoded.len() as u64;
-        self.sent_by[from] += bytes;
+        self.sent_bytes_by_vm[from] += bytes;
         let same_region =
             self.domain(from) / DOMAINS_PER_REGION == self.domain(to) / DOMAINS_PER_REGION;
         let latency_ms = if same_region { 2 } else { 20 };
