--- a/crates/sedgepath-core/examples/membership_bytes.rs
+++ b/crates/sedgepath-core/examples/membership_bytes.rs
@@ -35,7 +35,7 @@
             "| {DOMAINS} × {vms} | {} | {} | {} | {} / {} |",
             per_s(net.sent.in_domain, before.in_domain),
             per_s(net.sent.in_region, before.in_region),
-            per_s(net.sent.far, before.far),
+            per_s(net.sent.between_regions, before.between_regions),
             by_vm.iter().sum::<u64>() / by_vm.len() as u64,
             by_vm.iter().max().copied().unwrap_or(0),
         );
--- a/crates/sedgepath-core/tests/direct_tiers.rs
+++ b/crates/sedgepath-core/tests/direct_tiers.rs
@@ -176,7 +176,8 @@
         let mut net = VmNet::running(9, per_domain, 12);
         let before = net.sent;
         net.run_for(10_000);
-        (net.sent.in_region + net.sent.far - before.in_region - before.far) / 10
+        (net.sent.in_region + net.sent.between_regions - before.in_region - before.between_regions)
+            / 10
     };
     let (few, many) = (bytes(4), bytes(32));
     // The size of summaries grows with the number of VMs, their rate doesn't.
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -34,7 +34,7 @@
     /// Bytes sent between failure domains of one region.
     pub in_region: u64,
     /// Bytes sent between regions.
-    pub far: u64,
+    pub between_regions: u64,
 }
 
 #[derive(Debug)]
@@ -319,7 +319,7 @@
         } else if same_region {
             self.sent.in_region += bytes;
         } else {
-            self.sent.far += bytes;
+            self.sent.between_regions += bytes;
         }
         if !self.cut.contains(&(from, to)) && self.rng.f64() >= self.loss_rate {
             let arrives_at_ms = self.now_ms + latency_ms + self.rng.u64(0..3);
