--- a/crates/sedgepath-core/tests/direct_budget.rs
+++ b/crates/sedgepath-core/tests/direct_budget.rs
@@ -116,7 +116,7 @@
             if (now_ms + 7 * number as u64) % 330 >= 10 {
                 continue;
             }
-            run.asked_at_ms.push(now_ms);
+            run.requested_at_ms.push(now_ms);
             vm.deposit("browse", VM_COUNT, now_ms);
             if now_ms >= 15_000 && vm.try_withdraw("browse", VM_COUNT, now_ms) {
                 run.retried_at_ms.push(now_ms);
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -98,7 +98,7 @@
 #[derive(Debug, Default)]
 pub struct Seen {
     /// When callers sent requests, in milliseconds, in ascending order.
-    pub asked_at_ms: Vec<u64>,
+    pub requested_at_ms: Vec<u64>,
     /// When retries arrived at upstreams, in milliseconds, in ascending order.
     pub retried_at_ms: Vec<u64>,
     /// When the served requests had been sent, in milliseconds.
@@ -131,7 +131,7 @@
 
     /// Counts the requests sent in a period, and how many of them were served.
     pub fn count_served(&self, from_ms: u64, until_ms: u64) -> (usize, usize) {
-        let asked = count_between(&self.asked_at_ms, from_ms, until_ms);
+        let asked = count_between(&self.requested_at_ms, from_ms, until_ms);
         let served = self.served_at_ms.iter().filter(|at| (from_ms..until_ms).contains(at));
         (asked, served.count())
     }
@@ -139,7 +139,7 @@
     fn window_excess(&self, from_ms: u64) -> BudgetExcess {
         let requests = [0, WINDOW_MS / 2, WINDOW_MS].map(|before_ms| {
             let until_ms = (from_ms + WINDOW_MS).saturating_sub(before_ms);
-            count_between(&self.asked_at_ms, from_ms.saturating_sub(before_ms), until_ms)
+            count_between(&self.requested_at_ms, from_ms.saturating_sub(before_ms), until_ms)
         });
         let most = requests.into_iter().max().unwrap_or(0);
         BudgetExcess {
@@ -243,7 +243,7 @@
             fleet.now_ms = at_ms;
             fleet.handle_event(event);
         }
-        fleet.result.asked_at_ms.sort_unstable();
+        fleet.result.requested_at_ms.sort_unstable();
         fleet.result.retried_at_ms.sort_unstable();
         fleet.result
     }
@@ -349,7 +349,7 @@
     /// Sends a caller's request to a random running VM, if there is any.
     fn send_caller_request(&mut self, retries_on_rejection: bool) {
         let now_ms = self.now_ms;
-        self.result.asked_at_ms.push(now_ms);
+        self.result.requested_at_ms.push(now_ms);
         let running: Vec<u8> = (0..self.scenario.vms)
             .filter(|number| self.vms[usize::from(*number)].steering.is_some())
             .collect();
@@ -415,7 +415,7 @@
                     let asked_at_ms = now_ms + retry_after_ms;
                     // The chosen VM may be down by then, in which case the retry is lost.
                     let vm = self.rng.u8(0..self.scenario.vms);
-                    self.result.asked_at_ms.push(asked_at_ms);
+                    self.result.requested_at_ms.push(asked_at_ms);
                     self.schedule(
                         asked_at_ms,
                         Event::Request { vm, asked_at_ms, retries_on_rejection: false },
