--- a/crates/sedgepath-core/examples/membership_bytes.rs
+++ b/crates/sedgepath-core/examples/membership_bytes.rs
@@ -22,7 +22,7 @@
     for vms in VMS_PER_DOMAIN {
         let mut net = VmNet::running(DOMAINS, vms, 13);
         net.run_for(SETTLE_MS);
-        let (before, by_vm_before) = (net.sent, net.sent_bytes_by_vm.clone());
+        let (before, by_vm_before) = (net.sent_bytes, net.sent_bytes_by_vm.clone());
         net.run_for(MEASURED_S * 1_000);
         let per_s = |after: u64, before: u64| (after - before) / MEASURED_S;
         let by_vm: Vec<u64> = net
@@ -33,9 +33,9 @@
             .collect();
         println!(
             "| {DOMAINS} × {vms} | {} | {} | {} | {} / {} |",
-            per_s(net.sent.in_domain, before.in_domain),
-            per_s(net.sent.in_region, before.in_region),
-            per_s(net.sent.between_regions, before.between_regions),
+            per_s(net.sent_bytes.in_domain, before.in_domain),
+            per_s(net.sent_bytes.in_region, before.in_region),
+            per_s(net.sent_bytes.between_regions, before.between_regions),
             by_vm.iter().sum::<u64>() / by_vm.len() as u64,
             by_vm.iter().max().copied().unwrap_or(0),
         );
--- a/crates/sedgepath-core/tests/direct_tiers.rs
+++ b/crates/sedgepath-core/tests/direct_tiers.rs
@@ -174,9 +174,11 @@
 fn traffic_between_domains_grows_slower_than_their_vms() {
     let bytes = |per_domain| {
         let mut net = VmNet::running(9, per_domain, 12);
-        let before = net.sent;
+        let before = net.sent_bytes;
         net.run_for(10_000);
-        (net.sent.in_region + net.sent.between_regions - before.in_region - before.between_regions)
+        (net.sent_bytes.in_region + net.sent_bytes.between_regions
+            - before.in_region
+            - before.between_regions)
             / 10
     };
     let (few, many) = (bytes(4), bytes(32));
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -66,7 +66,7 @@
     /// The fraction of datagrams that are lost.
     pub loss_rate: f64,
     /// The bytes sent by all VMs, including those of lost datagrams.
-    pub sent: Sent,
+    pub sent_bytes: Sent,
     /// The bytes sent by each VM.
     pub sent_bytes_by_vm: Vec<u64>,
 }
@@ -88,7 +88,7 @@
             last_timestamp_ms: 0,
             cut: Set::default(),
             loss_rate: 0.0,
-            sent: Sent::default(),
+            sent_bytes: Sent::default(),
             sent_bytes_by_vm: vec![0; count],
         }
     }
@@ -315,11 +315,11 @@
             self.domain(from) / DOMAINS_PER_REGION == self.domain(to) / DOMAINS_PER_REGION;
         let latency_ms = if same_region { 2 } else { 20 };
         if self.domain(from) == self.domain(to) {
-            self.sent.in_domain += bytes;
+            self.sent_bytes.in_domain += bytes;
         } else if same_region {
-            self.sent.in_region += bytes;
+            self.sent_bytes.in_region += bytes;
         } else {
-            self.sent.between_regions += bytes;
+            self.sent_bytes.between_regions += bytes;
         }
         if !self.cut.contains(&(from, to)) && self.rng.f64() >= self.loss_rate {
             let arrives_at_ms = self.now_ms + latency_ms + self.rng.u64(0..3);
