--- a/crates/sedgepath-core/benches/look_up.rs
+++ b/crates/sedgepath-core/benches/look_up.rs
@@ -12,7 +12,7 @@
     Envelope, MemberDescriptor, MemberSummary, MembershipSummary, Message,
 };
 use sedgepath_core::record::RawRecord;
-use sedgepath_test_support::bed::Bed;
+use sedgepath_test_support::bed::TestBed;
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use serde_json::json;
 
@@ -96,8 +96,8 @@
 }
 
 /// Creates a node that has the records and knows all members.
-fn bed() -> Bed {
-    let mut bed = Bed::new(1);
+fn bed() -> TestBed {
+    let mut bed = TestBed::new(1);
     bed.write_records(&records());
     bed.add_node("vm-0-0", &domain(0));
     bed.run_for(5_000);
--- a/crates/sedgepath-core/examples/admission_parts.rs
+++ b/crates/sedgepath-core/examples/admission_parts.rs
@@ -8,7 +8,7 @@
 
 use sedgepath_core::egress::settings::{AdmissionSettings, Queueing};
 use sedgepath_core::identity::NodeSettings;
-use sedgepath_test_support::bed::Bed;
+use sedgepath_test_support::bed::TestBed;
 use sedgepath_test_support::bed::upstreams::{FakeUpstream, WarmUp};
 use sedgepath_test_support::load::{self, ClassStats, Load, LoadSeen};
 use sedgepath_test_support::records;
@@ -129,7 +129,7 @@
 }
 
 /// Adds a third upstream, which starts with one of eight slots and warms up in ten seconds.
-fn add_cold_upstream(bed: &mut Bed) {
+fn add_cold_upstream(bed: &mut TestBed) {
     let upstream = |name: &str, slots: u32| {
         json!({
             "name": name, "domain": "a", "address": "127.0.0.1:9", "slots": slots,
--- a/crates/sedgepath-core/examples/configuration_spread.rs
+++ b/crates/sedgepath-core/examples/configuration_spread.rs
@@ -9,7 +9,7 @@
 
 use sedgepath_core::configuration::change::{ChangeOutcome, ChangeRequest};
 use sedgepath_core::event::LookUp;
-use sedgepath_test_support::bed::{Bed, Traffic};
+use sedgepath_test_support::bed::{TestBed, Traffic};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 
 const DOMAINS: [&str; 5] = ["a", "b", "c", "d", "e"];
@@ -29,7 +29,7 @@
 }
 
 fn measure(nodes_per_domain: usize) {
-    let mut bed = Bed::new(nodes_per_domain as u64);
+    let mut bed = TestBed::new(nodes_per_domain as u64);
     bed.faults.domain_latency_ms = 20;
     let upstreams: Vec<_> = DOMAINS
         .iter()
@@ -73,7 +73,7 @@
 
 /// Submits a change and returns the time from its acceptance until it is in force at all nodes, in
 /// milliseconds.
-fn propagation_ms(bed: &mut Bed, change: u32) -> u64 {
+fn propagation_ms(bed: &mut TestBed, change: u32) -> u64 {
     let request = ChangeRequest {
         change_id: format!("{change}").into(),
         records: vec![steering(change)],
@@ -100,13 +100,13 @@
     bed.now_ms() - accepted_ms
 }
 
-fn revision_in_force(bed: &mut Bed, node: usize) -> u64 {
+fn revision_in_force(bed: &mut TestBed, node: usize) -> u64 {
     let source = IpAddr::V4(Ipv4Addr::LOCALHOST);
     let look_up = LookUp { service: "browse".into(), source, revision_seen: 0 };
     bed.look_up(node, &look_up).map_or(0, |answer| answer.revision)
 }
 
-fn total_traffic(bed: &Bed) -> Traffic {
+fn total_traffic(bed: &TestBed) -> Traffic {
     let mut sum = Traffic::default();
     for node in 0..bed.node_count() {
         let traffic = bed.traffic(node);
--- a/crates/sedgepath-core/examples/control_slopes.rs
+++ b/crates/sedgepath-core/examples/control_slopes.rs
@@ -14,7 +14,7 @@
 use sedgepath_core::identity::NodeSettings;
 use sedgepath_core::key::{DomainKey, VmKey};
 use sedgepath_core::membership::Member;
-use sedgepath_test_support::bed::{Bed, NodeIndex, Traffic};
+use sedgepath_test_support::bed::{NodeIndex, TestBed, Traffic};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 
 /// The number of upstreams in a failure domain.
@@ -56,7 +56,7 @@
     }
 
     /// Starts a test bed and waits until its upstreams are leased.
-    fn start_bed(self) -> Bed {
+    fn start_bed(self) -> TestBed {
         let settings = NodeSettings {
             heartbeat_every_ms: self.heartbeat_every_ms,
             // At least three heartbeat intervals, which membership requires.
@@ -64,7 +64,7 @@
             relay_every_ms: self.relay_every_ms,
             ..NodeSettings::default()
         };
-        let mut bed = Bed::new(1).with_settings(settings);
+        let mut bed = TestBed::new(1).with_settings(settings);
         bed.write_records(&self.records());
         for domain in 0..self.domains {
             for member in 0..self.members_per_domain {
@@ -108,7 +108,7 @@
     max_bytes_per_s: f64,
 }
 
-fn measure_traffic(bed: &mut Bed) -> NodeTraffic {
+fn measure_traffic(bed: &mut TestBed) -> NodeTraffic {
     let nodes = bed.node_count();
     let before: Vec<Traffic> = (0..nodes).map(|node| bed.traffic(node)).collect();
     bed.run_for(MEASURED_MS);
@@ -135,7 +135,7 @@
 }
 
 fn measure_propagation(
-    bed: &mut Bed,
+    bed: &mut TestBed,
     name: &str,
     domain: &str,
     is_known: impl Fn(Option<&Member>) -> bool,
--- a/crates/sedgepath-core/examples/once_figures.rs
+++ b/crates/sedgepath-core/examples/once_figures.rs
@@ -10,7 +10,7 @@
 use sedgepath_core::hash::Digest;
 use sedgepath_core::request::{Deduplication, Outcome, RequestHead};
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
-use sedgepath_test_support::bed::{Bed, CallIndex, Seen, guest_request};
+use sedgepath_test_support::bed::{CallIndex, Seen, TestBed, guest_request};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 
 const SEEDS: u64 = 10;
@@ -77,7 +77,7 @@
 }
 
 /// Returns the latencies of the calls with a response, in milliseconds.
-fn latencies_ms(bed: &Bed) -> Vec<u64> {
+fn latencies_ms(bed: &TestBed) -> Vec<u64> {
     let answered = bed.calls().iter().filter(|call| matches!(call.result, Seen::Answered { .. }));
     answered.map(|call| call.ended_at_ms - call.sent_at_ms).collect()
 }
@@ -97,8 +97,8 @@
     }
 }
 
-fn bed(seed: u64) -> Bed {
-    let mut bed = Bed::new(seed);
+fn bed(seed: u64) -> TestBed {
+    let mut bed = TestBed::new(seed);
     let upstream = |name: &str, domain: &str| UpstreamSpec {
         name: name.into(),
         domain: domain.into(),
@@ -130,7 +130,7 @@
 }
 
 /// Sends a load, retries requests without a response, and returns the last call of each request.
-fn run(bed: &mut Bed, tickets: bool, per_s: u64, kill_at_ms: Option<u64>) -> Vec<CallIndex> {
+fn run(bed: &mut TestBed, tickets: bool, per_s: u64, kill_at_ms: Option<u64>) -> Vec<CallIndex> {
     let mut latest = Vec::new();
     let mut attempts = Vec::new();
     for number in 0..LOAD_MS * per_s / 1_000 {
@@ -168,7 +168,12 @@
     latest
 }
 
-fn send_call(bed: &mut Bed, node: usize, deduplication: Deduplication, attempt: u32) -> CallIndex {
+fn send_call(
+    bed: &mut TestBed,
+    node: usize,
+    deduplication: Deduplication,
+    attempt: u32,
+) -> CallIndex {
     let digest = Digest::of(&[format!("{deduplication:?}").as_bytes()]);
     let head = guest_request("deposit", bed.now_ms() + 2_000);
     bed.call(node, RequestHead { deduplication, attempt, idempotent: false, digest, ..head })
--- a/crates/sedgepath-core/examples/policy/deployment.rs
+++ b/crates/sedgepath-core/examples/policy/deployment.rs
@@ -4,7 +4,7 @@
 
 use sedgepath_core::key::UpstreamKey;
 use sedgepath_core::record::RawRecord;
-use sedgepath_test_support::bed::Bed;
+use sedgepath_test_support::bed::TestBed;
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use serde_json::json;
@@ -142,7 +142,7 @@
     }
 
     /// Starts the deployment on a test bed.
-    pub fn start(&self, bed: &mut Bed, parameters: SteeringParameters) {
+    pub fn start(&self, bed: &mut TestBed, parameters: SteeringParameters) {
         for domain in 0..DOMAINS {
             let region = self.regions[domain % REGIONS];
             bed.faults.region_by_domain.insert(self.domain(domain).into(), region.into());
--- a/crates/sedgepath-core/examples/policy/scenario.rs
+++ b/crates/sedgepath-core/examples/policy/scenario.rs
@@ -10,7 +10,7 @@
 use sedgepath_core::steering::{
     HeadroomPolicy, LeastLoadedPolicy, SteeringPolicy, WeightedRandomPolicy,
 };
-use sedgepath_test_support::bed::{Bed, NodeIndex};
+use sedgepath_test_support::bed::{NodeIndex, TestBed};
 use sedgepath_test_support::records;
 use serde_json::json;
 
@@ -149,7 +149,7 @@
 pub struct Run {
     pub deployment: Deployment,
     pub scenario: Scenario,
-    pub bed: Bed,
+    pub bed: TestBed,
     /// The start of the warm-up in milliseconds.
     pub started_at_ms: u64,
     /// The time of the event in milliseconds.
@@ -167,7 +167,7 @@
             ..Default::default()
         };
         let settings = NodeSettings { admission, seed, ..NodeSettings::default() };
-        let mut bed = Bed::new(seed).with_policy(variant.policy).with_settings(settings);
+        let mut bed = TestBed::new(seed).with_policy(variant.policy).with_settings(settings);
         deployment.start(&mut bed, variant.parameters);
         bed.run_for(5_000);
         let started_at_ms = bed.now_ms();
--- a/crates/sedgepath-core/tests/claims.rs
+++ b/crates/sedgepath-core/tests/claims.rs
@@ -8,14 +8,14 @@
 use once_support::{Verdict, assert_holds, bed, evaluate, head, settle};
 use sedgepath_core::hash::Digest;
 use sedgepath_core::request::{Deduplication, Outcome};
-use sedgepath_test_support::bed::{Bed, Seen};
+use sedgepath_test_support::bed::{Seen, TestBed};
 
 /// Returns the key that a caller chose for an action.
 fn key(number: usize) -> Deduplication {
     Deduplication::Key(Digest::of(&[b"key", &number.to_le_bytes()]))
 }
 
-fn new_key(_bed: &mut Bed, number: usize) -> Deduplication {
+fn new_key(_bed: &mut TestBed, number: usize) -> Deduplication {
     key(number)
 }
 
--- a/crates/sedgepath-core/tests/configuration.rs
+++ b/crates/sedgepath-core/tests/configuration.rs
@@ -7,14 +7,14 @@
 use sedgepath_core::configuration::rows::RecordRow;
 use sedgepath_core::configuration::store::{RecordChanges, RecordPosition, RecordStore};
 use sedgepath_core::event::LookUp;
-use sedgepath_test_support::bed::Bed;
+use sedgepath_test_support::bed::TestBed;
 use sedgepath_test_support::bed::faults::Place;
 use sedgepath_test_support::records::{self, UpstreamSpec};
 
 const DOMAINS: [&str; 3] = ["north-a", "north-b", "south-a"];
 
 /// Writes the records of a service that all three failure domains serve.
-fn write_initial_records(bed: &mut Bed) {
+fn write_initial_records(bed: &mut TestBed) {
     let upstreams = [UpstreamSpec::new("b1", "north-a", 4), UpstreamSpec::new("b2", "south-a", 4)];
     bed.write_records(&[
         records::places(&[("north", &["north-a", "north-b"]), ("south", &["south-a"])]),
@@ -24,13 +24,13 @@
 }
 
 /// Writes a steering record with this weight for `north-a`, and returns its revision.
-fn write_steering(bed: &mut Bed, weight: f64) -> u64 {
+fn write_steering(bed: &mut TestBed, weight: f64) -> u64 {
     let shares = [("north-a", weight), ("south-a", 1.0)];
     bed.write_records(&[records::steering("browse", &shares, 100.0, 10_000)])
 }
 
 /// Adds nodes to the first failure domains of [`DOMAINS`].
-fn add_nodes(bed: &mut Bed, domain_count: usize, nodes_per_domain: usize) {
+fn add_nodes(bed: &mut TestBed, domain_count: usize, nodes_per_domain: usize) {
     for domain in &DOMAINS[..domain_count] {
         for number in 0..nodes_per_domain {
             bed.add_node(&format!("{domain}-{number}"), domain);
@@ -39,7 +39,7 @@
 }
 
 /// Returns the revision by which a node answers look-ups, or 0 if it rejects them.
-fn revision_in_force(bed: &mut Bed, node: usize) -> u64 {
+fn revision_in_force(bed: &mut TestBed, node: usize) -> u64 {
     let look_up = LookUp {
         service: "browse".into(),
         source: IpAddr::V4(Ipv4Addr::LOCALHOST),
@@ -50,11 +50,11 @@
 }
 
 /// Returns [`revision_in_force`] of every node.
-fn revisions_in_force(bed: &mut Bed) -> Vec<u64> {
+fn revisions_in_force(bed: &mut TestBed) -> Vec<u64> {
     (0..bed.node_count()).map(|node| revision_in_force(bed, node)).collect()
 }
 
-fn table_reads(bed: &Bed) -> u64 {
+fn table_reads(bed: &TestBed) -> u64 {
     (0..bed.node_count()).map(|node| bed.traffic(node).table_reads).sum()
 }
 
@@ -62,7 +62,7 @@
 /// would grow with the number of nodes.
 #[test]
 fn only_two_nodes_per_domain_poll_the_platform() {
-    let mut bed = Bed::new(1);
+    let mut bed = TestBed::new(1);
     write_initial_records(&mut bed);
     add_nodes(&mut bed, 3, 10);
     bed.run_for(5_000);
@@ -75,7 +75,7 @@
 /// A failure domain that can't reach the platform must get a change from its peers in other domains.
 #[test]
 fn nodes_without_the_platform_get_a_change_from_peers() {
-    let mut bed = Bed::new(2);
+    let mut bed = TestBed::new(2);
     write_initial_records(&mut bed);
     add_nodes(&mut bed, 3, 4);
     bed.run_for(5_000);
@@ -91,7 +91,7 @@
 /// kept running.
 #[test]
 fn restarted_nodes_get_the_configuration_from_a_peer_while_the_platform_is_down() {
-    let mut bed = Bed::new(3);
+    let mut bed = TestBed::new(3);
     write_initial_records(&mut bed);
     add_nodes(&mut bed, 3, 4);
     bed.run_for(5_000);
@@ -113,7 +113,7 @@
 /// no node's revision may ever decrease.
 #[test]
 fn a_partitioned_node_catches_up_after_the_partition_heals() {
-    let mut bed = Bed::new(4);
+    let mut bed = TestBed::new(4);
     write_initial_records(&mut bed);
     add_nodes(&mut bed, 3, 4);
     bed.run_for(5_000);
@@ -165,7 +165,7 @@
         |number: usize, deadline_ms| records::service(&format!("s{number:03}"), deadline_ms, &[]);
     let mut partial_pages = 0;
     for change_at_ms in (0..3_000).step_by(100) {
-        let mut bed = Bed::new(5);
+        let mut bed = TestBed::new(5);
         bed.faults.table_latency_ms = 150;
         let services: Vec<_> = (0..200).map(|number| service(number, 1_000)).collect();
         bed.write_records(&services);
@@ -191,7 +191,7 @@
 #[test]
 fn any_node_that_reaches_the_platform_becomes_a_reader() {
     for connected in 0..6 {
-        let mut bed = Bed::new(6);
+        let mut bed = TestBed::new(6);
         write_initial_records(&mut bed);
         add_nodes(&mut bed, 1, 6);
         bed.run_for(5_000);
@@ -213,7 +213,7 @@
 /// overload the platform when it recovers.
 #[test]
 fn nodes_poll_slowly_during_an_outage() {
-    let mut bed = Bed::new(7);
+    let mut bed = TestBed::new(7);
     write_initial_records(&mut bed);
     add_nodes(&mut bed, 3, 10);
     bed.run_for(5_000);
--- a/crates/sedgepath-core/tests/configuration_change.rs
+++ b/crates/sedgepath-core/tests/configuration_change.rs
@@ -10,13 +10,13 @@
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::request::{Outcome, RejectionReason};
 use sedgepath_test_support::bed::faults::Place;
-use sedgepath_test_support::bed::{Bed, Seen, guest_request};
+use sedgepath_test_support::bed::{Seen, TestBed, guest_request};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use serde_json::json;
 
 /// Starts six nodes in two failure domains with a configuration of revision 1.
-fn bed(seed: u64) -> Bed {
-    let mut bed = Bed::new(seed);
+fn bed(seed: u64) -> TestBed {
+    let mut bed = TestBed::new(seed);
     bed.write_records(&[
         records::places(&[("north", &["north-a"]), ("south", &["south-a"])]),
         records::service("browse", 5_000, &[UpstreamSpec::new("b1", "north-a", 4)]),
@@ -43,7 +43,7 @@
     }
 }
 
-fn look_up(bed: &mut Bed, node: usize, service: &str) -> Result<LookUpAnswer, LookUpError> {
+fn look_up(bed: &mut TestBed, node: usize, service: &str) -> Result<LookUpAnswer, LookUpError> {
     let look_up = LookUp {
         service: service.into(),
         source: IpAddr::V4(Ipv4Addr::LOCALHOST),
@@ -53,18 +53,18 @@
 }
 
 /// Returns the revision by which each node answers look-ups, or 0 if it does not answer.
-fn revisions_in_force(bed: &mut Bed) -> Vec<u64> {
+fn revisions_in_force(bed: &mut TestBed) -> Vec<u64> {
     (0..bed.node_count())
         .map(|node| look_up(bed, node, "browse").map_or(0, |answer| answer.revision))
         .collect()
 }
 
-fn outcome(bed: &Bed, reply: ReplyKey) -> ChangeOutcome {
+fn outcome(bed: &TestBed, reply: ReplyKey) -> ChangeOutcome {
     bed.change_outcome(reply).cloned().expect("the node should have replied with the outcome")
 }
 
 /// Returns the revisions in the table's log that have the change identifier.
-fn logged_revisions(bed: &Bed, change_id: &str) -> Vec<u64> {
+fn logged_revisions(bed: &TestBed, change_id: &str) -> Vec<u64> {
     let rows = bed.table().rows();
     let changes = rows.iter().filter(|row| row.key.starts_with("log/"));
     let changes = changes.map(|row| {
--- a/crates/sedgepath-core/tests/drain.rs
+++ b/crates/sedgepath-core/tests/drain.rs
@@ -7,7 +7,7 @@
 use sedgepath_core::key::{DomainKey, UpstreamKey};
 use sedgepath_core::record::RawRecord;
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
-use sedgepath_test_support::bed::{Bed, Seen};
+use sedgepath_test_support::bed::{Seen, TestBed};
 use sedgepath_test_support::records;
 use serde_json::{Value, json};
 
@@ -215,8 +215,8 @@
 /// The maximum delay of a request between its placement and its start.
 const MAX_TRANSIT_MS: u64 = 200;
 
-fn two_domains(seed: u64) -> Bed {
-    let mut bed = Bed::new(seed);
+fn two_domains(seed: u64) -> TestBed {
+    let mut bed = TestBed::new(seed);
     for (name, slots) in [("b1", 6), ("b2", 2), ("b3", 8), ("g1", 4)] {
         bed.upstreams.add(name, FakeUpstream::new(slots, 50));
     }
@@ -226,7 +226,7 @@
     bed
 }
 
-fn run_load(bed: &mut Bed, duration_ms: u64) {
+fn run_load(bed: &mut TestBed, duration_ms: u64) {
     for step in 0..duration_ms / 20 {
         let head = bed.request_head("browse");
         bed.call((step % 4) as usize, head);
--- a/crates/sedgepath-core/tests/fuzz_configuration.rs
+++ b/crates/sedgepath-core/tests/fuzz_configuration.rs
@@ -20,7 +20,7 @@
 use sedgepath_core::event::LookUp;
 use sedgepath_core::key::ReplyKey;
 use sedgepath_core::record::RawRecord;
-use sedgepath_test_support::bed::Bed;
+use sedgepath_test_support::bed::TestBed;
 use sedgepath_test_support::bed::faults::Place;
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use serde_json::json;
@@ -119,7 +119,7 @@
 }
 
 struct Run {
-    bed: Bed,
+    bed: TestBed,
     changes: Vec<RequestedChange>,
     /// The revision of each node's latest look-up answer since it started, or 0.
     last_answered_revision: [u64; NODES],
@@ -127,7 +127,7 @@
 
 impl Run {
     fn new() -> Self {
-        let mut bed = Bed::new(1);
+        let mut bed = TestBed::new(1);
         let upstreams = |name: &str| [UpstreamSpec::new(name, "a", 4)];
         bed.write_records(&[
             records::places(&[("north", &["a"]), ("south", &["b"])]),
--- a/crates/sedgepath-core/tests/fuzz_once.rs
+++ b/crates/sedgepath-core/tests/fuzz_once.rs
@@ -19,7 +19,7 @@
 use sedgepath_core::hash::Digest;
 use sedgepath_core::key::UpstreamKey;
 use sedgepath_core::request::Deduplication;
-use sedgepath_test_support::bed::Bed;
+use sedgepath_test_support::bed::TestBed;
 use sedgepath_test_support::bed::faults::Place;
 
 const NODES: usize = 4;
@@ -129,7 +129,7 @@
 
 /// The nodes, and the keys and attempt numbers of their callers.
 struct Run {
-    bed: Bed,
+    bed: TestBed,
     keys: BTreeMap<usize, Deduplication>,
     attempts: BTreeMap<usize, u32>,
 }
--- a/crates/sedgepath-core/tests/lease.rs
+++ b/crates/sedgepath-core/tests/lease.rs
@@ -11,7 +11,7 @@
 use sedgepath_core::request::{Deduplication, RequestHead};
 use sedgepath_test_support::bed::faults::Place;
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
-use sedgepath_test_support::bed::{Bed, NodeIndex};
+use sedgepath_test_support::bed::{NodeIndex, TestBed};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 
 /// Upstreams chosen so that each of three members owns at least one.
@@ -37,9 +37,9 @@
 
 /// Creates nodes `1..=members` of one failure domain with four upstreams, and applies load until
 /// all slots are in use.
-fn bed(seed: u64, members: usize) -> Bed {
+fn bed(seed: u64, members: usize) -> TestBed {
     let settings = NodeSettings { forget_after_ms: FORGET_AFTER_MS, ..NodeSettings::default() };
-    let mut bed = Bed::new(seed).with_settings(settings);
+    let mut bed = TestBed::new(seed).with_settings(settings);
     let upstreams = UPSTREAMS.map(|name| UpstreamSpec::new(name, "near", SLOTS));
     bed.write_records(&[
         records::places(&[("region", &["near", "far"])]),
@@ -59,7 +59,7 @@
 }
 
 /// Sends four calls every 20 ms.
-fn load(bed: &mut Bed, duration_ms: u64) {
+fn load(bed: &mut TestBed, duration_ms: u64) {
     let until_ms = bed.now_ms() + duration_ms;
     while bed.now_ms() < until_ms {
         for _ in 0..4 {
@@ -82,12 +82,12 @@
 }
 
 /// Returns the highest number of concurrent requests at any upstream.
-fn max_in_flight(bed: &Bed) -> u32 {
+fn max_in_flight(bed: &TestBed) -> u32 {
     bed.upstreams.iter().map(|(_, upstream)| upstream.peak_in_flight).max().unwrap_or(0)
 }
 
 /// Applies load and returns the average utilization of all slots in percent.
-fn utilization_percent(bed: &mut Bed, duration_ms: u64) -> u64 {
+fn utilization_percent(bed: &mut TestBed, duration_ms: u64) -> u64 {
     let mut sum = 0;
     let steps = duration_ms / 20;
     for _ in 0..steps {
@@ -98,7 +98,7 @@
 }
 
 /// Asserts that no upstream exceeded its slots and that almost all slots are in use again.
-fn assert_within_slots_and_fully_used(bed: &mut Bed, scenario: &str) {
+fn assert_within_slots_and_fully_used(bed: &mut TestBed, scenario: &str) {
     assert!(max_in_flight(bed) <= SLOTS, "{scenario}: {} in flight at once", max_in_flight(bed));
     let used = utilization_percent(bed, 8_000);
     assert!(used >= 90, "{scenario}: only {used}% of the slots are used in the end");
@@ -192,8 +192,9 @@
     let mut bed = bed(1, 3);
     bed.faults.upstream_send_delay_ms = 1_600;
     load(&mut bed, 2_000);
-    let run_count =
-        |bed: &Bed| bed.upstreams.iter().map(|(_, upstream)| upstream.runs.len()).sum::<usize>();
+    let run_count = |bed: &TestBed| {
+        bed.upstreams.iter().map(|(_, upstream)| upstream.runs.len()).sum::<usize>()
+    };
     let count_before = run_count(&bed);
     load(&mut bed, 10_000);
     assert_eq!(run_count(&bed), count_before);
@@ -254,7 +255,7 @@
     }
 }
 
-fn inject_random_fault(bed: &mut Bed, random: &mut fastrand::Rng) {
+fn inject_random_fault(bed: &mut TestBed, random: &mut fastrand::Rng) {
     let node = random.usize(1..bed.node_count());
     let other = random.usize(1..bed.node_count());
     match random.u32(0..10) {
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -4,7 +4,7 @@
 use sedgepath_core::rendezvous;
 use sedgepath_core::request::{CallOutcome, Class, RejectionReason};
 use sedgepath_test_support::bed::faults::Place;
-use sedgepath_test_support::bed::{Bed, NodeIndex, Seen};
+use sedgepath_test_support::bed::{NodeIndex, Seen, TestBed};
 use sedgepath_test_support::load;
 use sedgepath_test_support::owner::Owner;
 use sedgepath_test_support::records;
@@ -15,12 +15,12 @@
 const MAX_LEAVING_DELAY_MS: u64 = 3_000;
 
 /// Returns a test bed of three nodes and two upstreams in one failure domain.
-fn bed(seed: u64) -> Bed {
+fn bed(seed: u64) -> TestBed {
     load::bed(seed, 3, &[("u1", 4, 100), ("u2", 4, 100)])
 }
 
 /// Sends a request every 25 ms to one of the running nodes in offset.
-fn run_load(bed: &mut Bed, duration_ms: u64) {
+fn run_load(bed: &mut TestBed, duration_ms: u64) {
     for step in 0..duration_ms / 25 {
         let node =
             (0..3).map(|offset| (step as usize + offset) % 3).find(|node| bed.is_running(*node));
@@ -38,13 +38,13 @@
 
 /// Returns the number of runs at `u1` that started more than [`MAX_LEAVING_DELAY_MS`] after
 /// `reported_at_ms`.
-fn late_runs(bed: &mut Bed, reported_at_ms: u64) -> usize {
+fn late_runs(bed: &mut TestBed, reported_at_ms: u64) -> usize {
     let runs = &bed.upstreams.get("u1").runs;
     runs.iter().filter(|run| run.started_at_ms > reported_at_ms + MAX_LEAVING_DELAY_MS).count()
 }
 
 /// Returns the number of requests that callers sent since `start_ms`, and how many got a response.
-fn count_sent_and_answered(bed: &Bed, from_ms: u64) -> (usize, usize) {
+fn count_sent_and_answered(bed: &TestBed, from_ms: u64) -> (usize, usize) {
     let calls = bed.calls().iter().filter(|call| call.sent_at_ms >= from_ms);
     let answered =
         calls.clone().filter(|call| matches!(call.result, Seen::Answered { .. })).count();
@@ -52,7 +52,7 @@
 }
 
 /// Asserts that the response of every run at the leaving upstream reached its caller.
-fn assert_all_runs_answered(bed: &mut Bed) {
+fn assert_all_runs_answered(bed: &mut TestBed) {
     let runs = bed.upstreams.get("u1").runs.clone();
     for run in runs {
         let call = run.call.expect("the run's owner was not killed");
@@ -85,7 +85,7 @@
 
 /// Reports `u1` as leaving under a steady load, and asserts that no late request reaches it and
 /// that no running request is cut off.
-fn assert_no_late_runs(seed: u64, report_leaving: impl FnOnce(&mut Bed)) {
+fn assert_no_late_runs(seed: u64, report_leaving: impl FnOnce(&mut TestBed)) {
     let mut bed = bed(seed);
     run_load(&mut bed, 2_000);
     report_leaving(&mut bed);
--- a/crates/sedgepath-core/tests/look_up.rs
+++ b/crates/sedgepath-core/tests/look_up.rs
@@ -3,14 +3,14 @@
 use std::net::{IpAddr, Ipv4Addr};
 
 use sedgepath_core::event::{LookUp, LookUpAnswer, LookUpError};
-use sedgepath_test_support::bed::Bed;
+use sedgepath_test_support::bed::TestBed;
 use sedgepath_test_support::records::{self, UpstreamSpec};
 
 const DOMAINS: [&str; 4] = ["north-a", "north-b", "south-a", "south-b"];
 
 /// Creates four failure domains with three nodes each; the callers' traffic goes to two domains.
-fn bed() -> Bed {
-    let mut bed = Bed::new(1);
+fn bed() -> TestBed {
+    let mut bed = TestBed::new(1);
     let upstreams: Vec<_> = DOMAINS
         .iter()
         .map(|domain| UpstreamSpec::new(&format!("up-{domain}"), domain, 8))
@@ -29,12 +29,12 @@
     bed
 }
 
-fn look_up(bed: &mut Bed, source: u8, revision_seen: u64) -> Result<LookUpAnswer, LookUpError> {
+fn look_up(bed: &mut TestBed, source: u8, revision_seen: u64) -> Result<LookUpAnswer, LookUpError> {
     let source = IpAddr::V4(Ipv4Addr::new(10, 0, 0, source));
     bed.look_up(0, &LookUp { service: "browse".into(), source, revision_seen })
 }
 
-fn first_entry_vm_names(bed: &mut Bed) -> Vec<String> {
+fn first_entry_vm_names(bed: &mut TestBed) -> Vec<String> {
     (0..64)
         .map(|source| look_up(bed, source, 0).expect("the service is known"))
         .map(|answer| answer.entry_vms[0].name.to_string())
--- a/crates/sedgepath-core/tests/membership.rs
+++ b/crates/sedgepath-core/tests/membership.rs
@@ -2,7 +2,7 @@
 
 use sedgepath_core::key::VmKey;
 use sedgepath_test_support::bed::faults::Place;
-use sedgepath_test_support::bed::{Bed, NodeIndex};
+use sedgepath_test_support::bed::{NodeIndex, TestBed};
 use sedgepath_test_support::records;
 
 const DOMAINS: [&str; 8] = ["d0", "d1", "d2", "d3", "d4", "d5", "d6", "d7"];
@@ -12,8 +12,8 @@
 
 /// Creates a system whose members know each other; node `d * members + m` is member `m` of domain
 /// `d`.
-fn bed(seed: u64, domains: usize, members: usize) -> Bed {
-    let mut bed = Bed::new(seed);
+fn bed(seed: u64, domains: usize, members: usize) -> TestBed {
+    let mut bed = TestBed::new(seed);
     bed.write_records(&[
         records::places(&[("region", &DOMAINS[..domains])]),
         records::service("browse", 1_000, &[]),
@@ -28,7 +28,7 @@
 }
 
 /// Returns the names of the VMs that a node considers to accept work, itself included.
-fn vms_accepting_work(bed: &Bed, node: NodeIndex) -> Vec<String> {
+fn vms_accepting_work(bed: &TestBed, node: NodeIndex) -> Vec<String> {
     let node = bed.node(node).expect("a running node");
     let own = std::iter::once(&node.outbox().identity().descriptor);
     let members = node.membership().members();
@@ -46,11 +46,15 @@
 }
 
 /// Returns the number of suspicions in the log.
-fn suspicion_count(bed: &Bed) -> usize {
+fn suspicion_count(bed: &TestBed) -> usize {
     bed.log().iter().filter(|(_, entry)| &*entry.event == "member_suspect").count()
 }
 
-fn partition_domains(bed: &mut Bed, first: std::ops::Range<usize>, second: std::ops::Range<usize>) {
+fn partition_domains(
+    bed: &mut TestBed,
+    first: std::ops::Range<usize>,
+    second: std::ops::Range<usize>,
+) {
     for a in first {
         for b in second.clone() {
             bed.faults.cut(Place::Node(a), Place::Node(b));
@@ -121,7 +125,7 @@
 fn datagrams_per_node_grow_with_domains_only_by_summaries() {
     let sent_per_s = |domains: usize| {
         let mut bed = bed(4, domains, 4);
-        let sent = |bed: &Bed| (0..4).map(|node| bed.traffic(node).sent).max().unwrap_or(0);
+        let sent = |bed: &TestBed| (0..4).map(|node| bed.traffic(node).sent).max().unwrap_or(0);
         let before = sent(&bed);
         bed.run_for(20_000);
         (sent(&bed) - before) / 20
--- a/crates/sedgepath-core/tests/once_support/callers.rs
+++ b/crates/sedgepath-core/tests/once_support/callers.rs
@@ -1,7 +1,7 @@
 //! Callers that retry their actions through other nodes.
 
 use sedgepath_core::request::Deduplication;
-use sedgepath_test_support::bed::{Bed, CallIndex, NodeIndex};
+use sedgepath_test_support::bed::{CallIndex, NodeIndex, TestBed};
 
 use super::once_support::{head, is_answered};
 
@@ -16,14 +16,14 @@
 
 impl Action {
     /// Sends the first attempt of an action.
-    pub fn new(bed: &mut Bed, node: NodeIndex, key: Deduplication) -> Self {
+    pub fn new(bed: &mut TestBed, node: NodeIndex, key: Deduplication) -> Self {
         let head = head(bed, key, 1);
         let call = bed.call(node, head);
         Self { key, attempt: 1, call, retry_at_ms: bed.now_ms() + 1_000 }
     }
 
     /// Sends the next attempt if the caller has no response one second after the last attempt.
-    pub fn poll(&mut self, bed: &mut Bed) {
+    pub fn poll(&mut self, bed: &mut TestBed) {
         if bed.now_ms() < self.retry_at_ms || is_answered(&bed.calls()[self.call].result) {
             return;
         }
@@ -37,11 +37,11 @@
 
 /// Starts `count` actions, one every `interval_ms`, at the nodes in turn, while callers retry theirs.
 pub fn run_actions(
-    bed: &mut Bed,
+    bed: &mut TestBed,
     count: usize,
     interval_ms: u64,
-    mut new_key: impl FnMut(&mut Bed, usize) -> Deduplication,
-    mut inject_fault: impl FnMut(&mut Bed, usize),
+    mut new_key: impl FnMut(&mut TestBed, usize) -> Deduplication,
+    mut inject_fault: impl FnMut(&mut TestBed, usize),
 ) {
     let mut actions = Vec::new();
     for number in 0..count {
@@ -59,14 +59,14 @@
     }
 }
 
-fn poll_all(bed: &mut Bed, actions: &mut [Action]) {
+fn poll_all(bed: &mut TestBed, actions: &mut [Action]) {
     for action in actions {
         action.poll(bed);
     }
 }
 
 /// Kills one node after another and restarts each 15 actions later.
-pub fn kill_nodes_in_turn(bed: &mut Bed, number: usize) {
+pub fn kill_nodes_in_turn(bed: &mut TestBed, number: usize) {
     match number % 40 {
         20 => bed.kill(number / 40 % 4),
         35 => bed.start(number / 40 % 4),
@@ -75,7 +75,7 @@
 }
 
 /// Pauses two nodes while requests are in progress and resumes both at action 180.
-pub fn pause_two_nodes(bed: &mut Bed, number: usize) {
+pub fn pause_two_nodes(bed: &mut TestBed, number: usize) {
     match number {
         20 | 40 => bed.pause(number / 20),
         180 => {
--- a/crates/sedgepath-core/tests/once_support/mod.rs
+++ b/crates/sedgepath-core/tests/once_support/mod.rs
@@ -6,12 +6,12 @@
 use sedgepath_core::hash::Digest;
 use sedgepath_core::request::{Deduplication, Outcome, RequestHead};
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
-use sedgepath_test_support::bed::{Bed, CallIndex, Seen, guest_request};
+use sedgepath_test_support::bed::{CallIndex, Seen, TestBed, guest_request};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 
 /// Creates four nodes in two failure domains and a service with an upstream in each.
-pub fn bed(seed: u64) -> Bed {
-    let mut bed = Bed::new(seed);
+pub fn bed(seed: u64) -> TestBed {
+    let mut bed = TestBed::new(seed);
     let upstreams =
         [UpstreamSpec::new("d1", "north-a", 16), UpstreamSpec::new("d2", "south-a", 16)];
     let mut service = records::service("deposit", 5_000, &upstreams);
@@ -32,7 +32,7 @@
 }
 
 /// Returns a request whose digest depends only on its key or ticket, so that retries share it.
-pub fn head(bed: &Bed, key: Deduplication, attempt: u32) -> RequestHead {
+pub fn head(bed: &TestBed, key: Deduplication, attempt: u32) -> RequestHead {
     RequestHead {
         deduplication: key,
         attempt,
@@ -80,7 +80,7 @@
 }
 
 /// Evaluates all calls so far.
-pub fn evaluate(bed: &Bed) -> Verdict {
+pub fn evaluate(bed: &TestBed) -> Verdict {
     let ran_twice = bed.upstreams.runs_by_key().values().filter(|runs| **runs > 1).count();
     let mut verdict = Verdict { ran_twice, ..Verdict::default() };
     let mut calls_by_key: BTreeMap<String, Vec<CallIndex>> = BTreeMap::new();
@@ -96,7 +96,7 @@
     verdict
 }
 
-fn evaluate_key(bed: &Bed, calls: &[CallIndex], verdict: &mut Verdict) {
+fn evaluate_key(bed: &TestBed, calls: &[CallIndex], verdict: &mut Verdict) {
     let ran = calls.iter().find(|call| bed.upstreams.run_count(**call) > 0);
     for call in calls {
         if let Seen::Concluded(Outcome::Repeated(stored)) = &bed.calls()[*call].result {
@@ -121,7 +121,7 @@
 }
 
 /// Ends all faults, lets late writes and pending work finish, and evaluates all calls.
-pub fn settle(bed: &mut Bed) -> Verdict {
+pub fn settle(bed: &mut TestBed) -> Verdict {
     bed.faults.platform_down = false;
     bed.faults.lost_commit_result_percent = 0;
     bed.faults.heal_all();
--- a/crates/sedgepath-core/tests/path.rs
+++ b/crates/sedgepath-core/tests/path.rs
@@ -1,11 +1,11 @@
 //! Tests of requests that pass through several nodes.
 
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
-use sedgepath_test_support::bed::{Bed, Seen};
+use sedgepath_test_support::bed::{Seen, TestBed};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 
-fn bed() -> Bed {
-    let mut bed = Bed::new(1);
+fn bed() -> TestBed {
+    let mut bed = TestBed::new(1);
     let upstreams = [UpstreamSpec::new("b1", "north-a", 4), UpstreamSpec::new("b2", "south-a", 4)];
     bed.write_records(&[
         records::places(&[("north", &["north-a"]), ("south", &["south-a"])]),
--- a/crates/sedgepath-core/tests/retry.rs
+++ b/crates/sedgepath-core/tests/retry.rs
@@ -2,18 +2,18 @@
 
 use sedgepath_core::request::{Outcome, RejectionReason, RequestHead};
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
-use sedgepath_test_support::bed::{Bed, CallIndex, Seen};
+use sedgepath_test_support::bed::{CallIndex, Seen, TestBed};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 
 const DOMAINS: [&str; 3] = ["north-a", "north-b", "south-a"];
 
 /// Returns a test bed of three failure domains with one upstream and two nodes each.
-fn bed(seed: u64) -> Bed {
+fn bed(seed: u64) -> TestBed {
     bed_with_slots(seed, 8)
 }
 
-fn bed_with_slots(seed: u64, slots: u32) -> Bed {
-    let mut bed = Bed::new(seed);
+fn bed_with_slots(seed: u64, slots: u32) -> TestBed {
+    let mut bed = TestBed::new(seed);
     let upstreams: Vec<_> = DOMAINS
         .iter()
         .map(|domain| UpstreamSpec::new(&format!("up-{domain}"), domain, slots))
@@ -35,12 +35,12 @@
     bed
 }
 
-fn head(bed: &Bed, idempotent: bool) -> RequestHead {
+fn head(bed: &TestBed, idempotent: bool) -> RequestHead {
     RequestHead { idempotent, ..bed.request_head("browse") }
 }
 
 /// Sends requests one after another and waits for their outcomes.
-fn send(bed: &mut Bed, count: usize, idempotent: bool) -> Vec<CallIndex> {
+fn send(bed: &mut TestBed, count: usize, idempotent: bool) -> Vec<CallIndex> {
     let calls = (0..count)
         .map(|number| {
             let head = head(bed, idempotent);
@@ -53,7 +53,7 @@
     calls
 }
 
-fn count(bed: &Bed, calls: &[CallIndex], matches_seen: impl Fn(&Seen) -> bool) -> usize {
+fn count(bed: &TestBed, calls: &[CallIndex], matches_seen: impl Fn(&Seen) -> bool) -> usize {
     calls.iter().filter(|call| matches_seen(&bed.calls()[**call].result)).count()
 }
 
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::key::UpstreamKey;
 use sedgepath_test_support::bed::faults::Place;
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
-use sedgepath_test_support::bed::{Bed, NodeIndex, Seen};
+use sedgepath_test_support::bed::{NodeIndex, Seen, TestBed};
 use sedgepath_test_support::moves::Followed;
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use serde_json::json;
@@ -52,7 +52,7 @@
 }
 
 struct Scenario {
-    bed: Bed,
+    bed: TestBed,
     started_at_ms: u64,
     sent_calls: usize,
     /// The standing shares at each call, as reported by the called node.
@@ -61,7 +61,7 @@
 
 impl Scenario {
     fn new(seed: u64) -> Self {
-        let mut bed = Bed::new(seed);
+        let mut bed = TestBed::new(seed);
         let mut upstreams = Vec::new();
         for domain in DOMAINS {
             for number in 0..UPSTREAMS_PER_DOMAIN {
--- a/crates/sedgepath-core/tests/tickets.rs
+++ b/crates/sedgepath-core/tests/tickets.rs
@@ -9,15 +9,15 @@
 use sedgepath_core::deduplication::tickets::{MAX_VALID_TICKETS, TICKET_VALIDITY_MS};
 use sedgepath_core::hash::Digest;
 use sedgepath_core::request::{Deduplication, Outcome, RejectionReason};
-use sedgepath_test_support::bed::{Bed, NodeIndex, Seen};
+use sedgepath_test_support::bed::{NodeIndex, Seen, TestBed};
 
-fn mint_ticket(bed: &mut Bed, node: NodeIndex) -> Deduplication {
+fn mint_ticket(bed: &mut TestBed, node: NodeIndex) -> Deduplication {
     let tickets = bed.mint_tickets(node, "deposit", 1);
     Deduplication::Ticket(*tickets.first().expect("the node should mint a ticket"))
 }
 
 /// Mints a ticket at the first node, in turn, that returns one.
-fn new_ticket(bed: &mut Bed, number: usize) -> Deduplication {
+fn new_ticket(bed: &mut TestBed, number: usize) -> Deduplication {
     let nodes = bed.node_count();
     let mut minted =
         (1..=nodes).flat_map(|step| bed.mint_tickets((number / 2 + step) % nodes, "deposit", 1));
@@ -25,7 +25,7 @@
 }
 
 /// Sends a request and returns what its caller saw after 500 ms.
-fn send(bed: &mut Bed, node: NodeIndex, ticket: Deduplication, attempt: u32) -> Seen {
+fn send(bed: &mut TestBed, node: NodeIndex, ticket: Deduplication, attempt: u32) -> Seen {
     let head = head(bed, ticket, attempt);
     let call = bed.call(node, head);
     bed.run_for(500);
@@ -112,7 +112,7 @@
 
 /// Stops a home with used, rejected and unused tickets, and asserts that other nodes conclude the
 /// requests of all of them and run none.
-fn assert_planned_stop_hands_over(mut bed: Bed, platform_down: bool) {
+fn assert_planned_stop_hands_over(mut bed: TestBed, platform_down: bool) {
     let tickets: Vec<_> = (0..60).map(|_| mint_ticket(&mut bed, 1)).collect();
     for ticket in &tickets[..20] {
         assert!(matches!(send(&mut bed, 2, *ticket, 1), Seen::Answered { .. }));
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -193,7 +193,7 @@
 
 /// Nodes, upstreams and a table on one simulated clock.
 #[derive(Debug)]
-pub struct Bed {
+pub struct TestBed {
     now_ms: u64,
     last_sequence: u64,
     scheduled: BTreeMap<(u64, u64), ScheduledItem>,
@@ -240,7 +240,7 @@
     }
 }
 
-impl Bed {
+impl TestBed {
     /// Creates an empty test bed whose delays are drawn from a generator with this seed.
     pub fn new(seed: u64) -> Self {
         Self {
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -11,11 +11,11 @@
 use super::faults::Place;
 use super::upstreams::{self, UpstreamRun};
 use super::{
-    Bed, CallIndex, DATAGRAM_OVERHEAD_BYTES, DispatchReply, NodeEvent, NodeIndex, PendingDispatch,
-    ScheduledItem, Seen,
+    CallIndex, DATAGRAM_OVERHEAD_BYTES, DispatchReply, NodeEvent, NodeIndex, PendingDispatch,
+    ScheduledItem, Seen, TestBed,
 };
 
-impl Bed {
+impl TestBed {
     pub(super) fn perform_actions(&mut self, index: NodeIndex, actions: Vec<Action>) {
         for action in actions {
             self.perform_action(index, action);
--- a/crates/sedgepath-test-support/src/bed/delivery.rs
+++ b/crates/sedgepath-test-support/src/bed/delivery.rs
@@ -7,10 +7,11 @@
 
 use super::faults::Place;
 use super::{
-    Bed, DispatchReply, NodeEvent, NodeIndex, ScheduledItem, TICK_INTERVAL_MS, VM_LIST_INTERVAL_MS,
+    DispatchReply, NodeEvent, NodeIndex, ScheduledItem, TICK_INTERVAL_MS, TestBed,
+    VM_LIST_INTERVAL_MS,
 };
 
-impl Bed {
+impl TestBed {
     pub(super) fn process_item(&mut self, item: ScheduledItem) {
         let node = match &item {
             ScheduledItem::Tick { node, .. }
--- a/crates/sedgepath-test-support/src/bed/platform.rs
+++ b/crates/sedgepath-test-support/src/bed/platform.rs
@@ -10,9 +10,9 @@
 use sedgepath_core::table::{TableRequest, TableResult};
 
 use super::faults::Place;
-use super::{Bed, NodeEvent, NodeIndex, ScheduledItem};
+use super::{NodeEvent, NodeIndex, ScheduledItem, TestBed};
 
-impl Bed {
+impl TestBed {
     pub(super) fn send_table_request(
         &mut self,
         index: NodeIndex,
--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -7,7 +7,7 @@
 use sedgepath_core::request::{Class, Deduplication, Outcome, RequestHead};
 
 use crate::bed::upstreams::FakeUpstream;
-use crate::bed::{Bed, Call, Seen};
+use crate::bed::{Call, Seen, TestBed};
 use crate::records::{self, UpstreamSpec};
 
 /// The request rate of each class; requests are sent at random times.
@@ -64,7 +64,7 @@
 /// Creates a test bed with one failure domain `a` and one service `s`.
 ///
 /// Each upstream is given by its name, its slots and its service time in milliseconds.
-pub fn bed(seed: u64, nodes: usize, upstreams: &[(&str, u32, u64)]) -> Bed {
+pub fn bed(seed: u64, nodes: usize, upstreams: &[(&str, u32, u64)]) -> TestBed {
     bed_with(seed, nodes, upstreams, NodeSettings { seed, ..NodeSettings::default() })
 }
 
@@ -74,8 +74,8 @@
     nodes: usize,
     upstreams: &[(&str, u32, u64)],
     settings: NodeSettings,
-) -> Bed {
-    let mut bed = Bed::new(seed).with_settings(settings);
+) -> TestBed {
+    let mut bed = TestBed::new(seed).with_settings(settings);
     let specs: Vec<_> =
         upstreams.iter().map(|(name, slots, _)| UpstreamSpec::new(name, "a", *slots)).collect();
     bed.write_records(&[
@@ -99,7 +99,7 @@
 }
 
 /// Creates the head of a request for the service `s` that expires `deadline_ms` from now.
-pub fn head(bed: &Bed, class: Class, deadline_ms: u64) -> RequestHead {
+pub fn head(bed: &TestBed, class: Class, deadline_ms: u64) -> RequestHead {
     let key = match class {
         Class::Paying => Some("payer-key"),
         Class::Trial => Some("trial-key"),
@@ -120,7 +120,7 @@
 }
 
 /// Sends a load for `duration_ms`, waits until all deadlines have passed, and returns the results.
-pub fn run(bed: &mut Bed, load: Load, duration_ms: u64) -> LoadSeen {
+pub fn run(bed: &mut TestBed, load: Load, duration_ms: u64) -> LoadSeen {
     let first_call = bed.calls().len();
     // Each class has its own generator: the arrival times of one don't depend on the other's rate.
     let mut paying =
--- a/crates/sedgepath-test-support/src/moves.rs
+++ b/crates/sedgepath-test-support/src/moves.rs
@@ -9,7 +9,7 @@
 
 use sedgepath_core::key::UpstreamKey;
 
-use crate::bed::Bed;
+use crate::bed::TestBed;
 
 /// The bins per window, and the number of offsets at which windows begin.
 const BINS_PER_WINDOW: usize = 20;
@@ -45,7 +45,7 @@
 impl Followed<'_> {
     /// Returns the maximum percentage of the traffic that shifted between consecutive windows,
     /// less the rounding.
-    pub fn max_shift_percent(&self, bed: &Bed) -> f64 {
+    pub fn max_shift_percent(&self, bed: &TestBed) -> f64 {
         let bins = self.bins(bed);
         let mut max_shift: f64 = 0.0;
         for offset in 0..BINS_PER_WINDOW {
@@ -69,7 +69,7 @@
     /// `splits` holds, for each call, the split of its node when the call was made. The split of a
     /// window is the average of these, adjusted for domains that ran more than their reported share,
     /// so that a node that shifts more than it reports is detected.
-    pub fn max_shift_percent_from_splits(&self, splits: &[Vec<f64>], bed: &Bed) -> f64 {
+    pub fn max_shift_percent_from_splits(&self, splits: &[Vec<f64>], bed: &TestBed) -> f64 {
         let bins = self.bins(bed);
         let splits = self.splits_by_bin(splits, bed);
         let mut max_shift: f64 = 0.0;
@@ -94,7 +94,7 @@
     }
 
     /// Returns, for each bin, the splits that were in force at its calls.
-    fn splits_by_bin<'s>(&self, splits: &'s [Vec<f64>], bed: &Bed) -> Vec<Vec<&'s [f64]>> {
+    fn splits_by_bin<'s>(&self, splits: &'s [Vec<f64>], bed: &TestBed) -> Vec<Vec<&'s [f64]>> {
         let mut bins = vec![Vec::new(); self.bin_count(bed)];
         for (index, shares) in splits.iter().enumerate() {
             let asked_at_ms = bed.calls()[index].sent_at_ms;
@@ -108,7 +108,7 @@
     }
 
     /// Returns the share of each failure domain in the runs of the last complete window.
-    pub fn last_shares(&self, bed: &Bed) -> Vec<f64> {
+    pub fn last_shares(&self, bed: &TestBed) -> Vec<f64> {
         let bins = self.bins(bed);
         let (runs, _) = self.sum_bins(&bins[bins.len() - BINS_PER_WINDOW..]);
         let total: f64 = runs.iter().sum();
@@ -127,7 +127,7 @@
         (runs, total.max(requested))
     }
 
-    fn bins(&self, bed: &Bed) -> Vec<Bin> {
+    fn bins(&self, bed: &TestBed) -> Vec<Bin> {
         let bin = Bin { requested: 0.0, runs_by_domain: vec![0.0; self.initial_shares.len()] };
         let mut bins = vec![bin; self.bin_count(bed)];
         let includes_call = |call: usize| self.includes_call(bed, call);
@@ -149,7 +149,7 @@
         bins
     }
 
-    fn bin_count(&self, bed: &Bed) -> usize {
+    fn bin_count(&self, bed: &TestBed) -> usize {
         ((bed.now_ms() - self.start_ms) / self.bin_ms()) as usize
     }
 
@@ -161,7 +161,7 @@
         self.window_ms / BINS_PER_WINDOW as u64
     }
 
-    fn includes_call(&self, bed: &Bed, call: usize) -> bool {
+    fn includes_call(&self, bed: &TestBed, call: usize) -> bool {
         let head = &bed.calls()[call].head;
         *head.service == *self.service && (self.is_origin)(head.source, self.origin)
     }
