--- a/crates/sedgepath-core/examples/once_figures.rs
+++ b/crates/sedgepath-core/examples/once_figures.rs
@@ -10,7 +10,7 @@
 use sedgepath_core::hash::Digest;
 use sedgepath_core::request::{Deduplication, Outcome, RequestHead};
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
-use sedgepath_test_support::bed::{CallIndex, Seen, TestBed, guest_request};
+use sedgepath_test_support::bed::{CallIndex, CallResult, TestBed, guest_request};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 
 const SEEDS: u64 = 10;
@@ -78,7 +78,8 @@
 
 /// Returns the latencies of the calls with a response, in milliseconds.
 fn latencies_ms(bed: &TestBed) -> Vec<u64> {
-    let answered = bed.calls().iter().filter(|call| matches!(call.result, Seen::Answered { .. }));
+    let answered =
+        bed.calls().iter().filter(|call| matches!(call.result, CallResult::Answered { .. }));
     answered.map(|call| call.ended_at_ms - call.sent_at_ms).collect()
 }
 
@@ -89,10 +90,10 @@
 }
 
 /// Returns the column in which a result is counted.
-fn outcome_column(result: &Seen) -> usize {
+fn outcome_column(result: &CallResult) -> usize {
     match result {
-        Seen::Answered { .. } | Seen::Concluded(Outcome::Repeated(_)) => 0,
-        Seen::Concluded(Outcome::NotRun { .. }) => 1,
+        CallResult::Answered { .. } | CallResult::Concluded(Outcome::Repeated(_)) => 0,
+        CallResult::Concluded(Outcome::NotRun { .. }) => 1,
         _ => 2,
     }
 }
@@ -154,7 +155,7 @@
     for _ in 0..20 {
         bed.run_for(1_000);
         for (last, attempt) in latest.iter_mut().zip(&mut attempts) {
-            let Seen::Answered { .. } = bed.calls()[*last].result else {
+            let CallResult::Answered { .. } = bed.calls()[*last].result else {
                 if outcome_column(&bed.calls()[*last].result) != 0 {
                     *attempt += 1;
                     let deduplication = bed.calls()[*last].head.deduplication;
--- a/crates/sedgepath-core/examples/policy/report.rs
+++ b/crates/sedgepath-core/examples/policy/report.rs
@@ -3,7 +3,7 @@
 use std::net::IpAddr;
 
 use sedgepath_core::request::{Class, Outcome};
-use sedgepath_test_support::bed::Seen;
+use sedgepath_test_support::bed::CallResult;
 use sedgepath_test_support::moves::Followed;
 use sedgepath_test_support::records;
 
@@ -36,11 +36,11 @@
             let took_ms = call.ended_at_ms - call.sent_at_ms + 2 * run.deployment.client_latency_ms;
             self.requests[class] += 1.0;
             match &call.result {
-                Seen::Answered { .. } => {
+                CallResult::Answered { .. } => {
                     self.response_ms[class].push(took_ms);
                     self.in_time[class] += f64::from(u8::from(took_ms <= DEADLINE_MS));
                 }
-                Seen::Concluded(Outcome::NotRun { .. }) => self.rejection_ms.push(took_ms),
+                CallResult::Concluded(Outcome::NotRun { .. }) => self.rejection_ms.push(took_ms),
                 _ => self.other_outcomes += 1.0,
             }
         }
--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -4,7 +4,7 @@
 use sedgepath_core::key::{ExchangeKey, UpstreamKey};
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::request::{CallOutcome, Class, RejectionReason};
-use sedgepath_test_support::bed::Seen;
+use sedgepath_test_support::bed::CallResult;
 use sedgepath_test_support::load::{self, Load};
 use sedgepath_test_support::owner::{Decision, Owner};
 use sedgepath_test_support::records;
@@ -306,7 +306,7 @@
     let calls = load::run(&mut bed, load, 5_000);
     assert_eq!(calls.paying.answered, calls.paying.sent);
     assert_eq!(calls.trial.answered, calls.trial.sent);
-    assert!(bed.calls().iter().all(|call| call.result != Seen::Pending));
+    assert!(bed.calls().iter().all(|call| call.result != CallResult::Pending));
 }
 
 /// The actual state of a call at the upstream, whether or not the owner knows it.
--- a/crates/sedgepath-core/tests/claims.rs
+++ b/crates/sedgepath-core/tests/claims.rs
@@ -8,7 +8,7 @@
 use once_support::{Verdict, assert_holds, bed, evaluate, head, settle};
 use sedgepath_core::hash::Digest;
 use sedgepath_core::request::{Deduplication, Outcome};
-use sedgepath_test_support::bed::{Seen, TestBed};
+use sedgepath_test_support::bed::{CallResult, TestBed};
 
 /// Returns the key that a caller chose for an action.
 fn key(number: usize) -> Deduplication {
@@ -32,7 +32,7 @@
         let retry = bed.call((number + 1) % 4, second);
         bed.run_for(200);
         let seen = &bed.calls()[retry].result;
-        assert!(matches!(seen, Seen::Concluded(Outcome::Repeated(_))), "{seen:?}");
+        assert!(matches!(seen, CallResult::Concluded(Outcome::Repeated(_))), "{seen:?}");
     }
     let verdict = evaluate(&bed);
     assert_eq!(verdict, Verdict { answered: 20, ..Verdict::default() });
@@ -45,7 +45,7 @@
     let mut bed = bed(14);
     let head = head(&bed, Deduplication::Repeatable, 0);
     let call = bed.call(0, head);
-    assert_eq!(bed.calls()[call].result, Seen::Concluded(Outcome::KeyRequired));
+    assert_eq!(bed.calls()[call].result, CallResult::Concluded(Outcome::KeyRequired));
 }
 
 /// A key that is reused for another request must be rejected on every node, before and after the
@@ -64,7 +64,7 @@
         bed.run_for(200);
     }
     for call in calls {
-        assert_eq!(bed.calls()[call].result, Seen::Concluded(Outcome::KeyReused));
+        assert_eq!(bed.calls()[call].result, CallResult::Concluded(Outcome::KeyReused));
     }
     assert_eq!(evaluate(&bed).ran_twice, 0);
 }
@@ -109,7 +109,7 @@
     bed.faults.platform_down = true;
     bed.run_for(500);
     let seen = &bed.calls()[first].result;
-    assert!(matches!(seen, Seen::Concluded(Outcome::NotRun { .. })), "{seen:?}");
+    assert!(matches!(seen, CallResult::Concluded(Outcome::NotRun { .. })), "{seen:?}");
     bed.faults.platform_down = false;
     bed.run_for(1_000);
     let second = head(&bed, key(0), 2);
@@ -186,7 +186,7 @@
     let second = bed.call(2, second);
     bed.run_for(500);
     let seen = &bed.calls()[second].result;
-    assert!(matches!(seen, Seen::Concluded(Outcome::NotRun { .. })), "{seen:?}");
+    assert!(matches!(seen, CallResult::Concluded(Outcome::NotRun { .. })), "{seen:?}");
     bed.upstreams.get("d1").rejects_requests = false;
     bed.upstreams.get("d2").rejects_requests = false;
     bed.resume(0);
@@ -207,7 +207,7 @@
             let head = head(&bed, key(0), attempt);
             let call = bed.call(node, head);
             bed.run_for(500);
-            matches!(bed.calls()[call].result, Seen::Concluded(Outcome::NotRun { .. }))
+            matches!(bed.calls()[call].result, CallResult::Concluded(Outcome::NotRun { .. }))
         })
         .to_vec();
     assert_eq!(seen, [true, true, false]);
@@ -228,7 +228,7 @@
     bed.faults.commit_delay_ms = 2_000;
     bed.run_for(300);
     let seen = &bed.calls()[first].result;
-    assert!(matches!(seen, Seen::Concluded(Outcome::NotRun { .. })), "{seen:?}");
+    assert!(matches!(seen, CallResult::Concluded(Outcome::NotRun { .. })), "{seen:?}");
     assert_eq!(bed.faults.delayed_commits, 0);
     for upstream in ["d1", "d2"] {
         bed.upstreams.get(upstream).rejects_requests = false;
@@ -268,8 +268,8 @@
     }
     bed.run_for(100);
     for (number, call) in bed.calls().iter().enumerate() {
-        let not_run = matches!(call.result, Seen::Concluded(Outcome::NotRun { .. }));
-        let unknown = matches!(call.result, Seen::Concluded(Outcome::Unknown { .. }));
+        let not_run = matches!(call.result, CallResult::Concluded(Outcome::NotRun { .. }));
+        let unknown = matches!(call.result, CallResult::Concluded(Outcome::Unknown { .. }));
         assert!(if number % 2 == 0 { not_run } else { unknown }, "{:?}", call.result);
         assert!(call.ended_at_ms - call.sent_at_ms <= 50, "{call:?}");
     }
@@ -295,7 +295,8 @@
     let verdict = evaluate(&bed);
     assert_holds(&verdict);
     let first_attempts = &bed.calls()[..100];
-    let is_accepted = |seen: &Seen| !matches!(seen, Seen::Concluded(Outcome::NotRun { .. }));
+    let is_accepted =
+        |seen: &CallResult| !matches!(seen, CallResult::Concluded(Outcome::NotRun { .. }));
     assert!(first_attempts.iter().all(|call| is_accepted(&call.result)), "{verdict:?}");
     let commits = bed.table_commits - commits_before;
     assert!(commits <= 40, "{commits} transactions");
--- a/crates/sedgepath-core/tests/configuration_change.rs
+++ b/crates/sedgepath-core/tests/configuration_change.rs
@@ -10,7 +10,7 @@
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::request::{Outcome, RejectionReason};
 use sedgepath_test_support::bed::faults::Place;
-use sedgepath_test_support::bed::{Seen, TestBed, guest_request};
+use sedgepath_test_support::bed::{CallResult, TestBed, guest_request};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use serde_json::json;
 
@@ -304,7 +304,7 @@
     let head = guest_request("browse", bed.now_ms() + 2_000);
     let call = bed.call(0, head);
     assert_eq!(look_up(&mut bed, 0, "browse"), Err(LookUpError::Configuration));
-    let Seen::Concluded(Outcome::NotRun { refusal, .. }) = &bed.calls()[call].result else {
+    let CallResult::Concluded(Outcome::NotRun { refusal, .. }) = &bed.calls()[call].result else {
         panic!("{:?}", bed.calls()[call].result);
     };
     assert_eq!(refusal.reason, RejectionReason::NotReady);
--- a/crates/sedgepath-core/tests/drain.rs
+++ b/crates/sedgepath-core/tests/drain.rs
@@ -7,7 +7,7 @@
 use sedgepath_core::key::{DomainKey, UpstreamKey};
 use sedgepath_core::record::RawRecord;
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
-use sedgepath_test_support::bed::{Seen, TestBed};
+use sedgepath_test_support::bed::{CallResult, TestBed};
 use sedgepath_test_support::records;
 use serde_json::{Value, json};
 
@@ -197,7 +197,8 @@
         bed.write_records(&all);
         run_load(&mut bed, 60_000);
         bed.run_for(2_000);
-        let rejected = bed.calls().iter().filter(|call| matches!(call.result, Seen::Concluded(_)));
+        let rejected =
+            bed.calls().iter().filter(|call| matches!(call.result, CallResult::Concluded(_)));
         assert_eq!(rejected.count(), 0, "seed {seed}");
         let moved_ms = plan.groups[0].steps.last().expect("a plan has steps").at_ms;
         let runs = bed.upstreams.iter().filter(|(key, _)| *key != UpstreamKey::of("b3"));
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -4,7 +4,7 @@
 use sedgepath_core::rendezvous;
 use sedgepath_core::request::{CallOutcome, Class, RejectionReason};
 use sedgepath_test_support::bed::faults::Place;
-use sedgepath_test_support::bed::{NodeIndex, Seen, TestBed};
+use sedgepath_test_support::bed::{CallResult, NodeIndex, TestBed};
 use sedgepath_test_support::load;
 use sedgepath_test_support::owner::Owner;
 use sedgepath_test_support::records;
@@ -47,7 +47,7 @@
 fn count_sent_and_answered(bed: &TestBed, from_ms: u64) -> (usize, usize) {
     let calls = bed.calls().iter().filter(|call| call.sent_at_ms >= from_ms);
     let answered =
-        calls.clone().filter(|call| matches!(call.result, Seen::Answered { .. })).count();
+        calls.clone().filter(|call| matches!(call.result, CallResult::Answered { .. })).count();
     (calls.count(), answered)
 }
 
@@ -57,7 +57,7 @@
     for run in runs {
         let call = run.call.expect("the run's owner was not killed");
         let seen = &bed.calls()[call].result;
-        assert!(matches!(seen, Seen::Answered { .. }), "{seen:?}");
+        assert!(matches!(seen, CallResult::Answered { .. }), "{seen:?}");
     }
 }
 
--- a/crates/sedgepath-core/tests/once_support/mod.rs
+++ b/crates/sedgepath-core/tests/once_support/mod.rs
@@ -6,7 +6,7 @@
 use sedgepath_core::hash::Digest;
 use sedgepath_core::request::{Deduplication, Outcome, RequestHead};
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
-use sedgepath_test_support::bed::{CallIndex, Seen, TestBed, guest_request};
+use sedgepath_test_support::bed::{CallIndex, CallResult, TestBed, guest_request};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 
 /// Creates four nodes in two failure domains and a service with an upstream in each.
@@ -43,13 +43,13 @@
 }
 
 /// Returns whether a caller has the response to its action.
-pub fn is_answered(seen: &Seen) -> bool {
-    matches!(seen, Seen::Answered { .. } | Seen::Concluded(Outcome::Repeated(_)))
+pub fn is_answered(seen: &CallResult) -> bool {
+    matches!(seen, CallResult::Answered { .. } | CallResult::Concluded(Outcome::Repeated(_)))
 }
 
 /// Returns whether a caller was told that its request was not run.
-pub fn is_not_run(seen: &Seen) -> bool {
-    matches!(seen, Seen::Concluded(Outcome::NotRun { .. }))
+pub fn is_not_run(seen: &CallResult) -> bool {
+    matches!(seen, CallResult::Concluded(Outcome::NotRun { .. }))
 }
 
 /// The violations and outcomes that the oracle counted.
@@ -99,7 +99,7 @@
 fn evaluate_key(bed: &TestBed, calls: &[CallIndex], verdict: &mut Verdict) {
     let ran = calls.iter().find(|call| bed.upstreams.run_count(**call) > 0);
     for call in calls {
-        if let Seen::Concluded(Outcome::Repeated(stored)) = &bed.calls()[*call].result {
+        if let CallResult::Concluded(Outcome::Repeated(stored)) = &bed.calls()[*call].result {
             let expected = ran.map(|ran| format!("call {ran}"));
             verdict.wrong_responses += usize::from(expected.as_deref() != Some(&*stored.body));
         }
@@ -115,7 +115,7 @@
     let newest = &bed.calls()[calls[calls.len() - 1]];
     match &newest.result {
         seen if is_answered(seen) => verdict.answered += 1,
-        Seen::Concluded(Outcome::NotRun { .. }) => verdict.not_run += 1,
+        CallResult::Concluded(Outcome::NotRun { .. }) => verdict.not_run += 1,
         _ => verdict.unknown += 1,
     }
 }
--- a/crates/sedgepath-core/tests/path.rs
+++ b/crates/sedgepath-core/tests/path.rs
@@ -1,7 +1,7 @@
 //! Tests of requests that pass through several nodes.
 
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
-use sedgepath_test_support::bed::{Seen, TestBed};
+use sedgepath_test_support::bed::{CallResult, TestBed};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 
 fn bed() -> TestBed {
@@ -32,8 +32,11 @@
         bed.run_for(20);
     }
     bed.run_for(3_000);
-    let answered =
-        bed.calls().iter().filter(|call| matches!(call.result, Seen::Answered { .. })).count();
+    let answered = bed
+        .calls()
+        .iter()
+        .filter(|call| matches!(call.result, CallResult::Answered { .. }))
+        .count();
     assert_eq!(answered, 60, "{:?}", bed.calls().last());
     let runs: Vec<usize> = bed.upstreams.iter().map(|(_, upstream)| upstream.runs.len()).collect();
     assert_eq!(runs.iter().sum::<usize>(), 60);
--- a/crates/sedgepath-core/tests/retry.rs
+++ b/crates/sedgepath-core/tests/retry.rs
@@ -2,7 +2,7 @@
 
 use sedgepath_core::request::{Outcome, RejectionReason, RequestHead};
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
-use sedgepath_test_support::bed::{CallIndex, Seen, TestBed};
+use sedgepath_test_support::bed::{CallIndex, CallResult, TestBed};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 
 const DOMAINS: [&str; 3] = ["north-a", "north-b", "south-a"];
@@ -53,16 +53,16 @@
     calls
 }
 
-fn count(bed: &TestBed, calls: &[CallIndex], matches_seen: impl Fn(&Seen) -> bool) -> usize {
+fn count(bed: &TestBed, calls: &[CallIndex], matches_seen: impl Fn(&CallResult) -> bool) -> usize {
     calls.iter().filter(|call| matches_seen(&bed.calls()[**call].result)).count()
 }
 
-fn is_answered(seen: &Seen) -> bool {
-    matches!(seen, Seen::Answered { .. })
+fn is_answered(seen: &CallResult) -> bool {
+    matches!(seen, CallResult::Answered { .. })
 }
 
-fn is_not_run(seen: &Seen) -> bool {
-    matches!(seen, Seen::Concluded(Outcome::NotRun { .. }))
+fn is_not_run(seen: &CallResult) -> bool {
+    matches!(seen, CallResult::Concluded(Outcome::NotRun { .. }))
 }
 
 /// Guards against not retrying a rejected request elsewhere, although the rejection proves that it
@@ -88,7 +88,7 @@
     let others = send(&mut bed, 30, false);
     assert_eq!(count(&bed, &idempotent, is_answered), 12);
     let unknown =
-        count(&bed, &others, |seen| matches!(seen, Seen::Concluded(Outcome::Unknown { .. })));
+        count(&bed, &others, |seen| matches!(seen, CallResult::Concluded(Outcome::Unknown { .. })));
     assert_eq!(count(&bed, &others, is_answered) + unknown, 30);
     assert!(unknown > 3, "{unknown}");
     assert!(others.iter().all(|call| bed.upstreams.run_count(*call) == 1));
@@ -121,7 +121,7 @@
     for call in calls {
         let seen = &bed.calls()[call];
         assert!(seen.ended_at_ms - seen.sent_at_ms < 100, "{seen:?}");
-        let Seen::Concluded(Outcome::NotRun { refusal, others }) = &seen.result else {
+        let CallResult::Concluded(Outcome::NotRun { refusal, others }) = &seen.result else {
             panic!("{seen:?}");
         };
         assert!(refusal.retry_after_ms > 0 && refusal.retry_after_ms <= 500, "{refusal:?}");
@@ -137,7 +137,7 @@
     let late = RequestHead { deadline_at_ms: bed.now_ms() - 1, ..head(&bed, true) };
     let call = bed.call(0, late);
     bed.run_for(1_000);
-    let Seen::Concluded(Outcome::NotRun { refusal, .. }) = &bed.calls()[call].result else {
+    let CallResult::Concluded(Outcome::NotRun { refusal, .. }) = &bed.calls()[call].result else {
         panic!("{:?}", bed.calls()[call].result);
     };
     assert_eq!(refusal.reason, RejectionReason::Deadline);
@@ -190,7 +190,8 @@
     bed.run_for(3_000);
     let calls = send(&mut bed, 6, true);
     for call in calls {
-        let Seen::Concluded(Outcome::NotRun { refusal, .. }) = &bed.calls()[call].result else {
+        let CallResult::Concluded(Outcome::NotRun { refusal, .. }) = &bed.calls()[call].result
+        else {
             panic!("{:?}", bed.calls()[call].result);
         };
         assert_eq!(refusal.reason, RejectionReason::Configuration);
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::key::UpstreamKey;
 use sedgepath_test_support::bed::faults::Place;
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
-use sedgepath_test_support::bed::{NodeIndex, Seen, TestBed};
+use sedgepath_test_support::bed::{CallResult, NodeIndex, TestBed};
 use sedgepath_test_support::moves::Followed;
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use serde_json::json;
@@ -192,7 +192,7 @@
         let sent_calls: Vec<_> =
             self.bed.calls().iter().filter(|call| call.sent_at_ms >= from_ms).collect();
         let with_response =
-            sent_calls.iter().filter(|call| matches!(call.result, Seen::Answered { .. }));
+            sent_calls.iter().filter(|call| matches!(call.result, CallResult::Answered { .. }));
         with_response.count() as f64 / sent_calls.len() as f64
     }
 
--- a/crates/sedgepath-core/tests/tickets.rs
+++ b/crates/sedgepath-core/tests/tickets.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::deduplication::tickets::{MAX_VALID_TICKETS, TICKET_VALIDITY_MS};
 use sedgepath_core::hash::Digest;
 use sedgepath_core::request::{Deduplication, Outcome, RejectionReason};
-use sedgepath_test_support::bed::{NodeIndex, Seen, TestBed};
+use sedgepath_test_support::bed::{CallResult, NodeIndex, TestBed};
 
 fn mint_ticket(bed: &mut TestBed, node: NodeIndex) -> Deduplication {
     let tickets = bed.mint_tickets(node, "deposit", 1);
@@ -25,15 +25,15 @@
 }
 
 /// Sends a request and returns what its caller saw after 500 ms.
-fn send(bed: &mut TestBed, node: NodeIndex, ticket: Deduplication, attempt: u32) -> Seen {
+fn send(bed: &mut TestBed, node: NodeIndex, ticket: Deduplication, attempt: u32) -> CallResult {
     let head = head(bed, ticket, attempt);
     let call = bed.call(node, head);
     bed.run_for(500);
     bed.calls()[call].result.clone()
 }
 
-fn is_rejected(seen: &Seen, reason: RejectionReason) -> bool {
-    matches!(seen, Seen::Concluded(Outcome::NotRun { refusal, .. }) if refusal.reason == reason)
+fn is_rejected(seen: &CallResult, reason: RejectionReason) -> bool {
+    matches!(seen, CallResult::Concluded(Outcome::NotRun { refusal, .. }) if refusal.reason == reason)
 }
 
 /// While the platform is down, tickets must still be minted, forwarded to their homes and run once,
@@ -47,7 +47,7 @@
     for number in 0..200 {
         let ticket = bed.calls()[number].head.deduplication;
         let seen = send(&mut bed, number % 4, ticket, 0);
-        assert!(matches!(seen, Seen::Concluded(Outcome::Repeated(_))), "{seen:?}");
+        assert!(matches!(seen, CallResult::Concluded(Outcome::Repeated(_))), "{seen:?}");
     }
     assert_eq!(evaluate(&bed), Verdict { answered: 200, ..Verdict::default() });
     assert_eq!(bed.table_commits, commits);
@@ -58,13 +58,13 @@
 fn a_ticket_reused_for_another_request_is_rejected() {
     let mut bed = bed(2);
     let ticket = mint_ticket(&mut bed, 0);
-    assert!(matches!(send(&mut bed, 2, ticket, 1), Seen::Answered { .. }));
+    assert!(matches!(send(&mut bed, 2, ticket, 1), CallResult::Answered { .. }));
     for node in 0..4 {
         let mut other = head(&bed, ticket, 2);
         other.digest = Digest::of(&[b"another request"]);
         let call = bed.call(node, other);
         bed.run_for(100);
-        assert_eq!(bed.calls()[call].result, Seen::Concluded(Outcome::KeyReused));
+        assert_eq!(bed.calls()[call].result, CallResult::Concluded(Outcome::KeyReused));
     }
     assert_eq!(evaluate(&bed).ran_twice, 0);
 }
@@ -87,7 +87,7 @@
     let ticket = mint_ticket(&mut bed, 0);
     bed.upstreams.get("d1").loses_responses = true;
     bed.upstreams.get("d2").loses_responses = true;
-    let unknown = Seen::Concluded(Outcome::Unknown { retry_after_ms: 500 });
+    let unknown = CallResult::Concluded(Outcome::Unknown { retry_after_ms: 500 });
     assert_eq!(send(&mut bed, 0, ticket, 1), unknown);
     bed.kill(0);
     bed.start(0);
@@ -115,7 +115,7 @@
 fn assert_planned_stop_hands_over(mut bed: TestBed, platform_down: bool) {
     let tickets: Vec<_> = (0..60).map(|_| mint_ticket(&mut bed, 1)).collect();
     for ticket in &tickets[..20] {
-        assert!(matches!(send(&mut bed, 2, *ticket, 1), Seen::Answered { .. }));
+        assert!(matches!(send(&mut bed, 2, *ticket, 1), CallResult::Answered { .. }));
     }
     bed.upstreams.get("d1").rejects_requests = true;
     bed.upstreams.get("d2").rejects_requests = true;
@@ -139,7 +139,7 @@
             let node = if include_restarted_node { number % 4 } else { [0, 2, 3][number % 3] };
             let seen = send(&mut bed, node, *ticket, 2);
             let is_expected = if number < 20 {
-                matches!(seen, Seen::Concluded(Outcome::Repeated(_)))
+                matches!(seen, CallResult::Concluded(Outcome::Repeated(_)))
             } else {
                 is_rejected(&seen, RejectionReason::TicketVoid)
             };
@@ -170,11 +170,11 @@
     let mut bed = bed(7);
     let unused = mint_ticket(&mut bed, 0);
     let used = mint_ticket(&mut bed, 0);
-    assert!(matches!(send(&mut bed, 0, used, 1), Seen::Answered { .. }));
+    assert!(matches!(send(&mut bed, 0, used, 1), CallResult::Answered { .. }));
     bed.run_for(TICKET_VALIDITY_MS);
     assert!(is_rejected(&send(&mut bed, 3, unused, 1), RejectionReason::TicketVoid));
     let retry = send(&mut bed, 3, used, 2);
-    assert!(matches!(retry, Seen::Concluded(Outcome::Repeated(_))), "{retry:?}");
+    assert!(matches!(retry, CallResult::Concluded(Outcome::Repeated(_))), "{retry:?}");
     assert_holds(&evaluate(&bed));
 }
 
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -55,7 +55,7 @@
 
 /// The result of a request as its caller observed it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Seen {
+pub enum CallResult {
     /// No result yet.
     Pending,
     /// The complete response of an upstream.
@@ -105,7 +105,7 @@
     /// The head of the request.
     pub head: RequestHead,
     /// The result that the caller observed.
-    pub result: Seen,
+    pub result: CallResult,
 }
 
 #[derive(Debug)]
@@ -392,7 +392,7 @@
         let requests = std::mem::take(&mut slot.requests);
         let dispatches = std::mem::take(&mut slot.dispatches);
         for call in requests.into_values() {
-            self.record_result(call, Seen::ConnectionLost);
+            self.record_result(call, CallResult::ConnectionLost);
         }
         // The upstream may still run a dispatched request, so the ingress sees the hop as lost.
         for pending in dispatches.into_values() {
@@ -473,10 +473,10 @@
             sent_at_ms: now_ms,
             ended_at_ms: now_ms,
             head: head.clone(),
-            result: Seen::Pending,
+            result: CallResult::Pending,
         });
         if self.nodes[node].node.is_none() {
-            self.record_result(call, Seen::ConnectionLost);
+            self.record_result(call, CallResult::ConnectionLost);
             return call;
         }
         let request = RequestKey(self.next_key());
@@ -599,8 +599,8 @@
         self.nodes[index].boot_count == boot && self.nodes[index].node.is_some()
     }
 
-    fn record_result(&mut self, call: CallIndex, result: Seen) {
-        if self.calls[call].result == Seen::Pending {
+    fn record_result(&mut self, call: CallIndex, result: CallResult) {
+        if self.calls[call].result == CallResult::Pending {
             self.calls[call].result = result;
             self.calls[call].ended_at_ms = self.now_ms;
         }
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -11,8 +11,8 @@
 use super::faults::Place;
 use super::upstreams::{self, UpstreamRun};
 use super::{
-    CallIndex, DATAGRAM_OVERHEAD_BYTES, DispatchReply, NodeEvent, NodeIndex, PendingDispatch,
-    ScheduledItem, Seen, TestBed,
+    CallIndex, CallResult, DATAGRAM_OVERHEAD_BYTES, DispatchReply, NodeEvent, NodeIndex,
+    PendingDispatch, ScheduledItem, TestBed,
 };
 
 impl TestBed {
@@ -45,7 +45,7 @@
             | Action::CancelCall { .. } => {}
             Action::Conclude { request, outcome } => {
                 if let Some(call) = self.nodes[index].requests.remove(&request) {
-                    self.record_result(call, Seen::Concluded(outcome));
+                    self.record_result(call, CallResult::Concluded(outcome));
                 }
             }
             Action::CallUpstream { exchange, upstream, send_by_ms, .. } => {
@@ -162,7 +162,7 @@
             return;
         };
         if let Some(upstream) = self.upstreams.responder(call) {
-            self.record_result(call, Seen::Answered { upstream });
+            self.record_result(call, CallResult::Answered { upstream });
         }
         let deduplicated = self.calls[call].head.deduplication != Deduplication::Repeatable;
         let stored = deduplicated.then(|| StoredAnswer {
--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -7,7 +7,7 @@
 use sedgepath_core::request::{Class, Deduplication, Outcome, RequestHead};
 
 use crate::bed::upstreams::FakeUpstream;
-use crate::bed::{Call, Seen, TestBed};
+use crate::bed::{Call, CallResult, TestBed};
 use crate::records::{self, UpstreamSpec};
 
 /// The request rate of each class; requests are sent at random times.
@@ -158,17 +158,17 @@
         let class = if paying { &mut stats.paying } else { &mut stats.trial };
         class.sent += 1;
         match &call.result {
-            Seen::Pending => stats.pending += 1,
-            Seen::Answered { .. } => {
+            CallResult::Pending => stats.pending += 1,
+            CallResult::Answered { .. } => {
                 class.answered += 1;
                 class.in_time += usize::from(call.ended_at_ms <= call.head.deadline_at_ms);
                 class.response_ms.push(took_ms);
             }
-            Seen::Concluded(Outcome::NotRun { .. }) => {
+            CallResult::Concluded(Outcome::NotRun { .. }) => {
                 class.rejection_ms.push(took_ms);
                 stats.slowest_rejection_ms = stats.slowest_rejection_ms.max(took_ms);
             }
-            Seen::Concluded(_) | Seen::ConnectionLost => {}
+            CallResult::Concluded(_) | CallResult::ConnectionLost => {}
         }
     }
     for class in [&mut stats.paying, &mut stats.trial] {
