--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -222,7 +222,7 @@
 }
 
 /// The initial time of the simulated clock, in milliseconds, high enough to subtract timeouts from.
-pub const START_MS: u64 = 1_000_000;
+pub const START_TIME_MS: u64 = 1_000_000;
 
 /// Creates the head of a repeatable guest request from loopback.
 pub fn guest_request(service: &str, deadline_at_ms: u64) -> RequestHead {
@@ -244,7 +244,7 @@
     /// Creates an empty test bed whose delays are drawn from a generator with this seed.
     pub fn new(seed: u64) -> Self {
         Self {
-            now_ms: START_MS,
+            now_ms: START_TIME_MS,
             last_sequence: 0,
             scheduled: BTreeMap::new(),
             random: fastrand::Rng::with_seed(seed),
