--- a/crates/sedgepath-core/tests/configuration.rs
+++ b/crates/sedgepath-core/tests/configuration.rs
@@ -8,7 +8,7 @@
 use sedgepath_core::configuration::store::{RecordChanges, RecordPosition, RecordStore};
 use sedgepath_core::event::LookUp;
 use sedgepath_test_support::bed::TestBed;
-use sedgepath_test_support::bed::faults::Place;
+use sedgepath_test_support::bed::faults::LinkEndpoint;
 use sedgepath_test_support::records::{self, UpstreamSpec};
 
 const DOMAINS: [&str; 3] = ["north-a", "north-b", "south-a"];
@@ -80,7 +80,7 @@
     add_nodes(&mut bed, 3, 4);
     bed.run_for(5_000);
     for node in 0..4 {
-        bed.faults.cut(Place::Node(node), Place::Platform);
+        bed.faults.cut(LinkEndpoint::Node(node), LinkEndpoint::Platform);
     }
     let revision = write_steering(&mut bed, 3.0);
     bed.run_for(5_000);
@@ -117,9 +117,9 @@
     write_initial_records(&mut bed);
     add_nodes(&mut bed, 3, 4);
     bed.run_for(5_000);
-    bed.faults.cut(Place::Node(0), Place::Platform);
+    bed.faults.cut(LinkEndpoint::Node(0), LinkEndpoint::Platform);
     for node in 1..12 {
-        bed.faults.cut(Place::Node(0), Place::Node(node));
+        bed.faults.cut(LinkEndpoint::Node(0), LinkEndpoint::Node(node));
     }
     let mut last_revisions = vec![0; 12];
     let mut newest_revision = 0;
@@ -196,7 +196,7 @@
         add_nodes(&mut bed, 1, 6);
         bed.run_for(5_000);
         for node in (0..6).filter(|node| *node != connected) {
-            bed.faults.cut(Place::Node(node), Place::Platform);
+            bed.faults.cut(LinkEndpoint::Node(node), LinkEndpoint::Platform);
         }
         bed.run_for(1_000);
         let revision = write_steering(&mut bed, 3.0);
--- a/crates/sedgepath-core/tests/configuration_change.rs
+++ b/crates/sedgepath-core/tests/configuration_change.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::key::ReplyKey;
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::request::{Outcome, RejectionReason};
-use sedgepath_test_support::bed::faults::Place;
+use sedgepath_test_support::bed::faults::LinkEndpoint;
 use sedgepath_test_support::bed::{CallResult, TestBed, guest_request};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use serde_json::json;
@@ -267,9 +267,9 @@
     for seed in 0..10 {
         let mut bed = bed(seed);
         for other in 1..6 {
-            bed.faults.cut(Place::Node(0), Place::Node(other));
+            bed.faults.cut(LinkEndpoint::Node(0), LinkEndpoint::Node(other));
         }
-        bed.faults.cut(Place::Node(0), Place::Platform);
+        bed.faults.cut(LinkEndpoint::Node(0), LinkEndpoint::Platform);
         let reply = bed.request_change(1, request("newer", None, steering(2.0)));
         bed.run_for(4_000);
         assert_eq!(outcome(&bed, reply), ChangeOutcome::Accepted { revision: 2 });
@@ -277,8 +277,8 @@
         bed.kill(1);
         bed.faults.heal_all();
         for other in 2..6 {
-            bed.faults.cut(Place::Node(0), Place::Node(other));
-            bed.faults.cut(Place::Node(1), Place::Node(other));
+            bed.faults.cut(LinkEndpoint::Node(0), LinkEndpoint::Node(other));
+            bed.faults.cut(LinkEndpoint::Node(1), LinkEndpoint::Node(other));
         }
         bed.start(1);
         for step in 0..300 {
--- a/crates/sedgepath-core/tests/fuzz_configuration.rs
+++ b/crates/sedgepath-core/tests/fuzz_configuration.rs
@@ -21,7 +21,7 @@
 use sedgepath_core::key::ReplyKey;
 use sedgepath_core::record::RawRecord;
 use sedgepath_test_support::bed::TestBed;
-use sedgepath_test_support::bed::faults::Place;
+use sedgepath_test_support::bed::faults::LinkEndpoint;
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use serde_json::json;
 
@@ -201,8 +201,12 @@
             Step::RetryChange { .. } | Step::Start(_) => {}
             Step::Pause(node) => self.bed.pause(*node),
             Step::Resume(node) => self.bed.resume(*node),
-            Step::CutNodes(a, b) => self.bed.faults.cut(Place::Node(*a), Place::Node(*b)),
-            Step::CutPlatform(node) => self.bed.faults.cut(Place::Node(*node), Place::Platform),
+            Step::CutNodes(a, b) => {
+                self.bed.faults.cut(LinkEndpoint::Node(*a), LinkEndpoint::Node(*b))
+            }
+            Step::CutPlatform(node) => {
+                self.bed.faults.cut(LinkEndpoint::Node(*node), LinkEndpoint::Platform)
+            }
             Step::Heal => self.bed.faults.heal_all(),
             Step::PlatformDown(down) => self.bed.faults.platform_down = *down,
             Step::LoseTableResults { percent } => {
--- a/crates/sedgepath-core/tests/fuzz_once.rs
+++ b/crates/sedgepath-core/tests/fuzz_once.rs
@@ -20,7 +20,7 @@
 use sedgepath_core::key::UpstreamKey;
 use sedgepath_core::request::Deduplication;
 use sedgepath_test_support::bed::TestBed;
-use sedgepath_test_support::bed::faults::Place;
+use sedgepath_test_support::bed::faults::LinkEndpoint;
 
 const NODES: usize = 4;
 /// The number of actions; those with odd indexes use tickets.
@@ -170,7 +170,8 @@
 
     fn apply_step(&mut self, step: &Step) {
         let bed = &mut self.bed;
-        let upstream_place = |index: usize| Place::Upstream(UpstreamKey::of(UPSTREAMS[index]));
+        let upstream_place =
+            |index: usize| LinkEndpoint::Upstream(UpstreamKey::of(UPSTREAMS[index]));
         match *step {
             Step::Call { node, action } => self.call(node, action, false),
             Step::ReuseKey { node, action } => self.call(node, action, true),
@@ -182,10 +183,12 @@
             Step::Stop(node) if bed.is_running(node) => bed.stop(node),
             Step::Start(_) | Step::Stop(_) => {}
             Step::SkewClock { node, skew_ms } => bed.set_skew_ms(node, skew_ms),
-            Step::CutNodes(a, b) => bed.faults.cut(Place::Node(a), Place::Node(b)),
-            Step::CutPlatform(node) => bed.faults.cut(Place::Node(node), Place::Platform),
+            Step::CutNodes(a, b) => bed.faults.cut(LinkEndpoint::Node(a), LinkEndpoint::Node(b)),
+            Step::CutPlatform(node) => {
+                bed.faults.cut(LinkEndpoint::Node(node), LinkEndpoint::Platform)
+            }
             Step::CutUpstream(node, upstream) => {
-                bed.faults.cut(Place::Node(node), upstream_place(upstream));
+                bed.faults.cut(LinkEndpoint::Node(node), upstream_place(upstream));
             }
             Step::Heal => bed.faults.heal_all(),
             Step::PlatformDown(down) => bed.faults.platform_down = down,
--- a/crates/sedgepath-core/tests/lease.rs
+++ b/crates/sedgepath-core/tests/lease.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::hash::Digest;
 use sedgepath_core::identity::NodeSettings;
 use sedgepath_core::request::{Deduplication, RequestHead};
-use sedgepath_test_support::bed::faults::Place;
+use sedgepath_test_support::bed::faults::LinkEndpoint;
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
 use sedgepath_test_support::bed::{NodeIndex, TestBed};
 use sedgepath_test_support::records::{self, UpstreamSpec};
@@ -155,10 +155,10 @@
 fn partitioned_members_share_the_slots() {
     for seed in 0..4 {
         let mut bed = bed(seed, 2 + seed as usize % 2);
-        bed.faults.cut_one_way(Place::Node(1), Place::Node(2));
+        bed.faults.cut_one_way(LinkEndpoint::Node(1), LinkEndpoint::Node(2));
         load(&mut bed, 14_000);
         assert!(max_in_flight(&bed) <= SLOTS, "one way cut: {} in flight", max_in_flight(&bed));
-        bed.faults.cut(Place::Node(1), Place::Node(2));
+        bed.faults.cut(LinkEndpoint::Node(1), LinkEndpoint::Node(2));
         load(&mut bed, 14_000);
         let used = utilization_percent(&mut bed, 8_000);
         assert!(used >= 90, "the shares add up to the slots, but only {used}% are used");
@@ -261,8 +261,8 @@
     match random.u32(0..10) {
         0 if bed.node(node).is_some() => bed.kill(node),
         1 | 2 if bed.node(node).is_none() && !bed.has_stopped(node) => bed.start(node),
-        3 => bed.faults.cut_one_way(Place::Node(node), Place::Node(other)),
-        4 => bed.faults.cut(Place::Node(node), Place::Node(other)),
+        3 => bed.faults.cut_one_way(LinkEndpoint::Node(node), LinkEndpoint::Node(other)),
+        4 => bed.faults.cut(LinkEndpoint::Node(node), LinkEndpoint::Node(other)),
         5 => bed.faults.heal_all(),
         6 => bed.pause(node),
         7 => bed.resume(node),
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -3,7 +3,7 @@
 use sedgepath_core::key::{UpstreamKey, VmKey};
 use sedgepath_core::rendezvous;
 use sedgepath_core::request::{CallOutcome, Class, RejectionReason};
-use sedgepath_test_support::bed::faults::Place;
+use sedgepath_test_support::bed::faults::LinkEndpoint;
 use sedgepath_test_support::bed::{CallResult, NodeIndex, TestBed};
 use sedgepath_test_support::load;
 use sedgepath_test_support::owner::Owner;
@@ -70,7 +70,7 @@
     run_load(&mut bed, 2_000);
     bed.faults.platform_down = true;
     for node in 0..3 {
-        bed.faults.cut(Place::Node(node), Place::Node(other_domain_node));
+        bed.faults.cut(LinkEndpoint::Node(node), LinkEndpoint::Node(other_domain_node));
     }
     bed.upstreams.get("u1").leaving = true;
     let reported_at_ms = bed.now_ms();
--- a/crates/sedgepath-core/tests/membership.rs
+++ b/crates/sedgepath-core/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Membership: which nodes are known, suspected and removed, and how many datagrams that takes.
 
 use sedgepath_core::key::VmKey;
-use sedgepath_test_support::bed::faults::Place;
+use sedgepath_test_support::bed::faults::LinkEndpoint;
 use sedgepath_test_support::bed::{NodeIndex, TestBed};
 use sedgepath_test_support::records;
 
@@ -57,7 +57,7 @@
 ) {
     for a in first {
         for b in second.clone() {
-            bed.faults.cut(Place::Node(a), Place::Node(b));
+            bed.faults.cut(LinkEndpoint::Node(a), LinkEndpoint::Node(b));
         }
     }
 }
@@ -67,10 +67,10 @@
 #[test]
 fn a_broken_link_between_two_members_causes_no_suspicion() {
     let mut bed = bed(1, 1, 3);
-    bed.faults.cut_one_way(Place::Node(0), Place::Node(1));
+    bed.faults.cut_one_way(LinkEndpoint::Node(0), LinkEndpoint::Node(1));
     bed.run_for(10_000);
     assert_eq!(suspicion_count(&bed), 0, "one way");
-    bed.faults.cut(Place::Node(0), Place::Node(1));
+    bed.faults.cut(LinkEndpoint::Node(0), LinkEndpoint::Node(1));
     bed.run_for(10_000);
     assert_eq!(suspicion_count(&bed), 0, "both ways");
     assert_eq!(vms_accepting_work(&bed, 0), ["d0-0", "d0-1", "d0-2"]);
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -7,7 +7,7 @@
 
 use sedgepath_core::explain::ExplainRequest;
 use sedgepath_core::key::UpstreamKey;
-use sedgepath_test_support::bed::faults::Place;
+use sedgepath_test_support::bed::faults::LinkEndpoint;
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
 use sedgepath_test_support::bed::{CallResult, NodeIndex, TestBed};
 use sedgepath_test_support::moves::Followed;
@@ -334,7 +334,7 @@
     let mut scenario = Scenario::new(9);
     for round in 0..3 {
         for other in 1..NODES {
-            scenario.bed.faults.cut_one_way(Place::Node(other), Place::Node(round));
+            scenario.bed.faults.cut_one_way(LinkEndpoint::Node(other), LinkEndpoint::Node(round));
         }
         scenario.run_windows(2, &[]);
         scenario.bed.faults.heal_all();
--- a/crates/sedgepath-test-support/src/bed.rs
+++ b/crates/sedgepath-test-support/src/bed.rs
@@ -37,7 +37,7 @@
 mod platform;
 pub mod upstreams;
 
-use faults::{Faults, Place};
+use faults::{Faults, LinkEndpoint};
 use loads::LoadHistory;
 use upstreams::{FakeUpstreams, UpstreamRun};
 
@@ -574,13 +574,13 @@
 
     /// Returns whether a node can connect to another and receive its responses.
     fn can_connect(&self, from: NodeIndex, to: NodeIndex) -> bool {
-        let outbound = self.faults.is_open(Place::Node(from), Place::Node(to));
-        let inbound = self.faults.is_open(Place::Node(to), Place::Node(from));
+        let outbound = self.faults.is_open(LinkEndpoint::Node(from), LinkEndpoint::Node(to));
+        let inbound = self.faults.is_open(LinkEndpoint::Node(to), LinkEndpoint::Node(from));
         outbound && inbound && self.nodes[to].node.is_some()
     }
 
     fn can_reach_upstream(&self, from: NodeIndex, upstream: UpstreamKey) -> bool {
-        self.faults.is_open(Place::Node(from), Place::Upstream(upstream))
+        self.faults.is_open(LinkEndpoint::Node(from), LinkEndpoint::Upstream(upstream))
     }
 
     fn delay_ms(&mut self, from: NodeIndex, to: NodeIndex) -> u64 {
--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -8,7 +8,7 @@
     AnswerHead, CallOutcome, Deduplication, Dispatch, HopFailure, StoredAnswer,
 };
 
-use super::faults::Place;
+use super::faults::LinkEndpoint;
 use super::upstreams::{self, UpstreamRun};
 use super::{
     CallIndex, CallResult, DATAGRAM_OVERHEAD_BYTES, DispatchReply, NodeEvent, NodeIndex,
@@ -91,7 +91,7 @@
         else {
             return;
         };
-        if !self.faults.is_open(Place::Node(from), Place::Node(target)) {
+        if !self.faults.is_open(LinkEndpoint::Node(from), LinkEndpoint::Node(target)) {
             return;
         }
         let copies = self.faults.datagram_copies(&mut self.random);
@@ -278,7 +278,7 @@
         from: NodeIndex,
     ) {
         let ingress = pending.ingress;
-        let cut = !self.faults.is_open(Place::Node(from), Place::Node(ingress));
+        let cut = !self.faults.is_open(LinkEndpoint::Node(from), LinkEndpoint::Node(ingress));
         let PendingDispatch { request, attempt, .. } = *pending;
         let event = match reply {
             _ if cut => NodeEvent::HopEnded(request, attempt, HopFailure::Lost),
--- a/crates/sedgepath-test-support/src/bed/delivery.rs
+++ b/crates/sedgepath-test-support/src/bed/delivery.rs
@@ -5,7 +5,7 @@
 use sedgepath_core::request::HopFailure;
 use sedgepath_core::table::TableService;
 
-use super::faults::Place;
+use super::faults::LinkEndpoint;
 use super::{
     DispatchReply, NodeEvent, NodeIndex, ScheduledItem, TICK_INTERVAL_MS, TestBed,
     VM_LIST_INTERVAL_MS,
@@ -65,7 +65,9 @@
         if !self.is_current_boot(index, boot) {
             return;
         }
-        if self.faults.is_open(Place::Node(index), Place::Platform) && !self.faults.platform_down {
+        if self.faults.is_open(LinkEndpoint::Node(index), LinkEndpoint::Platform)
+            && !self.faults.platform_down
+        {
             let listed = self.vm_list();
             self.handle(index, Event::VmList(listed));
         }
--- a/crates/sedgepath-test-support/src/bed/faults.rs
+++ b/crates/sedgepath-test-support/src/bed/faults.rs
@@ -6,7 +6,7 @@
 
 /// An endpoint of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
+pub enum LinkEndpoint {
     /// A node, by its index.
     Node(usize),
     /// An upstream, by its key.
@@ -46,7 +46,7 @@
     pub delayed_commits: u32,
     /// The delay of such late commits, in milliseconds.
     pub commit_delay_ms: u64,
-    cut: BTreeSet<(Place, Place)>,
+    cut: BTreeSet<(LinkEndpoint, LinkEndpoint)>,
 }
 
 impl Default for Faults {
@@ -73,12 +73,12 @@
 
 impl Faults {
     /// Cuts the link from one endpoint to another and leaves the reverse direction open.
-    pub fn cut_one_way(&mut self, from: Place, to: Place) {
+    pub fn cut_one_way(&mut self, from: LinkEndpoint, to: LinkEndpoint) {
         self.cut.insert((from, to));
     }
 
     /// Cuts the link between two endpoints in both directions.
-    pub fn cut(&mut self, a: Place, b: Place) {
+    pub fn cut(&mut self, a: LinkEndpoint, b: LinkEndpoint) {
         self.cut_one_way(a, b);
         self.cut_one_way(b, a);
     }
@@ -89,7 +89,7 @@
     }
 
     /// Returns whether messages pass from one endpoint to another.
-    pub fn is_open(&self, from: Place, to: Place) -> bool {
+    pub fn is_open(&self, from: LinkEndpoint, to: LinkEndpoint) -> bool {
         !self.cut.contains(&(from, to))
     }
 
--- a/crates/sedgepath-test-support/src/bed/platform.rs
+++ b/crates/sedgepath-test-support/src/bed/platform.rs
@@ -9,7 +9,7 @@
 use sedgepath_core::table::TableService;
 use sedgepath_core::table::{TableRequest, TableResult};
 
-use super::faults::Place;
+use super::faults::LinkEndpoint;
 use super::{NodeEvent, NodeIndex, ScheduledItem, TestBed};
 
 impl TestBed {
@@ -27,7 +27,7 @@
         }
         let boot = self.nodes[index].boot_count;
         let down = self.faults.platform_down;
-        if down || !self.faults.is_open(Place::Node(index), Place::Platform) {
+        if down || !self.faults.is_open(LinkEndpoint::Node(index), LinkEndpoint::Platform) {
             let event = NodeEvent::Table(operation, TableResult::Unavailable);
             self.schedule_event(index, 5, event);
             return;
