--- a/crates/sedgepath-test-support/src/bed/actions.rs
+++ b/crates/sedgepath-test-support/src/bed/actions.rs
@@ -258,7 +258,7 @@
                     DispatchReply::Answered(AnswerHead { status: 200, upstream, domain })
                 }
                 CallOutcome::Refused => {
-                    DispatchReply::Failed(HopFailure::Refused(upstreams::REFUSAL))
+                    DispatchReply::Failed(HopFailure::Refused(upstreams::REJECTION))
                 }
                 CallOutcome::NotSent | CallOutcome::Cancelled => {
                     DispatchReply::Failed(HopFailure::NotSent)
--- a/crates/sedgepath-test-support/src/bed/upstreams.rs
+++ b/crates/sedgepath-test-support/src/bed/upstreams.rs
@@ -12,7 +12,7 @@
 use super::{CallIndex, NodeIndex};
 
 /// The rejection that a fake upstream sends before it starts a request.
-pub const REFUSAL: Rejection =
+pub const REJECTION: Rejection =
     Rejection { reason: RejectionReason::UpstreamRefused, retry_after_ms: 100 };
 
 /// One execution of a request at an upstream.
