--- a/crates/sedgepath-core/examples/retry_budget.rs
+++ b/crates/sedgepath-core/examples/retry_budget.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo run --release -p sedgepath-core --example retry_budget`
 
-use sedgepath_test_support::fleet::{Day, Levels, REPEAT_RATIO, REPEAT_SLACK, Trouble};
+use sedgepath_test_support::fleet::{Day, Disruption, Levels, REPEAT_RATIO, REPEAT_SLACK};
 
 /// The total demand of all callers, in requests per second.
 const DEMAND_PER_S: f64 = 600.0;
@@ -16,7 +16,7 @@
         "VMs", "asked", "repeats", "of those paid", "excess", "served"
     );
     for vms in [2, 10, 50, 100, 200_u8] {
-        let kill = (15_000, Trouble::Kill { down_ms: 300 }, (0..vms / 2).collect());
+        let kill = (15_000, Disruption::Kill { down_ms: 300 }, (0..vms / 2).collect());
         let scenario = Day {
             vms,
             duration_ms: 30_000,
--- a/crates/sedgepath-core/tests/direct_budget.rs
+++ b/crates/sedgepath-core/tests/direct_budget.rs
@@ -2,7 +2,7 @@
 
 use sedgepath_core::direct::budget::{RetryBudget, RetryBudgetLimits};
 use sedgepath_test_support::fleet::{
-    Day, Levels, REPEAT_RATIO, REPEAT_SLACK, Seen, Trouble, WINDOW_MS,
+    Day, Disruption, Levels, REPEAT_RATIO, REPEAT_SLACK, Seen, WINDOW_MS,
 };
 
 const SEEDS: [u64; 3] = [11, 12, 13];
@@ -11,7 +11,7 @@
 
 /// Returns a run with a burst of demand from 8 s, and upstreams that reject most requests from 9.5 s
 /// to 20.5 s.
-fn day(seed: u64, troubles: Vec<(u64, Trouble, Vec<u8>)>) -> Day {
+fn day(seed: u64, troubles: Vec<(u64, Disruption, Vec<u8>)>) -> Day {
     Day {
         vms: VMS,
         duration_ms: 30_000,
@@ -53,7 +53,7 @@
 fn vms_stopped_in_turn_stay_within_the_budget() {
     let stops_in_turn = |from_ms: u64| {
         (0..VMS / 2).map(move |pair| {
-            (from_ms + 1_000 * u64::from(pair), Trouble::Stop, vec![2 * pair, 2 * pair + 1])
+            (from_ms + 1_000 * u64::from(pair), Disruption::Stop, vec![2 * pair, 2 * pair + 1])
         })
     };
     assert_within_budget(|seed| day(seed, stops_in_turn(8_000).collect()));
@@ -62,7 +62,7 @@
 /// Guards against restarted processes using their predecessors' balances again after most VMs crash.
 #[test]
 fn vms_killed_together_and_again_stay_within_the_budget() {
-    let kill_most = |at_ms: u64| (at_ms, Trouble::Kill { down_ms: 300 }, (0..9).collect());
+    let kill_most = |at_ms: u64| (at_ms, Disruption::Kill { down_ms: 300 }, (0..9).collect());
     assert_within_budget(|seed| day(seed, vec![kill_most(12_500)]));
     assert_within_budget(|seed| day(seed, vec![kill_most(12_500), kill_most(17_500)]));
 }
@@ -70,20 +70,20 @@
 /// Guards against deposits counted twice when callers move to other VMs and back.
 #[test]
 fn vms_that_lose_their_power_stay_within_the_budget() {
-    let power_loss = Trouble::Kill { down_ms: 4_000 };
+    let power_loss = Disruption::Kill { down_ms: 4_000 };
     assert_within_budget(|seed| day(seed, vec![(12_000, power_loss.clone(), (0..5).collect())]));
 }
 
 /// Guards against VMs that have heard no other VM using the whole slack.
 #[test]
 fn vms_that_join_stay_within_the_budget() {
-    assert_within_budget(|seed| day(seed, vec![(12_000, Trouble::Join, (6..VMS).collect())]));
+    assert_within_budget(|seed| day(seed, vec![(12_000, Disruption::Join, (6..VMS).collect())]));
 }
 
 /// Guards against partitioned VMs each using the others' shares of the slack.
 #[test]
 fn partitioned_vms_that_still_serve_stay_within_the_budget() {
-    let cut_off = |number: u8| (1_000, Trouble::CutOff { for_ms: 90_000 }, vec![number]);
+    let cut_off = |number: u8| (1_000, Disruption::CutOff { for_ms: 90_000 }, vec![number]);
     assert_within_budget(|seed| Day {
         duration_ms: 85_000,
         demand_per_s: Levels(vec![(0, 40.0)]),
@@ -95,7 +95,7 @@
 /// Guards against retries decided before a suspension exceeding the budget after it.
 #[test]
 fn retries_of_suspended_vms_stay_within_the_budget() {
-    let suspend = |at_ms: u64, vms: Vec<u8>| (at_ms, Trouble::Suspend { for_ms: 2_500 }, vms);
+    let suspend = |at_ms: u64, vms: Vec<u8>| (at_ms, Disruption::Suspend { for_ms: 2_500 }, vms);
     assert_within_budget(|seed| {
         day(seed, vec![suspend(10_500, vec![0, 1, 2]), suspend(15_500, vec![2, 3, 4])])
     });
--- a/crates/sedgepath-core/tests/fuzz_budget.rs
+++ b/crates/sedgepath-core/tests/fuzz_budget.rs
@@ -9,7 +9,7 @@
 
 use fuzz_support::config;
 use proptest::prelude::*;
-use sedgepath_test_support::fleet::{Day, Levels, Trouble};
+use sedgepath_test_support::fleet::{Day, Disruption, Levels};
 
 const LENGTH_MS: u64 = 30_000;
 
@@ -24,13 +24,13 @@
     })
 }
 
-fn trouble() -> impl Strategy<Value = Trouble> {
+fn trouble() -> impl Strategy<Value = Disruption> {
     prop_oneof![
-        3 => (100..5_000_u64).prop_map(|down_ms| Trouble::Kill { down_ms }),
-        3 => Just(Trouble::Stop),
-        2 => (100..3_000_u64).prop_map(|for_ms| Trouble::Suspend { for_ms }),
-        1 => Just(Trouble::Join),
-        1 => (1_000..LENGTH_MS).prop_map(|for_ms| Trouble::CutOff { for_ms }),
+        3 => (100..5_000_u64).prop_map(|down_ms| Disruption::Kill { down_ms }),
+        3 => Just(Disruption::Stop),
+        2 => (100..3_000_u64).prop_map(|for_ms| Disruption::Suspend { for_ms }),
+        1 => Just(Disruption::Join),
+        1 => (1_000..LENGTH_MS).prop_map(|for_ms| Disruption::CutOff { for_ms }),
     ]
 }
 
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -44,7 +44,7 @@
 
 /// A disruption of some VMs.
 #[derive(Debug, Clone)]
-pub enum Trouble {
+pub enum Disruption {
     /// The processes are killed and start again later.
     Kill {
         /// The time until the restart, in milliseconds.
@@ -89,7 +89,7 @@
     /// The fraction of the attempts that upstreams reject.
     pub rejected_share: Levels,
     /// The disruptions: a time in milliseconds, a kind, and the affected VMs.
-    pub disruptions: Vec<(u64, Trouble, Vec<u8>)>,
+    pub disruptions: Vec<(u64, Disruption, Vec<u8>)>,
     /// The seed of all random choices.
     pub seed: u64,
 }
@@ -214,8 +214,8 @@
     /// Runs the scenario to its end.
     pub fn run(&self) -> Seen {
         let is_joining = |number: &u8| {
-            let joins_later = |disruption: &(u64, Trouble, Vec<u8>)| {
-                matches!(disruption.1, Trouble::Join) && disruption.2.contains(number)
+            let joins_later = |disruption: &(u64, Disruption, Vec<u8>)| {
+                matches!(disruption.1, Disruption::Join) && disruption.2.contains(number)
             };
             self.disruptions.iter().any(joins_later)
         };
@@ -278,19 +278,19 @@
             let now_ms = self.now_ms;
             let vm = &mut self.vms[usize::from(number)];
             match disruption {
-                Trouble::Kill { down_ms } => {
+                Disruption::Kill { down_ms } => {
                     vm.steering = None;
                     self.schedule(now_ms + down_ms, Event::Start(number));
                 }
-                Trouble::Stop => {
+                Disruption::Stop => {
                     if let Some(steering) = &mut vm.steering {
                         steering.vms_mut().begin_leaving();
                     }
                     self.schedule(now_ms + SHUTDOWN_GRACE_MS, Event::Start(number));
                 }
-                Trouble::Suspend { for_ms } => vm.suspended_until_ms = now_ms + for_ms,
-                Trouble::Join => self.start_vm(number),
-                Trouble::CutOff { for_ms } => vm.cut_off_until_ms = now_ms + for_ms,
+                Disruption::Suspend { for_ms } => vm.suspended_until_ms = now_ms + for_ms,
+                Disruption::Join => self.start_vm(number),
+                Disruption::CutOff { for_ms } => vm.cut_off_until_ms = now_ms + for_ms,
             }
         }
     }
