--- a/crates/sedgepath-core/examples/retry_budget.rs
+++ b/crates/sedgepath-core/examples/retry_budget.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo run --release -p sedgepath-core --example retry_budget`
 
-use sedgepath_test_support::fleet::{Day, Disruption, Levels, REPEAT_RATIO, REPEAT_SLACK};
+use sedgepath_test_support::fleet::{Disruption, Levels, REPEAT_RATIO, REPEAT_SLACK, Scenario};
 
 /// The total demand of all callers, in requests per second.
 const DEMAND_PER_S: f64 = 600.0;
@@ -17,7 +17,7 @@
     );
     for vms in [2, 10, 50, 100, 200_u8] {
         let kill = (15_000, Disruption::Kill { down_ms: 300 }, (0..vms / 2).collect());
-        let scenario = Day {
+        let scenario = Scenario {
             vms,
             duration_ms: 30_000,
             demand_per_s: Levels(vec![(0, DEMAND_PER_S)]),
--- a/crates/sedgepath-core/tests/direct_budget.rs
+++ b/crates/sedgepath-core/tests/direct_budget.rs
@@ -2,7 +2,7 @@
 
 use sedgepath_core::direct::budget::{RetryBudget, RetryBudgetLimits};
 use sedgepath_test_support::fleet::{
-    Day, Disruption, Levels, REPEAT_RATIO, REPEAT_SLACK, Seen, WINDOW_MS,
+    Disruption, Levels, REPEAT_RATIO, REPEAT_SLACK, Scenario, Seen, WINDOW_MS,
 };
 
 const SEEDS: [u64; 3] = [11, 12, 13];
@@ -11,8 +11,8 @@
 
 /// Returns a run with a burst of demand from 8 s, and upstreams that reject most requests from 9.5 s
 /// to 20.5 s.
-fn day(seed: u64, troubles: Vec<(u64, Disruption, Vec<u8>)>) -> Day {
-    Day {
+fn day(seed: u64, troubles: Vec<(u64, Disruption, Vec<u8>)>) -> Scenario {
+    Scenario {
         vms: VMS,
         duration_ms: 30_000,
         demand_per_s: Levels(vec![(0, 200.0), (8_000, 360.0), (11_500, 200.0)]),
@@ -24,7 +24,7 @@
 
 /// Checks over several seeds that no ten-second window has more retries than allowed, and that at
 /// least half of the retries that the requests allow are sent.
-fn assert_within_budget(day: impl Fn(u64) -> Day) {
+fn assert_within_budget(day: impl Fn(u64) -> Scenario) {
     let runs: Vec<Seen> = SEEDS.iter().map(|seed| day(*seed).run()).collect();
     let excess: Vec<_> = runs.iter().filter_map(Seen::worst_excess).collect();
     assert!(excess.is_empty(), "{} of {} runs: {excess:#?}", excess.len(), runs.len());
@@ -41,7 +41,7 @@
 /// Guards against retries allowed by a burst being sent in a window that holds only part of the burst.
 #[test]
 fn requests_of_an_earlier_burst_do_not_allow_retries_after_it() {
-    assert_within_budget(|seed| Day {
+    assert_within_budget(|seed| Scenario {
         demand_per_s: Levels(vec![(0, 60.0), (4_000, 400.0), (11_500, 60.0)]),
         rejected_share: Levels(vec![(10_500, 0.95)]),
         ..day(seed, Vec::new())
@@ -84,7 +84,7 @@
 #[test]
 fn partitioned_vms_that_still_serve_stay_within_the_budget() {
     let cut_off = |number: u8| (1_000, Disruption::CutOff { for_ms: 90_000 }, vec![number]);
-    assert_within_budget(|seed| Day {
+    assert_within_budget(|seed| Scenario {
         duration_ms: 85_000,
         demand_per_s: Levels(vec![(0, 40.0)]),
         rejected_share: Levels(vec![(65_000, 0.8)]),
--- a/crates/sedgepath-core/tests/fuzz_budget.rs
+++ b/crates/sedgepath-core/tests/fuzz_budget.rs
@@ -9,7 +9,7 @@
 
 use fuzz_support::config;
 use proptest::prelude::*;
-use sedgepath_test_support::fleet::{Day, Disruption, Levels};
+use sedgepath_test_support::fleet::{Disruption, Levels, Scenario};
 
 const LENGTH_MS: u64 = 30_000;
 
@@ -45,9 +45,9 @@
         ),
         seed in any::<u64>(),
         initial_per_s in 20.0..300.0,
-    ) -> Day {
+    ) -> Scenario {
         demand.0.insert(0, (0, initial_per_s));
-        Day { vms, duration_ms: LENGTH_MS, demand_per_s: demand, rejected_share: refused_share, disruptions: troubles, seed }
+        Scenario { vms, duration_ms: LENGTH_MS, demand_per_s: demand, rejected_share: refused_share, disruptions: troubles, seed }
     }
 }
 
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -79,7 +79,7 @@
 
 /// A scenario for a simulated fleet.
 #[derive(Debug, Clone)]
-pub struct Day {
+pub struct Scenario {
     /// The number of VMs, including those that join later.
     pub vms: u8,
     /// The duration in milliseconds.
@@ -197,7 +197,7 @@
 const TICK_INTERVAL_MS: u64 = 10;
 
 struct Fleet<'a> {
-    scenario: &'a Day,
+    scenario: &'a Scenario,
     rng: Rng,
     now_ms: u64,
     vms: Vec<Vm>,
@@ -210,7 +210,7 @@
     result: Seen,
 }
 
-impl Day {
+impl Scenario {
     /// Runs the scenario to its end.
     pub fn run(&self) -> Seen {
         let is_joining = |number: &u8| {
