--- a/crates/sedgepath-core/examples/retry_budget.rs
+++ b/crates/sedgepath-core/examples/retry_budget.rs
@@ -2,7 +2,9 @@
 //!
 //! `cargo run --release -p sedgepath-core --example retry_budget`
 
-use sedgepath_test_support::fleet::{Disruption, Levels, REPEAT_RATIO, REPEAT_SLACK, Scenario};
+use sedgepath_test_support::fleet::{
+    Disruption, REPEAT_RATIO, REPEAT_SLACK, Scenario, StepFunction,
+};
 
 /// The total demand of all callers, in requests per second.
 const DEMAND_PER_S: f64 = 600.0;
@@ -20,8 +22,8 @@
         let scenario = Scenario {
             vms,
             duration_ms: 30_000,
-            demand_per_s: Levels(vec![(0, DEMAND_PER_S)]),
-            rejected_share: Levels(vec![
+            demand_per_s: StepFunction(vec![(0, DEMAND_PER_S)]),
+            rejected_share: StepFunction(vec![
                 (REJECTION_PERIOD_MS.0, 0.8),
                 (REJECTION_PERIOD_MS.1, 0.0),
             ]),
--- a/crates/sedgepath-core/tests/direct_budget.rs
+++ b/crates/sedgepath-core/tests/direct_budget.rs
@@ -2,7 +2,7 @@
 
 use sedgepath_core::direct::budget::{RetryBudget, RetryBudgetLimits};
 use sedgepath_test_support::fleet::{
-    Disruption, Levels, REPEAT_RATIO, REPEAT_SLACK, Scenario, Seen, WINDOW_MS,
+    Disruption, REPEAT_RATIO, REPEAT_SLACK, Scenario, Seen, StepFunction, WINDOW_MS,
 };
 
 const SEEDS: [u64; 3] = [11, 12, 13];
@@ -15,8 +15,8 @@
     Scenario {
         vms: VMS,
         duration_ms: 30_000,
-        demand_per_s: Levels(vec![(0, 200.0), (8_000, 360.0), (11_500, 200.0)]),
-        rejected_share: Levels(vec![(9_500, 0.8), (20_500, 0.0)]),
+        demand_per_s: StepFunction(vec![(0, 200.0), (8_000, 360.0), (11_500, 200.0)]),
+        rejected_share: StepFunction(vec![(9_500, 0.8), (20_500, 0.0)]),
         disruptions: troubles,
         seed,
     }
@@ -42,8 +42,8 @@
 #[test]
 fn requests_of_an_earlier_burst_do_not_allow_retries_after_it() {
     assert_within_budget(|seed| Scenario {
-        demand_per_s: Levels(vec![(0, 60.0), (4_000, 400.0), (11_500, 60.0)]),
-        rejected_share: Levels(vec![(10_500, 0.95)]),
+        demand_per_s: StepFunction(vec![(0, 60.0), (4_000, 400.0), (11_500, 60.0)]),
+        rejected_share: StepFunction(vec![(10_500, 0.95)]),
         ..day(seed, Vec::new())
     });
 }
@@ -86,8 +86,8 @@
     let cut_off = |number: u8| (1_000, Disruption::CutOff { for_ms: 90_000 }, vec![number]);
     assert_within_budget(|seed| Scenario {
         duration_ms: 85_000,
-        demand_per_s: Levels(vec![(0, 40.0)]),
-        rejected_share: Levels(vec![(65_000, 0.8)]),
+        demand_per_s: StepFunction(vec![(0, 40.0)]),
+        rejected_share: StepFunction(vec![(65_000, 0.8)]),
         ..day(seed, (0..VMS).map(cut_off).collect())
     });
 }
--- a/crates/sedgepath-core/tests/fuzz_budget.rs
+++ b/crates/sedgepath-core/tests/fuzz_budget.rs
@@ -9,7 +9,7 @@
 
 use fuzz_support::config;
 use proptest::prelude::*;
-use sedgepath_test_support::fleet::{Disruption, Levels, Scenario};
+use sedgepath_test_support::fleet::{Disruption, Scenario, StepFunction};
 
 const LENGTH_MS: u64 = 30_000;
 
@@ -17,10 +17,10 @@
     0..LENGTH_MS
 }
 
-fn levels(level: impl Strategy<Value = f64>) -> impl Strategy<Value = Levels> {
+fn levels(level: impl Strategy<Value = f64>) -> impl Strategy<Value = StepFunction> {
     prop::collection::vec((time_ms(), level), 1..6).prop_map(|mut levels| {
         levels.sort_by_key(|(from_ms, _)| *from_ms);
-        Levels(levels)
+        StepFunction(levels)
     })
 }
 
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -68,9 +68,9 @@
 
 /// A step function of time: ordered pairs of a start in milliseconds and a value; 0 before the first.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Levels(pub Vec<(u64, f64)>);
+pub struct StepFunction(pub Vec<(u64, f64)>);
 
-impl Levels {
+impl StepFunction {
     fn value_at(&self, now_ms: u64) -> f64 {
         let started = self.0.iter().take_while(|(from_ms, _)| *from_ms <= now_ms);
         started.last().map_or(0.0, |(_, level)| *level)
@@ -85,9 +85,9 @@
     /// The duration in milliseconds.
     pub duration_ms: u64,
     /// The demand in requests per second.
-    pub demand_per_s: Levels,
+    pub demand_per_s: StepFunction,
     /// The fraction of the attempts that upstreams reject.
-    pub rejected_share: Levels,
+    pub rejected_share: StepFunction,
     /// The disruptions: a time in milliseconds, a kind, and the affected VMs.
     pub disruptions: Vec<(u64, Disruption, Vec<u8>)>,
     /// The seed of all random choices.
