--- a/crates/sedgepath-core/tests/direct_budget.rs
+++ b/crates/sedgepath-core/tests/direct_budget.rs
@@ -2,7 +2,7 @@
 
 use sedgepath_core::direct::budget::{RetryBudget, RetryBudgetLimits};
 use sedgepath_test_support::fleet::{
-    Disruption, REPEAT_RATIO, REPEAT_SLACK, Scenario, Seen, StepFunction, WINDOW_MS,
+    Disruption, REPEAT_SLACK, RETRY_BUDGET_RATIO, Scenario, Seen, StepFunction, WINDOW_MS,
 };
 
 const SEEDS: [u64; 3] = [11, 12, 13];
@@ -33,7 +33,7 @@
         let last_ms = run.retried_at_ms.last().copied().unwrap_or(0);
         let (requests, _) = run.count_served(first_ms, last_ms);
         let retries = run.retried_at_ms.len();
-        let half = 0.5 * REPEAT_RATIO * requests as f64;
+        let half = 0.5 * RETRY_BUDGET_RATIO * requests as f64;
         assert!(retries > 0 && retries as f64 > half, "{retries} retries for {requests} requests");
     }
 }
@@ -106,7 +106,7 @@
 fn many_vms_with_few_requests_use_the_budget_without_exceeding_it() {
     const VM_COUNT: usize = 500;
     let limits =
-        RetryBudgetLimits { ratio: REPEAT_RATIO, slack: REPEAT_SLACK, window_ms: WINDOW_MS };
+        RetryBudgetLimits { ratio: RETRY_BUDGET_RATIO, slack: REPEAT_SLACK, window_ms: WINDOW_MS };
     let mut vms: Vec<_> =
         (0..VM_COUNT).map(|number| RetryBudget::new(limits, &format!("vm-{number}"))).collect();
     let mut run = Seen::default();
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -16,7 +16,7 @@
 use crate::direct::{HEARTBEAT_MS, begin, heartbeat, serving_vm};
 
 /// The number of retries per request that all VMs together may send.
-pub const REPEAT_RATIO: f64 = 0.2;
+pub const RETRY_BUDGET_RATIO: f64 = 0.2;
 
 /// The number of additional retries per window that all VMs together may send.
 pub const REPEAT_SLACK: f64 = 60.0;
@@ -145,7 +145,7 @@
         BudgetExcess {
             from_ms,
             retries: count_between(&self.retried_at_ms, from_ms, from_ms + WINDOW_MS),
-            allowed: REPEAT_RATIO * most as f64 + REPEAT_SLACK,
+            allowed: RETRY_BUDGET_RATIO * most as f64 + REPEAT_SLACK,
         }
     }
 }
