--- a/crates/sedgepath-core/examples/retry_budget.rs
+++ b/crates/sedgepath-core/examples/retry_budget.rs
@@ -3,7 +3,7 @@
 //! `cargo run --release -p sedgepath-core --example retry_budget`
 
 use sedgepath_test_support::fleet::{
-    Disruption, REPEAT_SLACK, RETRY_BUDGET_RATIO, Scenario, StepFunction,
+    Disruption, RETRY_BUDGET_RATIO, RETRY_BUDGET_SLACK, Scenario, StepFunction,
 };
 
 /// The total demand of all callers, in requests per second.
@@ -32,7 +32,7 @@
         };
         let result = scenario.run();
         let (requests, served) = result.count_served(REJECTION_PERIOD_MS.0, REJECTION_PERIOD_MS.1);
-        let budget = RETRY_BUDGET_RATIO * requests as f64 + REPEAT_SLACK;
+        let budget = RETRY_BUDGET_RATIO * requests as f64 + RETRY_BUDGET_SLACK;
         let retries = result.retried_at_ms.len();
         let excess = result.worst_excess().map_or(0, |excess| excess.retries);
         println!(
--- a/crates/sedgepath-core/tests/direct_budget.rs
+++ b/crates/sedgepath-core/tests/direct_budget.rs
@@ -2,7 +2,7 @@
 
 use sedgepath_core::direct::budget::{RetryBudget, RetryBudgetLimits};
 use sedgepath_test_support::fleet::{
-    Disruption, REPEAT_SLACK, RETRY_BUDGET_RATIO, Scenario, Seen, StepFunction, WINDOW_MS,
+    Disruption, RETRY_BUDGET_RATIO, RETRY_BUDGET_SLACK, Scenario, Seen, StepFunction, WINDOW_MS,
 };
 
 const SEEDS: [u64; 3] = [11, 12, 13];
@@ -105,8 +105,11 @@
 #[test]
 fn many_vms_with_few_requests_use_the_budget_without_exceeding_it() {
     const VM_COUNT: usize = 500;
-    let limits =
-        RetryBudgetLimits { ratio: RETRY_BUDGET_RATIO, slack: REPEAT_SLACK, window_ms: WINDOW_MS };
+    let limits = RetryBudgetLimits {
+        ratio: RETRY_BUDGET_RATIO,
+        slack: RETRY_BUDGET_SLACK,
+        window_ms: WINDOW_MS,
+    };
     let mut vms: Vec<_> =
         (0..VM_COUNT).map(|number| RetryBudget::new(limits, &format!("vm-{number}"))).collect();
     let mut run = Seen::default();
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -19,7 +19,7 @@
 pub const RETRY_BUDGET_RATIO: f64 = 0.2;
 
 /// The number of additional retries per window that all VMs together may send.
-pub const REPEAT_SLACK: f64 = 60.0;
+pub const RETRY_BUDGET_SLACK: f64 = 60.0;
 
 /// The window of the retry budget, in milliseconds.
 pub const WINDOW_MS: u64 = 10_000;
@@ -145,7 +145,7 @@
         BudgetExcess {
             from_ms,
             retries: count_between(&self.retried_at_ms, from_ms, from_ms + WINDOW_MS),
-            allowed: RETRY_BUDGET_RATIO * most as f64 + REPEAT_SLACK,
+            allowed: RETRY_BUDGET_RATIO * most as f64 + RETRY_BUDGET_SLACK,
         }
     }
 }
