--- a/crates/sedgepath-core/tests/direct_budget.rs
+++ b/crates/sedgepath-core/tests/direct_budget.rs
@@ -2,7 +2,8 @@
 
 use sedgepath_core::direct::budget::{RetryBudget, RetryBudgetLimits};
 use sedgepath_test_support::fleet::{
-    Disruption, RETRY_BUDGET_RATIO, RETRY_BUDGET_SLACK, Scenario, Seen, StepFunction, WINDOW_MS,
+    Disruption, RETRY_BUDGET_RATIO, RETRY_BUDGET_SLACK, RETRY_BUDGET_WINDOW_MS, Scenario, Seen,
+    StepFunction,
 };
 
 const SEEDS: [u64; 3] = [11, 12, 13];
@@ -108,7 +109,7 @@
     let limits = RetryBudgetLimits {
         ratio: RETRY_BUDGET_RATIO,
         slack: RETRY_BUDGET_SLACK,
-        window_ms: WINDOW_MS,
+        window_ms: RETRY_BUDGET_WINDOW_MS,
     };
     let mut vms: Vec<_> =
         (0..VM_COUNT).map(|number| RetryBudget::new(limits, &format!("vm-{number}"))).collect();
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -22,7 +22,7 @@
 pub const RETRY_BUDGET_SLACK: f64 = 60.0;
 
 /// The window of the retry budget, in milliseconds.
-pub const WINDOW_MS: u64 = 10_000;
+pub const RETRY_BUDGET_WINDOW_MS: u64 = 10_000;
 
 /// How long a VM continues to accept requests after it was told to stop, in milliseconds.
 const SHUTDOWN_GRACE_MS: u64 = 3_000;
@@ -137,14 +137,14 @@
     }
 
     fn window_excess(&self, from_ms: u64) -> BudgetExcess {
-        let requests = [0, WINDOW_MS / 2, WINDOW_MS].map(|before_ms| {
-            let until_ms = (from_ms + WINDOW_MS).saturating_sub(before_ms);
+        let requests = [0, RETRY_BUDGET_WINDOW_MS / 2, RETRY_BUDGET_WINDOW_MS].map(|before_ms| {
+            let until_ms = (from_ms + RETRY_BUDGET_WINDOW_MS).saturating_sub(before_ms);
             count_between(&self.requested_at_ms, from_ms.saturating_sub(before_ms), until_ms)
         });
         let most = requests.into_iter().max().unwrap_or(0);
         BudgetExcess {
             from_ms,
-            retries: count_between(&self.retried_at_ms, from_ms, from_ms + WINDOW_MS),
+            retries: count_between(&self.retried_at_ms, from_ms, from_ms + RETRY_BUDGET_WINDOW_MS),
             allowed: RETRY_BUDGET_RATIO * most as f64 + RETRY_BUDGET_SLACK,
         }
     }
