--- a/crates/sedgepath-core/examples/admission_parts.rs
+++ b/crates/sedgepath-core/examples/admission_parts.rs
@@ -10,7 +10,7 @@
 use sedgepath_core::identity::NodeSettings;
 use sedgepath_test_support::bed::TestBed;
 use sedgepath_test_support::bed::upstreams::{FakeUpstream, WarmUp};
-use sedgepath_test_support::load::{self, ClassStats, Load, LoadSeen};
+use sedgepath_test_support::load::{self, ClassStats, Load, LoadStats};
 use sedgepath_test_support::records;
 use serde_json::json;
 
@@ -109,7 +109,7 @@
     ]
 }
 
-fn run(scenario: &Scenario, admission: AdmissionSettings, seed: u64) -> LoadSeen {
+fn run(scenario: &Scenario, admission: AdmissionSettings, seed: u64) -> LoadStats {
     let service_ms = scenario.service_ms;
     let settings = NodeSettings { seed, admission, ..NodeSettings::default() };
     let mut bed =
--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -3,7 +3,7 @@
 use sedgepath_core::key::{OriginKey, ServiceKey, UpstreamKey};
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::request::{CallOutcome, Class, Dispatch, RejectionReason};
-use sedgepath_test_support::load::{self, Load, LoadSeen};
+use sedgepath_test_support::load::{self, Load, LoadStats};
 use sedgepath_test_support::owner::{Decision, Owner};
 use sedgepath_test_support::records;
 use serde_json::json;
@@ -33,7 +33,7 @@
 
 /// Runs 30 paying requests per second, and `trial_per_s` trial requests, against a capacity of 80
 /// per second.
-fn run(seed: u64, trial_per_s: u64) -> LoadSeen {
+fn run(seed: u64, trial_per_s: u64) -> LoadStats {
     let mut bed = load::bed(seed, 1, &[("u1", 4, 100), ("u2", 4, 100)]);
     let load = Load { seed, paying_per_s: 30, paying_burst: 1, trial_per_s, deadline_ms: 1_000 };
     load::run(&mut bed, load, 20_000)
--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -50,7 +50,7 @@
 
 /// Results of the requests of all classes.
 #[derive(Debug, Default, Clone)]
-pub struct LoadSeen {
+pub struct LoadStats {
     /// Results of the paying requests.
     pub paying: ClassStats,
     /// Results of all other requests.
@@ -120,7 +120,7 @@
 }
 
 /// Sends a load for `duration_ms`, waits until all deadlines have passed, and returns the results.
-pub fn run(bed: &mut TestBed, load: Load, duration_ms: u64) -> LoadSeen {
+pub fn run(bed: &mut TestBed, load: Load, duration_ms: u64) -> LoadStats {
     let first_call = bed.calls().len();
     // Each class has its own generator: the arrival times of one don't depend on the other's rate.
     let mut paying =
@@ -150,8 +150,8 @@
 }
 
 /// Aggregates the results of calls by class.
-pub fn summarize(calls: &[Call]) -> LoadSeen {
-    let mut stats = LoadSeen::default();
+pub fn summarize(calls: &[Call]) -> LoadStats {
+    let mut stats = LoadStats::default();
     for call in calls {
         let took_ms = call.ended_at_ms - call.sent_at_ms;
         let paying = call.head.key_digest == Some(records::key_digest("payer-key"));
