--- a/crates/sedgepath-core/examples/admission_parts.rs
+++ b/crates/sedgepath-core/examples/admission_parts.rs
@@ -112,8 +112,12 @@
 fn run(scenario: &Scenario, admission: AdmissionSettings, seed: u64) -> LoadStats {
     let service_ms = scenario.service_ms;
     let settings = NodeSettings { seed, admission, ..NodeSettings::default() };
-    let mut bed =
-        load::bed_with(seed, 1, &[("u1", 4, service_ms), ("u2", 4, service_ms)], settings);
+    let mut bed = load::single_service_bed_with(
+        seed,
+        1,
+        &[("u1", 4, service_ms), ("u2", 4, service_ms)],
+        settings,
+    );
     let load = Load {
         seed,
         paying_per_s: scenario.paying_per_s,
--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -65,11 +65,16 @@
 ///
 /// Each upstream is given by its name, its slots and its service time in milliseconds.
 pub fn bed(seed: u64, nodes: usize, upstreams: &[(&str, u32, u64)]) -> TestBed {
-    bed_with(seed, nodes, upstreams, NodeSettings { seed, ..NodeSettings::default() })
+    single_service_bed_with(
+        seed,
+        nodes,
+        upstreams,
+        NodeSettings { seed, ..NodeSettings::default() },
+    )
 }
 
 /// Creates a test bed with one failure domain `a`, one service `s`, and these node settings.
-pub fn bed_with(
+pub fn single_service_bed_with(
     seed: u64,
     nodes: usize,
     upstreams: &[(&str, u32, u64)],
