--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -24,7 +24,7 @@
     for step in 0..duration_ms / 25 {
         let node =
             (0..3).map(|offset| (step as usize + offset) % 3).find(|node| bed.is_running(*node));
-        let head = load::head(bed, Class::Paying, 1_000);
+        let head = load::request_head(bed, Class::Paying, 1_000);
         bed.call(node.expect("a node runs"), head);
         bed.run_for(25);
     }
--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -104,7 +104,7 @@
 }
 
 /// Creates the head of a request for the service `s` that expires `deadline_ms` from now.
-pub fn head(bed: &TestBed, class: Class, deadline_ms: u64) -> RequestHead {
+pub fn request_head(bed: &TestBed, class: Class, deadline_ms: u64) -> RequestHead {
     let key = match class {
         Class::Paying => Some("payer-key"),
         Class::Trial => Some("trial-key"),
@@ -134,7 +134,7 @@
     for _ in 0..duration_ms {
         for (class, count) in [(Class::Paying, paying()), (Class::Trial, trial())] {
             for _ in 0..count {
-                let head = head(bed, class, load.deadline_ms);
+                let head = request_head(bed, class, load.deadline_ms);
                 let node = bed.calls().len() % bed.node_count();
                 bed.call(node, head);
             }
