--- a/crates/sedgepath-core/examples/policy/report.rs
+++ b/crates/sedgepath-core/examples/policy/report.rs
@@ -4,7 +4,7 @@
 
 use sedgepath_core::request::{Class, Outcome};
 use sedgepath_test_support::bed::CallResult;
-use sedgepath_test_support::moves::Followed;
+use sedgepath_test_support::moves::ShiftMeasurement;
 use sedgepath_test_support::records;
 
 use crate::deployment::{DOMAINS, Deployment, NODES, REGIONS, WINDOW_MS};
@@ -140,7 +140,7 @@
     let service = run.deployment.services[0];
     let domains = service.domains();
     let shift_percent = |origin: usize| {
-        let measurement = Followed {
+        let measurement = ShiftMeasurement {
             service: service.name,
             is_origin: |source, origin| matches!(source, IpAddr::V4(source) if usize::from(source.octets()[1]) == origin),
             origin,
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -10,7 +10,7 @@
 use sedgepath_test_support::bed::faults::LinkEndpoint;
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
 use sedgepath_test_support::bed::{CallResult, NodeIndex, TestBed};
-use sedgepath_test_support::moves::Followed;
+use sedgepath_test_support::moves::ShiftMeasurement;
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use serde_json::json;
 
@@ -147,14 +147,14 @@
         }
     }
 
-    fn follow<T>(&self, origin: usize, read: impl Fn(&Followed<'_>) -> T) -> T {
+    fn follow<T>(&self, origin: usize, read: impl Fn(&ShiftMeasurement<'_>) -> T) -> T {
         let domains = (0..DOMAINS.len() * UPSTREAMS_PER_DOMAIN)
             .map(|index| (index / UPSTREAMS_PER_DOMAIN, index % UPSTREAMS_PER_DOMAIN))
             .map(|(domain, number)| {
                 (UpstreamKey::of(&format!("{}-{number}", DOMAINS[domain])), domain)
             })
             .collect();
-        read(&Followed {
+        read(&ShiftMeasurement {
             service: "browse",
             is_origin: |source, origin| matches!(source, IpAddr::V4(source) if usize::from(source.octets()[1]) == origin),
             origin,
--- a/crates/sedgepath-test-support/src/moves.rs
+++ b/crates/sedgepath-test-support/src/moves.rs
@@ -16,7 +16,7 @@
 
 /// The traffic that is measured, and its initial split.
 #[derive(Debug)]
-pub struct Followed<'a> {
+pub struct ShiftMeasurement<'a> {
     /// The name of the service.
     pub service: &'a str,
     /// Returns whether a caller's address belongs to an origin group, given by its index.
@@ -42,7 +42,7 @@
     runs_by_domain: Vec<f64>,
 }
 
-impl Followed<'_> {
+impl ShiftMeasurement<'_> {
     /// Returns the maximum percentage of the traffic that shifted between consecutive windows,
     /// less the rounding.
     pub fn max_shift_percent(&self, bed: &TestBed) -> f64 {
