--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -6,7 +6,7 @@
 use sedgepath_core::request::{CallOutcome, Class, RejectionReason};
 use sedgepath_test_support::bed::CallResult;
 use sedgepath_test_support::load::{self, Load};
-use sedgepath_test_support::owner::{Decision, Owner};
+use sedgepath_test_support::owner::{Decision, OwnerHarness};
 use sedgepath_test_support::records;
 use serde_json::json;
 
@@ -22,8 +22,8 @@
     vec![records::places(&[("r", &["a"])]), records::record(1, "service", "s", &body)]
 }
 
-fn owner_of_one_upstream(slots: u32, extra_fields: &serde_json::Value) -> Owner {
-    Owner::new(&one_upstream(slots, extra_fields))
+fn owner_of_one_upstream(slots: u32, extra_fields: &serde_json::Value) -> OwnerHarness {
+    OwnerHarness::new(&one_upstream(slots, extra_fields))
 }
 
 /// Guards against overload that exceeds the slots of an upstream, leaves slots idle or keeps
@@ -212,7 +212,7 @@
 impl SimulatedDriver {
     /// Starts the calls that were sent and ends those that are due; `keep_open` keeps connections
     /// open.
-    fn step(&mut self, owner: &mut Owner, sent: Vec<ExchangeKey>, keep_open: bool) {
+    fn step(&mut self, owner: &mut OwnerHarness, sent: Vec<ExchangeKey>, keep_open: bool) {
         for exchange in sent {
             let Decision::Sent { may_open, .. } = owner.decision(exchange) else { continue };
             if self.idle > 0 {
@@ -250,7 +250,7 @@
     }
 }
 
-fn run_connections(owner: &mut Owner, keep_open: bool) -> (SimulatedDriver, u32) {
+fn run_connections(owner: &mut OwnerHarness, keep_open: bool) -> (SimulatedDriver, u32) {
     let mut driver = SimulatedDriver::default();
     let mut peak_open = 0;
     for _ in 0..500 {
@@ -351,14 +351,14 @@
     }
 }
 
-fn report_running(owner: &mut Owner, running: &[ActualCall], slots: u32) {
+fn report_running(owner: &mut OwnerHarness, running: &[ActualCall], slots: u32) {
     let now_ms = owner.now_ms();
     let in_flight = running.iter().filter(|call| now_ms < call.ends_at_ms).count();
     owner.report_load("u", in_flight as u32, slots, false);
 }
 
 fn start_sent_calls(
-    owner: &mut Owner,
+    owner: &mut OwnerHarness,
     running: &mut Vec<ActualCall>,
     random: &mut fastrand::Rng,
     seed: u64,
@@ -381,7 +381,7 @@
 
 /// Reports to the owner the losses and ends of calls that are due; a lost call runs on, and its end
 /// isn't reported.
-fn end_due_calls(owner: &mut Owner, running: &mut Vec<ActualCall>) {
+fn end_due_calls(owner: &mut OwnerHarness, running: &mut Vec<ActualCall>) {
     let now_ms = owner.now_ms();
     let is_over = |call: &ActualCall| call.ends_at_ms <= now_ms;
     for call in running.clone() {
@@ -400,7 +400,7 @@
 }
 
 fn end_random_call(
-    owner: &mut Owner,
+    owner: &mut OwnerHarness,
     running: &mut Vec<ActualCall>,
     outcome: CallOutcome,
     random: &mut fastrand::Rng,
--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -4,7 +4,7 @@
 use sedgepath_core::record::RawRecord;
 use sedgepath_core::request::{CallOutcome, Class, Dispatch, RejectionReason};
 use sedgepath_test_support::load::{self, Load, LoadStats};
-use sedgepath_test_support::owner::{Decision, Owner};
+use sedgepath_test_support::owner::{Decision, OwnerHarness};
 use sedgepath_test_support::records;
 use serde_json::json;
 
@@ -19,8 +19,8 @@
 }
 
 /// Returns an owner whose two slots are in use and whose estimated service time is 100 ms.
-fn busy_owner() -> Owner {
-    let mut owner = Owner::new(&one_upstream(2));
+fn busy_owner() -> OwnerHarness {
+    let mut owner = OwnerHarness::new(&one_upstream(2));
     for _ in 0..20 {
         for exchange in owner.dispatch_many(1, Class::Paying, 5_000) {
             owner.advance_ms(100);
@@ -75,10 +75,10 @@
 /// Guards against a reserve other than one slot without paying traffic, or none for a single slot.
 #[test]
 fn one_slot_is_reserved_without_paying_traffic() {
-    let mut owner = Owner::new(&one_upstream(6));
+    let mut owner = OwnerHarness::new(&one_upstream(6));
     assert_eq!(owner.dispatch_many(10, Class::Trial, 1_000).len(), 5);
     assert_eq!(owner.dispatch_many(10, Class::Paying, 1_000).len(), 1);
-    let mut owner = Owner::new(&one_upstream(1));
+    let mut owner = OwnerHarness::new(&one_upstream(1));
     assert_eq!(owner.dispatch_many(10, Class::Guest, 1_000).len(), 1);
 }
 
@@ -86,7 +86,7 @@
 /// the slots beyond those in use, or doesn't decay.
 #[test]
 fn reserve_follows_the_recent_peak_of_paying_demand() {
-    let mut owner = Owner::new(&one_upstream(6));
+    let mut owner = OwnerHarness::new(&one_upstream(6));
     for (paying_requests, free_for_trial) in [(2, 4), (4, 3), (6, 3)] {
         let paying = owner.dispatch_many(paying_requests, Class::Paying, 1_000);
         for exchange in paying {
@@ -103,7 +103,7 @@
 /// Guards against a queue that doesn't serve by class first and then by deadline.
 #[test]
 fn queue_serves_by_class_and_then_by_deadline() {
-    let mut owner = Owner::new(&one_upstream(2));
+    let mut owner = OwnerHarness::new(&one_upstream(2));
     let running = owner.dispatch_many(2, Class::Paying, 5_000);
     let trial = owner.dispatch("s", Class::Trial, 2_000);
     let late = owner.dispatch("s", Class::Paying, 4_000);
@@ -142,7 +142,7 @@
 /// their slot before the cancellation is confirmed.
 #[test]
 fn cancelled_dispatch_leaves_the_queue() {
-    let mut owner = Owner::new(&one_upstream(1));
+    let mut owner = OwnerHarness::new(&one_upstream(1));
     let running = owner.dispatch("s", Class::Paying, 5_000);
     let queued = owner.dispatch("s", Class::Paying, 5_000);
     owner.cancel_dispatch(queued);
@@ -158,7 +158,7 @@
 /// Guards against queueing a request whose only upstream it avoids, or whose deadline has passed.
 #[test]
 fn request_that_no_upstream_may_run_is_rejected_at_once() {
-    let mut owner = Owner::new(&one_upstream(2));
+    let mut owner = OwnerHarness::new(&one_upstream(2));
     let dispatch = Dispatch {
         service: ServiceKey::of("s"),
         class: Class::Paying,
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -6,7 +6,7 @@
 use sedgepath_test_support::bed::faults::LinkEndpoint;
 use sedgepath_test_support::bed::{CallResult, NodeIndex, TestBed};
 use sedgepath_test_support::load;
-use sedgepath_test_support::owner::Owner;
+use sedgepath_test_support::owner::OwnerHarness;
 use sedgepath_test_support::records;
 use serde_json::json;
 
@@ -168,12 +168,15 @@
     }
 }
 
-fn owner_of_two_upstreams() -> Owner {
+fn owner_of_two_upstreams() -> OwnerHarness {
     let upstream =
         |name: &str| json!({ "name": name, "domain": "a", "address": "127.0.0.1:9", "slots": 4 });
     let body =
         json!({ "longest_deadline_ms": 5_000, "upstreams": [upstream("u1"), upstream("u2")] });
-    Owner::new(&[records::places(&[("r", &["a"])]), records::record(1, "service", "s", &body)])
+    OwnerHarness::new(&[
+        records::places(&[("r", &["a"])]),
+        records::record(1, "service", "s", &body),
+    ])
 }
 
 /// Guards against reporting slots of leaving upstreams, queueing for them, or cancelling calls in
--- a/crates/sedgepath-test-support/src/owner.rs
+++ b/crates/sedgepath-test-support/src/owner.rs
@@ -45,7 +45,7 @@
 
 /// The owner of all upstreams in its records.
 #[derive(Debug)]
-pub struct Owner {
+pub struct OwnerHarness {
     /// What the owner may use of each upstream; tests may change it at any time.
     pub allowances: Vec<Allowance>,
     egress: Egress,
@@ -57,7 +57,7 @@
     cancelled: Vec<ExchangeKey>,
 }
 
-impl Owner {
+impl OwnerHarness {
     /// Creates an owner with the full capacity of all upstreams in the records.
     pub fn new(records: &[RawRecord]) -> Self {
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 9));
