--- a/crates/sedgepath-test-support/src/system.rs
+++ b/crates/sedgepath-test-support/src/system.rs
@@ -52,7 +52,7 @@
 
 /// A store and the daemons that use it; dropping it stops them all.
 #[derive(Debug)]
-pub struct System {
+pub struct DaemonCluster {
     binary: PathBuf,
     /// The store stand-in.
     pub store: StoreStandIn,
@@ -63,7 +63,7 @@
     extra_settings: String,
 }
 
-impl System {
+impl DaemonCluster {
     /// Starts the store; `binary` is the path of `sedgepathd`.
     ///
     /// # Errors
--- a/crates/sedgepathd/examples/demo.rs
+++ b/crates/sedgepathd/examples/demo.rs
@@ -23,7 +23,7 @@
 use sedgepath_test_support::caller::{Call, Caller, CallerStats, Outcome};
 use sedgepath_test_support::daemon::Signal;
 use sedgepath_test_support::records::{self, UpstreamSpec};
-use sedgepath_test_support::system::{SECRET, System};
+use sedgepath_test_support::system::{DaemonCluster, SECRET};
 use sedgepath_test_support::upstream::{UpstreamFigures, UpstreamStandIn};
 
 /// The time after the start during which callers send requests.
@@ -75,7 +75,7 @@
     let upstreams = start_upstreams()?;
     let vm_names = DOMAINS.map(|domain| format!("{domain}-1"));
     let daemons: Vec<_> = vm_names.iter().map(|name| &**name).zip(DOMAINS).collect();
-    let mut system = System::new(&std::env::current_exe()?)?
+    let mut system = DaemonCluster::new(&std::env::current_exe()?)?
         .with_daemons(&first_records(&upstreams), &daemons)?;
     if !system.wait_until_all_serve(is_served) {
         return Err("a daemon serves nothing".into());
@@ -225,7 +225,10 @@
 }
 
 /// Runs a command of the operators' command line against the first daemon and returns its output.
-fn run_operator_command(system: &System, arguments: &[&str]) -> Result<String, Box<dyn Error>> {
+fn run_operator_command(
+    system: &DaemonCluster,
+    arguments: &[&str],
+) -> Result<String, Box<dyn Error>> {
     println!("  $ sedgepath {}", arguments.join(" "));
     let arguments: Vec<String> = arguments.iter().map(ToString::to_string).collect();
     let node = system.addresses[0].operator_address.to_string();
--- a/crates/sedgepathd/examples/slopes/daemon.rs
+++ b/crates/sedgepathd/examples/slopes/daemon.rs
@@ -9,7 +9,7 @@
 use hdrhistogram::Histogram;
 use sedgepath_test_support::caller::{Call, Caller, Outcome};
 use sedgepath_test_support::records::{self, UpstreamSpec};
-use sedgepath_test_support::system::System;
+use sedgepath_test_support::system::DaemonCluster;
 use sedgepath_test_support::upstream::{UpstreamFigures, UpstreamStandIn};
 
 /// The time over which the CPU time of an idle daemon is measured.
@@ -29,7 +29,7 @@
     let upstream = UpstreamStandIn::new(UpstreamFigures::new(64))?;
     let spec = UpstreamSpec::new("b1", "south-a", 64).with_address(upstream.addr());
     let records = records::one_service("browse", 5_000, &[spec], &["south-a"]);
-    let system = System::new(&std::env::current_exe()?)?
+    let system = DaemonCluster::new(&std::env::current_exe()?)?
         .with_daemons(&records, &[("n1", "north-a"), ("s1", "south-a")])?;
     let entries = system.caller_addresses();
     if !system.wait_until_all_serve(|entry, _| is_answered(entry)) {
--- a/crates/sedgepathd/tests/callers.rs
+++ b/crates/sedgepathd/tests/callers.rs
@@ -8,13 +8,13 @@
 
 use sedgepath_test_support::caller::{Call, CallFailure, Caller, Outcome};
 use sedgepath_test_support::records::{self, UpstreamSpec};
-use sedgepath_test_support::system::System;
+use sedgepath_test_support::system::DaemonCluster;
 use sedgepath_test_support::upstream::{Behaviour, UpstreamFigures, UpstreamStandIn};
 
 /// One daemon with short limits, and one upstream.
 struct TestSystem {
     upstream: UpstreamStandIn,
-    system: System,
+    system: DaemonCluster,
     callers: SocketAddr,
 }
 
@@ -23,7 +23,7 @@
         let upstream = UpstreamStandIn::new(UpstreamFigures::new(8)).expect("upstream");
         let spec = UpstreamSpec::new("b1", "south-a", 8).with_address(upstream.addr());
         let records = records::one_service("browse", 5_000, &[spec], &["south-a"]);
-        let system = System::new(Path::new(env!("CARGO_BIN_EXE_sedgepathd")))
+        let system = DaemonCluster::new(Path::new(env!("CARGO_BIN_EXE_sedgepathd")))
             .expect("platform")
             .with_settings(
                 "limits:\n  head_timeout_ms: 400\n  body_timeout_ms: 400\n  body_bytes: 1000\n",
--- a/crates/sedgepathd/tests/faults.rs
+++ b/crates/sedgepathd/tests/faults.rs
@@ -14,7 +14,7 @@
 use sedgepath_test_support::link::{Cut, CuttableLink};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use sedgepath_test_support::store::StoreMode;
-use sedgepath_test_support::system::System;
+use sedgepath_test_support::system::DaemonCluster;
 use sedgepath_test_support::upstream::{UpstreamFigures, UpstreamStandIn};
 
 const SLOTS: u32 = 3;
@@ -28,7 +28,7 @@
 struct FaultSystem {
     links: Vec<CuttableLink>,
     upstreams: Vec<UpstreamStandIn>,
-    system: System,
+    system: DaemonCluster,
 }
 
 impl FaultSystem {
@@ -45,7 +45,8 @@
         let specs: Vec<_> = links.iter().enumerate().map(spec).collect();
         let records = records::one_service("deposits", 2_000, &specs, &["south-a", "north-a"]);
         let daemons = [("s1", "south-a"), ("s2", "south-a"), ("n1", "north-a")];
-        let system = System::new(Path::new(env!("CARGO_BIN_EXE_sedgepathd"))).expect("platform");
+        let system =
+            DaemonCluster::new(Path::new(env!("CARGO_BIN_EXE_sedgepathd"))).expect("platform");
         let system = system.with_daemons(&records, &daemons).expect("daemons");
         let fixture = Self { links, upstreams, system };
         fixture.assert_all_serve("start");
--- a/crates/sedgepathd/tests/once.rs
+++ b/crates/sedgepathd/tests/once.rs
@@ -8,7 +8,7 @@
 use sedgepath_test_support::daemon::Signal;
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use sedgepath_test_support::store::StoreMode;
-use sedgepath_test_support::system::System;
+use sedgepath_test_support::system::DaemonCluster;
 use sedgepath_test_support::upstream::{Behaviour, UpstreamFigures, UpstreamStandIn};
 use serde_json::Value;
 
@@ -23,7 +23,7 @@
 /// Two daemons in different failure domains, each with an upstream.
 struct DaemonPair {
     upstreams: [UpstreamStandIn; 2],
-    system: System,
+    system: DaemonCluster,
     entries: [SocketAddr; 2],
 }
 
@@ -40,7 +40,8 @@
             ("porch", "paying", "porch-key"),
             ("clue", "paying", "clue"),
         ]));
-        let system = System::new(Path::new(env!("CARGO_BIN_EXE_sedgepathd"))).expect("platform");
+        let system =
+            DaemonCluster::new(Path::new(env!("CARGO_BIN_EXE_sedgepathd"))).expect("platform");
         let system = system.with_daemons(&records, &[("n1", "north-a"), ("s1", "south-a")]);
         let system = system.expect("daemons");
         let entries = [system.addresses[0].caller_address, system.addresses[1].caller_address];
--- a/crates/sedgepathd/tests/operators.rs
+++ b/crates/sedgepathd/tests/operators.rs
@@ -7,7 +7,7 @@
 use sedgepath::error::{CliError, ExitStatus};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use sedgepath_test_support::store::StoreMode;
-use sedgepath_test_support::system::{SECRET, System};
+use sedgepath_test_support::system::{DaemonCluster, SECRET};
 use sedgepath_wire::rpc::{CLOCK_SKEW_CODE, UNAUTHENTICATED_CODE, method};
 use sedgepath_wire::signed_call::{self, MAX_CLOCK_SKEW_MS, SignedCall};
 use sedgepath_wire::time::unix_ms;
@@ -21,7 +21,7 @@
 
 /// Two daemons in different failure domains, and a directory for record files.
 struct TestSystem {
-    system: System,
+    system: DaemonCluster,
     files: TempDir,
 }
 
@@ -32,7 +32,7 @@
 
     /// Starts daemons with additional lines in their settings.
     fn with_settings(lines: &str) -> Self {
-        let mut system = System::new(Path::new(env!("CARGO_BIN_EXE_sedgepathd")))
+        let mut system = DaemonCluster::new(Path::new(env!("CARGO_BIN_EXE_sedgepathd")))
             .expect("platform")
             .with_settings(lines);
         let upstreams =
--- a/crates/sedgepathd/tests/stop.rs
+++ b/crates/sedgepathd/tests/stop.rs
@@ -8,7 +8,7 @@
 use sedgepath_test_support::caller::{Call, Caller, Outcome};
 use sedgepath_test_support::daemon::Signal;
 use sedgepath_test_support::records::{self, UpstreamSpec};
-use sedgepath_test_support::system::System;
+use sedgepath_test_support::system::DaemonCluster;
 use sedgepath_test_support::upstream::{Behaviour, UpstreamFigures, UpstreamStandIn};
 
 const ANSWERED: Outcome = Outcome::Answered { status: 200 };
@@ -27,7 +27,7 @@
     let upstream = UpstreamStandIn::new(UpstreamFigures::new(40)).expect("upstream");
     let spec = UpstreamSpec::new("b1", "south-a", 40).with_address(upstream.addr());
     let records = records::one_service("browse", 10_000, &[spec], &["south-a"]);
-    let system = System::new(Path::new(env!("CARGO_BIN_EXE_sedgepathd"))).expect("platform");
+    let system = DaemonCluster::new(Path::new(env!("CARGO_BIN_EXE_sedgepathd"))).expect("platform");
     let system = system.with_daemons(&records, &[("n1", "north-a"), ("s1", "south-a")]);
     let mut system = system.expect("daemons");
     assert!(
