--- a/crates/sedgepath-test-support/src/upstream.rs
+++ b/crates/sedgepath-test-support/src/upstream.rs
@@ -24,7 +24,7 @@
 mod settings;
 mod state;
 
-pub use settings::{Behaviour, LoadReports, UpstreamCounts, UpstreamFigures};
+pub use settings::{Behaviour, LoadReports, UpstreamConfig, UpstreamCounts};
 pub use state::Run;
 use state::Shared;
 
@@ -64,7 +64,7 @@
     /// # Errors
     ///
     /// Fails if it cannot listen.
-    pub fn new(config: UpstreamFigures) -> io::Result<Self> {
+    pub fn new(config: UpstreamConfig) -> io::Result<Self> {
         Self::new_at(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), config)
     }
 
@@ -73,7 +73,7 @@
     /// # Errors
     ///
     /// Fails if it cannot listen.
-    pub fn new_at(addr: SocketAddr, config: UpstreamFigures) -> io::Result<Self> {
+    pub fn new_at(addr: SocketAddr, config: UpstreamConfig) -> io::Result<Self> {
         let shared = Arc::new(Shared::new(config));
         let server = TcpServer::new(addr, Arc::clone(&shared))?;
         Ok(Self { shared, server })
--- a/crates/sedgepath-test-support/src/upstream/settings.rs
+++ b/crates/sedgepath-test-support/src/upstream/settings.rs
@@ -2,7 +2,7 @@
 
 /// The configuration of an upstream: its declared slots, limits and latencies.
 #[derive(Debug, Clone, Copy)]
-pub struct UpstreamFigures {
+pub struct UpstreamConfig {
     pub(super) slots: u32,
     pub(super) rejects_above_slots: bool,
     pub(super) max_connections: u32,
@@ -12,7 +12,7 @@
     pub(super) cold_service_ms: u64,
 }
 
-impl UpstreamFigures {
+impl UpstreamConfig {
     /// Creates the configuration of an upstream that reports `slots`, accepts up to 350 connections
     /// at 1 ms each, and responds immediately.
     pub fn new(slots: u32) -> Self {
--- a/crates/sedgepath-test-support/src/upstream/state.rs
+++ b/crates/sedgepath-test-support/src/upstream/state.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use super::connection;
-use super::settings::{Behaviour, LoadReports, UpstreamCounts, UpstreamFigures};
+use super::settings::{Behaviour, LoadReports, UpstreamConfig, UpstreamCounts};
 use crate::clock::{now_ms, sleep_ms};
 use crate::server::Service;
 use crate::sync::lock;
@@ -41,7 +41,7 @@
 
 #[derive(Debug)]
 pub(super) struct State {
-    pub(super) config: UpstreamFigures,
+    pub(super) config: UpstreamConfig,
     pub(super) behaviour: Behaviour,
     pub(super) next_behaviours: VecDeque<Behaviour>,
     pub(super) leaving: bool,
@@ -66,7 +66,7 @@
 }
 
 impl Shared {
-    pub(super) fn new(config: UpstreamFigures) -> Self {
+    pub(super) fn new(config: UpstreamConfig) -> Self {
         let state = State {
             config,
             behaviour: Behaviour::Normal,
--- a/crates/sedgepath-test-support/tests/upstream.rs
+++ b/crates/sedgepath-test-support/tests/upstream.rs
@@ -9,11 +9,11 @@
 use sedgepath_test_support::content::{self, Digest};
 use sedgepath_test_support::upstream::{
     Behaviour, DEADLINE_MS, DIGEST, IDEMPOTENCY_KEY, IN_FLIGHT, LoadReports, NOT_STARTED,
-    REQUEST_ID, UPSTREAM_STATE, UpstreamFigures, UpstreamStandIn,
+    REQUEST_ID, UPSTREAM_STATE, UpstreamConfig, UpstreamStandIn,
 };
 use serde_json::Value;
 
-fn upstream(figures: UpstreamFigures) -> UpstreamStandIn {
+fn upstream(figures: UpstreamConfig) -> UpstreamStandIn {
     UpstreamStandIn::new(figures).expect("the upstream starts")
 }
 
@@ -72,7 +72,7 @@
 #[test]
 fn peaks_count_only_overlapping_requests() {
     // Guards against peaks that count consecutive requests as concurrent, or miss concurrent ones.
-    let upstream = upstream(UpstreamFigures::new(7).with_connect_ms(0));
+    let upstream = upstream(UpstreamConfig::new(7).with_connect_ms(0));
     upstream.set_next_behaviours(5, Behaviour::Hang);
     let mut callers: Vec<_> = (0..5).map(|_| connect(upstream.addr())).collect();
     for (number, caller) in callers.iter_mut().enumerate() {
@@ -99,7 +99,7 @@
 fn a_response_frees_its_slot_before_the_caller_can_send_again() {
     // Guards against freeing the slot after the response is sent: the caller's next request would
     // then count as concurrent with the previous one.
-    let upstream = upstream(UpstreamFigures::new(1));
+    let upstream = upstream(UpstreamConfig::new(1));
     let mut connections = [connect(upstream.addr()), connect(upstream.addr())];
     for number in 0..2_000 {
         let connection = &mut connections[number % 2];
@@ -114,7 +114,7 @@
 fn connections_above_the_limit_are_closed_and_counted() {
     // Guards against accepting connections above the limit, and against a closed connection that
     // still counts towards the limit.
-    let figures = UpstreamFigures::new(1).with_max_connections(2).with_connect_ms(0);
+    let figures = UpstreamConfig::new(1).with_max_connections(2).with_connect_ms(0);
     let upstream = upstream(figures);
     let mut first = connect(upstream.addr());
     let mut second = connect(upstream.addr());
@@ -139,7 +139,7 @@
 fn a_truncated_response_declares_its_full_length() {
     // Guards against a truncated response that declares its actual length, which callers could not
     // detect.
-    let upstream = upstream(UpstreamFigures::new(1));
+    let upstream = upstream(UpstreamConfig::new(1));
     upstream.set_next_behaviours(1, Behaviour::Truncate);
     let truncated = get(&upstream, "/large/200000").send().expect("a head");
     assert_eq!(header(&truncated, "content-length"), Some("200000"));
@@ -153,7 +153,7 @@
 fn only_a_rejection_proves_that_a_request_did_not_run() {
     // Guards against counting a rejected request as run, not counting one whose response is lost, and
     // deduplicating requests in the stand-in, which would hide duplicates sent by the system.
-    let upstream = upstream(UpstreamFigures::new(1));
+    let upstream = upstream(UpstreamConfig::new(1));
     upstream.set_next_behaviours(1, Behaviour::Reject);
     upstream.set_next_behaviours(1, Behaviour::Close);
     let charge = || get(&upstream, "/charge").header(IDEMPOTENCY_KEY, "k1");
@@ -171,7 +171,7 @@
 fn a_confirmed_cancellation_or_an_expired_deadline_prevents_the_run() {
     // Guards against running a request after its confirmed cancellation or its deadline, and against
     // confirming the cancellation of a request that has run.
-    let upstream = upstream(UpstreamFigures::new(1));
+    let upstream = upstream(UpstreamConfig::new(1));
     let cancel = |id: &str| {
         let url = format!("http://{}/cancel", upstream.addr());
         let response = attohttpc::post(url).header(REQUEST_ID, id).send();
@@ -194,7 +194,7 @@
 #[test]
 fn a_large_body_can_be_resumed_only_while_its_etag_matches() {
     // Guards against resuming a download with the rest of a different body.
-    let upstream = upstream(UpstreamFigures::new(1));
+    let upstream = upstream(UpstreamConfig::new(1));
     let first = get(&upstream, "/large/150000").header("range", "bytes=0-70000").send();
     let first = first.expect("a response");
     assert_eq!(first.status().as_u16(), 206);
@@ -220,7 +220,7 @@
 fn a_response_has_its_request_id_and_digest_and_load_reports_can_be_false() {
     // Guards against responses that can't be matched to their request or body, and against load
     // reports that ignore the configured fault.
-    let upstream = upstream(UpstreamFigures::new(3));
+    let upstream = upstream(UpstreamConfig::new(3));
     let body = vec![7_u8; 100_000];
     let url = format!("http://{}/echo", upstream.addr());
     let echo = attohttpc::put(url).header(REQUEST_ID, "r1").bytes(&body).send();
@@ -247,7 +247,7 @@
 fn a_drop_closes_hanging_and_idle_connections() {
     // Guards against a drop that hangs on a connection thread, and against a port that can't be
     // listened on again by a restarted upstream.
-    let stopped = upstream(UpstreamFigures::new(1));
+    let stopped = upstream(UpstreamConfig::new(1));
     let addr = stopped.addr();
     stopped.set_behaviour(Behaviour::Hang);
     let mut hanging = connect(addr);
@@ -257,6 +257,6 @@
     drop(stopped);
     assert!(is_closed(&mut idle));
     assert!(is_closed(&mut hanging));
-    let again = UpstreamStandIn::new_at(addr, UpstreamFigures::new(1)).expect("restarted");
+    let again = UpstreamStandIn::new_at(addr, UpstreamConfig::new(1)).expect("restarted");
     assert!(get(&again, "/a").send().expect("a response").is_success());
 }
--- a/crates/sedgepathd/examples/demo.rs
+++ b/crates/sedgepathd/examples/demo.rs
@@ -24,7 +24,7 @@
 use sedgepath_test_support::daemon::Signal;
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use sedgepath_test_support::system::{DaemonCluster, SECRET};
-use sedgepath_test_support::upstream::{UpstreamFigures, UpstreamStandIn};
+use sedgepath_test_support::upstream::{UpstreamConfig, UpstreamStandIn};
 
 /// The time after the start during which callers send requests.
 const TRAFFIC_DURATION: Duration = Duration::from_secs(24);
@@ -120,7 +120,7 @@
 fn start_upstreams() -> Result<Vec<Vec<UpstreamStandIn>>, Box<dyn Error>> {
     let mut upstreams = Vec::new();
     for _ in DOMAINS {
-        let figures = UpstreamFigures::new(4).with_service_ms(8);
+        let figures = UpstreamConfig::new(4).with_service_ms(8);
         upstreams.push(vec![UpstreamStandIn::new(figures)?, UpstreamStandIn::new(figures)?]);
     }
     Ok(upstreams)
--- a/crates/sedgepathd/examples/slopes/daemon.rs
+++ b/crates/sedgepathd/examples/slopes/daemon.rs
@@ -10,7 +10,7 @@
 use sedgepath_test_support::caller::{Call, Caller, Outcome};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use sedgepath_test_support::system::DaemonCluster;
-use sedgepath_test_support::upstream::{UpstreamFigures, UpstreamStandIn};
+use sedgepath_test_support::upstream::{UpstreamConfig, UpstreamStandIn};
 
 /// The time over which the CPU time of an idle daemon is measured.
 const IDLE_DURATION: Duration = Duration::from_secs(10);
@@ -26,7 +26,7 @@
 
 /// Prints the daemon's resource usage and the latency of each path.
 pub fn measure() -> Result<(), Box<dyn Error>> {
-    let upstream = UpstreamStandIn::new(UpstreamFigures::new(64))?;
+    let upstream = UpstreamStandIn::new(UpstreamConfig::new(64))?;
     let spec = UpstreamSpec::new("b1", "south-a", 64).with_address(upstream.addr());
     let records = records::one_service("browse", 5_000, &[spec], &["south-a"]);
     let system = DaemonCluster::new(&std::env::current_exe()?)?
--- a/crates/sedgepathd/tests/callers.rs
+++ b/crates/sedgepathd/tests/callers.rs
@@ -9,7 +9,7 @@
 use sedgepath_test_support::caller::{Call, CallFailure, Caller, Outcome};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use sedgepath_test_support::system::DaemonCluster;
-use sedgepath_test_support::upstream::{Behaviour, UpstreamFigures, UpstreamStandIn};
+use sedgepath_test_support::upstream::{Behaviour, UpstreamConfig, UpstreamStandIn};
 
 /// One daemon with short limits, and one upstream.
 struct TestSystem {
@@ -20,7 +20,7 @@
 
 impl TestSystem {
     fn new() -> Self {
-        let upstream = UpstreamStandIn::new(UpstreamFigures::new(8)).expect("upstream");
+        let upstream = UpstreamStandIn::new(UpstreamConfig::new(8)).expect("upstream");
         let spec = UpstreamSpec::new("b1", "south-a", 8).with_address(upstream.addr());
         let records = records::one_service("browse", 5_000, &[spec], &["south-a"]);
         let system = DaemonCluster::new(Path::new(env!("CARGO_BIN_EXE_sedgepathd")))
--- a/crates/sedgepathd/tests/faults.rs
+++ b/crates/sedgepathd/tests/faults.rs
@@ -15,7 +15,7 @@
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use sedgepath_test_support::store::StoreMode;
 use sedgepath_test_support::system::DaemonCluster;
-use sedgepath_test_support::upstream::{UpstreamFigures, UpstreamStandIn};
+use sedgepath_test_support::upstream::{UpstreamConfig, UpstreamStandIn};
 
 const SLOTS: u32 = 3;
 
@@ -33,7 +33,7 @@
 
 impl FaultSystem {
     fn new() -> Self {
-        let figures = UpstreamFigures::new(SLOTS).with_service_ms(30);
+        let figures = UpstreamConfig::new(SLOTS).with_service_ms(30);
         let upstreams: Vec<_> =
             (0..4).map(|_| UpstreamStandIn::new(figures).expect("upstream")).collect();
         let link = |upstream: &UpstreamStandIn| CuttableLink::new(upstream.addr()).expect("link");
--- a/crates/sedgepathd/tests/once.rs
+++ b/crates/sedgepathd/tests/once.rs
@@ -9,7 +9,7 @@
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use sedgepath_test_support::store::StoreMode;
 use sedgepath_test_support::system::DaemonCluster;
-use sedgepath_test_support::upstream::{Behaviour, UpstreamFigures, UpstreamStandIn};
+use sedgepath_test_support::upstream::{Behaviour, UpstreamConfig, UpstreamStandIn};
 use serde_json::Value;
 
 /// The part of a response that the tests check.
@@ -29,7 +29,7 @@
 
 impl DaemonPair {
     fn new() -> Self {
-        let upstream = || UpstreamStandIn::new(UpstreamFigures::new(8)).expect("upstream");
+        let upstream = || UpstreamStandIn::new(UpstreamConfig::new(8)).expect("upstream");
         let upstreams = [upstream(), upstream()];
         let specs = [
             UpstreamSpec::new("d1", "north-a", 8).with_address(upstreams[0].addr()),
--- a/crates/sedgepathd/tests/path.rs
+++ b/crates/sedgepathd/tests/path.rs
@@ -6,13 +6,13 @@
 use sedgepath_test_support::caller::{Call, Caller, Outcome};
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use sedgepath_test_support::system::DaemonCluster;
-use sedgepath_test_support::upstream::{UpstreamFigures, UpstreamStandIn};
+use sedgepath_test_support::upstream::{UpstreamConfig, UpstreamStandIn};
 
 /// Guards against a request that is lost, changed or run twice when the daemon that accepts it has
 /// no upstream in its own failure domain and forwards it to another daemon.
 #[test]
 fn a_request_is_forwarded_to_another_daemon_and_answered() {
-    let upstream = UpstreamStandIn::new(UpstreamFigures::new(4)).expect("upstream");
+    let upstream = UpstreamStandIn::new(UpstreamConfig::new(4)).expect("upstream");
     let spec = UpstreamSpec::new("b1", "south-a", 4).with_address(upstream.addr());
     let records = records::one_service("browse", 5_000, &[spec], &["south-a"]);
     let system = DaemonCluster::new(Path::new(env!("CARGO_BIN_EXE_sedgepathd"))).expect("platform");
--- a/crates/sedgepathd/tests/stop.rs
+++ b/crates/sedgepathd/tests/stop.rs
@@ -9,7 +9,7 @@
 use sedgepath_test_support::daemon::Signal;
 use sedgepath_test_support::records::{self, UpstreamSpec};
 use sedgepath_test_support::system::DaemonCluster;
-use sedgepath_test_support::upstream::{Behaviour, UpstreamFigures, UpstreamStandIn};
+use sedgepath_test_support::upstream::{Behaviour, UpstreamConfig, UpstreamStandIn};
 
 const ANSWERED: Outcome = Outcome::Answered { status: 200 };
 
@@ -24,7 +24,7 @@
 /// Stops one of two daemons while slow requests are in flight through both, and checks that these
 /// and new requests are answered and that the stopped process exits with success.
 fn stop_under_load(stopped: usize) {
-    let upstream = UpstreamStandIn::new(UpstreamFigures::new(40)).expect("upstream");
+    let upstream = UpstreamStandIn::new(UpstreamConfig::new(40)).expect("upstream");
     let spec = UpstreamSpec::new("b1", "south-a", 40).with_address(upstream.addr());
     let records = records::one_service("browse", 10_000, &[spec], &["south-a"]);
     let system = DaemonCluster::new(Path::new(env!("CARGO_BIN_EXE_sedgepathd"))).expect("platform");
