--- a/crates/sedgepath-core/examples/membership_bytes.rs
+++ b/crates/sedgepath-core/examples/membership_bytes.rs
@@ -4,7 +4,7 @@
 //!
 //! `cargo run --release -p sedgepath-core --example membership_bytes`
 
-use sedgepath_test_support::vm_net::VmNet;
+use sedgepath_test_support::vm_net::VmNetwork;
 
 const DOMAINS: usize = 9;
 
@@ -20,7 +20,7 @@
     println!("| VMs | in domains | in regions | between regions | a VM, mean / busiest |");
     println!("| --- | --- | --- | --- | --- |");
     for vms in VMS_PER_DOMAIN {
-        let mut net = VmNet::running(DOMAINS, vms, 13);
+        let mut net = VmNetwork::running(DOMAINS, vms, 13);
         net.run_for(SETTLE_MS);
         let (before, by_vm_before) = (net.sent_bytes, net.sent_bytes_by_vm.clone());
         net.run_for(MEASURED_S * 1_000);
--- a/crates/sedgepath-core/tests/fuzz_tiers.rs
+++ b/crates/sedgepath-core/tests/fuzz_tiers.rs
@@ -11,7 +11,7 @@
 
 use fuzz_support::config;
 use proptest::prelude::*;
-use sedgepath_test_support::vm_net::VmNet;
+use sedgepath_test_support::vm_net::VmNetwork;
 
 /// The time after the last fault within which all VMs must agree, in milliseconds: the limit on
 /// silence plus the relay of a summary.
@@ -62,9 +62,9 @@
 }
 
 /// Applies a fault and returns the time for which it suspends VMs, in milliseconds.
-fn apply(net: &mut VmNet, fault: &Fault) -> u64 {
+fn apply(net: &mut VmNetwork, fault: &Fault) -> u64 {
     let all: Vec<usize> = (0..VMS).collect();
-    let is_stopped = |net: &VmNet, vm: usize| !net.running_vms().contains(&vm);
+    let is_stopped = |net: &VmNetwork, vm: usize| !net.running_vms().contains(&vm);
     match fault {
         Fault::Kill(vms) => net.kill(&vms.iter().copied().collect::<Vec<_>>()),
         Fault::KillDomain(domain) => net.kill(&net.vms_in_domain(*domain)),
@@ -96,7 +96,7 @@
 
 /// Applies faults to running VMs, and checks which VMs they name during and after the faults.
 fn run(seed: u64, faults: &[Fault]) -> Result<(), TestCaseError> {
-    let mut net = VmNet::running(DOMAINS, VMS_PER_DOMAIN, seed);
+    let mut net = VmNetwork::running(DOMAINS, VMS_PER_DOMAIN, seed);
     let mut dead_since_ms = [u64::MAX; VMS];
     let mut suspended_until_ms = 0;
     for fault in faults {
--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -52,7 +52,7 @@
 
 /// VMs and a simulated network between them.
 #[derive(Debug)]
-pub struct VmNet {
+pub struct VmNetwork {
     per_domain: usize,
     now_ms: u64,
     rng: Rng,
@@ -71,7 +71,7 @@
     pub sent_bytes_by_vm: Vec<u64>,
 }
 
-impl VmNet {
+impl VmNetwork {
     /// Creates a network without running VMs.
     pub fn new(domains: usize, per_domain: usize, seed: u64) -> Self {
         let count = domains * per_domain;
