--- a/crates/sedgepath-test-support/src/vm_net.rs
+++ b/crates/sedgepath-test-support/src/vm_net.rs
@@ -28,7 +28,7 @@
 
 /// Bytes sent, by the distance between sender and receiver.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct Sent {
+pub struct SentBytes {
     /// Bytes sent within failure domains.
     pub in_domain: u64,
     /// Bytes sent between failure domains of one region.
@@ -66,7 +66,7 @@
     /// The fraction of datagrams that are lost.
     pub loss_rate: f64,
     /// The bytes sent by all VMs, including those of lost datagrams.
-    pub sent_bytes: Sent,
+    pub sent_bytes: SentBytes,
     /// The bytes sent by each VM.
     pub sent_bytes_by_vm: Vec<u64>,
 }
@@ -88,7 +88,7 @@
             last_timestamp_ms: 0,
             cut: Set::default(),
             loss_rate: 0.0,
-            sent_bytes: Sent::default(),
+            sent_bytes: SentBytes::default(),
             sent_bytes_by_vm: vec![0; count],
         }
     }
