--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -5,7 +5,9 @@
     Attempt, AttemptOutcome, NextStep, RejectionReason, RequestState,
 };
 use sedgepath_core::direct::upstreams::LoadReport;
-use sedgepath_test_support::direct::{COLD_PER_S, begin, earning_vm, heartbeat, serving_vm, vm};
+use sedgepath_test_support::direct::{
+    COLD_PER_S, begin_request, earning_vm, heartbeat, serving_vm, vm,
+};
 
 const SUCCESS: AttemptOutcome =
     AttemptOutcome::Answered { failed: false, report: None, body_bytes: 100 };
@@ -27,7 +29,7 @@
 fn a_non_idempotent_request_that_may_have_run_is_not_retried() {
     for outcome in [AttemptOutcome::Failed, AttemptOutcome::TimedOut, ERROR] {
         let mut vm = earning_vm("a1", "north-a", 1, 2);
-        let mut request = begin(&mut vm, "/charges/1", "x", 0);
+        let mut request = begin_request(&mut vm, "/charges/1", "x", 0);
         let attempt = send(&mut vm, &mut request, 0);
         vm.record_outcome(&mut request, attempt.upstream, outcome, 10);
 
@@ -46,7 +48,7 @@
 fn a_request_that_did_not_run_is_retried_at_another_upstream() {
     for outcome in [REJECTION, AttemptOutcome::Misdirected, AttemptOutcome::Unreachable] {
         let mut vm = earning_vm("a1", "north-a", 1, 2);
-        let mut request = begin(&mut vm, "/charges/1", "x", 0);
+        let mut request = begin_request(&mut vm, "/charges/1", "x", 0);
         let first = send(&mut vm, &mut request, 0);
         vm.record_outcome(&mut request, first.upstream, outcome, 10);
 
@@ -60,7 +62,7 @@
 #[test]
 fn an_idempotent_request_gets_at_most_the_routes_attempts() {
     let mut vm = earning_vm("a1", "north-a", 1, 2);
-    let mut request = begin(&mut vm, "/reads/1", "x", 0);
+    let mut request = begin_request(&mut vm, "/reads/1", "x", 0);
     for _ in 0..2 {
         let attempt = send(&mut vm, &mut request, 0);
         vm.record_outcome(&mut request, attempt.upstream, ERROR, 10);
@@ -78,7 +80,7 @@
     vm.apply_configuration(sedgepath_test_support::direct::all_kinds(1));
     let entry = sedgepath_test_support::direct::entry("b0", "north-a", 0);
     vm.upstreams_mut().upsert(entry, "north", 0);
-    let mut request = begin(&mut vm, "/reads/1", "x", 0);
+    let mut request = begin_request(&mut vm, "/reads/1", "x", 0);
     let attempt = send(&mut vm, &mut request, 0);
     vm.record_outcome(&mut request, attempt.upstream, AttemptOutcome::Failed, 10);
 
@@ -119,7 +121,7 @@
                 continue;
             }
             requested_at_ms.push(now_ms);
-            let mut request = begin(vm, "/reads/1", &now_ms.to_string(), now_ms);
+            let mut request = begin_request(vm, "/reads/1", &now_ms.to_string(), now_ms);
             while let NextStep::Send(attempt) = vm.next_step(&mut request, 1, now_ms) {
                 if request.delivered > 0 {
                     retried_at_ms.push(now_ms);
@@ -145,7 +147,7 @@
     let mut vm = serving_vm("a1", "north-a", 1, 4);
     let mut retried_at_ms = Vec::new();
     for now_ms in (0..40_000).step_by(10) {
-        let mut request = begin(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
+        let mut request = begin_request(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
         while let NextStep::Send(attempt) = vm.next_step(&mut request, 1, now_ms) {
             if request.delivered > 0 {
                 retried_at_ms.push(now_ms);
@@ -184,7 +186,7 @@
         }
         for now_ms in (0..2_000).step_by(50) {
             requests += 1;
-            let mut request = begin(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
+            let mut request = begin_request(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
             while let NextStep::Send(attempt) = vm.next_step(&mut request, 1, now_ms) {
                 retries += u32::from(request.delivered > 0);
                 vm.record_outcome(&mut request, attempt.upstream, REJECTION, now_ms);
@@ -232,7 +234,7 @@
                 continue;
             }
             requested_at_ms.push(now_ms);
-            let mut request = begin(vm, "/reads/1", &now_ms.to_string(), now_ms);
+            let mut request = begin_request(vm, "/reads/1", &now_ms.to_string(), now_ms);
             while let NextStep::Send(attempt) = vm.next_step(&mut request, 1, now_ms) {
                 if request.delivered > 0 {
                     retried_at_ms.push(now_ms);
@@ -259,7 +261,7 @@
         callers.retain(|(_, gives_up_at_ms)| now_ms < *gives_up_at_ms);
         for (next_at_ms, _) in callers.iter_mut().filter(|(at_ms, _)| *at_ms <= now_ms) {
             requests += 1;
-            let mut request = begin(&mut vm, "/reads/1", &requests.to_string(), now_ms);
+            let mut request = begin_request(&mut vm, "/reads/1", &requests.to_string(), now_ms);
             let retry_after_ms = loop {
                 match vm.next_step(&mut request, requests, now_ms) {
                     NextStep::Send(attempt) => {
@@ -287,9 +289,9 @@
 fn one_request_reaches_at_most_three_full_upstreams() {
     let mut vm = serving_vm("a1", "north-a", 1, 4);
     for number in 0..600 {
-        begin(&mut vm, "/reads/1", &number.to_string(), 20_000);
+        begin_request(&mut vm, "/reads/1", &number.to_string(), 20_000);
     }
-    let mut request = begin(&mut vm, "/reads/1", "x", 20_000);
+    let mut request = begin_request(&mut vm, "/reads/1", "x", 20_000);
     while let NextStep::Send(attempt) = vm.next_step(&mut request, 1, 20_000) {
         vm.record_outcome(&mut request, attempt.upstream, REJECTION, 20_000);
     }
@@ -300,7 +302,7 @@
 #[test]
 fn a_request_at_an_unresponsive_upstream_is_hedged() {
     let mut vm = earning_vm("a1", "north-a", 1, 2);
-    let mut request = begin(&mut vm, "/reads/1", "x", 0);
+    let mut request = begin_request(&mut vm, "/reads/1", "x", 0);
     let first = send(&mut vm, &mut request, 0);
     let at_ms = vm.hedge_at_ms(&request).expect("no hedge is planned");
     assert!((1_000..2_000).contains(&at_ms), "at {at_ms}");
@@ -319,9 +321,9 @@
 #[test]
 fn a_request_at_a_busy_upstream_is_not_hedged() {
     let mut vm = earning_vm("a1", "north-a", 1, 2);
-    let mut request = begin(&mut vm, "/reads/1", "x", 0);
+    let mut request = begin_request(&mut vm, "/reads/1", "x", 0);
     send(&mut vm, &mut request, 0);
-    let mut other = begin(&mut vm, "/reads/1", "x", 0);
+    let mut other = begin_request(&mut vm, "/reads/1", "x", 0);
     let attempt = send(&mut vm, &mut other, 0);
     vm.record_outcome(&mut other, attempt.upstream, SUCCESS, 500);
     let at_ms = vm.hedge_at_ms(&request).expect("no hedge is planned");
@@ -333,7 +335,7 @@
 #[test]
 fn a_non_idempotent_request_is_not_hedged() {
     let mut vm = earning_vm("a1", "north-a", 1, 2);
-    let mut request = begin(&mut vm, "/charges/1", "x", 0);
+    let mut request = begin_request(&mut vm, "/charges/1", "x", 0);
     send(&mut vm, &mut request, 0);
     assert_eq!(vm.hedge_at_ms(&request), None);
 }
@@ -348,7 +350,7 @@
             vm.upstreams_mut().mark_domain_cold(domain, 2_000);
         }
         for now_ms in (started_at_ms..started_at_ms + 400).step_by(5) {
-            let mut request = begin(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
+            let mut request = begin_request(&mut vm, "/reads/1", &now_ms.to_string(), now_ms);
             if let NextStep::Send(attempt) = vm.next_step(&mut request, now_ms, now_ms) {
                 sent_to.push(attempt.name.clone());
                 vm.record_outcome(&mut request, attempt.upstream, SUCCESS, now_ms);
@@ -380,7 +382,7 @@
     let mut sent: Vec<(Box<str>, u64)> = Vec::new();
     for now_ms in (0..1_900).step_by(5) {
         for vm in &mut vms {
-            let mut request = begin(vm, "/reads/1", &now_ms.to_string(), now_ms);
+            let mut request = begin_request(vm, "/reads/1", &now_ms.to_string(), now_ms);
             if let NextStep::Send(attempt) = vm.next_step(&mut request, now_ms, now_ms) {
                 sent.push((attempt.name.clone(), now_ms));
                 vm.record_outcome(&mut request, attempt.upstream, SUCCESS, now_ms);
@@ -404,7 +406,7 @@
 #[test]
 fn hedging_counts_attempts_in_flight() {
     let mut vm = earning_vm("a1", "north-a", 1, 4);
-    let mut request = begin(&mut vm, "/reads/1", "x", 0);
+    let mut request = begin_request(&mut vm, "/reads/1", "x", 0);
     for _ in 0..2 {
         let attempt = send(&mut vm, &mut request, 0);
         vm.record_outcome(&mut request, attempt.upstream, REJECTION, 10);
--- a/crates/sedgepath-core/tests/direct_overload.rs
+++ b/crates/sedgepath-core/tests/direct_overload.rs
@@ -5,7 +5,7 @@
 use sedgepath_core::direct::Steering;
 use sedgepath_core::direct::attempts::{AttemptOutcome, NextStep, RequestState};
 use sedgepath_core::direct::upstreams::{LoadReport, UpstreamKey};
-use sedgepath_test_support::direct::{begin, entry, vm};
+use sedgepath_test_support::direct::{begin_request, entry, vm};
 
 const SLOTS: usize = 3;
 const MAX_QUEUED: usize = 9;
@@ -92,7 +92,7 @@
             continue;
         }
         let object = (now_ms % 7).to_string();
-        let mut request = begin(vm, "/reads/1", &object, now_ms);
+        let mut request = begin_request(vm, "/reads/1", &object, now_ms);
         loop {
             match vm.next_step(&mut request, 1, now_ms) {
                 NextStep::Send(attempt) => {
--- a/crates/sedgepath-core/tests/direct_placing.rs
+++ b/crates/sedgepath-core/tests/direct_placing.rs
@@ -4,13 +4,13 @@
 use sedgepath_core::direct::attempts::{AttemptOutcome, NextStep, RequestState};
 use sedgepath_core::direct::upstreams::{LoadReport, UpstreamEntry};
 use sedgepath_core::hash::{Map, Set};
-use sedgepath_test_support::direct::{all_kinds, begin, entry, serving_vm, vm};
+use sedgepath_test_support::direct::{all_kinds, begin_request, entry, serving_vm, vm};
 
 const OBJECTS: usize = 60;
 
 /// Sends a request for an object, and returns it with the name of the chosen upstream.
 fn send(vm: &mut Steering, path: &str, object: usize, now_ms: u64) -> (RequestState, Box<str>) {
-    let mut request = begin(vm, path, &format!("object {object}"), now_ms);
+    let mut request = begin_request(vm, path, &format!("object {object}"), now_ms);
     match vm.next_step(&mut request, 1, now_ms) {
         NextStep::Send(attempt) => (request, attempt.name),
         other => panic!("not sent: {other:?}"),
@@ -155,7 +155,7 @@
     let evacuated: Set<Box<str>> =
         [Box::from("south-a"), Box::from("south-b")].into_iter().collect();
     vm.set_evacuated_domains(evacuated, 0);
-    let mut request = begin(&mut vm, "/reads/1", "x", 10);
+    let mut request = begin_request(&mut vm, "/reads/1", "x", 10);
     assert!(matches!(vm.next_step(&mut request, 1, 10), NextStep::Reject { .. }));
 }
 
@@ -173,7 +173,7 @@
     }
     let mut in_flight = Vec::new();
     for object in 0..200 {
-        let mut request = begin(&mut vm, "/reads/1", &object.to_string(), 0);
+        let mut request = begin_request(&mut vm, "/reads/1", &object.to_string(), 0);
         if matches!(vm.next_step(&mut request, object, 0), NextStep::Send(_)) {
             in_flight.push(request);
         }
@@ -195,7 +195,7 @@
     let mut expected_ms = 0;
     for round in 0..300 {
         let now_ms = round * 1_000;
-        let mut request = begin(&mut vm, "/reads/1", "object", now_ms);
+        let mut request = begin_request(&mut vm, "/reads/1", "object", now_ms);
         let NextStep::Send(attempt) = vm.next_step(&mut request, 1, now_ms) else {
             panic!("not sent")
         };
@@ -230,7 +230,7 @@
             vm.record_outcome(&mut request, key, success, now_ms);
         }
         let object = rng.u64(..30);
-        let mut request = begin(&mut vm, "/reads/1", &object.to_string(), now_ms);
+        let mut request = begin_request(&mut vm, "/reads/1", &object.to_string(), now_ms);
         let NextStep::Send(attempt) = vm.next_step(&mut request, 1, now_ms) else { continue };
         let cache = caches.entry(attempt.name.clone()).or_default();
         let took_ms = if cache.contains(&object) { CACHED_MS } else { UNCACHED_MS };
--- a/crates/sedgepath-core/tests/direct_routing.rs
+++ b/crates/sedgepath-core/tests/direct_routing.rs
@@ -3,7 +3,7 @@
 use sedgepath_core::direct::attempts::RejectionReason;
 use sedgepath_core::direct::routing::{RouteKind, WeightedRoundRobin, WeightedService};
 use sedgepath_core::direct::steering::IncomingRequest;
-use sedgepath_test_support::direct::{HOST, begin, configuration, route, serving_vm, vm};
+use sedgepath_test_support::direct::{HOST, begin_request, configuration, route, serving_vm, vm};
 
 fn request_for(path: &str) -> IncomingRequest<'_> {
     IncomingRequest { host: HOST, path, time_left_ms: Some(1_000), object: None }
@@ -52,7 +52,7 @@
     let incoming = IncomingRequest { time_left_ms: Some(60_000), ..request_for("/reads/1") };
     let request = vm.begin_request(incoming, 100).expect("the request was rejected");
     assert_eq!(request.deadline_at_ms, 3_100);
-    assert_eq!(begin(&mut vm, "/reads/1", "x", 5).deadline_at_ms, 3_005);
+    assert_eq!(begin_request(&mut vm, "/reads/1", "x", 5).deadline_at_ms, 3_005);
 }
 
 /// Guards against services that deviate from their weights, and against spreading an object's requests
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -6,7 +6,7 @@
 use sedgepath_core::direct::vms::StoreHealth;
 use sedgepath_core::hash::Set;
 use sedgepath_test_support::direct::{
-    COLD_START_MS, all_kinds, begin, entry, heartbeat, serving_vm, vm,
+    COLD_START_MS, all_kinds, begin_request, entry, heartbeat, serving_vm, vm,
 };
 
 /// Returns a VM with one upstream, `b0`.
@@ -19,7 +19,7 @@
 
 /// Returns the upstream that a request for an object would be sent to.
 fn selected_upstream(vm: &mut Steering, object: &str, now_ms: u64) -> Option<Box<str>> {
-    let mut request = begin(vm, "/reads/1", object, now_ms);
+    let mut request = begin_request(vm, "/reads/1", object, now_ms);
     let step = vm.next_step(&mut request, 1, now_ms);
     vm.cancel_request(&mut request, now_ms);
     match step {
@@ -160,7 +160,7 @@
 #[test]
 fn an_upstream_whose_address_was_taken_over_is_removed() {
     let mut vm = vm_with_one_upstream();
-    let mut request = begin(&mut vm, "/charges/1", "x", 0);
+    let mut request = begin_request(&mut vm, "/charges/1", "x", 0);
     let NextStep::Send(attempt) = vm.next_step(&mut request, 1, 0) else { panic!("not sent") };
 
     vm.record_outcome(&mut request, attempt.upstream, AttemptOutcome::Misdirected, 10);
@@ -201,10 +201,10 @@
 #[test]
 fn an_upstream_that_is_reachable_again_counts_as_cold() {
     let mut vm = vm_with_one_upstream();
-    let mut request = begin(&mut vm, "/reads/1", "x", 0);
+    let mut request = begin_request(&mut vm, "/reads/1", "x", 0);
     let NextStep::Send(attempt) = vm.next_step(&mut request, 1, 0) else { panic!("not sent") };
     vm.record_outcome(&mut request, attempt.upstream, AttemptOutcome::Unreachable, 10);
-    let mut request = begin(&mut vm, "/reads/1", "x", 2_000);
+    let mut request = begin_request(&mut vm, "/reads/1", "x", 2_000);
     let NextStep::Send(attempt) = vm.next_step(&mut request, 1, 2_000) else { panic!("not sent") };
     let success = AttemptOutcome::Answered { failed: false, report: None, body_bytes: 1 };
     vm.record_outcome(&mut request, attempt.upstream, success, 2_100);
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -163,7 +163,7 @@
 pub fn earning_vm(name: &str, domain: &str, number: u8, per_domain: u8) -> Steering {
     let mut vm = serving_vm(name, domain, number, per_domain);
     for number in 0..50 {
-        begin(&mut vm, "/reads/1", &number.to_string(), 0);
+        begin_request(&mut vm, "/reads/1", &number.to_string(), 0);
     }
     vm
 }
@@ -173,7 +173,7 @@
 /// # Panics
 ///
 /// Panics if the VM rejects the request.
-pub fn begin(vm: &mut Steering, path: &str, object: &str, now_ms: u64) -> RequestState {
+pub fn begin_request(vm: &mut Steering, path: &str, object: &str, now_ms: u64) -> RequestState {
     let incoming =
         IncomingRequest { host: HOST, path, time_left_ms: Some(3_000), object: Some(object) };
     vm.begin_request(incoming, now_ms).expect("the VM should accept the request")
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -13,7 +13,7 @@
 use sedgepath_core::direct::attempts::{Attempt, AttemptOutcome, NextStep, RequestState};
 use sedgepath_core::direct::upstreams::LoadReport;
 
-use crate::direct::{HEARTBEAT_MS, begin, heartbeat, serving_vm};
+use crate::direct::{HEARTBEAT_MS, begin_request, heartbeat, serving_vm};
 
 /// The number of retries per request that all VMs together may send.
 pub const RETRY_BUDGET_RATIO: f64 = 0.2;
@@ -377,7 +377,7 @@
             return;
         };
         let object = self.rng.u64(0..50).to_string();
-        let state = begin(steering, "/reads/1", &object, self.now_ms);
+        let state = begin_request(steering, "/reads/1", &object, self.now_ms);
         let process = entry.process;
         self.requests.push(Some(CallerRequest {
             vm,
