--- a/crates/sedgepath-core/tests/direct_overload.rs
+++ b/crates/sedgepath-core/tests/direct_overload.rs
@@ -5,7 +5,7 @@
 use sedgepath_core::direct::Steering;
 use sedgepath_core::direct::attempts::{AttemptOutcome, NextStep, RequestState};
 use sedgepath_core::direct::upstreams::{LoadReport, UpstreamKey};
-use sedgepath_test_support::direct::{begin_request, entry, vm};
+use sedgepath_test_support::direct::{begin_request, upstream_entry, vm};
 
 const SLOTS: usize = 3;
 const MAX_QUEUED: usize = 9;
@@ -122,7 +122,7 @@
     let mut vm = vm("a1", "north-a", 1);
     vm.apply_configuration(sedgepath_test_support::direct::all_kinds(1));
     for (number, name) in (0..).zip(["b0", "b1"]) {
-        vm.upstreams_mut().upsert(entry(name, "north-a", number), "north", 0);
+        vm.upstreams_mut().upsert(upstream_entry(name, "north-a", number), "north", 0);
     }
     vm
 }
--- a/crates/sedgepath-core/tests/direct_placing.rs
+++ b/crates/sedgepath-core/tests/direct_placing.rs
@@ -4,7 +4,7 @@
 use sedgepath_core::direct::attempts::{AttemptOutcome, NextStep, RequestState};
 use sedgepath_core::direct::upstreams::{LoadReport, UpstreamEntry};
 use sedgepath_core::hash::{Map, Set};
-use sedgepath_test_support::direct::{all_kinds, begin_request, entry, serving_vm, vm};
+use sedgepath_test_support::direct::{all_kinds, begin_request, serving_vm, upstream_entry, vm};
 
 const OBJECTS: usize = 60;
 
@@ -42,7 +42,7 @@
 fn a_leaving_upstream_moves_only_its_own_objects() {
     let mut vm = serving_vm("a1", "north-a", 1, 3);
     let before = first_ranked(&mut vm, "/reads/1");
-    let mut leaving = entry("b4", "north-b", 4);
+    let mut leaving = upstream_entry("b4", "north-b", 4);
     leaving.leaving = true;
     leaving.sequence = 2;
     vm.upstreams_mut().upsert(leaving, "north", 0);
@@ -165,7 +165,8 @@
     use sedgepath_test_support::direct::heartbeat;
     let mut vm = serving_vm("a1", "north-a", 1, 0);
     for number in 0..4 {
-        let entry = UpstreamEntry { slots: 50, ..entry(&format!("b{number}"), "north-a", number) };
+        let entry =
+            UpstreamEntry { slots: 50, ..upstream_entry(&format!("b{number}"), "north-a", number) };
         vm.upstreams_mut().upsert(entry, "north", 0);
     }
     for number in 2..=10 {
@@ -187,7 +188,7 @@
 fn network_time_is_not_counted_as_work() {
     let mut vm = vm("a1", "north-a", 1);
     vm.apply_configuration(all_kinds(1));
-    vm.upstreams_mut().upsert(entry("b0", "south-a", 0), "south", 0);
+    vm.upstreams_mut().upsert(upstream_entry("b0", "south-a", 0), "south", 0);
     let key = vm.upstreams().of_service("browse")[0];
     for _ in 0..100 {
         vm.record_connect_time(key, 100);
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -6,14 +6,14 @@
 use sedgepath_core::direct::vms::StoreHealth;
 use sedgepath_core::hash::Set;
 use sedgepath_test_support::direct::{
-    COLD_START_MS, all_kinds, begin_request, entry, heartbeat, serving_vm, vm,
+    COLD_START_MS, all_kinds, begin_request, heartbeat, serving_vm, upstream_entry, vm,
 };
 
 /// Returns a VM with one upstream, `b0`.
 fn vm_with_one_upstream() -> Steering {
     let mut vm = vm("a1", "north-a", 1);
     vm.apply_configuration(all_kinds(1));
-    vm.upstreams_mut().upsert(entry("b0", "north-a", 0), "north", 0);
+    vm.upstreams_mut().upsert(upstream_entry("b0", "north-a", 0), "north", 0);
     vm
 }
 
@@ -32,7 +32,7 @@
 #[test]
 fn a_leaving_upstream_gets_no_new_requests() {
     let mut vm = vm_with_one_upstream();
-    let mut leaving = entry("b0", "north-a", 0);
+    let mut leaving = upstream_entry("b0", "north-a", 0);
     leaving.leaving = true;
     leaving.sequence = 2;
 
@@ -46,11 +46,11 @@
 #[test]
 fn a_delayed_entry_does_not_restore_a_leaving_upstream() {
     let mut vm = vm_with_one_upstream();
-    let mut leaving = entry("b0", "north-a", 0);
+    let mut leaving = upstream_entry("b0", "north-a", 0);
     leaving.leaving = true;
     leaving.sequence = 9;
     vm.upstreams_mut().upsert(leaving, "north", 100);
-    let mut delayed = entry("b0", "north-a", 0);
+    let mut delayed = upstream_entry("b0", "north-a", 0);
     delayed.sequence = 8;
 
     vm.upstreams_mut().upsert(delayed, "north", 200);
@@ -63,11 +63,11 @@
 fn a_restart_under_the_same_name_is_a_new_upstream() {
     let mut vm = vm("a1", "north-a", 1);
     vm.apply_configuration(all_kinds(1));
-    let mut first = entry("b0", "north-a", 0);
+    let mut first = upstream_entry("b0", "north-a", 0);
     first.sequence = 40;
     first.started_at_ms = Some(1_000);
     vm.upstreams_mut().upsert(first, "north", 0);
-    let mut second = entry("b0", "north-a", 0);
+    let mut second = upstream_entry("b0", "north-a", 0);
     second.started_at_ms = Some(9_000);
     second.cold_remaining_ms = COLD_START_MS;
 
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -127,7 +127,7 @@
 }
 
 /// Returns the table entry of an upstream of [`SERVICE`] with three slots.
-pub fn entry(name: &str, domain: &str, number: u8) -> UpstreamEntry {
+pub fn upstream_entry(name: &str, domain: &str, number: u8) -> UpstreamEntry {
     UpstreamEntry {
         name: name.into(),
         service: SERVICE.into(),
@@ -152,7 +152,7 @@
     let mut next = 0;
     for (domain, region) in DOMAINS {
         for _ in 0..per_domain {
-            vm.upstreams_mut().upsert(entry(&format!("b{next}"), domain, next), region, 0);
+            vm.upstreams_mut().upsert(upstream_entry(&format!("b{next}"), domain, next), region, 0);
             next += 1;
         }
     }
