--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -143,11 +143,11 @@
 
 /// Returns a VM with a configuration and `per_domain` upstreams in each failure domain.
 pub fn serving_vm(name: &str, domain: &str, number: u8, per_domain: u8) -> Steering {
-    serving(vm(name, domain, number), per_domain)
+    with_upstreams(vm(name, domain, number), per_domain)
 }
 
 /// Adds a configuration and `per_domain` upstreams in each failure domain, `b0` and up, to a VM.
-pub fn serving(mut vm: Steering, per_domain: u8) -> Steering {
+pub fn with_upstreams(mut vm: Steering, per_domain: u8) -> Steering {
     vm.apply_configuration(all_kinds(1));
     let mut next = 0;
     for (domain, region) in DOMAINS {
