--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -6,7 +6,7 @@
 };
 use sedgepath_core::direct::upstreams::LoadReport;
 use sedgepath_test_support::direct::{
-    COLD_PER_S, begin_request, earning_vm, heartbeat, serving_vm, vm,
+    COLD_PER_S, begin_request, heartbeat, serving_vm, vm, vm_with_retry_budget,
 };
 
 const SUCCESS: AttemptOutcome =
@@ -28,7 +28,7 @@
 #[test]
 fn a_non_idempotent_request_that_may_have_run_is_not_retried() {
     for outcome in [AttemptOutcome::Failed, AttemptOutcome::TimedOut, ERROR] {
-        let mut vm = earning_vm("a1", "north-a", 1, 2);
+        let mut vm = vm_with_retry_budget("a1", "north-a", 1, 2);
         let mut request = begin_request(&mut vm, "/charges/1", "x", 0);
         let attempt = send(&mut vm, &mut request, 0);
         vm.record_outcome(&mut request, attempt.upstream, outcome, 10);
@@ -47,7 +47,7 @@
 #[test]
 fn a_request_that_did_not_run_is_retried_at_another_upstream() {
     for outcome in [REJECTION, AttemptOutcome::Misdirected, AttemptOutcome::Unreachable] {
-        let mut vm = earning_vm("a1", "north-a", 1, 2);
+        let mut vm = vm_with_retry_budget("a1", "north-a", 1, 2);
         let mut request = begin_request(&mut vm, "/charges/1", "x", 0);
         let first = send(&mut vm, &mut request, 0);
         vm.record_outcome(&mut request, first.upstream, outcome, 10);
@@ -61,7 +61,7 @@
 /// Guards against more attempts for an idempotent request than its route allows.
 #[test]
 fn an_idempotent_request_gets_at_most_the_routes_attempts() {
-    let mut vm = earning_vm("a1", "north-a", 1, 2);
+    let mut vm = vm_with_retry_budget("a1", "north-a", 1, 2);
     let mut request = begin_request(&mut vm, "/reads/1", "x", 0);
     for _ in 0..2 {
         let attempt = send(&mut vm, &mut request, 0);
@@ -249,7 +249,7 @@
 /// Guards against bypassing the retry budget by telling too many callers to retry immediately.
 #[test]
 fn only_a_share_of_callers_is_told_to_retry_immediately() {
-    let mut vm = earning_vm("a1", "north-a", 1, 4);
+    let mut vm = vm_with_retry_budget("a1", "north-a", 1, 4);
     let report = Some(LoadReport { running: 0, waiting: 0, slots: 3 });
     // The time of each caller's next attempt, and the time at which it gives up.
     let mut callers: Vec<(u64, u64)> = Vec::new();
@@ -301,7 +301,7 @@
 /// Guards against an idempotent request waiting for its deadline at an upstream that lost its power.
 #[test]
 fn a_request_at_an_unresponsive_upstream_is_hedged() {
-    let mut vm = earning_vm("a1", "north-a", 1, 2);
+    let mut vm = vm_with_retry_budget("a1", "north-a", 1, 2);
     let mut request = begin_request(&mut vm, "/reads/1", "x", 0);
     let first = send(&mut vm, &mut request, 0);
     let at_ms = vm.hedge_at_ms(&request).expect("no hedge is planned");
@@ -320,7 +320,7 @@
 /// Guards against hedging at an upstream that is only slow and responds to other requests.
 #[test]
 fn a_request_at_a_busy_upstream_is_not_hedged() {
-    let mut vm = earning_vm("a1", "north-a", 1, 2);
+    let mut vm = vm_with_retry_budget("a1", "north-a", 1, 2);
     let mut request = begin_request(&mut vm, "/reads/1", "x", 0);
     send(&mut vm, &mut request, 0);
     let mut other = begin_request(&mut vm, "/reads/1", "x", 0);
@@ -334,7 +334,7 @@
 /// Guards against a non-idempotent request running at two upstreams.
 #[test]
 fn a_non_idempotent_request_is_not_hedged() {
-    let mut vm = earning_vm("a1", "north-a", 1, 2);
+    let mut vm = vm_with_retry_budget("a1", "north-a", 1, 2);
     let mut request = begin_request(&mut vm, "/charges/1", "x", 0);
     send(&mut vm, &mut request, 0);
     assert_eq!(vm.hedge_at_ms(&request), None);
@@ -405,7 +405,7 @@
 /// Guards against a request with an attempt in flight reaching a fourth upstream.
 #[test]
 fn hedging_counts_attempts_in_flight() {
-    let mut vm = earning_vm("a1", "north-a", 1, 4);
+    let mut vm = vm_with_retry_budget("a1", "north-a", 1, 4);
     let mut request = begin_request(&mut vm, "/reads/1", "x", 0);
     for _ in 0..2 {
         let attempt = send(&mut vm, &mut request, 0);
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -160,7 +160,7 @@
 }
 
 /// Returns a [`serving_vm`] whose earlier requests have earned retry budget.
-pub fn earning_vm(name: &str, domain: &str, number: u8, per_domain: u8) -> Steering {
+pub fn vm_with_retry_budget(name: &str, domain: &str, number: u8, per_domain: u8) -> Steering {
     let mut vm = serving_vm(name, domain, number, per_domain);
     for number in 0..50 {
         begin_request(&mut vm, "/reads/1", &number.to_string(), 0);
