--- a/crates/sedgepath-core/tests/direct_attempts.rs
+++ b/crates/sedgepath-core/tests/direct_attempts.rs
@@ -77,7 +77,7 @@
 #[test]
 fn a_request_that_may_have_run_is_never_rejected() {
     let mut vm = vm("a1", "north-a", 1);
-    vm.apply_configuration(sedgepath_test_support::direct::all_kinds(1));
+    vm.apply_configuration(sedgepath_test_support::direct::configuration_of_all_kinds(1));
     let entry = sedgepath_test_support::direct::upstream_entry("b0", "north-a", 0);
     vm.upstreams_mut().upsert(entry, "north", 0);
     let mut request = begin_request(&mut vm, "/reads/1", "x", 0);
--- a/crates/sedgepath-core/tests/direct_overload.rs
+++ b/crates/sedgepath-core/tests/direct_overload.rs
@@ -120,7 +120,7 @@
 
 fn vm_with_two_upstreams() -> Steering {
     let mut vm = vm("a1", "north-a", 1);
-    vm.apply_configuration(sedgepath_test_support::direct::all_kinds(1));
+    vm.apply_configuration(sedgepath_test_support::direct::configuration_of_all_kinds(1));
     for (number, name) in (0..).zip(["b0", "b1"]) {
         vm.upstreams_mut().upsert(upstream_entry(name, "north-a", number), "north", 0);
     }
--- a/crates/sedgepath-core/tests/direct_placing.rs
+++ b/crates/sedgepath-core/tests/direct_placing.rs
@@ -4,7 +4,9 @@
 use sedgepath_core::direct::attempts::{AttemptOutcome, NextStep, RequestState};
 use sedgepath_core::direct::upstreams::{LoadReport, UpstreamEntry};
 use sedgepath_core::hash::{Map, Set};
-use sedgepath_test_support::direct::{all_kinds, begin_request, serving_vm, upstream_entry, vm};
+use sedgepath_test_support::direct::{
+    begin_request, configuration_of_all_kinds, serving_vm, upstream_entry, vm,
+};
 
 const OBJECTS: usize = 60;
 
@@ -187,7 +189,7 @@
 #[test]
 fn network_time_is_not_counted_as_work() {
     let mut vm = vm("a1", "north-a", 1);
-    vm.apply_configuration(all_kinds(1));
+    vm.apply_configuration(configuration_of_all_kinds(1));
     vm.upstreams_mut().upsert(upstream_entry("b0", "south-a", 0), "south", 0);
     let key = vm.upstreams().of_service("browse")[0];
     for _ in 0..100 {
--- a/crates/sedgepath-core/tests/direct_upstreams.rs
+++ b/crates/sedgepath-core/tests/direct_upstreams.rs
@@ -6,13 +6,14 @@
 use sedgepath_core::direct::vms::StoreHealth;
 use sedgepath_core::hash::Set;
 use sedgepath_test_support::direct::{
-    COLD_START_MS, all_kinds, begin_request, heartbeat, serving_vm, upstream_entry, vm,
+    COLD_START_MS, begin_request, configuration_of_all_kinds, heartbeat, serving_vm,
+    upstream_entry, vm,
 };
 
 /// Returns a VM with one upstream, `b0`.
 fn vm_with_one_upstream() -> Steering {
     let mut vm = vm("a1", "north-a", 1);
-    vm.apply_configuration(all_kinds(1));
+    vm.apply_configuration(configuration_of_all_kinds(1));
     vm.upstreams_mut().upsert(upstream_entry("b0", "north-a", 0), "north", 0);
     vm
 }
@@ -62,7 +63,7 @@
 #[test]
 fn a_restart_under_the_same_name_is_a_new_upstream() {
     let mut vm = vm("a1", "north-a", 1);
-    vm.apply_configuration(all_kinds(1));
+    vm.apply_configuration(configuration_of_all_kinds(1));
     let mut first = upstream_entry("b0", "north-a", 0);
     first.sequence = 40;
     first.started_at_ms = Some(1_000);
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -121,7 +121,7 @@
 }
 
 /// Returns a configuration with one route of each kind.
-pub fn all_kinds(version: u64) -> Arc<Configuration> {
+pub fn configuration_of_all_kinds(version: u64) -> Arc<Configuration> {
     let kinds = [RouteKind::Idempotent, RouteKind::NonIdempotent, RouteKind::Download];
     configuration(version, kinds.map(route).to_vec())
 }
@@ -148,7 +148,7 @@
 
 /// Adds a configuration and `per_domain` upstreams in each failure domain, `b0` and up, to a VM.
 pub fn with_upstreams(mut vm: Steering, per_domain: u8) -> Steering {
-    vm.apply_configuration(all_kinds(1));
+    vm.apply_configuration(configuration_of_all_kinds(1));
     let mut next = 0;
     for (domain, region) in DOMAINS {
         for _ in 0..per_domain {
