--- a/crates/sedgepath-core/tests/direct_vms.rs
+++ b/crates/sedgepath-core/tests/direct_vms.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use sedgepath_core::direct::vms::{StoreHealth, VmHeartbeat, VmTable};
-use sedgepath_test_support::direct::{heartbeat, vms};
+use sedgepath_test_support::direct::{heartbeat, vm_table};
 
 /// Returns the address of a VM for callers' requests.
 fn address(number: u8) -> SocketAddr {
@@ -12,7 +12,7 @@
 
 /// Returns a VM of `north-a` that hears four others.
 fn vm_hearing_four_others() -> VmTable {
-    let mut vm = vms("a1", "north-a", 1);
+    let mut vm = vm_table("a1", "north-a", 1);
     for heartbeat in heartbeats_of_others() {
         vm.record_heartbeat(heartbeat, 0);
     }
@@ -84,7 +84,7 @@
 /// Guards against a look-up without a result.
 #[test]
 fn a_vm_that_hears_no_other_names_itself() {
-    let vm = vms("a1", "north-a", 1);
+    let vm = vm_table("a1", "north-a", 1);
     assert_eq!(vm.look_up("south-b", "south", 0), vec![address(1)]);
 }
 
@@ -94,7 +94,7 @@
     let mut first = vm_hearing_four_others();
     assert!(first.should_read_store(100));
 
-    let mut third = vms("b1", "north-b", 3);
+    let mut third = vm_table("b1", "north-b", 3);
     let mut heartbeats = heartbeats_of_others();
     heartbeats[0].state.store_health = StoreHealth::Reachable { for_ms: 5_000 };
     for heartbeat in heartbeats {
@@ -107,7 +107,7 @@
 /// Guards against no VM reading the store when it fails its regular readers.
 #[test]
 fn another_vm_takes_over_while_the_store_fails_the_readers() {
-    let mut third = vms("b1", "north-b", 3);
+    let mut third = vm_table("b1", "north-b", 3);
     for heartbeat in [heartbeat("a1", "north-a", 1), heartbeat("a2", "north-a", 2)] {
         third.record_heartbeat(heartbeat, 0);
     }
@@ -119,7 +119,7 @@
 /// Guards against changes that stay unknown for too long when all readers of the store are suspended.
 #[test]
 fn suspended_readers_are_replaced_within_a_second_and_a_half() {
-    let mut third = vms("b1", "north-b", 3);
+    let mut third = vm_table("b1", "north-b", 3);
     for mut reader in [heartbeat("a1", "north-a", 1), heartbeat("a2", "north-a", 2)] {
         reader.state.store_health = StoreHealth::Reachable { for_ms: 5_000 };
         third.record_heartbeat(reader, 10_000);
@@ -136,7 +136,7 @@
 /// Guards against a partitioned VM that relies on readers it can't hear.
 #[test]
 fn a_vm_that_hears_no_other_of_its_region_reads_the_store() {
-    let mut last = vms("z9", "north-b", 3);
+    let mut last = vm_table("z9", "north-b", 3);
     for heartbeat in heartbeats_of_others() {
         last.record_heartbeat(heartbeat, 0);
     }
@@ -147,7 +147,7 @@
 /// as silent.
 #[test]
 fn the_heartbeat_period_grows_with_the_vms_and_scales_the_silence_limit() {
-    let mut vm = vms("a1", "north-a", 1);
+    let mut vm = vm_table("a1", "north-a", 1);
     assert_eq!(vm.period_ms(), 500);
     for number in 0..200 {
         vm.add_address(SocketAddr::from(([10, 1, 0, number], 7_000)), 0);
@@ -163,7 +163,7 @@
 /// Guards against partitioned VMs that each use the others' connections to an upstream.
 #[test]
 fn silent_vms_keep_their_share_of_the_limits_for_all_vms() {
-    let mut vm = vms("a1", "north-a", 1);
+    let mut vm = vm_table("a1", "north-a", 1);
     vm.record_heartbeat(heartbeat("a2", "north-a", 2), 0);
     vm.record_heartbeat(heartbeat("b1", "north-b", 3), 0);
     assert_eq!((vm.sharing_vm_count(0), vm.max_known_vm_count()), (3, 3));
@@ -174,7 +174,7 @@
 /// Guards against reserving connections forever for VMs that no longer exist but are still in the store.
 #[test]
 fn vms_that_were_never_heard_keep_no_connections_to_upstreams() {
-    let mut vm = vms("a1", "north-a", 1);
+    let mut vm = vm_table("a1", "north-a", 1);
     vm.record_heartbeat(heartbeat("a2", "north-a", 2), 0);
     for number in 10..30 {
         vm.add_address(SocketAddr::from(([10, 0, 0, number], 7_000)), 0);
@@ -186,7 +186,7 @@
 /// Guards against a starting VM that delays callers by waiting for tables from a VM that is down.
 #[test]
 fn a_starting_vm_with_few_others_soon_reads_the_store() {
-    let mut vm = vms("a2", "north-a", 2);
+    let mut vm = vm_table("a2", "north-a", 2);
     vm.add_vm(SocketAddr::from(([10, 0, 0, 1], 7_000)), "north-a", "north", 0);
 
     assert!(!vm.should_read_store_at_start(0, 1.0, 0), "the VM doesn't wait for the first one");
@@ -196,7 +196,7 @@
 /// Guards against all VMs of a large domain reading the store when they start together.
 #[test]
 fn vms_that_start_together_let_the_first_read_the_store() {
-    let mut vm = vms("a9", "north-a", 29);
+    let mut vm = vm_table("a9", "north-a", 29);
     for number in 1..25 {
         let address = SocketAddr::from(([10, 0, 0, number], 7_000));
         vm.add_vm(address, "north-a", "north", 0);
@@ -204,7 +204,7 @@
     assert!(!vm.should_read_store_at_start(500, 0.0, 500));
     assert!(vm.should_read_store_at_start(1_200, 1.0, 1_200), "the VM waits too long");
 
-    let mut first = vms("a0", "north-a", 0);
+    let mut first = vm_table("a0", "north-a", 0);
     first.add_vm(SocketAddr::from(([10, 0, 0, 1], 7_000)), "north-a", "north", 0);
     assert!(first.should_read_store_at_start(0, 1.0, 0), "the first VM waits too");
 }
--- a/crates/sedgepath-core/tests/fuzz_peer_messages.rs
+++ b/crates/sedgepath-core/tests/fuzz_peer_messages.rs
@@ -13,7 +13,7 @@
 use sedgepath_core::direct::vms::{
     DomainMember, DomainSummary, RelayedSummary, StoreHealth, SummaryUpdate, VmTable,
 };
-use sedgepath_test_support::direct::{heartbeat, vms};
+use sedgepath_test_support::direct::{heartbeat, vm_table};
 
 const NOW_MS: u64 = 1_000;
 
@@ -81,7 +81,7 @@
         corruptions in prop::collection::vec((0..3_usize, any::<u16>(), any::<u8>()), 1..8),
         later_ms in 0..60_000_u64,
     ) {
-        let mut vm = vms("a1", "north-a", 1);
+        let mut vm = vm_table("a1", "north-a", 1);
         for (message_index, offset, byte) in corruptions {
             let mut bytes =
                 postcard::to_stdvec(&messages()[message_index]).expect("the message serializes");
@@ -102,7 +102,7 @@
 /// Guards against overflow on extreme times in a message.
 #[test]
 fn extreme_times_do_not_overflow() {
-    let mut vm = vms("a1", "north-a", 1);
+    let mut vm = vm_table("a1", "north-a", 1);
     let mut summary = summary();
     summary.period_ms = u64::MAX;
     summary.store_health = StoreHealth::Reachable { for_ms: u64::MAX };
--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -62,7 +62,7 @@
 };
 
 /// Returns the membership table of a VM that knows no other VM.
-pub fn vms(name: &str, domain: &str, number: u8) -> VmTable {
+pub fn vm_table(name: &str, domain: &str, number: u8) -> VmTable {
     VmTable::new(heartbeat(name, domain, number), TIMING)
 }
 
@@ -77,7 +77,7 @@
         regions,
     };
     let budget = RetryBudgetLimits { ratio: 0.2, slack: 60.0, window_ms: 10_000 };
-    Steering::new(location, OperatorLimits { budget }, vms(name, domain, number))
+    Steering::new(location, OperatorLimits { budget }, vm_table(name, domain, number))
 }
 
 /// Returns a route of this kind, under the prefix `/reads/`, `/charges/` or `/packs/`.
