--- a/crates/sedgepath-test-support/src/direct.rs
+++ b/crates/sedgepath-test-support/src/direct.rs
@@ -31,7 +31,7 @@
 pub const COLD_PER_S: f64 = 4.0;
 
 /// Returns the region of a failure domain, or `elsewhere` for one that isn't in [`DOMAINS`].
-pub fn region(domain: &str) -> &'static str {
+pub fn region_of(domain: &str) -> &'static str {
     DOMAINS.iter().find(|(name, _)| *name == domain).map_or("elsewhere", |(_, region)| region)
 }
 
@@ -41,7 +41,7 @@
     let descriptor = VmDescriptor {
         name: name.into(),
         domain: domain.into(),
-        region: region(domain).into(),
+        region: region_of(domain).into(),
         caller_address: address(80),
         peer_address: address(7_000),
     };
@@ -73,7 +73,7 @@
     let location = VmLocation {
         name: name.into(),
         domain: domain.into(),
-        region: region(domain).into(),
+        region: region_of(domain).into(),
         regions,
     };
     let budget = RetryBudgetLimits { ratio: 0.2, slack: 60.0, window_ms: 10_000 };
