--- a/crates/sedgepath-test-support/src/daemon.rs
+++ b/crates/sedgepath-test-support/src/daemon.rs
@@ -96,7 +96,7 @@
         let mut command = Command::new(binary);
         command.arg(SETTINGS_OPTION).arg(&file);
         command.stdin(Stdio::null()).stdout(output.try_clone()?).stderr(output);
-        let child = port::start(&mut command)?;
+        let child = port::spawn(&mut command)?;
         Ok(Self { child, dir })
     }
 
@@ -143,7 +143,7 @@
             return Err(DaemonError::HasExited);
         }
         let id = self.child.id().to_string();
-        let status = port::start(Command::new("kill").arg(signal.kill_option()).arg(id))?.wait()?;
+        let status = port::spawn(Command::new("kill").arg(signal.kill_option()).arg(id))?.wait()?;
         if status.success() { Ok(()) } else { Err(DaemonError::HasExited) }
     }
 
--- a/crates/sedgepath-test-support/src/port.rs
+++ b/crates/sedgepath-test-support/src/port.rs
@@ -37,7 +37,7 @@
 /// # Errors
 ///
 /// Returns an error if the process can't be spawned.
-pub fn start(command: &mut Command) -> io::Result<Child> {
+pub fn spawn(command: &mut Command) -> io::Result<Child> {
     let _held = lock_probe_or_spawn();
     command.spawn()
 }
--- a/crates/sedgepath-test-support/tests/port.rs
+++ b/crates/sedgepath-test-support/tests/port.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use sedgepath_test_support::port::{free_port, start};
+use sedgepath_test_support::port::{free_port, spawn};
 
 const PORT_COUNT: usize = 4_000;
 
@@ -20,7 +20,7 @@
             scope.spawn(|| {
                 while !stop.load(Ordering::Relaxed) {
                     let mut child =
-                        start(Command::new("true").current_dir("/")).expect("a process");
+                        spawn(Command::new("true").current_dir("/")).expect("a process");
                     child.wait().expect("its end");
                 }
             });
--- a/crates/sedgepathd/tests/platform/mod.rs
+++ b/crates/sedgepathd/tests/platform/mod.rs
@@ -16,7 +16,7 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-use sedgepath_test_support::port::{free_ports, start};
+use sedgepath_test_support::port::{free_ports, spawn};
 use sedgepath_test_support::store::StoreStandIn;
 use tempfile::TempDir;
 
@@ -110,7 +110,7 @@
             .stdin(Stdio::null())
             .stdout(output.try_clone().expect("a log file"))
             .stderr(output);
-        let child = start(&mut command).expect("the daemon starts");
+        let child = spawn(&mut command).expect("the daemon starts");
         let address = |index: usize| SocketAddr::new(self.ip(number), self.ports[index]);
         Vm {
             child,
@@ -206,7 +206,7 @@
     /// Sends the signal that an option of `kill` names.
     pub fn signal(&self, option: &str) {
         let id = self.child.id().to_string();
-        let mut kill = start(Command::new("kill").args([option, &id])).expect("kill");
+        let mut kill = spawn(Command::new("kill").args([option, &id])).expect("kill");
         let status = kill.wait().expect("its end");
         assert!(status.success(), "the daemon has ended");
     }
