--- a/crates/sedgepath-core/tests/direct_budget.rs
+++ b/crates/sedgepath-core/tests/direct_budget.rs
@@ -2,8 +2,8 @@
 
 use sedgepath_core::direct::budget::{RetryBudget, RetryBudgetLimits};
 use sedgepath_test_support::fleet::{
-    Disruption, RETRY_BUDGET_RATIO, RETRY_BUDGET_SLACK, RETRY_BUDGET_WINDOW_MS, Scenario, Seen,
-    StepFunction,
+    Disruption, RETRY_BUDGET_RATIO, RETRY_BUDGET_SLACK, RETRY_BUDGET_WINDOW_MS, Scenario,
+    ScenarioResult, StepFunction,
 };
 
 const SEEDS: [u64; 3] = [11, 12, 13];
@@ -26,8 +26,8 @@
 /// Checks over several seeds that no ten-second window has more retries than allowed, and that at
 /// least half of the retries that the requests allow are sent.
 fn assert_within_budget(day: impl Fn(u64) -> Scenario) {
-    let runs: Vec<Seen> = SEEDS.iter().map(|seed| day(*seed).run()).collect();
-    let excess: Vec<_> = runs.iter().filter_map(Seen::worst_excess).collect();
+    let runs: Vec<ScenarioResult> = SEEDS.iter().map(|seed| day(*seed).run()).collect();
+    let excess: Vec<_> = runs.iter().filter_map(ScenarioResult::worst_excess).collect();
     assert!(excess.is_empty(), "{} of {} runs: {excess:#?}", excess.len(), runs.len());
     for run in &runs {
         let first_ms = run.retried_at_ms.first().copied().unwrap_or(0);
@@ -113,7 +113,7 @@
     };
     let mut vms: Vec<_> =
         (0..VM_COUNT).map(|number| RetryBudget::new(limits, &format!("vm-{number}"))).collect();
-    let mut run = Seen::default();
+    let mut run = ScenarioResult::default();
     let mut has_retried = vec![false; VM_COUNT];
     for now_ms in (0..40_000).step_by(10) {
         for (number, vm) in vms.iter_mut().enumerate() {
--- a/crates/sedgepath-test-support/src/fleet.rs
+++ b/crates/sedgepath-test-support/src/fleet.rs
@@ -96,7 +96,7 @@
 
 /// The events that callers and upstreams observed in a scenario.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct ScenarioResult {
     /// When callers sent requests, in milliseconds, in ascending order.
     pub requested_at_ms: Vec<u64>,
     /// When retries arrived at upstreams, in milliseconds, in ascending order.
@@ -116,7 +116,7 @@
     pub allowed: f64,
 }
 
-impl Seen {
+impl ScenarioResult {
     /// Returns the window that exceeds its retry budget the most, or `None` if no window does.
     ///
     /// The budget of a window follows from the requests in that window, in the window before it, or
@@ -207,12 +207,12 @@
     attempts: Vec<(Attempt, bool)>,
     /// The demand in requests that has not been sent yet.
     fractional_demand: f64,
-    result: Seen,
+    result: ScenarioResult,
 }
 
 impl Scenario {
     /// Runs the scenario to its end.
-    pub fn run(&self) -> Seen {
+    pub fn run(&self) -> ScenarioResult {
         let is_joining = |number: &u8| {
             let joins_later = |disruption: &(u64, Disruption, Vec<u8>)| {
                 matches!(disruption.1, Disruption::Join) && disruption.2.contains(number)
@@ -230,7 +230,7 @@
             requests: Vec::new(),
             attempts: Vec::new(),
             fractional_demand: 0.0,
-            result: Seen::default(),
+            result: ScenarioResult::default(),
         };
         for number in (0..self.vms).filter(|number| !is_joining(number)) {
             fleet.start_vm(number);
