--- a/crates/sedgepath-core/tests/admission.rs
+++ b/crates/sedgepath-core/tests/admission.rs
@@ -31,7 +31,7 @@
 #[test]
 fn overload_stays_within_slots() {
     for seed in 1..=3 {
-        let mut bed = load::bed(seed, 2, &[("u1", 4, 100), ("u2", 4, 100)]);
+        let mut bed = load::single_service_bed(seed, 2, &[("u1", 4, 100), ("u2", 4, 100)]);
         let load =
             Load { seed, paying_per_s: 240, paying_burst: 1, trial_per_s: 0, deadline_ms: 2_000 };
         let calls = load::run(&mut bed, load, 10_000);
@@ -56,7 +56,7 @@
 /// callers that get no outcome.
 #[test]
 fn lost_responses_stay_within_slots() {
-    let mut bed = load::bed(4, 1, &[("u1", 4, 50)]);
+    let mut bed = load::single_service_bed(4, 1, &[("u1", 4, 50)]);
     bed.upstreams.get("u1").loses_responses = true;
     bed.upstreams.get("u1").reports_load = false;
     let load =
@@ -192,7 +192,7 @@
 /// Guards against an unreachable upstream that attracts requests because its slots are free.
 #[test]
 fn unreachable_upstream_costs_few_requests() {
-    let mut bed = load::bed(5, 1, &[("u1", 4, 20), ("u2", 4, 20)]);
+    let mut bed = load::single_service_bed(5, 1, &[("u1", 4, 20), ("u2", 4, 20)]);
     bed.upstreams.get("u1").unreachable = true;
     let load =
         Load { seed: 1, paying_per_s: 100, paying_burst: 1, trial_per_s: 0, deadline_ms: 2_000 };
@@ -300,7 +300,7 @@
 /// response.
 #[test]
 fn load_that_fits_is_answered() {
-    let mut bed = load::bed(6, 2, &[("u1", 4, 20), ("u2", 4, 20)]);
+    let mut bed = load::single_service_bed(6, 2, &[("u1", 4, 20), ("u2", 4, 20)]);
     let load =
         Load { seed: 1, paying_per_s: 50, paying_burst: 1, trial_per_s: 10, deadline_ms: 2_000 };
     let calls = load::run(&mut bed, load, 5_000);
--- a/crates/sedgepath-core/tests/classes.rs
+++ b/crates/sedgepath-core/tests/classes.rs
@@ -34,7 +34,7 @@
 /// Runs 30 paying requests per second, and `trial_per_s` trial requests, against a capacity of 80
 /// per second.
 fn run(seed: u64, trial_per_s: u64) -> LoadStats {
-    let mut bed = load::bed(seed, 1, &[("u1", 4, 100), ("u2", 4, 100)]);
+    let mut bed = load::single_service_bed(seed, 1, &[("u1", 4, 100), ("u2", 4, 100)]);
     let load = Load { seed, paying_per_s: 30, paying_burst: 1, trial_per_s, deadline_ms: 1_000 };
     load::run(&mut bed, load, 20_000)
 }
--- a/crates/sedgepath-core/tests/leaving.rs
+++ b/crates/sedgepath-core/tests/leaving.rs
@@ -16,7 +16,7 @@
 
 /// Returns a test bed of three nodes and two upstreams in one failure domain.
 fn bed(seed: u64) -> TestBed {
-    load::bed(seed, 3, &[("u1", 4, 100), ("u2", 4, 100)])
+    load::single_service_bed(seed, 3, &[("u1", 4, 100), ("u2", 4, 100)])
 }
 
 /// Sends a request every 25 ms to one of the running nodes in offset.
--- a/crates/sedgepath-test-support/src/load.rs
+++ b/crates/sedgepath-test-support/src/load.rs
@@ -64,7 +64,7 @@
 /// Creates a test bed with one failure domain `a` and one service `s`.
 ///
 /// Each upstream is given by its name, its slots and its service time in milliseconds.
-pub fn bed(seed: u64, nodes: usize, upstreams: &[(&str, u32, u64)]) -> TestBed {
+pub fn single_service_bed(seed: u64, nodes: usize, upstreams: &[(&str, u32, u64)]) -> TestBed {
     single_service_bed_with(
         seed,
         nodes,
