--- a/crates/sedgepath-core/examples/membership_bytes.rs
+++ b/crates/sedgepath-core/examples/membership_bytes.rs
@@ -4,7 +4,7 @@
 //!
 //! `cargo run --release -p sedgepath-core --example membership_bytes`
 
-use sedgepath_test_support::vm_net::VmNetwork;
+use sedgepath_test_support::vm_network::VmNetwork;
 
 const DOMAINS: usize = 9;
 
--- a/crates/sedgepath-core/examples/policy/report.rs
+++ b/crates/sedgepath-core/examples/policy/report.rs
@@ -4,8 +4,8 @@
 
 use sedgepath_core::request::{Class, Outcome};
 use sedgepath_test_support::bed::CallResult;
-use sedgepath_test_support::moves::ShiftMeasurement;
 use sedgepath_test_support::records;
+use sedgepath_test_support::traffic_shift::ShiftMeasurement;
 
 use crate::deployment::{DOMAINS, Deployment, NODES, REGIONS, WINDOW_MS};
 use crate::scenario::{DEADLINE_MS, Run};
--- a/crates/sedgepath-core/tests/direct_tiers.rs
+++ b/crates/sedgepath-core/tests/direct_tiers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use sedgepath_test_support::vm_net::VmNetwork;
+use sedgepath_test_support::vm_network::VmNetwork;
 
 /// The time within which all VMs must know of a change of the running VMs, in milliseconds.
 const STABILITY_MS: u64 = 4_000;
--- a/crates/sedgepath-core/tests/fuzz_tiers.rs
+++ b/crates/sedgepath-core/tests/fuzz_tiers.rs
@@ -11,7 +11,7 @@
 
 use fuzz_support::config;
 use proptest::prelude::*;
-use sedgepath_test_support::vm_net::VmNetwork;
+use sedgepath_test_support::vm_network::VmNetwork;
 
 /// The time after the last fault within which all VMs must agree, in milliseconds: the limit on
 /// silence plus the relay of a summary.
--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -1,6 +1,6 @@
 //! Shift caps: in any window at most the cap's share of an origin group's traffic moves.
 //!
-//! The oracle (`sedgepath_test_support::moves`) compares the upstreams' logs with the callers', and
+//! The oracle (`sedgepath_test_support::traffic_shift`) compares the upstreams' logs with the callers', and
 //! allows a rounding error of one request per node and window.
 
 use std::net::{IpAddr, Ipv4Addr};
@@ -10,8 +10,8 @@
 use sedgepath_test_support::bed::faults::LinkEndpoint;
 use sedgepath_test_support::bed::upstreams::FakeUpstream;
 use sedgepath_test_support::bed::{CallResult, NodeIndex, TestBed};
-use sedgepath_test_support::moves::ShiftMeasurement;
 use sedgepath_test_support::records::{self, UpstreamSpec};
+use sedgepath_test_support::traffic_shift::ShiftMeasurement;
 use serde_json::json;
 
 const DOMAINS: [&str; 6] = ["low-a", "low-b", "pied-a", "pied-b", "gulf-a", "gulf-b"];
--- a/crates/sedgepath-test-support/src/lib.rs
+++ b/crates/sedgepath-test-support/src/lib.rs
@@ -11,14 +11,14 @@
 pub mod fleet;
 pub mod link;
 pub mod load;
-pub mod moves;
 pub mod owner;
 pub mod port;
 pub mod records;
 pub mod system;
 pub mod table;
+pub mod traffic_shift;
 pub mod upstream;
-pub mod vm_net;
+pub mod vm_network;
 
 pub use sedgepath_store_stand_in as store;
 
