--- a/crates/sedgepath-core/src/deduplication/forwarding.rs
+++ b/crates/sedgepath-core/src/deduplication/forwarding.rs
@@ -1,9 +1,10 @@
-//! Forwards requests with tickets that another boot minted.
+//! Handles requests with tickets that were issued by another VM, or by this VM before a restart.
 //!
-//! Such a request is never run here. It is forwarded to the ticket's home, the boot that minted the
-//! ticket. If that boot is gone, the request is concluded from the state that it handed over: a copy
-//! here or at a successor, or its rows in the table. Without that state the outcome is *unknown*,
-//! or *not run* for attempt 1.
+//! Such a request is never run here. It is forwarded to the ticket's home, the VM that issued the
+//! ticket, if that VM is still in the same boot. Otherwise, the request is concluded from the state
+//! that the home handed over: a copy here or at a successor, or its rows in the table. Without that
+//! state the outcome is *unknown*, or *not run* for attempt 1. If the home's response was lost, or
+//! the deadline passed during the read of the rows, the outcome is *unknown* for every attempt.
 
 use crate::event::Action;
 use crate::hash::{Digest, Map};
@@ -22,12 +23,19 @@
 /// The number of successors to which a node hands its tickets over.
 pub const SUCCESSOR_COUNT: usize = 2;
 
-/// The maximum number of handovers that a node stores for other boots; the oldest is dropped first.
+/// The maximum number of handovers that a node stores for other boots; when full, the handover
+/// received first is dropped.
 const MAX_STORED_HANDOVERS: usize = 64;
 
+/// The number of the hop to a ticket's home.
+const HOME_HOP: u32 = 1;
+
+/// The number of the hop to a successor of the home.
+const SUCCESSOR_HOP: u32 = 2;
+
 /// What a forwarded request waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Step {
+enum ForwardingStage {
     /// The ticket's home, which alone may run the request.
     AtHome,
     /// A successor of the home, which may have a copy of the home's tickets.
@@ -42,7 +50,7 @@
     digest: Digest,
     attempt: u32,
     deadline_at_ms: u64,
-    step: Step,
+    stage: ForwardingStage,
 }
 
 /// Requests with tickets of other boots, and the handovers received from other boots.
@@ -53,7 +61,7 @@
 }
 
 impl ForwardedRequests {
-    /// Handles a request with a ticket that this boot did not mint.
+    /// Handles a request with a ticket that this boot did not issue.
     pub fn handle_request(
         &mut self,
         request: RequestKey,
@@ -72,7 +80,7 @@
             digest: head.digest,
             attempt: head.attempt,
             deadline_at_ms: head.deadline_at_ms,
-            step: Step::AtHome,
+            stage: ForwardingStage::AtHome,
         };
         self.requests.insert(request, forwarded);
         // A request is forwarded at most once, which rules out forwarding loops.
@@ -80,14 +88,14 @@
         let home = membership.member(ticket.home).filter(|home| home.boot == ticket.boot);
         match home {
             Some(home) if !is_forwarded => {
-                self.forward(request, ticket.home, home.descriptor.peer_address, 1, out);
+                self.forward(request, ticket.home, home.descriptor.peer_address, HOME_HOP, out);
             }
             None if !is_forwarded => self.forward_to_successor(request, membership, batcher, out),
             _ => self.read_handover_rows(request, batcher),
         }
     }
 
-    /// Stores the handover of another boot, in place of an earlier one of the same boot.
+    /// Stores the handover of another boot, replacing an earlier handover of the same boot.
     pub fn store_handover(&mut self, handover: TicketHandover) {
         self.handovers.retain(|stored| (stored.vm, stored.boot) != (handover.vm, handover.boot));
         if self.handovers.len() == MAX_STORED_HANDOVERS {
@@ -96,16 +104,18 @@
         self.handovers.push(handover);
     }
 
-    /// Relays the response to a forwarded request; returns false if the request was not forwarded.
+    /// Relays the response to a forwarded request; returns whether this component handles the
+    /// request.
     pub fn handle_hop_response(&self, request: RequestKey, attempt: u32, out: &mut Outbox) -> bool {
-        let was_forwarded = self.requests.contains_key(&request);
-        if was_forwarded {
+        let is_handled_here = self.requests.contains_key(&request);
+        if is_handled_here {
             out.push(Action::RelayResponse { request, attempt });
         }
-        was_forwarded
+        is_handled_here
     }
 
-    /// Handles the failure of a forwarded request; returns false if the request was not forwarded.
+    /// Handles the failure of a forwarded request; returns whether this component handles the
+    /// request.
     pub fn handle_hop_failure(
         &mut self,
         request: RequestKey,
@@ -117,23 +127,23 @@
         let Some(forwarded) = self.requests.get(&request) else {
             return false;
         };
-        match (forwarded.step, failure) {
+        match (forwarded.stage, failure) {
             // The home may have received and run the request.
-            (Step::AtHome, HopFailure::Lost) => {
+            (ForwardingStage::AtHome, HopFailure::Lost) => {
                 self.conclude(request, Outcome::Unknown { retry_after_ms: RETRY_AFTER_MS }, out);
             }
-            (Step::AtHome, HopFailure::Refused(rejection)) => {
+            (ForwardingStage::AtHome, HopFailure::Refused(rejection)) => {
                 self.conclude(
                     request,
                     Outcome::NotRun { refusal: rejection, others: Vec::new() },
                     out,
                 );
             }
-            (Step::AtHome, HopFailure::NotSent) => {
+            (ForwardingStage::AtHome, HopFailure::NotSent) => {
                 self.forward_to_successor(request, membership, batcher, out);
             }
-            (Step::AtSuccessor, _) => self.read_handover_rows(request, batcher),
-            (Step::ReadingRows, _) => {}
+            (ForwardingStage::AtSuccessor, _) => self.read_handover_rows(request, batcher),
+            (ForwardingStage::ReadingRows, _) => {}
         }
         true
     }
@@ -154,12 +164,13 @@
         self.conclude(request, outcome, out);
     }
 
-    /// Concludes requests whose deadline has passed while the home's rows are read.
+    /// Concludes requests whose deadline has passed while the home's rows are read. A request that
+    /// waits for another VM ends with a hop response or failure instead.
     pub fn tick(&mut self, out: &mut Outbox) {
         let mut overdue: Vec<_> = self
             .requests
             .iter()
-            .filter(|(_, forwarded)| forwarded.step == Step::ReadingRows)
+            .filter(|(_, forwarded)| forwarded.stage == ForwardingStage::ReadingRows)
             .filter(|(_, forwarded)| forwarded.deadline_at_ms <= out.now_ms())
             .map(|(request, _)| *request)
             .collect();
@@ -200,6 +211,7 @@
             return;
         };
         let own = out.identity().vm;
+        // This VM may be among the successors, but its own handovers were checked before.
         let ranked =
             successors(forwarded.ticket.home, forwarded.ticket.boot, membership, Some(own));
         let successor = ranked.into_iter().find(|vm| *vm != own);
@@ -208,8 +220,8 @@
             .map(|member| member.descriptor.peer_address);
         match (successor, address) {
             (Some(vm), Some(address)) => {
-                forwarded.step = Step::AtSuccessor;
-                self.forward(request, vm, address, 2, out);
+                forwarded.stage = ForwardingStage::AtSuccessor;
+                self.forward(request, vm, address, SUCCESSOR_HOP, out);
             }
             _ => self.read_handover_rows(request, batcher),
         }
@@ -220,13 +232,13 @@
         request: RequestKey,
         to: VmKey,
         address: std::net::SocketAddr,
-        attempt: u32,
+        hop: u32,
         out: &mut Outbox,
     ) {
         if let Some(forwarded) = self.requests.get(&request) {
             out.push(Action::ForwardHome {
                 request,
-                attempt,
+                attempt: hop,
                 to,
                 boot: forwarded.ticket.boot,
                 address,
@@ -237,7 +249,7 @@
 
     fn read_handover_rows(&mut self, request: RequestKey, batcher: &mut Batcher) {
         if let Some(forwarded) = self.requests.get_mut(&request) {
-            forwarded.step = Step::ReadingRows;
+            forwarded.stage = ForwardingStage::ReadingRows;
             let Ticket { home, boot, number, .. } = forwarded.ticket;
             let keys = vec![HandoverRow::key(home, boot), TicketRow::key(home, boot, number)];
             batcher.read(Requester::Ticket(request), keys);
@@ -253,7 +265,7 @@
 /// Returns the VMs that receive the tickets of a stopping boot, in the order in which requests are
 /// forwarded to them.
 ///
-/// `own` adds this VM, which is not in `membership`.
+/// `own` is this VM if it may be a successor; `membership` lists only the other VMs.
 pub fn successors(
     home: VmKey,
     boot: BootId,
@@ -269,10 +281,10 @@
 }
 
 fn parse_handover_rows(rows: &[Row], ticket: Ticket) -> Option<HandedOverTicket> {
-    let value = |key: Box<str>| rows.iter().find(|row| row.key == key).map(|row| &*row.value);
-    let handover = value(HandoverRow::key(ticket.home, ticket.boot))?;
+    let row_value = |key: Box<str>| rows.iter().find(|row| row.key == key).map(|row| &*row.value);
+    let handover = row_value(HandoverRow::key(ticket.home, ticket.boot))?;
     let HandoverRow { next_number, handed_over_at_ms } = serde_json::from_str(handover).ok()?;
-    let row = match value(TicketRow::key(ticket.home, ticket.boot, ticket.number)) {
+    let row = match row_value(TicketRow::key(ticket.home, ticket.boot, ticket.number)) {
         Some(row) => Some(serde_json::from_str(row).ok()?),
         None => None,
     };
--- a/crates/sedgepath-core/src/record/fields.rs
+++ b/crates/sedgepath-core/src/record/fields.rs
@@ -4,11 +4,14 @@
 
 use crate::schema::{Field, Shape};
 
-/// The maximum duration that a record may set, in milliseconds: one day.
+/// The maximum of time windows, warm-up times and hedging delays, in milliseconds: one day.
 const MAX_DURATION_MS: u64 = 86_400_000;
 
-/// The maximum of an upstream's slots, connections and new connections per second.
-const MAX_COUNT: u64 = 1_000_000;
+/// The maximum of an upstream's limits on slots, connections and new connections per second.
+const MAX_UPSTREAM_LIMIT: u64 = 1_000_000;
+
+/// The maximum of a service's longest deadline, in milliseconds.
+const MAX_DEADLINE_MS: u64 = 600_000;
 
 /// The description of a record kind.
 #[derive(Debug, Clone, Copy)]
@@ -64,7 +67,7 @@
 }
 
 /// Creates an optional field, present since schema 2.
-const fn since_schema_2(
+const fn optional_since_schema_2(
     name: &'static str,
     shape: Shape,
     default: &'static str,
@@ -91,7 +94,7 @@
 const SERVICE: &[Field] = &[
     Field::required(
         "longest_deadline_ms",
-        Shape::Integer { least: 1, most: 600_000 },
+        Shape::Integer { least: 1, most: MAX_DEADLINE_MS },
         "the longest deadline that a request may carry, in milliseconds",
     ),
     Field::optional(
@@ -113,24 +116,24 @@
     Field::required("address", Shape::Address, "its IP address and port"),
     Field::required(
         "slots",
-        Shape::Integer { least: 1, most: MAX_COUNT },
+        Shape::Integer { least: 1, most: MAX_UPSTREAM_LIMIT },
         "the most requests that it runs at once",
     ),
     Field::optional(
         "connections",
-        Shape::Integer { least: 1, most: MAX_COUNT },
+        Shape::Integer { least: 1, most: MAX_UPSTREAM_LIMIT },
         "350",
         "the most connections that it takes",
     ),
     Field::optional(
         "new_connections_per_s",
-        Shape::Integer { least: 1, most: MAX_COUNT },
+        Shape::Integer { least: 1, most: MAX_UPSTREAM_LIMIT },
         "100",
         "the most new connections that it takes in a second",
     ),
     Field::optional(
         "cold_slots",
-        Shape::Integer { least: 1, most: MAX_COUNT },
+        Shape::Integer { least: 1, most: MAX_UPSTREAM_LIMIT },
         "as `slots`",
         "the requests that it may run at once when cold; they rise to `slots` over `warm_up_ms`",
     ),
@@ -162,13 +165,13 @@
         "the shares by origin group; callers of other groups follow the group `any`",
     ),
     Field::required("cap", Shape::Object(CAP), "the most traffic that a shift may move"),
-    since_schema_2(
+    optional_since_schema_2(
         "failover_cap",
         Shape::Object(CAP),
         "as `cap`",
         "the most traffic that a failover may move",
     ),
-    since_schema_2(
+    optional_since_schema_2(
         "hedge_after_ms",
         Shape::Integer { least: 1, most: MAX_DURATION_MS },
         "no hedging",
--- a/crates/sedgepath-core/src/rendezvous.rs
+++ b/crates/sedgepath-core/src/rendezvous.rs
@@ -1,8 +1,8 @@
 //! Rendezvous hashing, which assigns items such as upstreams to entry VMs.
 //!
-//! See Thaler and Ravishankar (1998). Every node ranks the candidates by a hash of candidate and
-//! item, so nodes that know the same candidates agree without messages, and removing a candidate
-//! reassigns only the items of that candidate.
+//! See Thaler and Ravishankar (1998). Every VM ranks the candidates by a hash of the candidate and
+//! the item. VMs with the same list of candidates therefore choose the same owner without
+//! communicating, and removing a candidate reassigns only its own items.
 
 use crate::key::VmKey;
 
@@ -11,7 +11,8 @@
     candidates.iter().copied().max_by_key(|vm| (score(item, vm.0), vm.0))
 }
 
-/// Hashes an item and a candidate with the finalizer of `SplitMix64` (Steele et al., 2014).
+/// Combines an item and a candidate, and mixes the bits with the finalizer of `SplitMix64` (Steele
+/// et al., 2014).
 pub fn score(item: u64, candidate: u64) -> u64 {
     let mut mixed = item.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ candidate;
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
