--- a/crates/sedgepath-test-support/src/caller/report.rs
+++ b/crates/sedgepath-test-support/src/caller/report.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::{AdditionError, Histogram};
 use thiserror::Error;
 
-/// Reasons why a call failed without a valid outcome.
+/// The reasons why a request ended without a valid response.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CallFailure {
     /// No connection to an entry VM was made, so nothing was sent.
@@ -16,7 +16,7 @@
     /// The request was sent but no response head arrived.
     #[error("no response arrived: {0}")]
     NoResponse(io::ErrorKind),
-    /// The body ended early, or its length was not declared.
+    /// The body could not be read completely, or its length was not declared.
     #[error("the response body is incomplete: {0}")]
     IncompleteBody(io::ErrorKind),
     /// The response has no valid outcome header.
@@ -25,7 +25,7 @@
     /// The response carries the id of another request.
     #[error("the response belongs to another request")]
     RequestIdMismatch,
-    /// The body matches neither its digest nor the generated content at its offset.
+    /// The body doesn't match the generated content or, if not generated, its digest.
     #[error("the response body differs from what the upstream sent")]
     BodyMismatch,
 }
@@ -47,14 +47,14 @@
     },
     /// The request may have run.
     Unknown,
-    /// The call failed.
+    /// The caller got no valid response.
     Failed(CallFailure),
 }
 
 /// One request of a call; each retry has its own request id.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Attempt {
-    /// The request id, which also identifies the runs at an upstream.
+    /// The request id, which the upstream records for each run.
     pub request_id: Box<str>,
     /// The class of the call.
     pub class: Box<str>,
@@ -86,16 +86,17 @@
     pub not_run: u64,
     /// Attempts whose request may have run.
     pub unknown: u64,
-    /// Attempts that failed without a valid outcome.
+    /// Attempts that got no valid response.
     pub failed: u64,
 }
 
-/// Outcomes and latencies of calls.
+/// The attempts and call latencies that a caller recorded.
 #[derive(Debug, Default)]
 pub struct CallerStats {
-    /// All attempts in the order of their completion.
+    /// The attempts, of each merged caller in the order of completion.
     pub attempts: Vec<Attempt>,
-    /// Latencies of the answered calls in microseconds, including retries, by class.
+    /// The latencies of answered calls by class, in microseconds, from the start of the call to the
+    /// last response.
     pub latencies_us: BTreeMap<Box<str>, Histogram<u64>>,
 }
 
--- a/crates/sedgepath-test-support/src/link.rs
+++ b/crates/sedgepath-test-support/src/link.rs
@@ -12,8 +12,11 @@
 use crate::server::{Service, TcpServer};
 use crate::sync::lock;
 
+/// The maximum time for which a datagram forwarder waits before it checks whether the link stops.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The maximum number of TCP connections that are served at a time.
 const MAX_CONNECTIONS: usize = 512;
+/// The size of a receive buffer, which limits a chunk of a stream and a datagram.
 const BUFFER_BYTES: usize = 64 * 1024;
 
 /// The directions in which a link is cut.
@@ -48,14 +51,15 @@
 /// A forwarder of TCP and UDP on loopback, which stops on drop.
 ///
 /// While a direction is cut, TCP connections stay open and their data is delivered after the link
-/// is restored, as by retransmission; datagrams are lost. Unlike on a real link, a new connection is
-/// accepted during a cut, and hangs. Datagrams from the target go to the last address that sent one;
-/// the target sees the link's address as the source of all datagrams.
+/// is restored, as if retransmitted; datagrams are lost. Unlike on a real link, a new connection is
+/// accepted while the direction to the target is cut, and reaches the target after the cut.
+/// Datagrams from the target are sent to the most recent sender; the target sees the link's address
+/// as the source of all datagrams.
 #[derive(Debug)]
 pub struct CuttableLink {
     control: Arc<LinkControl>,
     tcp: TcpServer<LinkControl>,
-    udp: Vec<JoinHandle<()>>,
+    udp_threads: Vec<JoinHandle<()>>,
 }
 
 impl CuttableLink {
@@ -67,21 +71,21 @@
     pub fn new(target: SocketAddr) -> io::Result<Self> {
         let addr = SocketAddr::from((Ipv4Addr::LOCALHOST, free_port()?));
         let control = Arc::new(LinkControl::new(target));
-        let near = Arc::new(UdpSocket::bind(addr)?);
-        let far = Arc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?);
-        far.connect(target)?;
+        let caller_socket = Arc::new(UdpSocket::bind(addr)?);
+        let target_socket = Arc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?);
+        target_socket.connect(target)?;
         let tcp = TcpServer::new(addr, Arc::clone(&control))?;
-        let udp = [Direction::ToTarget, Direction::FromTarget].map(|direction| {
+        let udp_threads = [Direction::ToTarget, Direction::FromTarget].map(|direction| {
             let forwarder = DatagramForwarder {
                 control: Arc::clone(&control),
-                caller_socket: Arc::clone(&near),
-                target_socket: Arc::clone(&far),
+                caller_socket: Arc::clone(&caller_socket),
+                target_socket: Arc::clone(&target_socket),
                 direction,
             };
-            // After a socket error the thread ends; tests notice that the counts stop.
+            // `run` fails only if the read timeout can't be set.
             thread::spawn(move || drop(forwarder.run()))
         });
-        Ok(Self { control, tcp, udp: udp.into() })
+        Ok(Self { control, tcp, udp_threads: udp_threads.into() })
     }
 
     /// Returns the address to connect to instead of the target's.
@@ -100,10 +104,11 @@
         lock(&self.control.state).delay_ms = delay_ms;
     }
 
-    /// Closes all TCP connections, losing data in transit; new ones can be made as before.
+    /// Closes all TCP connections that reached the target; data in transit is lost. New connections
+    /// are accepted.
     pub fn break_connections(&self) {
         for target in lock(&self.control.state).target_streams.values() {
-            // The target may have closed it already.
+            // The target may already have closed the connection.
             drop(target.shutdown(Shutdown::Both));
         }
     }
@@ -117,7 +122,7 @@
 impl Drop for CuttableLink {
     fn drop(&mut self) {
         self.control.stop();
-        for thread in self.udp.drain(..) {
+        for thread in self.udp_threads.drain(..) {
             let _: thread::Result<()> = thread.join();
         }
     }
@@ -142,7 +147,7 @@
     delay_ms: u64,
     counts: LinkCounts,
     stopping: bool,
-    connections: usize,
+    connection_count: usize,
     last_sender: Option<SocketAddr>,
     last_id: u64,
     /// The connections to the target, kept so that they can be shut down.
@@ -165,7 +170,7 @@
         Self { target, state: Mutex::default(), changed: Condvar::new() }
     }
 
-    /// Blocks until the direction is open.
+    /// Blocks until the direction is open. Fails if the link stops.
     fn wait_until_open(&self, direction: Direction) -> io::Result<()> {
         let mut state = lock(&self.state);
         while !state.stopping && state.is_cut(direction) {
@@ -211,7 +216,7 @@
         }
     }
 
-    /// Forwards one direction and shuts down both if it fails.
+    /// Copies one direction of a connection; if that fails, closes the connection in both.
     fn forward_stream(&self, direction: Direction, from: &TcpStream, to: &TcpStream) {
         if self.copy_stream(direction, from, to).is_err() {
             // Either stream may be closed already.
@@ -223,10 +228,11 @@
 
 impl Service for LinkControl {
     fn admit(&self) -> bool {
-        // Connections that wait for the end of a cut count too: each one occupies a thread.
+        // Connections that wait for a cut to end count towards the limit, because each occupies a
+        // thread.
         let mut state = lock(&self.state);
-        let has_capacity = state.connections < MAX_CONNECTIONS;
-        state.connections += usize::from(has_capacity);
+        let has_capacity = state.connection_count < MAX_CONNECTIONS;
+        state.connection_count += usize::from(has_capacity);
         has_capacity
     }
 
@@ -245,14 +251,14 @@
     }
 
     fn connection_closed(&self) {
-        lock(&self.state).connections -= 1;
+        lock(&self.state).connection_count -= 1;
     }
 
     fn stop(&self) {
         let mut state = lock(&self.state);
         state.stopping = true;
         for target in state.target_streams.values() {
-            // The target may have closed it already.
+            // The target may already have closed the connection.
             drop(target.shutdown(Shutdown::Both));
         }
         drop(state);
@@ -281,7 +287,7 @@
             let timeout =
                 due.map_or(POLL_INTERVAL, |due| due.saturating_duration_since(Instant::now()));
             from.set_read_timeout(Some(timeout.clamp(Duration::from_micros(100), POLL_INTERVAL)))?;
-            // Errors are ignored: no datagram arrived in time, or the target's port is closed.
+            // A timeout or a refused datagram is expected; other errors are ignored as well.
             if let Ok((count, sender)) = from.recv_from(&mut buffer) {
                 let mut state = lock(&self.control.state);
                 let due = Instant::now() + Duration::from_millis(state.delay_ms);
