--- a/crates/sedgepathd/src/reply.rs
+++ b/crates/sedgepathd/src/reply.rs
@@ -8,18 +8,18 @@
 /// The maximum number of body chunks that are buffered for a slow reader.
 const MAX_BUFFERED_CHUNKS: usize = 4;
 
-/// The error of a body that was aborted before its end.
+/// The sender stopped before the body was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the body was aborted before its end")]
 pub struct BodyAborted;
 
-/// The receiver of a body's chunks.
+/// The receiving half of [`body_channel`].
 ///
 /// The channel closes after the last chunk of a complete body. An aborted body ends with an error,
 /// so that a truncated body is never taken for a complete one.
 pub type BodyReceiver = mpsc::Receiver<Result<Bytes, BodyAborted>>;
 
-/// The sender of a body's chunks.
+/// The sending half of [`body_channel`].
 pub type BodySender = mpsc::Sender<Result<Bytes, BodyAborted>>;
 
 /// Creates the channel that streams a body's chunks.
@@ -30,7 +30,7 @@
 /// An upstream's response, whose body is streamed to the caller.
 #[derive(Debug)]
 pub struct UpstreamResponse {
-    /// The part of the response's head that the ingress node uses for its decisions.
+    /// The status and origin of the response, on which the ingress node's decisions depend.
     pub head: AnswerHead,
     /// The HTTP head that is sent to the caller.
     pub http: HttpResponseHead,
@@ -38,14 +38,14 @@
     pub body: BodyReceiver,
 }
 
-/// The reply to a dispatched request.
+/// The result of dispatching a request.
 #[derive(Debug)]
 pub enum Reply {
     /// The upstream's response has begun.
     UpstreamResponse(Box<UpstreamResponse>),
     /// The request was rejected and not run.
     Rejected(Rejection),
-    /// The request was not sent.
+    /// The request was not sent to a peer or an upstream.
     NotSent,
     /// The request was sent, but its response was lost.
     ResponseLost,
--- a/crates/sedgepathd/tests/stop.rs
+++ b/crates/sedgepathd/tests/stop.rs
@@ -11,6 +11,21 @@
 use sedgepath_test_support::system::DaemonCluster;
 use sedgepath_test_support::upstream::{Behaviour, UpstreamConfig, UpstreamStandIn};
 
+/// The index of the daemon in the failure domain without an upstream.
+const INGRESS: usize = 0;
+
+/// The index of the daemon in the upstream's failure domain, which owns the upstream.
+const OWNER: usize = 1;
+
+/// The number of slow requests, and of requests sent after the signal.
+const REQUEST_COUNT: usize = 20;
+
+/// The time by which the upstream delays its response to a slow request.
+const RESPONSE_DELAY_MS: u64 = 2_000;
+
+/// The time allowed for the slow requests to reach the upstream.
+const REQUEST_ARRIVAL_TIME: Duration = Duration::from_millis(700);
+
 const ANSWERED: Outcome = Outcome::Answered { status: 200 };
 
 fn get(path: &str) -> Call {
@@ -21,9 +36,9 @@
     Caller::new([entry]).call(&get(path)).outcome == ANSWERED
 }
 
-/// Stops one of two daemons while slow requests are in flight through both, and checks that these
-/// and new requests are answered and that the stopped process exits with success.
-fn stop_under_load(stopped: usize) {
+/// Stops one daemon while slow requests through both are in flight. Checks that the slow requests,
+/// and new requests to the stopping daemon, are answered, and that its process exits with success.
+fn stop_under_load(daemon_index: usize) {
     let upstream = UpstreamStandIn::new(UpstreamConfig::new(40)).expect("upstream");
     let spec = UpstreamSpec::new("b1", "south-a", 40).with_address(upstream.addr());
     let records = records::one_service("browse", 10_000, &[spec], &["south-a"]);
@@ -32,38 +47,45 @@
     let mut system = system.expect("daemons");
     assert!(
         system.wait_until_all_serve(|entry, _| is_answered(entry, "/ready")),
-        "a daemon serves nothing"
+        "a daemon answered no request before the stop"
     );
     let entries = system.caller_addresses();
 
-    upstream.set_behaviour(Behaviour::DelayResponse { delay_ms: 2_000 });
-    let in_flight: Vec<_> = (0..20)
-        .map(|number: usize| {
+    upstream.set_behaviour(Behaviour::DelayResponse { delay_ms: RESPONSE_DELAY_MS });
+    let in_flight: Vec<_> = (0..REQUEST_COUNT)
+        .map(|number| {
             let entry = entries[number % 2];
             thread::spawn(move || is_answered(entry, &format!("/large/{}", 100_000 + number)))
         })
         .collect();
-    thread::sleep(Duration::from_millis(700));
+    thread::sleep(REQUEST_ARRIVAL_TIME);
+    // Requests that reached the upstream keep their delay.
     upstream.set_behaviour(Behaviour::Normal);
-    let daemon = system.daemons[stopped].as_mut().expect("a daemon");
-    daemon.signal(Signal::Term).expect("a signal");
+    let daemon = system.daemons[daemon_index].as_mut().expect("the daemon is running");
+    daemon.signal(Signal::Term).expect("SIGTERM is sent");
     let answered_while_stopping =
-        (0..20).filter(|_| is_answered(entries[stopped], "/cached")).count();
+        (0..REQUEST_COUNT).filter(|_| is_answered(entries[daemon_index], "/cached")).count();
     let answered_in_flight =
         in_flight.into_iter().filter_map(|caller| caller.join().ok()).filter(|ok| *ok);
-    assert_eq!((answered_in_flight.count(), answered_while_stopping), (20, 20));
-    let ended = daemon.wait_until(Instant::now() + Duration::from_mins(1)).expect("a wait");
-    assert!(ended.is_some_and(|status| status.success()), "{ended:?}");
+    assert_eq!(
+        (answered_in_flight.count(), answered_while_stopping),
+        (REQUEST_COUNT, REQUEST_COUNT)
+    );
+    let exit_status = daemon
+        .wait_until(Instant::now() + Duration::from_mins(1))
+        .expect("the process can be waited for");
+    assert!(exit_status.is_some_and(|status| status.success()), "{exit_status:?}");
 }
 
-/// Guards against requests that fail when the daemon that accepted them stops.
+/// Guards against requests that fail when a daemon that only accepts and forwards them stops.
 #[test]
 fn stopping_an_ingress_aborts_no_request() {
-    stop_under_load(0);
+    stop_under_load(INGRESS);
 }
 
-/// Guards against requests that fail when the daemon that owns their upstream stops.
+/// Guards against requests that fail when the daemon that owns their upstream stops. That daemon
+/// also accepts half of the slow requests.
 #[test]
 fn stopping_an_owner_aborts_no_request() {
-    stop_under_load(1);
+    stop_under_load(OWNER);
 }
