--- a/crates/sedgepath-wire/src/tcp.rs
+++ b/crates/sedgepath-wire/src/tcp.rs
@@ -8,24 +8,25 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// The idle time before the first keepalive probe and the interval between probes; the system
-/// accepts no shorter one.
+/// The idle time before the first keepalive probe, and the interval between probes. Linux accepts
+/// whole seconds only, so this is the minimum.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The number of unanswered keepalive probes after which a connection has failed.
 const MAX_UNANSWERED_PROBES: u32 = 2;
 
-/// How long sent bytes may stay unacknowledged; allows for several retransmissions.
+/// The time after which a connection with unacknowledged data fails (`TCP_USER_TIMEOUT`).
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Opens a connection that fails within about three seconds of its peer becoming unreachable.
 ///
-/// A VM that lost power or its network sends no reset: a pending request would wait until its
-/// deadline, and an idle connection would stay open indefinitely.
+/// A VM that lost power or its network sends no reset. Without these limits, a request to it would
+/// wait until its deadline, and an idle connection would stay open indefinitely.
 ///
 /// # Errors
 ///
-/// Fails if the connection can't be established within the time limit.
+/// Fails if the connection can't be established within the time limit, or if the system rejects a
+/// socket option.
 pub async fn connect(address: SocketAddr, time_limit: Duration) -> io::Result<TcpStream> {
     let stream = timeout(time_limit, TcpStream::connect(address))
         .await
