--- a/crates/sedgepath-model/src/claim/state.rs
+++ b/crates/sedgepath-model/src/claim/state.rs
@@ -1,13 +1,13 @@
-//! State of the claim model.
+//! The state of the model that checks how claims prevent an operation from running twice.
 
 use super::{MAX_REQUESTS, MINTING_BOOT, NODE_COUNT, Node, Request};
 
-/// The origin of a key, which determines the path on which it runs.
+/// The origin of an idempotency key, which determines where its requests are recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum KeyKind {
     /// Chosen by the caller and claimed in the table.
     Chosen,
-    /// Minted by node 0, its home, and recorded in its memory.
+    /// Issued by node 0, the ticket's home, and recorded in that node's memory.
     Ticket,
 }
 
@@ -65,7 +65,7 @@
     Pending,
     /// The upstream started the request.
     Started,
-    /// The request was rejected or canceled before it started and never will start.
+    /// The request was rejected or canceled before it started, and will never start.
     NeverStarts,
 }
 
@@ -74,11 +74,11 @@
 pub enum KeyRecord {
     /// No record.
     Absent,
-    /// Held by a request.
+    /// Claimed by a request whose result is not recorded.
     Claimed(Request),
-    /// Not run by any request up to this one.
+    /// A tombstone: neither this request nor an earlier one runs the operation.
     NotRun(Request),
-    /// Run, with a stored response.
+    /// The operation ran, and its response is stored.
     Completed,
 }
 
@@ -122,7 +122,7 @@
 pub struct RequestState {
     /// The location of the request.
     pub location: RequestLocation,
-    /// Whether an earlier request was not settled as *not run* when this one was sent.
+    /// Whether an earlier request might have run, as far as the caller knew when it sent this one.
     pub is_retry: bool,
     /// The outcome reported for the request.
     pub reported: ReportedOutcome,
@@ -143,19 +143,20 @@
     pub settled_requests: usize,
     /// The boot number of each node.
     pub boots: [u8; NODE_COUNT],
-    /// Each node's record of the key as a ticket.
+    /// The record of the key in the memory of each node, as for a ticket.
     pub memories: [KeyRecord; NODE_COUNT],
-    /// Whether the ticket has expired at its home, which dropped its record.
+    /// Whether the ticket's home dropped the record because the ticket expired.
     pub ticket_expired: bool,
     /// The list entry that the home sent before its planned stop.
     pub sent_handover: Option<TicketHandover>,
-    /// The list entry that the peer received.
+    /// The list entry that the other node received.
     pub received_handover: Option<TicketHandover>,
     /// The row of the key in the table.
     pub row: KeyRecord,
     /// The writes issued so far, as bits; each may be applied at any time.
     pub issued_writes: u16,
-    /// Whether a request was run on the path that the key did not begin on.
+    /// Whether a request with a caller's key was handled like a ticket, or one with a ticket like a
+    /// caller's key.
     pub path_changed: bool,
 }
 
@@ -195,8 +196,8 @@
         self.requests[request].location = location;
     }
 
-    /// Reports an outcome, unless one was reported before. The caller reads only that of its newest
-    /// request.
+    /// Records the outcome of a request, unless the request already has one. Only a *not run*
+    /// of the newest request changes [`State::settled_requests`].
     pub(super) fn report_outcome(&mut self, request: Request, outcome: ReportedOutcome) {
         if self.requests[request].reported != ReportedOutcome::Pending {
             return;
@@ -216,14 +217,14 @@
         self.requests[request].upstream_state == UpstreamState::Started
     }
 
-    /// Returns whether the caller knows that the request did not run.
+    /// Returns whether the request was reported *not run*, directly or by a later request.
     pub(super) fn was_reported_not_run(&self, request: Request) -> bool {
         request < self.settled_requests
             || self.requests[request].reported == ReportedOutcome::NotRun
     }
 
-    /// Returns whether a claim is left for a request that was reported *not run* and no write will
-    /// release it.
+    /// Returns whether the row holds the claim of an inactive request that was reported *not run*,
+    /// and no write that removes the claim was issued.
     pub(super) fn has_orphaned_claim(&self, request: Request) -> bool {
         self.row == KeyRecord::Claimed(request)
             && self.requests[request].location == RequestLocation::Inactive
