--- a/crates/sedgepath/src/operations/drain.rs
+++ b/crates/sedgepath/src/operations/drain.rs
@@ -11,12 +11,16 @@
 use crate::error::CliError;
 use crate::records::FileRecords;
 
-/// The target of a drain and its deadline.
+/// The schema version of the drain records that are written.
+const DRAIN_SCHEMA: u32 = 1;
+
+/// The parameters of a drain; [`end`] ignores the times.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DrainOptions {
     /// The name of the upstream or failure domain.
     pub target: Box<str>,
-    /// What the name refers to; looked up in the records if it is not given.
+    /// What the name refers to. If `None`, an upstream of this name is preferred to a failure
+    /// domain.
     pub kind: Option<DrainTargetKind>,
     /// The current time, in milliseconds since the Unix epoch.
     pub now_ms: u64,
@@ -24,12 +28,12 @@
     pub finish_by_ms: u64,
 }
 
-/// The share of traffic that the target still gets from a point in time on.
+/// A step of a drain: the target's share of traffic from `at_ms`.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct DrainReportStep {
-    /// The point in time, in milliseconds since the Unix epoch.
+    /// When the share takes effect, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The share of the origin group's traffic for the service, from 0 to 1.
+    /// The fraction of the origin group's requests to the service that the target receives.
     pub share: f64,
 }
 
@@ -40,7 +44,7 @@
     pub service: Box<str>,
     /// The name of the origin group.
     pub origin: Box<str>,
-    /// The shares, in the order of time.
+    /// The shares, by time.
     pub steps: Vec<DrainReportStep>,
 }
 
@@ -70,15 +74,15 @@
         DrainTargetKind::Domain => DrainTarget::Domain(DomainKey::of(&options.target)),
     };
     let plan = DrainPlan::new(&catalogue, target, options.now_ms, options.finish_by_ms)?;
-    let step = |step: &DrainStep| DrainReportStep { at_ms: step.at_ms, share: step.share };
+    let report_step = |step: &DrainStep| DrainReportStep { at_ms: step.at_ms, share: step.share };
     let groups = plan.groups.iter().map(|group| DrainReportGroup {
         service: catalogue
             .services
             .get(&group.service)
-            .map(|it| it.name.clone())
+            .map(|service| service.name.clone())
             .unwrap_or_default(),
         origin: catalogue.origins.get(&group.origin).cloned().unwrap_or_default(),
-        steps: group.steps.iter().map(step).collect(),
+        steps: group.steps.iter().map(report_step).collect(),
     });
     Ok(DrainReport {
         target: options.target.clone(),
@@ -90,12 +94,13 @@
 
 /// Plans a drain and starts it if the plan succeeds.
 ///
-/// The change is accepted only on top of the revision of the plan, since a change in between could
-/// invalidate the plan. `complete_options` adds the options of the change that the caller knows.
+/// The drain is applied only if the records still have the revision that was planned against, since
+/// another change could invalidate the plan. `complete_options` sets the remaining apply options,
+/// such as the note.
 ///
 /// # Errors
 ///
-/// Fails if the target is unknown, there is no plan, or the change is not accepted.
+/// Fails if the target is unknown, can't be drained in time, or the change is not accepted.
 pub fn start(
     client: &Client,
     in_force: &RecordsInForce,
@@ -109,7 +114,7 @@
 
 /// Ends a drain, so that the target gets traffic again.
 ///
-/// `complete_options` adds the options of the change that the caller knows.
+/// `complete_options` sets the remaining apply options, such as the note.
 ///
 /// # Errors
 ///
@@ -139,7 +144,7 @@
     let catalogue = Catalogue::new(in_force.rows.iter().map(|row| &row.record));
     let drain = Drain { target: resolve_kind(&catalogue, options)?, active };
     let record = RawRecord {
-        schema: 1,
+        schema: DRAIN_SCHEMA,
         kind: "drain".into(),
         name: options.target.clone(),
         body: serde_json::to_string(&drain)?.into(),
--- a/crates/sedgepath/src/operations/timeline.rs
+++ b/crates/sedgepath/src/operations/timeline.rs
@@ -1,4 +1,4 @@
-//! Merges the timelines of all nodes.
+//! Reads and merges the timelines of the nodes that one node knows.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,13 +24,13 @@
 pub struct UnresponsiveNode {
     /// The node's name.
     pub node: Box<str>,
-    /// The node's address for operators.
+    /// The address of the node's operator interface.
     pub address: SocketAddr,
     /// The cause of the failure.
     pub reason: Box<str>,
 }
 
-/// The new timeline entries of all nodes in one order.
+/// The new entries of all nodes that could be read, merged by timestamp.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct MergedTimeline {
     /// The entries, in the order of their timestamps.
@@ -40,7 +40,7 @@
     pub unresponsive: Vec<UnresponsiveNode>,
 }
 
-/// Reads the timelines of all nodes incrementally.
+/// Reads the timelines incrementally.
 #[derive(Debug)]
 pub struct TimelineReader {
     start: HybridTimestamp,
@@ -54,11 +54,11 @@
         Self { start: HybridTimestamp { time_ms: since_ms, count: 0 }, read_up_to: BTreeMap::new() }
     }
 
-    /// Reads the new entries of every member that the first responding node knows.
+    /// Reads the new entries of the first responding node and of every member that it knows.
     ///
     /// # Errors
     ///
-    /// Fails if no node answers the call for the members.
+    /// Fails if no node returns its status.
     pub fn read(&mut self, client: &Client) -> Result<MergedTimeline, CliError> {
         let response = client.call_any(|client| async move { client.status().await })?;
         let status = response.value;
@@ -69,17 +69,17 @@
         let mut timeline = MergedTimeline { events: Vec::new(), unresponsive: Vec::new() };
         for (node, address) in nodes {
             let after = self.read_up_to.get(&node).copied().unwrap_or(self.start);
-            let part =
+            let result =
                 client.call_node(address, |client| async move { client.timeline(after).await });
-            match part {
-                Ok(part) => {
-                    if let Some(last) = part.entries.last() {
+            match result {
+                Ok(timeline_part) => {
+                    if let Some(last) = timeline_part.entries.last() {
                         self.read_up_to.insert(node.clone(), last.stamp);
                     }
-                    let entries = part.entries.into_iter();
-                    timeline
-                        .events
-                        .extend(entries.map(|entry| NodeEvent { node: part.node.clone(), entry }));
+                    let entries = timeline_part.entries.into_iter();
+                    timeline.events.extend(
+                        entries.map(|entry| NodeEvent { node: timeline_part.node.clone(), entry }),
+                    );
                 }
                 Err(failure) => {
                     timeline.unresponsive.push(UnresponsiveNode {
