--- a/crates/sedgepath-core/tests/fuzz_configuration.rs
+++ b/crates/sedgepath-core/tests/fuzz_configuration.rs
@@ -202,15 +202,15 @@
             Step::Pause(node) => self.bed.pause(*node),
             Step::Resume(node) => self.bed.resume(*node),
             Step::CutNodes(a, b) => {
-                self.bed.faults.cut(LinkEndpoint::Node(*a), LinkEndpoint::Node(*b))
+                self.bed.faults.cut(LinkEndpoint::Node(*a), LinkEndpoint::Node(*b));
             }
             Step::CutPlatform(node) => {
-                self.bed.faults.cut(LinkEndpoint::Node(*node), LinkEndpoint::Platform)
+                self.bed.faults.cut(LinkEndpoint::Node(*node), LinkEndpoint::Platform);
             }
             Step::Heal => self.bed.faults.heal_all(),
             Step::PlatformDown(down) => self.bed.faults.platform_down = *down,
             Step::LoseTableResults { percent } => {
-                self.bed.faults.lost_commit_result_percent = *percent
+                self.bed.faults.lost_commit_result_percent = *percent;
             }
             Step::LateWrites { count, late_by_ms } => {
                 self.bed.faults.delayed_commits = *count;
--- a/crates/sedgepath-core/tests/fuzz_once.rs
+++ b/crates/sedgepath-core/tests/fuzz_once.rs
@@ -185,7 +185,7 @@
             Step::SkewClock { node, skew_ms } => bed.set_skew_ms(node, skew_ms),
             Step::CutNodes(a, b) => bed.faults.cut(LinkEndpoint::Node(a), LinkEndpoint::Node(b)),
             Step::CutPlatform(node) => {
-                bed.faults.cut(LinkEndpoint::Node(node), LinkEndpoint::Platform)
+                bed.faults.cut(LinkEndpoint::Node(node), LinkEndpoint::Platform);
             }
             Step::CutUpstream(node, upstream) => {
                 bed.faults.cut(LinkEndpoint::Node(node), upstream_place(upstream));
--- a/crates/sedgepath-core/tests/fuzz_tiers.rs
+++ b/crates/sedgepath-core/tests/fuzz_tiers.rs
@@ -83,7 +83,7 @@
         Fault::CutVm(vm) => net.cut(&[*vm], &all),
         Fault::CutVmOneWay(vm) => net.cut_one_way(&all, &[*vm]),
         Fault::CutDomains(one, other) => {
-            net.cut(&net.vms_in_domain(*one), &net.vms_in_domain(*other))
+            net.cut(&net.vms_in_domain(*one), &net.vms_in_domain(*other));
         }
         Fault::CutRegions => net.cut(&net.vms_in_region(0), &net.vms_in_region(1)),
         Fault::Mend => net.heal_all(),
