--- a/crates/sedgepath-core/src/event.rs
+++ b/crates/sedgepath-core/src/event.rs
@@ -63,6 +63,7 @@
     /// The name of the VM's failure domain.
     pub domain: Box<str>,
     /// The address for frames and datagrams from peers.
+    #[serde(rename = "peers")]
     pub peer_address: SocketAddr,
     /// Whether the platform is about to remove the VM.
     pub leaving: bool,
--- a/crates/sedgepath-core/src/ingress.rs
+++ b/crates/sedgepath-core/src/ingress.rs
@@ -5,7 +5,7 @@
 //! request may still run. Such a request is retried only if a second run is harmless, and otherwise
 //! its outcome is *unknown*.
 //!
-//! Every request that may run passes through [`Ingress::begin_request`]. The methods return each
+//! Every request that may run passes through [`Ingress::begin`]. The methods return each
 //! [`ConcludedRequest`], so that the deduplication system gets the outcome before the caller.
 
 use crate::catalogue::{Catalogue, ServiceEntry};
--- a/crates/sedgepath-wire/src/rpc.rs
+++ b/crates/sedgepath-wire/src/rpc.rs
@@ -94,7 +94,7 @@
 pub mod method {
     /// The name of [`super::OperatorsServer::page`].
     pub const PAGE: &str = "page";
-    /// The name of [`super::OperatorsServer::request_change`].
+    /// The name of [`super::OperatorsServer::change`].
     pub const CHANGE: &str = "change";
     /// The name of [`super::OperatorsServer::history`].
     pub const HISTORY: &str = "history";
