--- a/crates/sedgepath-core/tests/shift.rs
+++ b/crates/sedgepath-core/tests/shift.rs
@@ -344,8 +344,7 @@
 }
 
 /// Guards against moves beyond the cap while nodes disagree about members during heavy datagram
-/// loss. Rejected traffic counts by the standing shares of its nodes; otherwise its return would
-/// look like a move.
+/// loss.
 #[test]
 fn nodes_that_disagree_move_no_more_than_the_cap() {
     for seed in [10, 17, 22] {
